--- a/accord/src/audience.rs
+++ b/accord/src/audience.rs
@@ -1,6 +1,6 @@
 //! Who is told of which servers: all of all, or each of those that its own list names. Those who name the same are one
 //! subscription, with what has been told of its servers as a ledger of its own.
-use crate::facts::{Fact, Ledger, Subject, MOST_FACTS};
+use crate::facts::{Fact, Ledger, Subject, MAX_FACTS};
 use crate::names::Names;
 use crate::{Holder, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +50,7 @@
     ) -> bool {
         let known = self.all.facts().get(subject);
         let forbids = fact.as_ref().is_some_and(|fact| fact.forbids_beyond(known));
-        let stays = fact.as_ref().is_some_and(|fact| fact.out);
+        let stays = fact.as_ref().is_some_and(|fact| fact.excluded);
         if !self.all.set(now, subject, fact.clone()) {
             return false;
         }
@@ -120,7 +120,7 @@
             names.add(name);
         }
         fewer.iter().for_each(|name| _ = names.remove(name));
-        if names.hash() != to || to == 0 || names.len() > MOST_FACTS {
+        if names.hash() != to || to == 0 || names.len() > MAX_FACTS {
             return false;
         }
         for name in names.iter() {
@@ -163,7 +163,7 @@
     /// because its holder began to name a server late.
     fn told_of(&mut self, names: &Names) -> Ledger {
         let subjects =
-            names.iter().flat_map(|name| [Subject::Server(name.clone()), Subject::Mark(name.clone())]);
+            names.iter().flat_map(|name| [Subject::Server(name.clone()), Subject::Maintenance(name.clone())]);
         let told = subjects.filter_map(|subject| {
             let fact = self.all.facts().get(&subject)?.clone();
             Some((self.learnt.get(&subject).copied().unwrap_or_default(), subject, fact))
--- a/accord/src/facts.rs
+++ b/accord/src/facts.rs
@@ -13,12 +13,13 @@
 pub enum Subject {
     Server(Arc<str>),
     /// A server's mark by hand.
-    Mark(Arc<str>),
+    #[serde(rename = "mark")]
+    Maintenance(Arc<str>),
 }
 
 impl Subject {
     pub fn name(&self) -> &Arc<str> {
-        let (Subject::Server(name) | Subject::Mark(name)) = self;
+        let (Subject::Server(name) | Subject::Maintenance(name)) = self;
         name
     }
 }
@@ -30,7 +31,8 @@
     /// When the server last started, or when the mark was set.
     pub since: u64,
     /// Nothing new is to be sent there.
-    pub out: bool,
+    #[serde(rename = "out")]
+    pub excluded: bool,
     /// Whoever says it was told so by its own list, not by others.
     pub first_hand: bool,
     /// How the list words it, where that is passed on.
@@ -41,16 +43,16 @@
 impl Fact {
     /// Whether it forbids what was allowed by what is known.
     pub(crate) fn forbids_beyond(&self, known: Option<&Fact>) -> bool {
-        self.out && known.is_none_or(|known| !known.out || known.since < self.since)
+        self.excluded && known.is_none_or(|known| !known.excluded || known.since < self.since)
     }
 }
 
 pub type Facts = BTreeMap<Subject, Fact>;
 /// What is said of a subject from now on; nothing more where none.
-pub type Change = (Subject, Option<Fact>);
+pub type FactChange = (Subject, Option<Fact>);
 
 /// Subjects of which something may be said at a time: guards against a list without end.
-pub const MOST_FACTS: usize = 8_192;
+pub const MAX_FACTS: usize = 8_192;
 /// Changes that are remembered; whoever lacks more is told all there is.
 const MOST_PAST: usize = 4_096;
 
@@ -85,12 +87,12 @@
         self.hash ^= known.map_or(0, |known| hash_of(&subject, &known));
     }
 
-    pub fn take(&mut self, changes: Vec<Change>) {
+    pub fn take(&mut self, changes: Vec<FactChange>) {
         changes.into_iter().for_each(|(subject, fact)| self.put(subject, fact));
     }
 
     /// Takes what another's content has become; false if that does not follow from what is known here.
-    pub fn follow(&mut self, from: u64, to: u64, changes: Vec<Change>) -> bool {
+    pub fn follow(&mut self, from: u64, to: u64, changes: Vec<FactChange>) -> bool {
         if from != 0 && from != self.hash {
             return false;
         }
@@ -142,7 +144,7 @@
             return false;
         }
         let forbids = fact.as_ref().is_some_and(|fact| fact.forbids_beyond(known));
-        let out = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.out));
+        let out = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.excluded));
         self.forbidding = self.forbidding + out(fact.as_ref()) - out(known);
         let hash = self.hash();
         let place = self.forgotten + self.past.len();
@@ -175,7 +177,7 @@
     }
 
     /// From which hash on, and what whoever has that content lacks; from nothing on where that is not remembered.
-    pub fn since(&self, hash: u64) -> (u64, Vec<Change>) {
+    pub fn since(&self, hash: u64) -> (u64, Vec<FactChange>) {
         let Some(place) = self.place(hash) else {
             let all = self.facts().iter().map(|(subject, fact)| (subject.clone(), Some(fact.clone())));
             return (0, all.collect());
--- a/accord/src/keeper.rs
+++ b/accord/src/keeper.rs
@@ -2,7 +2,7 @@
 use crate::facts::Facts;
 use crate::leases::Leases;
 use crate::said::{Asking, Said, Taken};
-use crate::{Holder, Micros, Version, Word, MOST_WAITING, UNEVEN};
+use crate::{Holder, Message, Micros, Version, CLOCK_RATE_TOLERANCE, MAX_PENDING_VERSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -18,11 +18,11 @@
 
 /// For whom a version that does not hold yet waits.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Waiting {
+pub struct BlockingLease {
     pub holder: Holder,
-    pub until: Micros,
+    pub expires_at: Micros,
     /// It can't take that version, and stands in its way for as long as it lives.
-    pub refuses: bool,
+    pub rejects: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -43,7 +43,7 @@
 impl Keeper {
     /// `within` is how long a member counts a lease.
     pub fn new(now: Micros, within: Micros) -> Keeper {
-        let span = within.times(1.0 + UNEVEN);
+        let span = within.times(1.0 + CLOCK_RATE_TOLERANCE);
         // Guards against clearing what a lease that this keeper granted before it was started again stands against.
         Keeper {
             awake: now + span,
@@ -57,22 +57,34 @@
         }
     }
 
-    pub fn on(&mut self, now: Micros, from: Holder, word: Word, out: &mut Vec<(Holder, Word)>) {
+    pub fn handle_message(
+        &mut self, now: Micros, from: Holder, word: Message, out: &mut Vec<(Holder, Message)>,
+    ) {
         match word {
-            Word::Ask { turn, knows, refuses, says, names, heard, after } => {
+            Message::LeaseRequest {
+                sequence: turn,
+                known_versions: knows,
+                rejected_versions: refuses,
+                reported_hash: says,
+                names_hash: names,
+                received_hash: heard,
+                last_update: after,
+            } => {
                 // Guards against a keeper that starts again with its clock behind: none would hear it.
                 self.told = self.told.max(after);
                 let (knows, refuses) = (knows.into_iter().collect(), refuses.into_iter().collect());
                 self.ask(now, from, Asked { turn, knows, refuses, says, names, heard }, out)
             }
-            Word::Says { from: base, to, changes, .. } => self.said.offer(from, (base, to), changes),
-            Word::Subscribe { from: base, to, more, fewer } => {
+            Message::FactUpdate { base_hash: base, new_hash: to, changes, .. } => {
+                self.said.offer(from, (base, to), changes)
+            }
+            Message::Subscribe { base_hash: base, new_hash: to, added: more, removed: fewer } => {
                 self.said.subscribe(from, (base, to), more, &fewer)
             }
-            Word::Documents(documents) => {
+            Message::Documents(documents) => {
                 let before = self.documents.len();
                 for (version, text) in documents {
-                    if self.wants(version) && self.documents.len() < MOST_WAITING {
+                    if self.wants(version) && self.documents.len() < MAX_PENDING_VERSIONS {
                         self.documents.insert(version, text);
                     }
                 }
@@ -81,40 +93,40 @@
                 }
             }
             // Only a member is told these.
-            Word::Grant { .. }
-            | Word::Want(_)
-            | Word::News
-            | Word::Lacks { .. }
-            | Word::LacksNames { .. } => {}
+            Message::LeaseGrant { .. }
+            | Message::RequestDocuments(_)
+            | Message::StateChanged
+            | Message::UnknownReport { .. }
+            | Message::UnknownNames { .. } => {}
         }
         self.clear(now, out);
     }
 
-    /// To be called at [`Keeper::due`], or any time.
-    pub fn woke(&mut self, now: Micros, out: &mut Vec<(Holder, Word)>) {
+    /// To be called at [`Keeper::next_wakeup`], or any time.
+    pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
         self.clear(now, out);
     }
 
     /// When something may hold without a word from anybody.
-    pub fn due(&self, now: Micros) -> Option<Micros> {
+    pub fn next_wakeup(&self, now: Micros) -> Option<Micros> {
         let pending = self.documents.keys().any(|version| Some(*version) > self.cleared);
         let ends = [self.leases.next_end(now), Some(self.awake).filter(|awake| *awake > now)];
         ends.into_iter().flatten().min().filter(|_| pending)
     }
 
-    pub fn cleared(&self) -> Option<Version> {
+    pub fn committed(&self) -> Option<Version> {
         self.cleared
     }
 
     /// The latest version that does not hold yet, and those for whom it waits.
-    pub fn pending(&self, now: Micros) -> Option<(Version, Vec<Waiting>)> {
+    pub fn pending_version(&self, now: Micros) -> Option<(Version, Vec<BlockingLease>)> {
         let version = *self.documents.keys().next_back().filter(|version| Some(**version) > self.cleared)?;
         let in_the_way =
             self.leases.iter().filter(|(_, lease)| lease.until > now && !lease.keeps_to(version));
-        let waiting = in_the_way.map(|(holder, lease)| Waiting {
+        let waiting = in_the_way.map(|(holder, lease)| BlockingLease {
             holder: *holder,
-            until: lease.until,
-            refuses: lease.refuses.contains(&version),
+            expires_at: lease.until,
+            rejects: lease.refuses.contains(&version),
         });
         Some((version, waiting.collect()))
     }
@@ -126,22 +138,24 @@
 
     /// A version that may come to hold here, and is not known yet.
     fn wants(&self, version: Version) -> bool {
-        let later = self.cleared.is_none_or(|cleared| version > cleared && version.place() > cleared.place());
+        let later = self.cleared.is_none_or(|cleared| {
+            version > cleared && version.epoch_and_number() > cleared.epoch_and_number()
+        });
         later && !self.documents.contains_key(&version)
     }
 
-    fn ask(&mut self, now: Micros, from: Holder, asked: Asked, out: &mut Vec<(Holder, Word)>) {
+    fn ask(&mut self, now: Micros, from: Holder, asked: Asked, out: &mut Vec<(Holder, Message)>) {
         let Asked { turn, knows, refuses, says, names, heard } = asked;
         // Guards against an ask that comes late, or twice, by which its sender would know less or more than it does.
         if self.said.turn_of(from).is_some_and(|last| last >= turn) {
             return;
         }
         // Guards against asking again and again for what there is no room for.
-        let room = MOST_WAITING.saturating_sub(self.documents.len());
+        let room = MAX_PENDING_VERSIONS.saturating_sub(self.documents.len());
         let wanted: Vec<Version> =
             knows.iter().copied().filter(|version| self.wants(*version)).take(room).collect();
         if !wanted.is_empty() {
-            out.push((from, Word::Want(wanted)));
+            out.push((from, Message::RequestDocuments(wanted)));
         }
         let lacking = self.documents.iter().filter(|(version, _)| {
             let above = knows.first().is_some_and(|first| first > version);
@@ -158,20 +172,24 @@
         let behind = behind.filter(|behind| *behind < self.span && said);
         let granted = granted.zip(behind);
         if !lacking.is_empty() {
-            out.push((from, Word::Documents(lacking)));
+            out.push((from, Message::Documents(lacking)));
         }
         let until = granted.map(|_| now + self.span);
         self.leases.asked(from, (knows, refuses), until);
-        let grant = |(cleared, behind): (Version, Micros)| Word::Grant { turn, cleared, behind: behind.0 };
+        let grant = |(cleared, behind): (Version, Micros)| Message::LeaseGrant {
+            sequence: turn,
+            committed: cleared,
+            lag_us: behind.0,
+        };
         out.extend(granted.map(|granted| (from, grant(granted))));
     }
 
     /// Takes what one who asks says and of what it hears, and tells it what it lacks; false if either is not known here.
-    fn hears(&mut self, now: Micros, from: Holder, asking: Asking, out: &mut Vec<(Holder, Word)>) -> bool {
+    fn hears(&mut self, now: Micros, from: Holder, asking: Asking, out: &mut Vec<(Holder, Message)>) -> bool {
         let heard = asking.heard;
         let Taken { lacks, lacks_names, hear } = self.said.asked(now, from, asking);
-        out.extend(lacks.map(|have| (from, Word::Lacks { have })));
-        out.extend(lacks_names.map(|have| (from, Word::LacksNames { have })));
+        out.extend(lacks.map(|have| (from, Message::UnknownReport { known_hash: have })));
+        out.extend(lacks_names.map(|have| (from, Message::UnknownNames { known_hash: have })));
         let told = hear.contains(&from);
         hear.into_iter().for_each(|holder| self.tell_facts(now, holder, out));
         if !told && self.said.told_to(from).is_some_and(|told| told.hash() != heard) {
@@ -180,14 +198,14 @@
         lacks.is_none() && lacks_names.is_none()
     }
 
-    fn tell_facts(&mut self, now: Micros, holder: Holder, out: &mut Vec<(Holder, Word)>) {
+    fn tell_facts(&mut self, now: Micros, holder: Holder, out: &mut Vec<(Holder, Message)>) {
         // Guards against one that starts again unsaying what it told in its earlier life, by which leases are held.
         if now < self.awake {
             return;
         }
         let Some((from, to, changes)) = self.said.owed(holder) else { return };
         self.told = self.told.max(now.0) + 1;
-        out.push((holder, Word::Says { at: self.told, from, to, changes }));
+        out.push((holder, Message::FactUpdate { number: self.told, base_hash: from, new_hash: to, changes }));
     }
 
     /// What is said of servers here.
@@ -196,12 +214,12 @@
     }
 
     /// Entries looked at since its start, for whoever measures what a word costs.
-    pub fn steps(&self) -> u64 {
+    pub fn entries_examined(&self) -> u64 {
         self.steps + self.leases.steps + self.said.steps()
     }
 
     /// Lets the latest version hold against which no lease stands.
-    fn clear(&mut self, now: Micros, out: &mut Vec<(Holder, Word)>) {
+    fn clear(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
         self.leases.expire(now);
         let hear = self.said.expire(now);
         hear.into_iter().for_each(|holder| self.tell_facts(now, holder, out));
@@ -213,7 +231,8 @@
         self.steps += later.len() as u64;
         let free = |version: &Version| {
             // Guards against one of two contents under one number winning by chance.
-            let twins = self.documents.keys().filter(|other| other.place() == version.place());
+            let twins =
+                self.documents.keys().filter(|other| other.epoch_and_number() == version.epoch_and_number());
             twins.count() == 1 && self.leases.all_keep_to(*version)
         };
         let Some(version) = later.into_iter().find(free) else { return };
@@ -222,10 +241,10 @@
         self.tell(now, out);
     }
 
-    fn tell(&mut self, now: Micros, out: &mut Vec<(Holder, Word)>) {
+    fn tell(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
         let live = self.leases.iter().filter(|(_, lease)| lease.until > now);
         let before = out.len();
-        out.extend(live.map(|(holder, _)| (*holder, Word::News)));
+        out.extend(live.map(|(holder, _)| (*holder, Message::StateChanged)));
         self.steps += (out.len() - before) as u64;
     }
 }
--- a/accord/src/leases.rs
+++ b/accord/src/leases.rs
@@ -78,7 +78,7 @@
 
     /// When the next of those is over that live.
     pub(crate) fn next_end(&self, now: Micros) -> Option<Micros> {
-        let last = Holder { instance: crate::InstanceId(u32::MAX), life: u64::MAX };
+        let last = Holder { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
         self.ends.range((Excluded((now, last)), Unbounded)).next().map(|(until, _)| *until)
     }
 }
--- a/accord/src/lib.rs
+++ b/accord/src/lib.rs
@@ -14,10 +14,10 @@
 mod said;
 mod shape;
 
-pub use facts::{Change, Fact, Facts, Subject, MOST_FACTS};
-pub use keeper::{Keeper, Waiting};
-pub use lists::Listed;
-pub use member::{Action, Judge, Member};
+pub use facts::{Fact, FactChange, Facts, Subject, MAX_FACTS};
+pub use keeper::{BlockingLease, Keeper};
+pub use lists::ListUpdate;
+pub use member::{Action, Member, Validator};
 
 pub use oakhollow::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
 
 impl Version {
     /// What the writer calls it.
-    pub fn place(&self) -> (u64, u64) {
+    pub fn epoch_and_number(&self) -> (u64, u64) {
         (self.epoch, self.number)
     }
 }
@@ -59,75 +59,100 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Holder {
     pub instance: InstanceId,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What members and keepers say to each other.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum Message {
     /// A member wants a lease: it keeps to all of what it knows, and can't take what it refuses.
-    Ask {
-        turn: u64,
-        knows: Vec<Version>,
-        refuses: Vec<Version>,
+    #[serde(rename = "ask")]
+    LeaseRequest {
+        #[serde(rename = "turn")]
+        sequence: u64,
+        #[serde(rename = "knows")]
+        known_versions: Vec<Version>,
+        #[serde(rename = "refuses")]
+        rejected_versions: Vec<Version>,
         /// The hash of what it says of servers, and of what it has heard of them from this keeper.
-        says: u64,
+        #[serde(rename = "says")]
+        reported_hash: u64,
         /// The hash of the servers that its list names, where it is told of those alone; it is told of all otherwise.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        names: Option<u64>,
-        heard: u64,
+        #[serde(default, rename = "names", skip_serializing_if = "Option::is_none")]
+        names_hash: Option<u64>,
+        #[serde(rename = "heard")]
+        received_hash: u64,
         /// How that keeper numbered what was last heard from it.
-        after: u64,
+        #[serde(rename = "after")]
+        last_update: u64,
     },
     /// The lease for that turn, and what holds at this keeper.
-    Grant {
-        turn: u64,
-        cleared: Version,
+    #[serde(rename = "grant")]
+    LeaseGrant {
+        #[serde(rename = "turn")]
+        sequence: u64,
+        #[serde(rename = "cleared")]
+        committed: Version,
         /// For how long, in microseconds, it has lacked something that this keeper knows to be forbidden: its lease is
         /// shorter by that.
-        behind: u64,
+        #[serde(rename = "behind")]
+        lag_us: u64,
     },
     /// What a member says of servers is not known here; what has this hash is.
-    Lacks {
-        have: u64,
+    #[serde(rename = "lacks")]
+    UnknownReport {
+        #[serde(rename = "have")]
+        known_hash: u64,
     },
     /// What whoever says this says of servers, as changes from the content of one hash to that of another.
     /// A keeper numbers what it tells: what comes late must not undo what came before it.
-    Says {
-        at: u64,
-        from: u64,
-        to: u64,
-        changes: Vec<Change>,
+    #[serde(rename = "says")]
+    FactUpdate {
+        #[serde(rename = "at")]
+        number: u64,
+        #[serde(rename = "from")]
+        base_hash: u64,
+        #[serde(rename = "to")]
+        new_hash: u64,
+        changes: Vec<FactChange>,
     },
     /// The names by which a member asks are not known here; those of this hash are.
-    LacksNames {
-        have: u64,
+    #[serde(rename = "lacks_names")]
+    UnknownNames {
+        #[serde(rename = "have")]
+        known_hash: u64,
     },
     /// The servers that a member's list names, as they follow from those of another hash.
     Subscribe {
-        from: u64,
-        to: u64,
-        more: Vec<Arc<str>>,
-        fewer: Vec<Arc<str>>,
+        #[serde(rename = "from")]
+        base_hash: u64,
+        #[serde(rename = "to")]
+        new_hash: u64,
+        #[serde(rename = "more")]
+        added: Vec<Arc<str>>,
+        #[serde(rename = "fewer")]
+        removed: Vec<Arc<str>>,
     },
     /// Whoever hears this knows versions that the one who says it does not.
-    Want(Vec<Version>),
+    #[serde(rename = "want")]
+    RequestDocuments(Vec<Version>),
     Documents(Vec<(Version, Arc<str>)>),
     /// Something has changed at a keeper: ask again.
-    News,
+    #[serde(rename = "news")]
+    StateChanged,
 }
 
 /// Versions that may wait to hold at a time: guards against a writer without end.
-pub const MOST_WAITING: usize = 16;
+pub const MAX_PENDING_VERSIONS: usize = 16;
 
 /// By how much a keeper's clock may run faster than a member's, as a part: the keeper counts a lease longer by it.
-pub const UNEVEN: f64 = 0.03;
+pub const CLOCK_RATE_TOLERANCE: f64 = 0.03;
 
 /// How long a lease lives where the promise is that what one hears holds for all `within`: one length of a lease passes at
 /// most until a keeper has heard it, or whoever heard it acts no more, and another until nobody acts without it.
-pub fn lease(within: Micros) -> Micros {
-    within.times(0.5 / (1.0 + UNEVEN))
+pub fn lease_duration(within: Micros) -> Micros {
+    within.times(0.5 / (1.0 + CLOCK_RATE_TOLERANCE))
 }
 
 /// How many of the keepers have a word that two such groups can't have without sharing one.
--- a/accord/src/lists.rs
+++ b/accord/src/lists.rs
@@ -1,5 +1,5 @@
 //! What an instance knows of servers: by its own list, by marks at its console, and by what keepers tell of the others.
-use crate::facts::{most, Change, Content, Fact, Facts, Ledger, Subject, MOST_FACTS};
+use crate::facts::{most, Content, Fact, FactChange, Facts, Ledger, Subject, MAX_FACTS};
 use crate::names::Names;
 use crate::{InstanceId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -7,10 +7,10 @@
 
 /// What the own list tells: whole, or what has changed; no entries if it is there, and nothing has.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct ListUpdate {
     /// What its writer numbers it.
     pub index: u64,
-    pub whole: bool,
+    pub snapshot: bool,
     /// Of a server that has left, none.
     pub entries: Vec<(Arc<str>, Option<Fact>)>,
 }
@@ -68,7 +68,7 @@
     pub fn out(&self) -> BTreeMap<&Arc<str>, u64> {
         let mut out = BTreeMap::new();
         let said = self.view.iter().chain(self.says.facts().iter().filter(|(_, fact)| !fact.first_hand));
-        for (subject, fact) in said.filter(|(_, fact)| fact.out) {
+        for (subject, fact) in said.filter(|(_, fact)| fact.excluded) {
             if let Subject::Server(name) = subject {
                 let since = out.entry(name).or_insert(fact.since);
                 *since = fact.since.max(*since);
@@ -94,7 +94,7 @@
     /// The hash of the names on its list, where it hears of those alone, and how often they have changed.
     pub fn named(&self) -> (Option<u64>, u64) {
         // Who names more than a keeper takes hears of all.
-        let takes = self.subscribes && self.names.len() <= MOST_FACTS;
+        let takes = self.subscribes && self.names.len() <= MAX_FACTS;
         (takes.then(|| self.names.hash()), self.naming)
     }
 
@@ -119,13 +119,13 @@
     pub fn unknown(&self) -> impl Iterator<Item = &Arc<str>> {
         let told = self.view.iter().filter(|(subject, fact)| {
             let known = self.own.get(subject.name()).is_some_and(|own| own.since >= fact.since);
-            matches!(subject, Subject::Server(_)) && !fact.out && !known
+            matches!(subject, Subject::Server(_)) && !fact.excluded && !known
         });
         told.filter_map(|(_, fact)| fact.entry.as_ref())
     }
 
     /// Takes what the own list tells. Whether it says something else by it, and whether it names others.
-    pub fn listed(&mut self, now: Micros, listed: Listed) -> (bool, bool) {
+    pub fn listed(&mut self, now: Micros, listed: ListUpdate) -> (bool, bool) {
         let named = self.names.hash();
         let (before, later, moved) = (
             self.says.hash(),
@@ -134,11 +134,11 @@
         );
         self.index = listed.index;
         let names = || listed.entries.iter().map(|(name, _)| name.clone());
-        let there: Option<BTreeSet<Arc<str>>> = listed.whole.then(|| names().collect());
+        let there: Option<BTreeSet<Arc<str>>> = listed.snapshot.then(|| names().collect());
         for (name, fact) in listed.entries {
             match fact {
                 Some(fact) => {
-                    if self.own.get(&name).is_some_and(|known| known.out) {
+                    if self.own.get(&name).is_some_and(|known| known.excluded) {
                         self.gone.retain(|gone| *gone != name);
                     }
                     self.names.add(name.clone());
@@ -197,7 +197,7 @@
     /// A server has left the own list: nothing new goes to it, as to one that drains.
     fn leave(&mut self, now: Micros, name: &Arc<str>) {
         let Some(fact) = self.own.get_mut(name) else { return };
-        fact.out = true;
+        fact.excluded = true;
         if !self.gone.contains(name) {
             self.gone.push_back(name.clone());
         }
@@ -212,9 +212,9 @@
 
     /// Says of a server what the own list does.
     fn say_of(&mut self, now: Micros, name: &Arc<str>) {
-        let own = self.own.get(name).filter(|fact| fact.out || self.whole);
+        let own = self.own.get(name).filter(|fact| fact.excluded || self.whole);
         let said = own.map(|fact| Fact {
-            entry: fact.entry.clone().filter(|_| self.whole && !fact.out),
+            entry: fact.entry.clone().filter(|_| self.whole && !fact.excluded),
             ..fact.clone()
         });
         self.say(now, &Subject::Server(name.clone()), said);
@@ -222,7 +222,7 @@
 
     fn say(&mut self, now: Micros, subject: &Subject, fact: Option<Fact>) -> bool {
         let fresh = fact.is_some() && !self.says.facts().contains_key(subject);
-        let full = fresh && self.says.facts().len() >= MOST_FACTS;
+        let full = fresh && self.says.facts().len() >= MAX_FACTS;
         self.full |= full;
         !full && self.says.set(now, subject, fact)
     }
@@ -234,14 +234,14 @@
 
     /// Takes a mark that was set by hand here, or heard of; false if one as late is known.
     pub fn marked(&mut self, now: Micros, name: &Arc<str>, out: bool, at: u64) -> bool {
-        let fact = Fact { since: at, out, first_hand: true, entry: None };
-        let subject = Subject::Mark(name.clone());
+        let fact = Fact { since: at, excluded: out, first_hand: true, entry: None };
+        let subject = Subject::Maintenance(name.clone());
         if self.says.facts().get(&subject).is_some_and(|known| *known >= fact) {
             return false;
         }
-        let marks = |(subject, _): &(&Subject, &Fact)| matches!(subject, Subject::Mark(_));
+        let marks = |(subject, _): &(&Subject, &Fact)| matches!(subject, Subject::Maintenance(_));
         if self.says.facts().iter().filter(marks).count() >= MOST_MARKS {
-            let back = self.says.facts().iter().filter(marks).filter(|(_, fact)| !fact.out);
+            let back = self.says.facts().iter().filter(marks).filter(|(_, fact)| !fact.excluded);
             let oldest = back.min_by_key(|(_, fact)| fact.since).map(|(subject, _)| subject.clone());
             oldest.map(|oldest| self.says.set(now, &oldest, None));
         }
@@ -249,7 +249,7 @@
     }
 
     /// Takes what a keeper tells; false if that can't be taken.
-    pub fn hear(&mut self, from: InstanceId, number: u64, told: (u64, u64, Vec<Change>)) -> bool {
+    pub fn hear(&mut self, from: InstanceId, number: u64, told: (u64, u64, Vec<FactChange>)) -> bool {
         let heard = self.heard.entry(from).or_default();
         let late = number <= heard.number;
         heard.number = heard.number.max(number);
@@ -267,12 +267,13 @@
         let (mut marks, mut taken_over) = (Vec::new(), Vec::new());
         for (subject, fact) in &self.view {
             match subject {
-                Subject::Mark(name) => marks.push((name.clone(), fact.clone())),
+                Subject::Maintenance(name) => marks.push((name.clone(), fact.clone())),
                 // Guards against what only one knew being lost with it: each who hears of it says it on, at second hand.
-                Subject::Server(name) if fact.out && fact.first_hand => {
-                    let told = before.get(subject).is_some_and(|told| told.out && told.since >= fact.since);
+                Subject::Server(name) if fact.excluded && fact.first_hand => {
+                    let told =
+                        before.get(subject).is_some_and(|told| told.excluded && told.since >= fact.since);
                     let own = self.own.get(name);
-                    let later = own.is_some_and(|own| (own.since, own.out) >= (fact.since, true));
+                    let later = own.is_some_and(|own| (own.since, own.excluded) >= (fact.since, true));
                     if !told && !later {
                         taken_over.push((subject.clone(), fact.since));
                     }
@@ -281,9 +282,9 @@
             }
         }
         for (subject, since) in taken_over {
-            self.say(now, &subject, Some(Fact { since, out: true, first_hand: false, entry: None }));
+            self.say(now, &subject, Some(Fact { since, excluded: true, first_hand: false, entry: None }));
         }
-        marks.retain(|(name, fact)| self.marked(now, name, fact.out, fact.since));
+        marks.retain(|(name, fact)| self.marked(now, name, fact.excluded, fact.since));
         Some(marks)
     }
 
--- a/accord/src/member.rs
+++ b/accord/src/member.rs
@@ -1,24 +1,24 @@
 //! An instance as it asks for leases: which versions it keeps to, and until when it may act.
-use crate::lists::{Listed, Lists};
-use crate::{majority, Document, Fact, InstanceId, Micros, Version, Word, MOST_WAITING};
+use crate::lists::{ListUpdate, Lists};
+use crate::{majority, Document, Fact, InstanceId, Message, Micros, Version, MAX_PENDING_VERSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Whether an instance could act on the strictest of these contents; if not, why.
-pub type Judge = Arc<dyn Fn(&[Arc<str>]) -> Result<(), String> + Send + Sync>;
+pub type Validator = Arc<dyn Fn(&[Arc<str>]) -> Result<(), String> + Send + Sync>;
 
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
-    Say(InstanceId, Word),
-    /// Act on the strictest of what [`Member::keeps_to`] gives: carried out before what comes behind it is said.
-    Act,
-    /// Keep to what others' lists say now, see [`Member::out`]: carried out before what comes behind it is said.
-    Heard,
+    Send(InstanceId, Message),
+    /// Act on the strictest of what [`Member::active_documents`] gives: carried out before what comes behind it is said.
+    ApplyDocuments,
+    /// Keep to what others' lists say now, see [`Member::excluded_servers`]: carried out before what comes behind it is said.
+    ApplyLists,
     /// A mark that was set by hand elsewhere: whether that server is out, and since when. Carried out likewise.
-    Mark {
+    ApplyMaintenance {
         name: Arc<str>,
-        out: bool,
-        at: u64,
+        in_maintenance: bool,
+        set_at: u64,
     },
     Log(String),
 }
@@ -43,7 +43,7 @@
 pub struct Member {
     keepers: Vec<InstanceId>,
     pub(crate) within: Micros,
-    judge: Judge,
+    judge: Validator,
     /// All it keeps to: what holds, and what may come to hold.
     pub(crate) documents: BTreeMap<Version, Arc<str>>,
     pub(crate) refused: BTreeSet<Version>,
@@ -63,7 +63,7 @@
     /// How often it asks within the length of a lease.
     const ASKS: f64 = 4.0;
 
-    pub fn new(keepers: Vec<InstanceId>, within: Micros, judge: Judge) -> Member {
+    pub fn new(keepers: Vec<InstanceId>, within: Micros, judge: Validator) -> Member {
         Member {
             keepers,
             within,
@@ -81,26 +81,26 @@
     }
 
     /// Passes on who may be sent to as well, not only who may not.
-    pub fn with_whole_lists(mut self) -> Member {
+    pub fn with_full_lists(mut self) -> Member {
         self.lists.whole = true;
         self
     }
 
     /// Hears of those servers alone that its own list names, and sends to none of which a majority of keepers does not tell yet.
-    pub fn subscribing(mut self) -> Member {
+    pub fn with_subscription(mut self) -> Member {
         self.lists.subscribes = true;
         self
     }
 
     /// What its own list tells.
-    pub fn listed(&mut self, now: Micros, listed: Listed, out: &mut Vec<Action>) {
+    pub fn handle_list_update(&mut self, now: Micros, listed: ListUpdate, out: &mut Vec<Action>) {
         let was_full = self.lists.full();
         let (changed, renamed) = self.lists.listed(now, listed);
         if self.lists.full() && !was_full {
             out.push(Action::Log("the list is too long: others are not told all of it".into()));
         }
         if renamed {
-            out.push(Action::Heard);
+            out.push(Action::ApplyLists);
         }
         if changed || renamed {
             self.ask(now, out);
@@ -108,74 +108,82 @@
     }
 
     /// A mark that was set by hand at this instance.
-    pub fn marked(&mut self, now: Micros, (name, is_out, at): (&str, bool, u64), out: &mut Vec<Action>) {
+    pub fn handle_maintenance_change(
+        &mut self, now: Micros, (name, is_out, at): (&str, bool, u64), out: &mut Vec<Action>,
+    ) {
         if self.lists.marked(now, &Arc::from(name), is_out, at) {
             self.ask(now, out);
         }
     }
 
     /// Servers to which nothing new may go by others' lists, and the life of theirs for which that was said.
-    pub fn out(&self) -> BTreeMap<&Arc<str>, u64> {
+    pub fn excluded_servers(&self) -> BTreeMap<&Arc<str>, u64> {
         self.lists.out()
     }
 
     /// Servers on its list of which a majority of keepers does not tell it yet, by the life that is listed: nothing may go there.
-    pub fn untold(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
+    pub fn unconfirmed_servers(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.lists.untold()
     }
 
     /// Servers as others' lists word them, where this instance's own does not name them in that life.
-    pub fn unknown(&self) -> impl Iterator<Item = &Arc<str>> {
+    pub fn foreign_entries(&self) -> impl Iterator<Item = &Arc<str>> {
         self.lists.unknown()
     }
 
     /// What its own file says; false if that is not taken.
-    pub fn written(&mut self, now: Micros, document: Document, out: &mut Vec<Action>) -> bool {
+    pub fn propose(&mut self, now: Micros, document: Document, out: &mut Vec<Action>) -> bool {
         let version = document.version;
         let latest = self.documents.keys().next_back().copied();
-        if let Some(latest) = latest.filter(|latest| version.place() < latest.place()) {
+        if let Some(latest) = latest.filter(|latest| version.epoch_and_number() < latest.epoch_and_number()) {
             out.push(Action::Log(format!("version {version} not taken: {latest} is known, which is later")));
             return false;
         }
         self.learn(now, document, out) && self.documents.contains_key(&version)
     }
 
-    pub fn on(&mut self, now: Micros, from: InstanceId, word: Word, out: &mut Vec<Action>) {
+    pub fn handle_message(&mut self, now: Micros, from: InstanceId, word: Message, out: &mut Vec<Action>) {
         if !self.keepers.contains(&from) {
             return;
         }
         self.lists.spoke(now, from);
         match word {
-            Word::Grant { turn, cleared, behind } => {
+            Message::LeaseGrant { sequence: turn, committed: cleared, lag_us: behind } => {
                 self.granted(now, from, (turn, cleared, Micros(behind)), out)
             }
-            Word::Lacks { have } => {
+            Message::UnknownReport { known_hash: have } => {
                 let (base, changes) = self.lists.says().since(have);
                 let to = self.lists.says().hash();
-                out.push(Action::Say(from, Word::Says { at: 0, from: base, to, changes }));
+                out.push(Action::Send(
+                    from,
+                    Message::FactUpdate { number: 0, base_hash: base, new_hash: to, changes },
+                ));
                 self.ask_one(now, from, out);
             }
-            Word::LacksNames { have } => {
+            Message::UnknownNames { known_hash: have } => {
                 let (base, more, fewer) = self.lists.names_beyond(have);
                 if let (Some(to), _) = self.lists.named() {
-                    out.push(Action::Say(from, Word::Subscribe { from: base, to, more, fewer }));
+                    out.push(Action::Send(
+                        from,
+                        Message::Subscribe { base_hash: base, new_hash: to, added: more, removed: fewer },
+                    ));
                     self.ask_one(now, from, out);
                 }
             }
-            Word::Says { at, from: base, to, changes } => {
+            Message::FactUpdate { number: at, base_hash: base, new_hash: to, changes } => {
                 if self.lists.hear(from, at, (base, to, changes)) {
                     self.look_at_lists(now, out);
                 }
             }
-            Word::Want(versions) => {
+            Message::RequestDocuments(versions) => {
                 let known = versions.iter().filter_map(|version| self.documents.get_key_value(version));
                 let known: Vec<_> = known.map(|(version, text)| (*version, text.clone())).collect();
                 if !known.is_empty() {
-                    out.push(Action::Say(from, Word::Documents(known)));
+                    out.push(Action::Send(from, Message::Documents(known)));
                     self.ask_one(now, from, out);
                 }
             }
-            Word::Documents(documents) => {
+            Message::Documents(documents) => {
                 let before = (self.documents.len(), self.refused.len());
                 for (version, text) in documents {
                     self.learn(now, Document { version, text }, out);
@@ -185,37 +193,37 @@
                 }
                 self.ask(now, out);
             }
-            Word::News => self.ask_one(now, from, out),
+            Message::StateChanged => self.ask_one(now, from, out),
             // Only a keeper is told these.
-            Word::Ask { .. } | Word::Subscribe { .. } => {}
+            Message::LeaseRequest { .. } | Message::Subscribe { .. } => {}
         }
     }
 
-    /// To be called at [`Member::due`].
-    pub fn woke(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// To be called at [`Member::next_wakeup`].
+    pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now >= self.next {
             self.ask(now, out);
         }
     }
 
-    pub fn due(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         self.next
     }
 
     /// Until when it may act on what it keeps to; nothing before a majority's leases live.
-    pub fn until(&self) -> Micros {
+    pub fn lease_valid_until(&self) -> Micros {
         let mut ends: Vec<Micros> = self.leases.values().map(|lease| lease.from + self.within).collect();
         ends.sort_unstable_by(|one, other| other.cmp(one));
         ends.get(majority(self.keepers.len()) - 1).copied().unwrap_or_default()
     }
 
     /// What it keeps to, the earliest first.
-    pub fn keeps_to(&self) -> impl Iterator<Item = (&Version, &Arc<str>)> {
+    pub fn active_documents(&self) -> impl Iterator<Item = (&Version, &Arc<str>)> {
         self.documents.iter()
     }
 
     /// What holds, as far as it knows.
-    pub fn base(&self) -> Option<Version> {
+    pub fn committed(&self) -> Option<Version> {
         self.base
     }
 
@@ -226,7 +234,7 @@
             return !self.refused.contains(&version);
         }
         if let Some(base) = self.base {
-            if version.place() == base.place() {
+            if version.epoch_and_number() == base.epoch_and_number() {
                 out.push(Action::Log(format!(
                     "version {version} not taken: {base} holds under the same number, with another content"
                 )));
@@ -237,13 +245,16 @@
                 return false;
             }
         }
-        if let Some(twin) = self.documents.keys().find(|other| other.place() == version.place()) {
+        if let Some(twin) =
+            self.documents.keys().find(|other| other.epoch_and_number() == version.epoch_and_number())
+        {
             out.push(Action::Log(format!(
                 "versions {twin} and {version} have one number and two contents: neither comes to hold, a higher number must"
             )));
         }
         let texts: Vec<Arc<str>> = self.documents.values().cloned().chain([text.clone()]).collect();
-        let full = if texts.len() > MOST_WAITING { Err("too many versions wait".into()) } else { Ok(()) };
+        let full =
+            if texts.len() > MAX_PENDING_VERSIONS { Err("too many versions wait".into()) } else { Ok(()) };
         // Also as it is once the earlier ones hold no more: guards against a version that can be taken with others alone.
         let each = (0..texts.len()).try_for_each(|first| (self.judge)(&texts[first..]));
         if let Err(why) = full.and(each) {
@@ -252,7 +263,7 @@
             return false;
         }
         self.documents.insert(version, text);
-        out.push(Action::Act);
+        out.push(Action::ApplyDocuments);
         self.ask(now, out);
         true
     }
@@ -260,7 +271,7 @@
     fn refuse(&mut self, version: Version) {
         self.refused.insert(version);
         // Guards against a writer without end; the lowest are the least likely to be told again.
-        while self.refused.len() > MOST_WAITING {
+        while self.refused.len() > MAX_PENDING_VERSIONS {
             self.refused.pop_first();
         }
     }
@@ -274,14 +285,18 @@
         }
         self.turn += 1;
         self.asked.insert(self.turn, Turn { at: now, naming: self.lists.named().1 });
-        let says = self.keepers.iter().map(|keeper| Action::Say(*keeper, self.word(*keeper)));
+        let says = self.keepers.iter().map(|keeper| Action::Send(*keeper, self.word(*keeper)));
         out.extend(says);
     }
 
     fn look_at_lists(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(marks) = self.lists.look(now) else { return };
-        out.push(Action::Heard);
-        let mark = |(name, fact): (Arc<str>, Fact)| Action::Mark { name, out: fact.out, at: fact.since };
+        out.push(Action::ApplyLists);
+        let mark = |(name, fact): (Arc<str>, Fact)| Action::ApplyMaintenance {
+            name,
+            in_maintenance: fact.excluded,
+            set_at: fact.since,
+        };
         out.extend(marks.into_iter().map(mark));
     }
 
@@ -289,18 +304,18 @@
     fn ask_one(&mut self, now: Micros, keeper: InstanceId, out: &mut Vec<Action>) {
         self.turn += 1;
         self.asked.insert(self.turn, Turn { at: now, naming: self.lists.named().1 });
-        out.push(Action::Say(keeper, self.word(keeper)));
+        out.push(Action::Send(keeper, self.word(keeper)));
     }
 
-    fn word(&self, keeper: InstanceId) -> Word {
-        Word::Ask {
-            turn: self.turn,
-            knows: self.documents.keys().copied().collect(),
-            refuses: self.refused.iter().copied().collect(),
-            says: self.lists.says().hash(),
-            names: self.lists.named().0,
-            heard: self.lists.heard_of(keeper).0,
-            after: self.lists.heard_of(keeper).1,
+    fn word(&self, keeper: InstanceId) -> Message {
+        Message::LeaseRequest {
+            sequence: self.turn,
+            known_versions: self.documents.keys().copied().collect(),
+            rejected_versions: self.refused.iter().copied().collect(),
+            reported_hash: self.lists.says().hash(),
+            names_hash: self.lists.named().0,
+            received_hash: self.lists.heard_of(keeper).0,
+            last_update: self.lists.heard_of(keeper).1,
         }
     }
 
@@ -343,7 +358,7 @@
             self.leases.retain(|_, lease| lease.cleared >= agreed);
             out.push(Action::Log(format!("version {agreed} holds")));
             if loosened {
-                out.push(Action::Act);
+                out.push(Action::ApplyDocuments);
             }
         }
     }
@@ -360,7 +375,7 @@
         if let Some(agreed) = self.agreed(|lease| lease.naming).filter(|agreed| self.lists.told_by(*agreed)) {
             // Guards against acting by a lease of one that does not tell of all that is sent to.
             self.leases.retain(|_, lease| lease.naming >= agreed);
-            out.push(Action::Heard);
+            out.push(Action::ApplyLists);
         }
     }
 }
--- a/accord/src/said.rs
+++ b/accord/src/said.rs
@@ -1,7 +1,7 @@
 //! What all who ask a keeper say of servers, and the most of it, weighed by changes: a word costs what it changes and not
 //! what all others say.
 use crate::audience::{Audience, Topic};
-use crate::facts::{Change, Content, Fact, Ledger, Subject, MOST_FACTS};
+use crate::facts::{Content, Fact, FactChange, Ledger, Subject, MAX_FACTS};
 use crate::{Holder, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -124,14 +124,14 @@
 
     /// What one says of servers from now on, as it follows from a content that is known. It counts once it is asked with:
     /// guards against what is told late undoing what was asked with since.
-    pub(crate) fn offer(&mut self, from: Holder, (base, to): (u64, u64), changes: Vec<Change>) {
+    pub(crate) fn offer(&mut self, from: Holder, (base, to): (u64, u64), changes: Vec<FactChange>) {
         self.steps += changes.len() as u64;
         let Some(offered) = self.says.get(&from).map(|says| says.offered) else { return };
         let base = if base == 0 { Some(Content::default()) } else { self.content(base).cloned() };
         let Some(mut content) = base else { return };
         content.take(changes);
         // Whoever says something else than it means to is asked again.
-        if content.facts().len() > MOST_FACTS || content.hash() != to || to == offered {
+        if content.facts().len() > MAX_FACTS || content.hash() != to || to == offered {
             return;
         }
         if to != 0 {
@@ -167,7 +167,7 @@
 
     /// What one lacks of what is told to it: from which hash on, to which, and the changes. If that is lost, it says so when
     /// it asks again.
-    pub(crate) fn owed(&mut self, holder: Holder) -> Option<(u64, u64, Vec<Change>)> {
+    pub(crate) fn owed(&mut self, holder: Holder) -> Option<(u64, u64, Vec<FactChange>)> {
         let says = self.says.get_mut(&holder)?;
         let ledger = self.audience.ledger(says.topic)?;
         let (from, changes) = ledger.since(says.heard);
@@ -225,7 +225,7 @@
         for subject in told {
             self.tell(now, subject, hear);
         }
-        while self.ledger().facts().len() < 2 * MOST_FACTS {
+        while self.ledger().facts().len() < 2 * MAX_FACTS {
             let Some(subject) = self.left_out.pop_first() else { break };
             self.steps += 1;
             self.tell(now, subject, hear);
@@ -235,7 +235,7 @@
     fn tell(&mut self, now: Micros, subject: Subject, hear: &mut BTreeSet<Holder>) {
         // Guards against lists that have nothing in common.
         let facts = self.ledger().facts();
-        if !facts.contains_key(&subject) && facts.len() >= 2 * MOST_FACTS {
+        if !facts.contains_key(&subject) && facts.len() >= 2 * MAX_FACTS {
             self.left_out.insert(subject);
             return;
         }
--- a/accord/tests/days.rs
+++ b/accord/tests/days.rs
@@ -4,11 +4,11 @@
 mod words;
 mod world;
 
-use oakhollow_accord::Word;
+use oakhollow_accord::Message;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use words::WITHIN;
-use world::{Crooked, Message, World};
+use world::{Crooked, Envelope, World};
 
 /// A small generator, so that a day is told by its seed alone.
 struct Chance(u64);
@@ -65,7 +65,7 @@
     let lossy: Vec<f64> = (0..instances).map(|_| if chance.below(4) == 0 { 0.7 } else { 0.05 }).collect();
     // One that is told nothing of servers, while all else reaches it.
     let deaf = (chance.below(3) == 0).then(|| chance.below(instances));
-    let (mut wire, mut old, mut number, mut said): (Vec<(f64, Message)>, Vec<Message>, u64, usize) =
+    let (mut wire, mut old, mut number, mut said): (Vec<(f64, Envelope)>, Vec<Envelope>, u64, usize) =
         (Vec::new(), Vec::new(), 1, 0);
     let (troubled, length) = (8.0 * WITHIN.0 as f64, 14.0 * WITHIN.0 as f64);
     while world.now < length {
@@ -105,13 +105,13 @@
             world.deliver(again);
         }
         world.wake();
-        let due: Vec<(f64, Message)>;
+        let due: Vec<(f64, Envelope)>;
         (due, wire) = wire.into_iter().partition(|(at, _)| *at <= world.now);
         for (_, message) in due {
             old.push(message.clone());
             let told = match &message {
-                Message::ToKeeper(..) => None,
-                Message::ToMember(at, ..) => Some(*at),
+                Envelope::ToKeeper(..) => None,
+                Envelope::ToMember(at, ..) => Some(*at),
             };
             world.deliver(message);
             if let Some(pair) = told.and_then(|at| Some((at, world.contradicts(at)?))) {
@@ -132,11 +132,10 @@
         for message in std::mem::take(&mut world.said) {
             said += 1;
             let who = match &message {
-                Message::ToKeeper(_, (who, _), _) => *who as usize,
-                Message::ToMember(who, ..) => *who,
+                Envelope::ToKeeper(_, (who, _), _) => *who as usize,
+                Envelope::ToMember(who, ..) => *who,
             };
-            let unheard =
-                matches!(&message, Message::ToMember(who, .., Word::Says { .. }) if Some(*who) == deaf);
+            let unheard = matches!(&message, Envelope::ToMember(who, .., Message::FactUpdate { .. }) if Some(*who) == deaf);
             let lost = trouble && (unheard || chance.part() < lossy[who]);
             let delay = if trouble { 5.0 + 200.0 * chance.part().powi(4) } else { 5.0 };
             if !lost {
--- a/accord/tests/explored/mod.rs
+++ b/accord/tests/explored/mod.rs
@@ -3,9 +3,9 @@
 //! step, and at a keeper too. An exchange on one link is cut after any of its words; the word that would come next is lost, or
 //! late until some later moment. States that go on alike are visited once.
 use crate::words::WITHIN;
-use crate::world::{Crooked, Message, World};
+use crate::world::{Crooked, Envelope, World};
 use fnv::FnvHasher;
-use oakhollow_accord::{Holder, InstanceId, Word};
+use oakhollow_accord::{Holder, InstanceId, Message};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashSet, VecDeque};
 use std::hash::{BuildHasherDefault, Hash, Hasher};
@@ -23,7 +23,7 @@
     written: u64,
     crashed: bool,
     /// Words that come at some later moment, if at all.
-    late: Vec<Message>,
+    late: Vec<Envelope>,
     /// Whose turn it is, and who has asked whom in this step.
     turn: Option<usize>,
     /// Whose words have been lost or late in this step, and how often that was so.
@@ -74,21 +74,21 @@
     }
 
     /// Lets one ask one keeper. Gives what is said on that link then.
-    fn begin_exchange(&mut self, other: usize, keeper: usize) -> VecDeque<Message> {
+    fn begin_exchange(&mut self, other: usize, keeper: usize) -> VecDeque<Envelope> {
         let life = self.world.instances[other].life;
         let mut said = VecDeque::new();
-        self.go_on(other, keeper, Message::ToMember(other, keeper, life, Word::News), &mut said);
+        self.go_on(other, keeper, Envelope::ToMember(other, keeper, life, Message::StateChanged), &mut said);
         said
     }
 
     /// Delivers a word of an exchange, and adds what follows from it to what is to be said yet.
-    fn go_on(&mut self, other: usize, keeper: usize, word: Message, said: &mut VecDeque<Message>) {
+    fn go_on(&mut self, other: usize, keeper: usize, word: Envelope, said: &mut VecDeque<Envelope>) {
         self.world.said.clear();
         self.world.deliver(word);
-        let theirs = |message: &Message| match message {
-            Message::ToMember(.., Word::News) => false,
-            Message::ToKeeper(to, (from, _), _) => (*to, *from as usize) == (keeper, other),
-            Message::ToMember(to, from, ..) => (*from, *to) == (keeper, other),
+        let theirs = |message: &Envelope| match message {
+            Envelope::ToMember(.., Message::StateChanged) => false,
+            Envelope::ToKeeper(to, (from, _), _) => (*to, *from as usize) == (keeper, other),
+            Envelope::ToMember(to, from, ..) => (*from, *to) == (keeper, other),
         };
         // What goes to others is lost: they are asked in their own exchanges.
         said.extend(self.world.said.drain(..).filter(theirs));
@@ -102,7 +102,7 @@
             let name = |holder: Holder| {
                 let at = holder.instance.0 as usize;
                 let place = order.iter().position(|other| *other == at).unwrap_or(OTHERS) as u32;
-                place * 2 + u32::from(holder.life != world.instances[at].life)
+                place * 2 + u32::from(holder.incarnation != world.instances[at].life)
             };
             world.keepers[keeper].shape(now, name, &mut hasher);
             for other in order {
@@ -125,38 +125,46 @@
     }
 
     /// What matters of the late words on that link.
-    fn late_on(&self, other: usize, keeper: usize) -> Vec<(u64, Word)> {
+    fn late_on(&self, other: usize, keeper: usize) -> Vec<(u64, Message)> {
         let mut late: Vec<_> =
             self.late.iter().filter_map(|message| self.late_of(message, other, keeper)).collect();
         late.sort_unstable();
         late
     }
 
-    fn late_of(&self, message: &Message, other: usize, keeper: usize) -> Option<(u64, Word)> {
+    fn late_of(&self, message: &Envelope, other: usize, keeper: usize) -> Option<(u64, Message)> {
         let world = &self.world;
         match message {
-            Message::ToKeeper(to, (from, life), word) if (*to, *from as usize) == (keeper, other) => {
-                let Word::Ask { turn, knows, refuses, .. } = word else { return Some((*life, word.clone())) };
+            Envelope::ToKeeper(to, (from, life), word) if (*to, *from as usize) == (keeper, other) => {
+                let Message::LeaseRequest {
+                    sequence: turn,
+                    known_versions: knows,
+                    rejected_versions: refuses,
+                    ..
+                } = word
+                else {
+                    return Some((*life, word.clone()));
+                };
                 // Whether it is dropped as older than what came since; what it asks for lives no longer than it would.
-                let holder = Holder { instance: InstanceId(*from), life: *life };
+                let holder = Holder { instance: InstanceId(*from), incarnation: *life };
                 let fresh = world.keepers[keeper].turn_of(holder).is_none_or(|last| last < *turn);
                 let left = world.instances[other].member.turn_left(*turn, world.member_time(other)).0;
-                let word = Word::Ask {
-                    names: None,
-                    turn: left * 2 + u64::from(fresh),
-                    knows: knows.clone(),
-                    refuses: refuses.clone(),
-                    says: 0,
-                    heard: 0,
-                    after: 0,
+                let word = Message::LeaseRequest {
+                    names_hash: None,
+                    sequence: left * 2 + u64::from(fresh),
+                    known_versions: knows.clone(),
+                    rejected_versions: refuses.clone(),
+                    reported_hash: 0,
+                    received_hash: 0,
+                    last_update: 0,
                 };
                 Some((world.instances[other].life - life, word))
             }
-            Message::ToMember(to, from, life, word) if (*from, *to) == (keeper, other) => {
+            Envelope::ToMember(to, from, life, word) if (*from, *to) == (keeper, other) => {
                 let left = |turn| world.instances[other].member.turn_left(turn, world.member_time(other)).0;
                 let word = match word {
-                    Word::Grant { turn, cleared, .. } => {
-                        Word::Grant { turn: left(*turn), cleared: *cleared, behind: 0 }
+                    Message::LeaseGrant { sequence: turn, committed: cleared, .. } => {
+                        Message::LeaseGrant { sequence: left(*turn), committed: *cleared, lag_us: 0 }
                     }
                     other => other.clone(),
                 };
--- a/accord/tests/rules.rs
+++ b/accord/tests/rules.rs
@@ -18,7 +18,7 @@
 
 impl Few {
     fn new() -> Few {
-        let judge = |takes: bool| -> Judge {
+        let judge = |takes: bool| -> Validator {
             Arc::new(move |texts: &[Arc<str>]| {
                 if !takes && texts.iter().any(|text| text.contains("odd")) {
                     return Err("settings.odd: not known here".into());
@@ -38,7 +38,7 @@
 
     fn write(&mut self, at: usize, document: Document) -> bool {
         let mut actions = Vec::new();
-        let taken = self.members[at].written(self.now, document, &mut actions);
+        let taken = self.members[at].propose(self.now, document, &mut actions);
         self.carry(at, actions);
         taken
     }
@@ -46,21 +46,22 @@
     fn carry(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Say(_, word) => {
-                    let (from, mut out) = (Holder { instance: InstanceId(at as u32), life: 1 }, Vec::new());
-                    self.keeper.on(self.now, from, word, &mut out);
+                Action::Send(_, word) => {
+                    let (from, mut out) =
+                        (Holder { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
+                    self.keeper.handle_message(self.now, from, word, &mut out);
                     self.hear(out);
                 }
                 Action::Log(text) => self.log.push(text),
-                Action::Act | Action::Heard | Action::Mark { .. } => {}
+                Action::ApplyDocuments | Action::ApplyLists | Action::ApplyMaintenance { .. } => {}
             }
         }
     }
 
-    fn hear(&mut self, out: Vec<(Holder, Word)>) {
-        for (to, word) in out.into_iter().filter(|(_, word)| *word != Word::News) {
+    fn hear(&mut self, out: Vec<(Holder, Message)>) {
+        for (to, word) in out.into_iter().filter(|(_, word)| *word != Message::StateChanged) {
             let (at, mut actions) = (to.instance.0 as usize, Vec::new());
-            self.members[at].on(self.now, ONLY, word, &mut actions);
+            self.members[at].handle_message(self.now, ONLY, word, &mut actions);
             self.carry(at, actions);
         }
     }
@@ -71,17 +72,17 @@
             self.now = self.now + WITHIN.times(0.1);
             for at in 0..self.members.len() {
                 let mut actions = Vec::new();
-                self.members[at].woke(self.now, &mut actions);
+                self.members[at].handle_timer(self.now, &mut actions);
                 self.carry(at, actions);
             }
             let mut out = Vec::new();
-            self.keeper.woke(self.now, &mut out);
+            self.keeper.handle_timer(self.now, &mut out);
             self.hear(out);
         }
     }
 
     fn holds(&self) -> [Option<Version>; 2] {
-        [self.members[0].base(), self.members[1].base()]
+        [self.members[0].committed(), self.members[1].committed()]
     }
 }
 
@@ -106,7 +107,10 @@
     few.write(1, other(6, ""));
     few.pass(30);
     assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
-    assert!(few.members.iter().all(|member| member.keeps_to().count() == 3 && member.until() > few.now));
+    assert!(few
+        .members
+        .iter()
+        .all(|member| member.active_documents().count() == 3 && member.lease_valid_until() > few.now));
     assert!(few.log.iter().any(|line| line.contains("one number and two contents")), "{:?}", few.log);
     few.write(0, document(7));
     few.pass(20);
@@ -120,9 +124,9 @@
     few.pass(30);
     assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
     // Both go on, and the keeper tells for whom it waits.
-    assert!(few.members.iter().all(|member| member.until() > few.now));
-    let waiting = few.keeper.pending(few.now).expect("a change that waits").1;
-    assert!(waiting.iter().map(|one| (one.holder.instance.0, one.refuses)).eq([(1, true)]), "{waiting:?}");
+    assert!(few.members.iter().all(|member| member.lease_valid_until() > few.now));
+    let waiting = few.keeper.pending_version(few.now).expect("a change that waits").1;
+    assert!(waiting.iter().map(|one| (one.holder.instance.0, one.rejects)).eq([(1, true)]), "{waiting:?}");
     assert_eq!(few.log.iter().filter(|line| line.contains("refused: settings.odd")).count(), 1);
     few.write(0, document(7));
     few.pass(20);
@@ -133,12 +137,12 @@
 fn what_a_keeper_has_no_room_for_is_not_asked_for_again_and_again() {
     let mut few = Few::new();
     (6..40).for_each(|number| _ = few.write(0, other(number, "odd")));
-    assert_eq!(few.members[0].keeps_to().count(), MOST_WAITING);
+    assert_eq!(few.members[0].active_documents().count(), MAX_PENDING_VERSIONS);
     // The other can take none of those, and knows one that the keeper, which is full, can't.
     assert!(few.write(1, document(50)));
     few.pass(20);
     assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
-    assert!(few.members.iter().all(|member| member.until() > few.now));
+    assert!(few.members.iter().all(|member| member.lease_valid_until() > few.now));
 }
 
 #[test]
@@ -146,32 +150,32 @@
     let takes = |_: &[Arc<str>]| Ok(());
     let mut member = Member::new(vec![ONLY], WITHIN, Arc::new(takes));
     let (mut actions, mut said) = (Vec::new(), 0);
-    member.written(Micros(0), document(5), &mut actions);
+    member.propose(Micros(0), document(5), &mut actions);
     for turn in 1..4 {
         let now = Micros(turn * 1_000);
-        member.woke(now, &mut actions);
-        let late = Word::Grant { turn, cleared: version(5), behind: 0 };
-        member.on(now + WITHIN + WITHIN, ONLY, late, &mut actions);
+        member.handle_timer(now, &mut actions);
+        let late = Message::LeaseGrant { sequence: turn, committed: version(5), lag_us: 0 };
+        member.handle_message(now + WITHIN + WITHIN, ONLY, late, &mut actions);
         said += actions
             .drain(..)
             .filter(|action| matches!(action, Action::Log(text) if text.starts_with("accord.within")))
             .count();
     }
-    assert_eq!((said, member.until()), (1, Micros(0)));
+    assert_eq!((said, member.lease_valid_until()), (1, Micros(0)));
 }
 
 /// What one hears of lists, by a keeper in between.
 fn listed(few: &mut Few, at: usize, index: u64, whole: bool, entries: &[(&str, u64, bool)]) {
-    let fact = |since, out| Some(Fact { since, out, first_hand: true, entry: None });
+    let fact = |since, out| Some(Fact { since, excluded: out, first_hand: true, entry: None });
     let entries = entries.iter().map(|(name, since, out)| (Arc::from(*name), fact(*since, *out)));
     let (mut actions, entries) = (Vec::new(), entries.collect());
-    few.members[at].listed(few.now, Listed { index, whole, entries }, &mut actions);
+    few.members[at].handle_list_update(few.now, ListUpdate { index, snapshot: whole, entries }, &mut actions);
     few.carry(at, actions);
     few.pass(1);
 }
 
 fn out(few: &Few, at: usize) -> Vec<(String, u64)> {
-    few.members[at].out().into_iter().map(|(name, since)| (name.to_string(), since)).collect()
+    few.members[at].excluded_servers().into_iter().map(|(name, since)| (name.to_string(), since)).collect()
 }
 
 #[test]
--- a/accord/tests/weighed.rs
+++ b/accord/tests/weighed.rs
@@ -54,7 +54,7 @@
 
 fn facts(plain: &Plain) -> Vec<(Arc<str>, Option<Fact>)> {
     let fact = |(name, (since, out)): (&u8, &(u64, bool))| {
-        let fact = Fact { since: *since, out: *out, first_hand: true, entry: None };
+        let fact = Fact { since: *since, excluded: *out, first_hand: true, entry: None };
         (Arc::from(format!("s{name}")), Some(fact))
     };
     plain.iter().map(fact).collect()
@@ -69,19 +69,19 @@
 
     fn carry(&mut self, who: usize, actions: Vec<Action>) {
         let asks = &mut self.asks[who];
-        let holder = Holder { instance: InstanceId(who as u32), life: asks.life };
+        let holder = Holder { instance: InstanceId(who as u32), incarnation: asks.life };
         for action in actions {
-            let Action::Say(_, word) = action else { continue };
-            if matches!(word, Word::Ask { .. }) {
-                asks.until = self.now + WITHIN.times(1.0 + UNEVEN);
+            let Action::Send(_, word) = action else { continue };
+            if matches!(word, Message::LeaseRequest { .. }) {
+                asks.until = self.now + WITHIN.times(1.0 + CLOCK_RATE_TOLERANCE);
             }
             let mut out = Vec::new();
-            self.keeper.on(self.now, holder, word, &mut out);
+            self.keeper.handle_message(self.now, holder, word, &mut out);
             // What it hears beyond what it is asked for is left: this is about what it says.
             for (to, word) in out {
-                if to == holder && matches!(word, Word::Lacks { .. }) {
+                if to == holder && matches!(word, Message::UnknownReport { .. }) {
                     let mut actions = Vec::new();
-                    self.asks[who].member.on(self.now, InstanceId(0), word, &mut actions);
+                    self.asks[who].member.handle_message(self.now, InstanceId(0), word, &mut actions);
                     self.carry(who, actions);
                     return;
                 }
@@ -91,7 +91,7 @@
 
     fn ask(&mut self, who: usize) {
         let mut actions = Vec::new();
-        self.asks[who].member.on(self.now, InstanceId(0), Word::News, &mut actions);
+        self.asks[who].member.handle_message(self.now, InstanceId(0), Message::StateChanged, &mut actions);
         self.carry(who, actions);
     }
 
@@ -106,13 +106,13 @@
                 asks.says.insert(name, (fact.0, true));
                 entries.push((
                     Arc::from(format!("s{name}")),
-                    Some(Fact { since: fact.0, out: true, first_hand: true, entry: None }),
+                    Some(Fact { since: fact.0, excluded: true, first_hand: true, entry: None }),
                 ));
             }
         }
         let mut actions = Vec::new();
-        let listed = Listed { index: asks.index, whole: false, entries };
-        asks.member.listed(self.now, listed, &mut actions);
+        let listed = ListUpdate { index: asks.index, snapshot: false, entries };
+        asks.member.handle_list_update(self.now, listed, &mut actions);
         self.carry(who, actions);
         self.ask(who);
     }
@@ -154,7 +154,7 @@
                 Step::Passes(length, who) => {
                     few.now = few.now + WITHIN.times(f64::from(length) / 100.0);
                     who.into_iter().for_each(|who| few.ask(who as usize));
-                    few.keeper.woke(few.now, &mut Vec::new());
+                    few.keeper.handle_timer(few.now, &mut Vec::new());
                 }
             }
             prop_assert_eq!(few.kept(), few.reckoned());
@@ -167,34 +167,35 @@
 fn steps_for_a_drain(others: u32) -> u64 {
     let (mut keeper, now) = (Keeper::new(Micros(0), WITHIN), Micros(1));
     let mut out = Vec::new();
-    let says = |holder: u32, name: String, keeper: &mut Keeper, out: &mut Vec<(Holder, Word)>| {
-        let holder = Holder { instance: InstanceId(holder), life: 1 };
+    let says = |holder: u32, name: String, keeper: &mut Keeper, out: &mut Vec<(Holder, Message)>| {
+        let holder = Holder { instance: InstanceId(holder), incarnation: 1 };
         let mut member = member();
-        let (mut actions, fact) = (Vec::new(), Fact { since: 1, out: true, first_hand: true, entry: None });
+        let (mut actions, fact) =
+            (Vec::new(), Fact { since: 1, excluded: true, first_hand: true, entry: None });
         let entries = vec![(Arc::from(name), Some(fact))];
-        member.listed(now, Listed { index: 1, whole: false, entries }, &mut actions);
-        let mut asks = |member: &mut Member, out: &mut Vec<(Holder, Word)>| {
+        member.handle_list_update(now, ListUpdate { index: 1, snapshot: false, entries }, &mut actions);
+        let mut asks = |member: &mut Member, out: &mut Vec<(Holder, Message)>| {
             let mut actions = Vec::new();
-            member.on(now, InstanceId(0), Word::News, &mut actions);
+            member.handle_message(now, InstanceId(0), Message::StateChanged, &mut actions);
             for action in actions {
-                let Action::Say(_, word) = action else { continue };
-                keeper.on(now, holder, word, out);
+                let Action::Send(_, word) = action else { continue };
+                keeper.handle_message(now, holder, word, out);
             }
         };
         asks(&mut member, out);
         let mut actions = Vec::new();
-        member.on(now, InstanceId(0), Word::Lacks { have: 0 }, &mut actions);
+        member.handle_message(now, InstanceId(0), Message::UnknownReport { known_hash: 0 }, &mut actions);
         for action in actions {
-            let Action::Say(_, word) = action else { continue };
-            keeper.on(now, holder, word, out);
+            let Action::Send(_, word) = action else { continue };
+            keeper.handle_message(now, holder, word, out);
         }
     };
     (0..others).for_each(|other| says(other, format!("s{other}"), &mut keeper, &mut out));
     assert_eq!(keeper.facts().len(), others as usize);
-    let before = keeper.steps();
+    let before = keeper.entries_examined();
     // Another who says what is said already: nobody else is concerned.
     says(others, "s0".into(), &mut keeper, &mut out);
-    keeper.steps() - before
+    keeper.entries_examined() - before
 }
 
 #[test]
--- a/accord/tests/world/mod.rs
+++ b/accord/tests/world/mod.rs
@@ -47,9 +47,9 @@
 }
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Message {
-    ToKeeper(usize, (u32, u64), Word),
-    ToMember(usize, usize, u64, Word),
+pub enum Envelope {
+    ToKeeper(usize, (u32, u64), Message),
+    ToMember(usize, usize, u64, Message),
 }
 
 #[derive(Clone)]
@@ -59,13 +59,13 @@
     pub keeper_pace: Vec<f64>,
     pub instances: Vec<Arc<Instance>>,
     /// What has just been said.
-    pub said: Vec<Message>,
+    pub said: Vec<Envelope>,
     pub crooked: Crooked,
     /// Whether instances hear of those servers alone that their lists name.
     pub subscribed: bool,
 }
 
-fn judge() -> Judge {
+fn judge() -> Validator {
     Arc::new(|_: &[Arc<str>]| Ok(()))
 }
 
@@ -105,7 +105,7 @@
     fn member(&self) -> Member {
         let member = Member::new((0..self.keepers.len() as u32).map(InstanceId).collect(), WITHIN, judge());
         if self.subscribed {
-            member.subscribing()
+            member.with_subscription()
         } else {
             member
         }
@@ -123,30 +123,33 @@
         let instance = Arc::make_mut(&mut self.instances[at]);
         for action in actions {
             match action {
-                Action::Say(to, word) => {
-                    self.said.push(Message::ToKeeper(to.0 as usize, (at as u32, instance.life), word))
+                Action::Send(to, word) => {
+                    self.said.push(Envelope::ToKeeper(to.0 as usize, (at as u32, instance.life), word))
                 }
-                Action::Act => {
-                    let keeps_to = instance.member.keeps_to().map(|(version, _)| *version);
+                Action::ApplyDocuments => {
+                    let keeps_to = instance.member.active_documents().map(|(version, _)| *version);
                     instance.acts_on = match self.crooked {
                         Crooked::IgnoresWhatWaits => keeps_to.take(1).collect(),
                         _ => keeps_to.collect(),
                     };
                 }
-                Action::Heard if self.crooked == Crooked::ForgetsDrains => {}
-                Action::Heard => {
+                Action::ApplyLists if self.crooked == Crooked::ForgetsDrains => {}
+                Action::ApplyLists => {
                     instance.out.clear();
-                    let untold = instance.member.untold().filter(|_| self.crooked != Crooked::SendsUntold);
-                    for (server, since) in untold.chain(instance.member.out()) {
+                    let untold = instance
+                        .member
+                        .unconfirmed_servers()
+                        .filter(|_| self.crooked != Crooked::SendsUntold);
+                    for (server, since) in untold.chain(instance.member.excluded_servers()) {
                         let server = server[1..].parse().expect("a number");
                         let out = instance.out.entry(server).or_insert(since);
                         *out = since.max(*out);
                     }
                 }
-                Action::Mark { .. } | Action::Log(_) => {}
+                Action::ApplyMaintenance { .. } | Action::Log(_) => {}
             }
         }
-        let until = instance.member.until();
+        let until = instance.member.lease_valid_until();
         if instance.until <= Micros((self.now * (1.0 + instance.pace)) as u64) {
             instance.since = self.now;
         }
@@ -157,7 +160,7 @@
 
     pub fn write(&mut self, at: usize, number: u64) {
         let (now, mut actions) = (self.member_time(at), Vec::new());
-        Arc::make_mut(&mut self.instances[at]).member.written(now, document(number), &mut actions);
+        Arc::make_mut(&mut self.instances[at]).member.propose(now, document(number), &mut actions);
         self.carry_out(at, actions);
     }
 
@@ -170,15 +173,15 @@
             instance.list.insert(server, (since, out, true_now.max(1.0)));
         }
         instance.index += 1;
-        let fact = |since, out| Some(Fact { since, out, first_hand: true, entry: None });
+        let fact = |since, out| Some(Fact { since, excluded: out, first_hand: true, entry: None });
         let told = |(server, (since, out, _)): (&u64, &(u64, bool, f64))| (name(*server), fact(*since, *out));
         let entries = if whole {
             instance.list.iter().map(told).collect()
         } else {
             vec![(name(server), fact(since, out))]
         };
-        let listed = Listed { index: instance.index, whole, entries };
-        instance.member.listed(now, listed, &mut actions);
+        let listed = ListUpdate { index: instance.index, snapshot: whole, entries };
+        instance.member.handle_list_update(now, listed, &mut actions);
         self.carry_out(at, actions);
     }
 
@@ -192,7 +195,7 @@
     pub fn wake(&mut self) {
         for at in 0..self.instances.len() {
             let (now, mut actions) = (self.member_time(at), Vec::new());
-            Arc::make_mut(&mut self.instances[at]).member.woke(now, &mut actions);
+            Arc::make_mut(&mut self.instances[at]).member.handle_timer(now, &mut actions);
             self.carry_out(at, actions);
         }
         self.wake_keepers();
@@ -201,44 +204,49 @@
     pub fn wake_keepers(&mut self) {
         for at in 0..self.keepers.len() {
             let (now, mut out) = (self.keeper_time(at), Vec::new());
-            Arc::make_mut(&mut self.keepers[at]).woke(now, &mut out);
+            Arc::make_mut(&mut self.keepers[at]).handle_timer(now, &mut out);
             self.keeper_says(at, out);
         }
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Word)>) {
-        let said =
-            out.into_iter().map(|(to, word)| Message::ToMember(to.instance.0 as usize, at, to.life, word));
+    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Message)>) {
+        let said = out
+            .into_iter()
+            .map(|(to, word)| Envelope::ToMember(to.instance.0 as usize, at, to.incarnation, word));
         self.said.extend(said);
     }
 
-    pub fn deliver(&mut self, message: Message) {
+    pub fn deliver(&mut self, message: Envelope) {
         match message {
-            Message::ToKeeper(at, (instance, life), mut word) => {
-                if let (Crooked::GrantsUnnamed, Word::Ask { names, .. }) = (self.crooked, &mut word) {
+            Envelope::ToKeeper(at, (instance, life), mut word) => {
+                if let (Crooked::GrantsUnnamed, Message::LeaseRequest { names_hash: names, .. }) =
+                    (self.crooked, &mut word)
+                {
                     *names = names.map(|_| 0);
                 }
                 let (now, mut out) = (self.keeper_time(at), Vec::new());
-                let from = Holder { instance: InstanceId(instance), life };
-                Arc::make_mut(&mut self.keepers[at]).on(now, from, word, &mut out);
+                let from = Holder { instance: InstanceId(instance), incarnation: life };
+                Arc::make_mut(&mut self.keepers[at]).handle_message(now, from, word, &mut out);
                 self.keeper_says(at, out);
             }
-            Message::ToMember(at, from, life, mut word) => {
-                if let (Crooked::IgnoresWhatItLacks, Word::Grant { behind, .. }) = (self.crooked, &mut word) {
+            Envelope::ToMember(at, from, life, mut word) => {
+                if let (Crooked::IgnoresWhatItLacks, Message::LeaseGrant { lag_us: behind, .. }) =
+                    (self.crooked, &mut word)
+                {
                     *behind = 0;
                 }
                 if self.instances[at].life != life {
                     return;
                 }
                 let (now, mut actions) = (self.member_time(at), Vec::new());
-                let before = self.instances[at].member.until();
-                Arc::make_mut(&mut self.instances[at]).member.on(
+                let before = self.instances[at].member.lease_valid_until();
+                Arc::make_mut(&mut self.instances[at]).member.handle_message(
                     now,
                     InstanceId(from as u32),
                     word,
                     &mut actions,
                 );
-                let renewed = self.instances[at].member.until() > before;
+                let renewed = self.instances[at].member.lease_valid_until() > before;
                 self.carry_out(at, actions);
                 if self.crooked == Crooked::FromTheAnswer && renewed {
                     Arc::make_mut(&mut self.instances[at]).until = now + WITHIN;
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -2,7 +2,7 @@
 use crate::wire::{In, Item, Out};
 use oakhollow::rules::Sidecar;
 use oakhollow::types::*;
-use oakhollow_terms::{mark, micros};
+use oakhollow_terms::{micros_from_seconds, stable_hash};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -29,7 +29,7 @@
                 let fresh = ServerId(self.names.len() as u32);
                 self.names.push(item.endpoint.clone());
                 self.numbers.insert(item.endpoint.clone(), fresh);
-                self.marks.insert(mark(&item.endpoint) as u32, fresh);
+                self.marks.insert(stable_hash(&item.endpoint) as u32, fresh);
                 fresh
             }
         };
@@ -45,8 +45,8 @@
             cell: CellId(item.block),
             standing,
             size: item.nominal,
-            mark: mark(&item.endpoint),
-            started: micros(item.launched_s),
+            mark: stable_hash(&item.endpoint),
+            started: micros_from_seconds(item.launched_s),
         })
     }
 }
@@ -98,7 +98,7 @@
         }
         match heard {
             In::Clock { t_s, round } => {
-                self.now = micros(t_s);
+                self.now = micros_from_seconds(t_s);
                 self.round = Some(round);
             }
             In::Commit => {
@@ -110,7 +110,7 @@
                 self.sheets.insert(sheet, items);
             }
             In::Init { who, init_seed, env } => {
-                let terms = env.terms;
+                let terms = env.decision;
                 let mut actions = std::mem::take(&mut self.actions);
                 let sidecar = Sidecar::new(&terms, init_seed, self.now, &mut actions);
                 let (workloads, numbers, names) = (terms.workloads.len(), HashMap::new(), Vec::new());
@@ -146,7 +146,7 @@
                     return Err(format!("field category: there is no workload {category}"));
                 }
                 let (workload, customer) = (WorkloadId(category), CustomerId(tenant));
-                let (left, repeat) = (micros(expires_in_s), options & 2 != 0);
+                let (left, repeat) = (micros_from_seconds(expires_in_s), options & 2 != 0);
                 self.tell(
                     who,
                     Event::Arrived(Arrival { call: CallId(xid), workload, left, customer, repeat, key }),
@@ -156,7 +156,7 @@
                 self.tell(who, Event::Streaming { call: CallId(xid), hop: HopNo(r#try) })?
             }
             In::Finished { who, xid, r#try, wait_time_s, complete, outcome, telemetry } => {
-                let (call, hop, waited) = (CallId(xid), HopNo(r#try), micros(wait_time_s));
+                let (call, hop, waited) = (CallId(xid), HopNo(r#try), micros_from_seconds(wait_time_s));
                 let (closed, report) = (complete, telemetry.map(Report::from));
                 let ending = Ending { call, hop, outcome: outcome.into(), waited, closed, report };
                 self.tell(who, Event::Ended(ending))?;
@@ -208,7 +208,7 @@
                 Action::Wake { after, token } => Out::Remind { who, after_s: after.secs(), cookie: token.0 },
                 Action::Subscribe => Out::Subscribe { who, want: true },
                 Action::Tell { server, strain } => {
-                    Out::Say { who, to: -1, raw: pack(mark(name(server)) as u32, strain) }
+                    Out::Say { who, to: -1, raw: pack(stable_hash(name(server)) as u32, strain) }
                 }
                 Action::Log { text, server: None } => Out::Emit { who, text },
                 Action::Log { text, server: Some(server) } => {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's wire: names and seconds on this side, the module's types on the other.
 use oakhollow::types::*;
-use oakhollow_terms::Place;
+use oakhollow_terms::Settings;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -14,7 +14,7 @@
     Init {
         who: u32,
         init_seed: u64,
-        env: Box<Place>,
+        env: Box<Settings>,
     },
     Destroy {
         who: u32,
--- a/guard/src/budget.rs
+++ b/guard/src/budget.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RetryBudget {
     /// So many in any case.
-    pub few: f64,
+    pub min_retries: f64,
     /// And so many for each request that is accepted in the window.
-    pub share: f64,
+    pub retry_ratio: f64,
     /// How long the window is.
     pub window: Micros,
 }
@@ -29,7 +29,7 @@
     pub fn repeat(&mut self, now: Micros, budget: RetryBudget) -> bool {
         self.beyond_first.push_back(now);
         self.forget(now, budget.window);
-        self.beyond_first.len() as f64 <= budget.few + budget.share * self.accepted.len() as f64
+        self.beyond_first.len() as f64 <= budget.min_retries + budget.retry_ratio * self.accepted.len() as f64
     }
 
     /// Attempts beyond a first one, in the last window.
--- a/guard/src/event.rs
+++ b/guard/src/event.rs
@@ -6,13 +6,13 @@
 
 /// What a request does at a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Effect {
+pub enum RepeatSafety {
     /// Safe to repeat.
     Safe,
     /// Servers of one group tell a repeat by its key, for that long.
     Keyed {
         /// How long they remember it.
-        memory: Micros,
+        retention: Micros,
         /// Which servers share it.
         group: Group,
     },
@@ -106,7 +106,7 @@
         /// The client's id for it.
         request_id: Rc<str>,
         /// What it does at a server.
-        effect: Effect,
+        repeat_safety: RepeatSafety,
         /// When the client gives up.
         deadline: Micros,
     },
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -1,7 +1,7 @@
 //! The checks themselves.
 use crate::budget::{RetryBudget, Spending};
-use crate::event::{AnswerKind, CloseReason, Effect, Event, Transition};
-use crate::permit::{AttemptPermit, Denial, LastLook, SendPermit};
+use crate::event::{AnswerKind, CloseReason, Event, RepeatSafety, Transition};
+use crate::permit::{AttemptPermit, Denial, SendConditions, SendPermit};
 use crate::request::{Attempt, Request};
 use crate::rule::{Rule, Violation};
 use crate::server::{Location, Server};
@@ -75,7 +75,7 @@
     /// Takes note of what has happened.
     pub fn observe(&mut self, now: Micros, event: Event) {
         match event {
-            Event::Accepted { request, request_id, effect, deadline } => {
+            Event::Accepted { request, request_id, repeat_safety: effect, deadline } => {
                 let deadline = self.answer_by.map_or(deadline, |by| by.min(deadline));
                 self.requests.insert(request, Request::new(request_id, effect, now, deadline));
                 if let Some(budget) = self.limits.retry_budget {
@@ -161,11 +161,11 @@
 
     /// Whether the first byte of an attempt may be written, by what is known now.
     pub fn send(
-        &mut self, now: Micros, permit: &AttemptPermit, look: LastLook,
+        &mut self, now: Micros, permit: &AttemptPermit, look: SendConditions,
     ) -> Result<SendPermit, Denial> {
         let AttemptPermit { request: id, attempt: number, server } = *permit;
         let Some(request) = self.requests.get(&id) else { return Err(Denial::RequestOver) };
-        if !look.server_wanted {
+        if !look.server_available {
             return Err(Denial::ServerNotWanted);
         }
         if !look.lease_valid {
@@ -177,13 +177,13 @@
         if look.client_gone || request.client_gone.is_some() {
             return Err(Denial::ClientGone);
         }
-        if look.left.0 == 0 || now > request.deadline {
+        if look.time_left.0 == 0 || now > request.deadline {
             return Err(Denial::OutOfTime);
         }
         if request.answered {
             return Err(Denial::RequestOver);
         }
-        let told_too_much = look.told > request.deadline - now + TOLD_SLACK;
+        let told_too_much = look.announced_timeout > request.deadline - now + TOLD_SLACK;
         let drained = self.servers.get(&server).and_then(|server| server.drained_for(now));
         if drained.is_some_and(|drained| drained > self.limits.drain_grace + DRAIN_SLACK) {
             self.violate(Rule::NothingToDrained, now, id, Some((number, server)));
@@ -202,7 +202,7 @@
         request.note(now, Transition::AnswerBegun(kind));
         let second = std::mem::replace(&mut request.answered, true);
         let late = now > request.deadline + ANSWER_SLACK && request.client_gone.is_none();
-        let ran = request.effect != Effect::Safe && request.attempts.iter().any(Attempt::may_have_run);
+        let ran = request.effect != RepeatSafety::Safe && request.attempts.iter().any(Attempt::may_have_run);
         if second {
             self.violate(Rule::OneAnswer, now, id, None);
         }
@@ -254,9 +254,9 @@
 fn broken_by_repeat(request: &Request, now: Micros, location: Option<Location>) -> Option<Rule> {
     let unproven = || request.attempts.iter().filter(|attempt| !attempt.is_proven_not_run());
     match request.effect {
-        Effect::Safe => None,
-        Effect::Unsafe => unproven().next().map(|_| Rule::ProvenBeforeRepeat),
-        Effect::Keyed { memory, group } => {
+        RepeatSafety::Safe => None,
+        RepeatSafety::Unsafe => unproven().next().map(|_| Rule::ProvenBeforeRepeat),
+        RepeatSafety::Keyed { retention: memory, group } => {
             let shares = |attempt: &Attempt| match (attempt.location, location) {
                 (Some(one), Some(other)) => one.shares(other, group),
                 _ => false,
--- a/guard/src/lib.rs
+++ b/guard/src/lib.rs
@@ -15,8 +15,8 @@
 mod server;
 
 pub use budget::RetryBudget;
-pub use event::{AnswerKind, CloseReason, Effect, Event, Transition};
+pub use event::{AnswerKind, CloseReason, Event, RepeatSafety, Transition};
 pub use guard::{Guard, Limits};
-pub use permit::{AttemptPermit, Denial, LastLook, SendPermit};
+pub use permit::{AttemptPermit, Denial, SendConditions, SendPermit};
 pub use rule::{Rule, Violation};
 pub use server::Location;
--- a/guard/src/permit.rs
+++ b/guard/src/permit.rs
@@ -29,9 +29,9 @@
 
 /// What is known at the last moment before an attempt's first byte, as the kernel tells it then.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct LastLook {
+pub struct SendConditions {
     /// The server still takes new requests at that address.
-    pub server_wanted: bool,
+    pub server_available: bool,
     /// The lease, if there is one, has not run out.
     pub lease_valid: bool,
     /// The list by which the server was chosen may still be used.
@@ -39,9 +39,9 @@
     /// The client has closed its connection.
     pub client_gone: bool,
     /// What is left of the attempt's time.
-    pub left: Micros,
+    pub time_left: Micros,
     /// The time that the server will be told.
-    pub told: Micros,
+    pub announced_timeout: Micros,
 }
 
 /// Why an attempt is not started, or not sent.
--- a/guard/src/request.rs
+++ b/guard/src/request.rs
@@ -1,5 +1,5 @@
 //! What is known of one open request.
-use crate::event::{Effect, Transition};
+use crate::event::{RepeatSafety, Transition};
 use crate::server::Location;
 use oakhollow::types::{HopNo, Micros, Outcome};
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct Request {
     pub id: Rc<str>,
-    pub effect: Effect,
+    pub effect: RepeatSafety,
     pub accepted: Micros,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
@@ -51,7 +51,7 @@
 }
 
 impl Request {
-    pub fn new(id: Rc<str>, effect: Effect, accepted: Micros, deadline: Micros) -> Request {
+    pub fn new(id: Rc<str>, effect: RepeatSafety, accepted: Micros, deadline: Micros) -> Request {
         let mut request = Request {
             id,
             effect,
--- a/guard/tests/rules.rs
+++ b/guard/tests/rules.rs
@@ -16,11 +16,11 @@
 }
 
 impl Play {
-    fn new(effect: Effect) -> Play {
+    fn new(effect: RepeatSafety) -> Play {
         Play::within(effect, Limits::default())
     }
 
-    fn within(effect: Effect, limits: Limits) -> Play {
+    fn within(effect: RepeatSafety, limits: Limits) -> Play {
         let mut play = Play { guard: Guard::new(limits), now: Micros(0) };
         for (server, cell) in [(A, 1), (B, 2)] {
             play.lists(server, Standing::Ready, cell);
@@ -39,12 +39,12 @@
         self
     }
 
-    fn accept(&mut self, request: CallId, effect: Effect) {
+    fn accept(&mut self, request: CallId, effect: RepeatSafety) {
         let deadline = self.now + DEADLINE;
         self.on(Event::Accepted {
             request,
             request_id: format!("id-{}", request.0).into(),
-            effect,
+            repeat_safety: effect,
             deadline,
         });
     }
@@ -58,15 +58,15 @@
         self.guard.start_attempt(self.now, ONE, attempt, server)
     }
 
-    fn look(&self) -> LastLook {
+    fn look(&self) -> SendConditions {
         let left = DEADLINE - self.now;
-        LastLook {
-            server_wanted: true,
+        SendConditions {
+            server_available: true,
             lease_valid: true,
             list_fresh: true,
             client_gone: false,
-            left,
-            told: left,
+            time_left: left,
+            announced_timeout: left,
         }
     }
 
@@ -99,13 +99,13 @@
     }
 }
 
-fn keyed() -> Effect {
-    Effect::Keyed { memory: Micros::millis(300), group: Group::Cell }
+fn keyed() -> RepeatSafety {
+    RepeatSafety::Keyed { retention: Micros::millis(300), group: Group::Cell }
 }
 
 #[test]
 fn an_ordinary_request_breaks_nothing_and_is_forgotten() {
-    for effect in [Effect::Safe, Effect::Unsafe, keyed()] {
+    for effect in [RepeatSafety::Safe, RepeatSafety::Unsafe, keyed()] {
         let mut play = Play::new(effect);
         play.on(Event::Queued { request: ONE }).at(2).sends(FIRST, A);
         play.at(9).ends(FIRST, Outcome::Succeeded).answers(AnswerKind::Served).closes(None);
@@ -115,11 +115,11 @@
 
 #[test]
 fn retries_after_a_proof_and_hedges_of_safe_requests_break_nothing() {
-    let mut play = Play::new(Effect::Unsafe);
+    let mut play = Play::new(RepeatSafety::Unsafe);
     play.sends(FIRST, A).ends(FIRST, Outcome::Full).at(5).sends(SECOND, B);
     play.ends(SECOND, Outcome::Succeeded).answers(AnswerKind::Served).closes(None);
     assert_eq!(play.broken(), []);
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.sends(FIRST, A).at(5).sends(SECOND, B).answers(AnswerKind::Served);
     play.ends(FIRST, Outcome::Cancelled).closes(Some(CloseReason::LastAnswer));
     assert_eq!(play.broken(), []);
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_second_answer_is_counted_with_the_last_transitions() {
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.at(3).sends(FIRST, A).answers(AnswerKind::Served).answers(AnswerKind::Failed);
     let found = play.guard.take_violations();
     assert_eq!(found.iter().map(|found| found.rule).collect::<Vec<_>>(), [Rule::OneAnswer]);
@@ -141,39 +141,39 @@
 
 #[test]
 fn a_close_without_an_answer_is_counted_unless_the_client_has_gone() {
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.closes(Some(CloseReason::Evicted));
     assert_eq!(play.broken(), [Rule::AnswerBeforeClose]);
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.on(Event::ClientGone { request: ONE }).closes(Some(CloseReason::ClientGone));
     assert_eq!(play.broken(), []);
 }
 
 #[test]
 fn an_answer_that_is_late_is_counted_also_by_the_end_of_the_process() {
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.at(1_490).answers(AnswerKind::Failed);
     assert_eq!(play.broken(), []);
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.at(1_510).answers(AnswerKind::Failed);
     assert_eq!(play.broken(), [Rule::AnswerInTime]);
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.on(Event::ShutdownBegun { answer_by: Micros::millis(200) }).at(800).answers(AnswerKind::Failed);
     assert_eq!(play.broken(), [Rule::AnswerInTime]);
 }
 
 #[test]
 fn attempts_of_a_request_that_is_over_are_denied_and_counted() {
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.answers(AnswerKind::Refused);
     assert_eq!(
         (play.starts(FIRST, A), play.broken()),
         (Err(Denial::RequestOver), vec![Rule::NoAttemptAfterAnswer])
     );
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     let late = play.at(1_001).starts(FIRST, A);
     assert_eq!((late, play.broken()), (Err(Denial::OutOfTime), vec![Rule::NoAttemptAfterDeadline]));
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     play.at(10).on(Event::ClientGone { request: ONE });
     assert!(play.at(60).starts(FIRST, A).is_ok());
     let gone = play.at(111).starts(SECOND, A);
@@ -183,7 +183,7 @@
 #[test]
 fn a_repeat_without_a_proof_is_denied_and_counted() {
     for outcome in [None, Some(Outcome::Broken), Some(Outcome::TimedOut), Some(Outcome::Errored)] {
-        let mut play = Play::new(Effect::Unsafe);
+        let mut play = Play::new(RepeatSafety::Unsafe);
         play.sends(FIRST, A);
         outcome.map(|outcome| play.ends(FIRST, outcome));
         let again = play.starts(SECOND, B);
@@ -215,11 +215,11 @@
 #[test]
 fn a_refusal_of_what_may_have_run_is_counted() {
     for (outcome, broken) in [(Outcome::Full, vec![]), (Outcome::Broken, vec![Rule::RefusedOnlyIfNotRun])] {
-        let mut play = Play::new(Effect::Unsafe);
+        let mut play = Play::new(RepeatSafety::Unsafe);
         play.sends(FIRST, A).ends(FIRST, outcome).answers(AnswerKind::Refused);
         assert_eq!(play.broken(), broken, "{outcome:?}");
     }
-    let mut play = Play::new(Effect::Unsafe);
+    let mut play = Play::new(RepeatSafety::Unsafe);
     play.sends(FIRST, A).answers(AnswerKind::Refused);
     assert_eq!(play.broken(), [Rule::RefusedOnlyIfNotRun]);
 }
@@ -227,7 +227,7 @@
 #[test]
 fn a_first_byte_to_a_server_that_drains_past_the_grace_is_denied_and_counted() {
     let limits = Limits { drain_grace: Micros::millis(100), retry_budget: None };
-    let mut play = Play::within(Effect::Safe, limits);
+    let mut play = Play::within(RepeatSafety::Safe, limits);
     let permit = play.starts(FIRST, A).expect("allowed");
     play.lists(A, Standing::Draining, 1);
     assert!(play.at(140).may_send(&permit));
@@ -242,15 +242,15 @@
 
 #[test]
 fn what_the_last_look_forbids_is_denied() {
-    let mut play = Play::new(Effect::Safe);
+    let mut play = Play::new(RepeatSafety::Safe);
     let permit = play.starts(FIRST, A).expect("allowed");
     let look = play.look();
     let forbidden = [
-        (LastLook { server_wanted: false, ..look }, Denial::ServerNotWanted),
-        (LastLook { lease_valid: false, ..look }, Denial::LeaseLapsed),
-        (LastLook { list_fresh: false, ..look }, Denial::ListStale),
-        (LastLook { client_gone: true, ..look }, Denial::ClientGone),
-        (LastLook { left: Micros(0), ..look }, Denial::OutOfTime),
+        (SendConditions { server_available: false, ..look }, Denial::ServerNotWanted),
+        (SendConditions { lease_valid: false, ..look }, Denial::LeaseLapsed),
+        (SendConditions { list_fresh: false, ..look }, Denial::ListStale),
+        (SendConditions { client_gone: true, ..look }, Denial::ClientGone),
+        (SendConditions { time_left: Micros(0), ..look }, Denial::OutOfTime),
     ];
     for (look, denial) in forbidden {
         assert_eq!(play.guard.send(play.now, &permit, look), Err(denial));
@@ -261,9 +261,9 @@
 #[test]
 fn a_time_told_that_is_more_than_what_is_left_is_counted() {
     for (told, broken) in [(1_040, vec![]), (1_060, vec![Rule::ToldTimeLeft])] {
-        let mut play = Play::new(Effect::Safe);
+        let mut play = Play::new(RepeatSafety::Safe);
         let permit = play.at(100).starts(FIRST, A).expect("allowed");
-        let look = LastLook { told: Micros::millis(told), ..play.look() };
+        let look = SendConditions { announced_timeout: Micros::millis(told), ..play.look() };
         assert!(play.guard.send(play.now, &permit, look).is_ok());
         assert_eq!(play.broken(), broken, "{told}");
     }
@@ -271,8 +271,9 @@
 
 #[test]
 fn attempts_beyond_the_budget_of_a_window_are_counted() {
-    let budget = RetryBudget { few: 1.0, share: 0.1, window: Micros::millis(100) };
-    let mut play = Play::within(Effect::Safe, Limits { retry_budget: Some(budget), ..Limits::default() });
+    let budget = RetryBudget { min_retries: 1.0, retry_ratio: 0.1, window: Micros::millis(100) };
+    let mut play =
+        Play::within(RepeatSafety::Safe, Limits { retry_budget: Some(budget), ..Limits::default() });
     play.sends(FIRST, A).sends(SECOND, B);
     assert_eq!(play.broken(), []);
     play.at(50).sends(HopNo(2), A);
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -1,7 +1,7 @@
 //! Which services there are, which servers and zones they have, and which of them each instance calls. All of it follows
 //! from the seed.
 use nanorand::{Rng, WyRand};
-use oakhollow_accord::{Fact, Listed};
+use oakhollow_accord::{Fact, ListUpdate};
 use std::sync::Arc;
 
 /// Servers of the fleet are numbered; each belongs to one service and stands in one zone.
@@ -62,10 +62,10 @@
     }
 
     /// What a list tells of some servers; `since` is when they last started.
-    pub fn told(&self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, Told)>) -> Listed {
-        let fact = |told: Told| Fact { since: told.since, out: told.out, first_hand: true, entry: None };
+    pub fn told(&self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, Told)>) -> ListUpdate {
+        let fact = |told: Told| Fact { since: told.since, excluded: told.out, first_hand: true, entry: None };
         let entries = servers.map(|(server, told)| (self.names[server].clone(), Some(fact(told))));
-        Listed { index, whole, entries: entries.collect() }
+        ListUpdate { index, snapshot: whole, entries: entries.collect() }
     }
 }
 
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -3,7 +3,7 @@
 use super::count::{Counts, Running};
 use super::link::Link;
 use oakhollow::types::Micros;
-use oakhollow_accord::{Action, Document, InstanceId, Judge, Listed, Member, Version};
+use oakhollow_accord::{Action, Document, InstanceId, ListUpdate, Member, Validator, Version};
 use oakhollow_terms::{Greeting, Scope};
 use std::sync::Arc;
 
@@ -32,11 +32,11 @@
     fn member(&self) -> Member {
         let keepers = (0..self.keepers).map(|at| InstanceId(at as u32)).collect();
         // It can take whatever it is told: it carries no calls by it.
-        let judge: Judge = Arc::new(|_: &[Arc<str>]| Ok(()));
+        let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let member = Member::new(keepers, self.lease, judge);
         match self.scope {
             Scope::All => member,
-            Scope::Listed => member.subscribing(),
+            Scope::Listed => member.with_subscription(),
         }
     }
 }
@@ -107,9 +107,9 @@
         (self.alive, self.acts, self.until, self.unsure_since) = (true, false, Micros(0), None);
         (self.acted, self.index, self.armed, self.awaited) = (false, 1, Micros::NEVER, None);
         let mut actions = Vec::new();
-        self.member.written(now, common.document.clone(), &mut actions);
+        self.member.propose(now, common.document.clone(), &mut actions);
         let servers = self.born.list.iter().map(|server| (*server as usize, told[*server as usize]));
-        self.member.listed(now, catalogue.told(self.index, true, servers), &mut actions);
+        self.member.handle_list_update(now, catalogue.told(self.index, true, servers), &mut actions);
         actions
     }
 
@@ -122,14 +122,14 @@
         let servers = servers.filter(|server| marked[*server]).map(|server| (server, told));
         let listed = catalogue.told(self.index, false, servers);
         if !listed.entries.is_empty() {
-            self.member.listed(now, listed, actions);
+            self.member.handle_list_update(now, listed, actions);
         }
     }
 
     /// Its list is there, and has nothing new.
     pub fn list_is_quiet(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let listed = Listed { index: self.index, whole: false, entries: Vec::new() };
-        self.member.listed(now, listed, actions);
+        let listed = ListUpdate { index: self.index, snapshot: false, entries: Vec::new() };
+        self.member.handle_list_update(now, listed, actions);
     }
 
     /// From now on it is seen whether it has heard that; false if there is nothing for it to hear.
@@ -149,11 +149,11 @@
         let heard = match &self.awaited {
             None => return true,
             Some(Awaited::Servers(_, out)) => {
-                let known = self.member.out();
+                let known = self.member.excluded_servers();
                 self.missing.retain(|server| known.contains_key(catalogue.name(*server as usize)) != *out);
                 self.missing.is_empty()
             }
-            Some(Awaited::Version(version)) => self.member.base() >= Some(*version),
+            Some(Awaited::Version(version)) => self.member.committed() >= Some(*version),
         };
         if heard {
             self.awaited = None;
@@ -167,7 +167,7 @@
 
     /// Sees whether it acts, and counts for how long it did not.
     pub fn look(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.until, self.member.until());
+        let before = std::mem::replace(&mut self.until, self.member.lease_valid_until());
         if self.acts && before <= now {
             self.acts = false;
             self.unsure_since = Some(before);
--- a/lab/src/scale/link.rs
+++ b/lab/src/scale/link.rs
@@ -1,6 +1,6 @@
 //! A hollow instance's link to one keeper: a socket that never blocks, lines of JSON on it, and a bounded queue.
 use super::count::Said;
-use oakhollow_accord::Word;
+use oakhollow_accord::Message;
 use oakhollow_terms::to_json;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::io::Errno;
@@ -87,7 +87,7 @@
     }
 
     /// Queues a line; false if there is no room for it, or no link. [`Link::write`] sends it.
-    pub fn say(&mut self, word: &Word) -> bool {
+    pub fn say(&mut self, word: &Message) -> bool {
         let takes = self.is_up() && self.writes.len() < MOST_WORDS;
         if takes {
             self.queue(to_json(word));
@@ -155,7 +155,7 @@
     }
 
     /// Reads once, as much as `scratch` takes, and gives the words that are there whole.
-    pub fn read(&mut self, scratch: &mut [u8], said: &mut Said, words: &mut Vec<Word>) -> Became {
+    pub fn read(&mut self, scratch: &mut [u8], said: &mut Said, words: &mut Vec<Message>) -> Became {
         let State::Up(socket) = &self.state else { return Became::Same };
         let count = match rustix::io::read(socket, &mut *scratch) {
             Ok(0) => return Became::Broken,
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -199,7 +199,7 @@
     };
     let mut fleet = Fleet::start(&wanted, clock.0, &notes)?;
     fleet.answers()?;
-    let lease = oakhollow_accord::lease(oakhollow_terms::micros(plan.within));
+    let lease = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(plan.within));
     let common = Common { keepers: KEEPERS, lease, document: fleet.document.clone(), scope: plan.scope };
     let begun = clock.now();
     let mut parts: Vec<Vec<Born>> = vec![Vec::new(); plan.threads.max(1)];
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -6,7 +6,7 @@
 use super::link::Became;
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
-use oakhollow_accord::{Action, Document, InstanceId, Word};
+use oakhollow_accord::{Action, Document, InstanceId, Message};
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
 use rustix::event::{eventfd, EventfdFlags, Timespec};
 use rustix::io::Errno;
@@ -234,7 +234,7 @@
             let now = self.clock.now();
             self.granted(at, keeper, now, &word);
             self.works(at, |hollow, actions| {
-                hollow.member.on(now, InstanceId(keeper as u32), word, actions);
+                hollow.member.handle_message(now, InstanceId(keeper as u32), word, actions);
             });
         }
         if became == Became::Broken {
@@ -253,8 +253,8 @@
     }
 
     /// Sees how long a grant took.
-    fn granted(&mut self, at: usize, keeper: usize, now: Micros, word: &Word) {
-        let Word::Grant { turn, .. } = word else { return };
+    fn granted(&mut self, at: usize, keeper: usize, now: Micros, word: &Message) {
+        let Message::LeaseGrant { sequence: turn, .. } = word else { return };
         let (asked, since) = self.hollows[at].asked[keeper];
         if asked == *turn {
             self.counts.answers.saturating_record((now - since).0.max(1));
@@ -265,11 +265,11 @@
         let (now, mut looks) = (self.clock.now(), false);
         for action in actions {
             match action {
-                Action::Say(keeper, word) => self.say(at, keeper.0 as usize, now, &word),
-                Action::Heard | Action::Act => looks = true,
+                Action::Send(keeper, word) => self.say(at, keeper.0 as usize, now, &word),
+                Action::ApplyLists | Action::ApplyDocuments => looks = true,
                 // "version holds" comes as one.
                 Action::Log(_) => looks = true,
-                Action::Mark { .. } => {}
+                Action::ApplyMaintenance { .. } => {}
             }
         }
         for keeper in 0..self.keepers.len() {
@@ -290,16 +290,16 @@
             self.status.heard_at.fetch_max(now.0, Ordering::Relaxed);
             self.status.waiting.fetch_sub(1, Ordering::Relaxed);
         }
-        let due = self.hollows[at].member.due();
+        let due = self.hollows[at].member.next_wakeup();
         if due < self.hollows[at].armed {
             self.hollows[at].armed = due;
             self.timers.push(Reverse((due, at, Due::Ask)));
         }
     }
 
-    fn say(&mut self, at: usize, keeper: usize, now: Micros, word: &Word) {
+    fn say(&mut self, at: usize, keeper: usize, now: Micros, word: &Message) {
         let hollow = &mut self.hollows[at];
-        if let Word::Ask { turn, .. } = word {
+        if let Message::LeaseRequest { sequence: turn, .. } = word {
             hollow.asked[keeper] = (*turn, now);
         }
         let link = &mut hollow.links[keeper];
@@ -377,7 +377,7 @@
     fn woke(&mut self, at: usize, now: Micros) {
         self.hollows[at].armed = Micros::NEVER;
         if self.hollows[at].alive {
-            self.works(at, |hollow, actions| hollow.member.woke(now, actions));
+            self.works(at, |hollow, actions| hollow.member.handle_timer(now, actions));
         }
     }
 
@@ -427,7 +427,7 @@
                     let document = document.clone();
                     if self.hollows[at].alive {
                         self.works(at, |hollow, actions| {
-                            hollow.member.written(now, document, actions);
+                            hollow.member.propose(now, document, actions);
                         });
                     }
                 }
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -2,8 +2,13 @@
 //! of choice: whoever judges scenes must catch each of those.
 use crate::stand::{each, header, read_head};
 use oakhollow::types::{Kind, Micros};
-use oakhollow_accord::{lease, Action, Document, Fact, InstanceId, Judge, Listed, Member, Version, Word};
-use oakhollow_terms::{micros, read, to_json, Entry, Greeting, List, Operator, Own, Start};
+use oakhollow_accord::{
+    lease_duration, Action, Document, Fact, InstanceId, ListUpdate, Member, Message, Validator, Version,
+};
+use oakhollow_terms::{
+    micros_from_seconds, read_json, to_json, DiscoveryList, EndpointEntry, Greeting, LocalSettings,
+    OperatorConfig, SidecarConfig,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -45,7 +50,7 @@
     begun: Instant,
     within: Micros,
     member: Member,
-    own: Own,
+    own: LocalSettings,
     path: PathBuf,
     /// The file as it was last read.
     file: String,
@@ -53,9 +58,9 @@
     /// What is to be offered from then on.
     later: Vec<(Instant, Offered)>,
     out: BTreeMap<String, u64>,
-    servers: BTreeMap<String, Entry>,
+    servers: BTreeMap<String, EndpointEntry>,
     until: Micros,
-    ways: HashMap<InstanceId, Sender<Option<Word>>>,
+    ways: HashMap<InstanceId, Sender<Option<Message>>>,
     turns: usize,
 }
 
@@ -66,17 +71,17 @@
     inside.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn offered(own: &Own, texts: &[&str]) -> Result<Offered, String> {
-    let place = own.place(texts)?;
-    let kinds = place.terms.workloads.iter().map(|workload| workload.kind == Kind::Repeatable);
+fn offered(own: &LocalSettings, texts: &[&str]) -> Result<Offered, String> {
+    let place = own.merge(texts)?;
+    let kinds = place.decision.workloads.iter().map(|workload| workload.kind == Kind::Repeatable);
     Ok(place.workloads.into_iter().map(|named| named.name).zip(kinds).collect())
 }
 
 /// What a sidecar's file says, its own part of the settings, and the part that is the same for all.
-pub(crate) fn document(path: &Path) -> Result<(Start, Own, Document), String> {
-    let start = Start::from_file(path)?;
-    let (own, common) = Own::part(&start.settings)?;
-    let number = start.version.ok_or("version: missing")?;
+pub(crate) fn document(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
+    let start = SidecarConfig::from_file(path)?;
+    let (own, common) = LocalSettings::split(&start.settings_text)?;
+    let number = start.settings_version.ok_or("version: missing")?;
     let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
     Ok((start, own, Document { version, text: common.text.into() }))
 }
@@ -89,9 +94,10 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Say(to, word) => _ = self.ways.get(&to).map(|way| way.send(Some(word))),
-                Action::Act => {
-                    let texts: Vec<Arc<str>> = self.member.keeps_to().map(|(_, text)| text.clone()).collect();
+                Action::Send(to, word) => _ = self.ways.get(&to).map(|way| way.send(Some(word))),
+                Action::ApplyDocuments => {
+                    let texts: Vec<Arc<str>> =
+                        self.member.active_documents().map(|(_, text)| text.clone()).collect();
                     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
                     let Ok(fresh) = offered(&self.own, &texts) else { continue };
                     match self.how {
@@ -101,28 +107,28 @@
                         _ => self.offered = fresh,
                     }
                 }
-                Action::Heard if self.how == How::NoDrains => {}
-                Action::Heard => {
+                Action::ApplyLists if self.how == How::NoDrains => {}
+                Action::ApplyLists => {
                     self.out = self
                         .member
-                        .out()
+                        .excluded_servers()
                         .into_iter()
                         .map(|(name, since)| (name.to_string(), since))
                         .collect();
                 }
-                Action::Mark { .. } | Action::Log(_) => {}
+                Action::ApplyMaintenance { .. } | Action::Log(_) => {}
             }
         }
     }
 
-    fn hear(&mut self, from: InstanceId, word: Word) {
-        if self.how == How::Deaf && matches!(word, Word::Documents(_)) && self.until > Micros(0) {
+    fn hear(&mut self, from: InstanceId, word: Message) {
+        if self.how == How::Deaf && matches!(word, Message::Documents(_)) && self.until > Micros(0) {
             return;
         }
-        let (before, mut actions) = (self.member.until(), Vec::new());
-        self.member.on(self.now(), from, word, &mut actions);
+        let (before, mut actions) = (self.member.lease_valid_until(), Vec::new());
+        self.member.handle_message(self.now(), from, word, &mut actions);
         self.carry_out(actions);
-        let until = self.member.until();
+        let until = self.member.lease_valid_until();
         match self.how {
             How::FromAnswer if until > before => self.until = self.now() + self.within,
             How::FromAnswer => {}
@@ -133,8 +139,8 @@
 
     fn tick(&mut self) {
         let (now, mut actions) = (self.now(), Vec::new());
-        if now >= self.member.due() {
-            self.member.woke(now, &mut actions);
+        if now >= self.member.next_wakeup() {
+            self.member.handle_timer(now, &mut actions);
         }
         let file = std::fs::read_to_string(&self.path).unwrap_or_default();
         if file != self.file {
@@ -142,7 +148,7 @@
             if let Ok((_, own, document)) = document(&self.path) {
                 self.own = own;
                 let text = document.text.clone();
-                if !self.member.written(now, document, &mut actions) && self.how == How::Lower {
+                if !self.member.propose(now, document, &mut actions) && self.how == How::Lower {
                     self.offered = offered(&self.own, &[&text]).unwrap_or_default();
                 }
             }
@@ -156,29 +162,30 @@
 
     /// How long until something is due.
     fn rests(&self) -> Duration {
-        let due = Duration::from_micros((self.member.due() - self.now()).0);
+        let due = Duration::from_micros((self.member.next_wakeup() - self.now()).0);
         let later = self.later.iter().map(|(at, _)| at.saturating_duration_since(Instant::now())).min();
         due.min(later.unwrap_or(LOOK)).min(LOOK)
     }
 
-    fn listed(&mut self, list: &List) {
+    fn listed(&mut self, list: &DiscoveryList) {
         if list.snapshot {
             self.servers.clear();
         }
         for entry in &list.endpoints {
             self.servers.insert(entry.name.clone(), entry.clone());
         }
-        let fact = |entry: &Entry| Fact {
+        let fact = |entry: &EndpointEntry| Fact {
             since: entry.since_ms(),
-            out: !entry.ready(),
+            excluded: !entry.is_active(),
             first_hand: true,
             entry: None,
         };
         let entries = list.endpoints.iter();
-        let entries = entries.map(|entry| (entry.name.as_str().into(), (!entry.left()).then(|| fact(entry))));
-        let listed = Listed { index: list.index.0, whole: list.snapshot, entries: entries.collect() };
+        let entries =
+            entries.map(|entry| (entry.name.as_str().into(), (!entry.has_left()).then(|| fact(entry))));
+        let listed = ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() };
         let mut actions = Vec::new();
-        self.member.listed(self.now(), listed, &mut actions);
+        self.member.handle_list_update(self.now(), listed, &mut actions);
         self.carry_out(actions);
     }
 
@@ -193,8 +200,8 @@
             return Err(503);
         }
         let drains =
-            |entry: &Entry| self.out.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
-        let usable = self.servers.values().filter(|entry| entry.ready() && !drains(entry));
+            |entry: &EndpointEntry| self.out.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
+        let usable = self.servers.values().filter(|entry| entry.is_active() && !drains(entry));
         let usable: Vec<SocketAddr> = usable.map(|entry| entry.address).collect();
         self.turns += 1;
         usable.get(self.turns % usable.len().max(1)).map(|to| (*to, repeat)).ok_or(503)
@@ -204,12 +211,12 @@
 /// Runs for as long as the process.
 pub fn run(path: &Path, operator: &Path, how: How) -> Result<(), String> {
     let (start, own, first) = document(path)?;
-    let agreed = Operator::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
+    let agreed = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
     let names: Vec<&String> = agreed.instances.keys().collect();
     let id = |name: &String| names.iter().position(|other| *other == name).map(|at| InstanceId(at as u32));
     let keepers: Vec<InstanceId> = agreed.keepers.iter().filter_map(id).collect();
-    let within = lease(micros(agreed.within));
-    let judge: Judge = {
+    let within = lease_duration(micros_from_seconds(agreed.max_divergence_s));
+    let judge: Validator = {
         let (own, only) = (own.clone(), first.text.clone());
         Arc::new(move |texts: &[Arc<str>]| {
             if how == How::Refuses && texts.iter().any(|text| *text != only) {
@@ -241,7 +248,7 @@
     }
     let mut actions = Vec::new();
     let now = lock(&inside).now();
-    lock(&inside).member.written(now, first, &mut actions);
+    lock(&inside).member.propose(now, first, &mut actions);
     lock(&inside).carry_out(actions);
     watch(&inside, start.discovery);
     let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|fault| fault.to_string());
@@ -271,7 +278,7 @@
 
 fn dial(inside: &Shared, keeper: InstanceId, at: SocketAddr, name: &str) {
     // A link that has broken says so by none.
-    let (way, words) = channel::<Option<Word>>();
+    let (way, words) = channel::<Option<Message>>();
     lock(inside).ways.insert(keeper, way.clone());
     let (inside, greeting) = (inside.clone(), Greeting::new(name, u64::from(std::process::id())).to_json());
     thread::spawn(move || loop {
@@ -286,7 +293,7 @@
         let (inside, way) = (inside.clone(), way.clone());
         let reader = thread::spawn(move || {
             for line in BufReader::new(reads).lines().map_while(Result::ok) {
-                let Ok(word) = read::<Word>(line.as_bytes()) else { break };
+                let Ok(word) = read_json::<Message>(line.as_bytes()) else { break };
                 lock(&inside).hear(keeper, word);
                 inside.1.notify_all();
             }
@@ -307,7 +314,7 @@
         if let Ok(mut stream) = TcpStream::connect(discovery) {
             let _ = stream.write_all(b"GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: x\r\n\r\n");
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
-                if let Ok(list) = read::<List>(line.as_bytes()) {
+                if let Ok(list) = read_json::<DiscoveryList>(line.as_bytes()) {
                     lock(&inside).listed(&list);
                     inside.1.notify_all();
                 }
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -4,7 +4,8 @@
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{
-    lease, Action, Document, Fact, Holder, InstanceId, Judge, Keeper, Listed, Member, Version, Word,
+    lease_duration, Action, Document, Fact, Holder, InstanceId, Keeper, ListUpdate, Member, Message,
+    Validator, Version,
 };
 use oakhollow_terms::{to_json, Scope};
 use std::cmp::Reverse;
@@ -37,8 +38,8 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    ToKeeper(usize, usize, Word),
-    ToMember(usize, usize, Word),
+    ToKeeper(usize, usize, Message),
+    ToMember(usize, usize, Message),
     Member(usize),
     Keeper(usize),
 }
@@ -63,19 +64,19 @@
 
 impl Fleet {
     fn new(
-        instances: usize, within: Micros, seed: u64, scope: Scope, listed: impl Fn(usize) -> Listed,
+        instances: usize, within: Micros, seed: u64, scope: Scope, listed: impl Fn(usize) -> ListUpdate,
     ) -> Fleet {
-        let judge: Judge = Arc::new(|_: &[Arc<str>]| Ok(()));
+        let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let names: Vec<InstanceId> = (0..KEEPERS as u32).map(InstanceId).collect();
-        let all = || Member::new(names.clone(), lease(within), judge.clone());
+        let all = || Member::new(names.clone(), lease_duration(within), judge.clone());
         let member = || match scope {
             Scope::All => all(),
-            Scope::Listed => all().subscribing(),
+            Scope::Listed => all().with_subscription(),
         };
         let mut fleet = Fleet {
             now: Micros(1),
             members: (0..instances).map(|_| member()).collect(),
-            keepers: vec![Keeper::new(Micros(1), lease(within)); KEEPERS],
+            keepers: vec![Keeper::new(Micros(1), lease_duration(within)); KEEPERS],
             events: BinaryHeap::new(),
             number: 0,
             random: WyRand::new_seed(seed),
@@ -98,13 +99,13 @@
     fn write(&mut self, at: usize, number: u64) {
         let version = Version { epoch: 0, number, hash: number };
         let (mut actions, document) = (Vec::new(), Document { version, text: "x".repeat(TEXT).into() });
-        self.members[at].written(self.now, document, &mut actions);
+        self.members[at].propose(self.now, document, &mut actions);
         self.act(at, actions);
     }
 
-    fn list(&mut self, at: usize, listed: Listed) {
+    fn list(&mut self, at: usize, listed: ListUpdate) {
         let mut actions = Vec::new();
-        self.members[at].listed(self.now, listed, &mut actions);
+        self.members[at].handle_list_update(self.now, listed, &mut actions);
         self.act(at, actions);
     }
 
@@ -113,7 +114,7 @@
     }
 
     /// An instance's word to its own keeper goes over no link, and counts for nothing.
-    fn count(&mut self, instance: usize, keeper: usize, word: &Word) {
+    fn count(&mut self, instance: usize, keeper: usize, word: &Message) {
         if instance != keeper {
             let bytes = to_json(word).len() as f64 + 1.0;
             (self.said.words, self.said.bytes) = (self.said.words + 1.0, self.said.bytes + bytes);
@@ -128,7 +129,7 @@
 
     fn act(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
-            if let Action::Say(keeper, word) = action {
+            if let Action::Send(keeper, word) = action {
                 let keeper = keeper.0 as usize;
                 self.count(at, keeper, &word);
                 let delay = self.delay();
@@ -137,11 +138,11 @@
                 }
             }
         }
-        let due = self.members[at].due() - self.now;
+        let due = self.members[at].next_wakeup() - self.now;
         self.at(due, Event::Member(at));
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Word)>) {
+    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Message)>) {
         for (holder, word) in out {
             let to = holder.instance.0 as usize;
             self.count(to, at, &word);
@@ -150,7 +151,7 @@
                 self.at(delay, Event::ToMember(to, at, word));
             }
         }
-        if let Some(due) = self.keepers[at].due(self.now) {
+        if let Some(due) = self.keepers[at].next_wakeup(self.now) {
             self.at(due - self.now, Event::Keeper(at));
         }
     }
@@ -173,24 +174,24 @@
             match event {
                 Event::ToKeeper(keeper, from, word) => {
                     let mut out = Vec::new();
-                    let from = Holder { instance: InstanceId(from as u32), life: 1 };
-                    self.keepers[keeper].on(self.now, from, word, &mut out);
+                    let from = Holder { instance: InstanceId(from as u32), incarnation: 1 };
+                    self.keepers[keeper].handle_message(self.now, from, word, &mut out);
                     self.keeper_says(keeper, out);
                 }
                 Event::ToMember(to, keeper, word) => {
                     let mut actions = Vec::new();
-                    self.members[to].on(self.now, InstanceId(keeper as u32), word, &mut actions);
+                    self.members[to].handle_message(self.now, InstanceId(keeper as u32), word, &mut actions);
                     self.act(to, actions);
                 }
-                Event::Member(at) if self.now >= self.members[at].due() => {
+                Event::Member(at) if self.now >= self.members[at].next_wakeup() => {
                     let mut actions = Vec::new();
-                    self.members[at].woke(self.now, &mut actions);
+                    self.members[at].handle_timer(self.now, &mut actions);
                     self.act(at, actions);
                 }
                 Event::Member(_) => {}
                 Event::Keeper(at) => {
                     let mut out = Vec::new();
-                    self.keepers[at].woke(self.now, &mut out);
+                    self.keepers[at].handle_timer(self.now, &mut out);
                     self.keeper_says(at, out);
                 }
             }
@@ -215,7 +216,7 @@
 }
 
 fn fact(out: bool) -> Fact {
-    Fact { since: 7, out, first_hand: true, entry: None }
+    Fact { since: 7, excluded: out, first_hand: true, entry: None }
 }
 
 /// Plays a calm, a change, a server that drains, and a change while one is cut off.
@@ -223,7 +224,7 @@
     let within = Micros((within_s * 1e6) as u64);
     let mut fleet = Fleet::new(instances, within, seed, Scope::All, |_| {
         let fact = |server| (Arc::from(format!("s-{server:08x}")), Some(fact(false)));
-        Listed { index: 1, whole: true, entries: (0..SERVERS).map(fact).collect() }
+        ListUpdate { index: 1, snapshot: true, entries: (0..SERVERS).map(fact).collect() }
     });
     let never = |_: &Member| false;
     fleet.run(within.times(3.0), never);
@@ -237,7 +238,8 @@
         words: said.words - calm.words * within.secs(),
         bytes: said.bytes - calm.bytes * within.secs(),
     };
-    let holds = |number: u64| move |member: &Member| member.base().is_some_and(|base| base.number == number);
+    let holds =
+        |number: u64| move |member: &Member| member.committed().is_some_and(|base| base.number == number);
     let rest = |fleet: &mut Fleet, took: f64| {
         fleet.run(within - Micros((took * 1e6) as u64), |_: &Member| false);
     };
@@ -248,10 +250,10 @@
     let change = beyond(fleet.heard().0);
     let drains = |index, server: &str| {
         let entries = vec![(server.into(), Some(fact(true)))];
-        Listed { index, whole: false, entries }
+        ListUpdate { index, snapshot: false, entries }
     };
     fleet.list(last, drains(2, "s-00000003"));
-    let drain_s = fleet.run(within, |member| !member.out().is_empty());
+    let drain_s = fleet.run(within, |member| !member.excluded_servers().is_empty());
     rest(&mut fleet, drain_s);
     fleet.heard();
     (0..instances).for_each(|at| fleet.list(at, drains(3, "s-00000004")));
@@ -304,7 +306,7 @@
     fleet.run(within.times(3.0), never);
     let mut cost_of = |length: Micros, begin: &mut dyn FnMut(&mut Fleet)| {
         fleet.heard();
-        let steps = |fleet: &Fleet| fleet.keepers.iter().map(Keeper::steps).sum::<u64>() as f64;
+        let steps = |fleet: &Fleet| fleet.keepers.iter().map(Keeper::entries_examined).sum::<u64>() as f64;
         let before = steps(&fleet);
         begin(&mut fleet);
         fleet.run(length, never);
--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -17,9 +17,13 @@
 use futures_lite::io::{self, AsyncReadExt, BufReader};
 use oakhollow::types::{ListKind, Micros};
 use oakhollow_accord::{
-    Action, Document, Fact, Holder, InstanceId, Judge, Keeper, Listed, Member, Version, Word, MOST_WAITING,
+    Action, Document, Fact, Holder, InstanceId, Keeper, ListUpdate, Member, Message, Validator, Version,
+    MAX_PENDING_VERSIONS,
+};
+use oakhollow_terms::{
+    read_json, AccordConfig as Operated, DiscoveryList, EndpointEntry, Greeting, ListSharing, LocalSettings,
+    NoLeasePolicy, Scope, SidecarConfig,
 };
-use oakhollow_terms::{read, Accord as Operated, Entry, Greeting, List, Lists, Own, Scope, Start, Unsure};
 use slog::{info, warn, Logger};
 use std::collections::{BTreeSet, HashMap};
 use std::future::Future;
@@ -30,7 +34,7 @@
 /// The longest line that is taken: as many documents as may wait, or what is said of two whole lists.
 const MOST_LINE: u64 = 8 * 1024 * 1024;
 /// The longest document: guards against lines that nobody takes.
-const MOST_DOCUMENT: usize = MOST_LINE as usize / (4 * MOST_WAITING);
+const MOST_DOCUMENT: usize = MOST_LINE as usize / (4 * MAX_PENDING_VERSIONS);
 /// Words that may wait for one that does not read; what comes beyond them is lost, and asked for again.
 const MOST_WORDS: usize = 64;
 /// Words of all others that may wait for us.
@@ -56,19 +60,19 @@
 
 enum Input {
     /// This instance's file was read; whoever read it waits to hear why it is not taken, if it isn't.
-    Written(Box<Start>, Sender<String>),
+    Written(Box<SidecarConfig>, Sender<String>),
     /// The own list has told something, or can't be had. Whoever waits hears that it is carried out.
-    Listed(Arc<List>, Option<Sender<()>>),
+    Listed(Arc<DiscoveryList>, Option<Sender<()>>),
     ListFails,
     /// A mark was set by hand here.
     Marked(Mark),
     /// The console asks how it stands.
     Asked(Sender<String>),
     /// A member's link to our keeper stands, by this way, or is gone.
-    Linked(Holder, Sender<Word>),
+    Linked(Holder, Sender<Message>),
     Gone(Holder),
-    ToKeeper(Holder, Word),
-    ToMember(InstanceId, Word),
+    ToKeeper(Holder, Message),
+    ToMember(InstanceId, Message),
 }
 
 /// The way for the console, and for a file that was read.
@@ -80,20 +84,20 @@
 
 impl Accord {
     /// Takes a file that was read; if it can't be one that instances agree on, all stays as it was.
-    pub async fn written(&self, start: Start) -> Result<(), String> {
+    pub async fn written(&self, start: SidecarConfig) -> Result<(), String> {
         numbered(&start)?;
         let (to, refused) = bounded(1);
         let _ = self.inputs.send(Input::Written(Box::new(start), to)).await;
         refused.recv().await.map_or(Ok(()), Err)
     }
 
-    pub async fn listed(&self, list: Arc<List>) {
+    pub async fn listed(&self, list: Arc<DiscoveryList>) {
         let _ = self.inputs.send(Input::Listed(list, None)).await;
     }
 
     /// To be waited for before workers hear of that list: what it names and nobody tells of yet is held back by then. True if
     /// that was needed; otherwise they come first.
-    pub async fn listed_before(&self, list: &Arc<List>) -> bool {
+    pub async fn listed_before(&self, list: &Arc<DiscoveryList>) -> bool {
         if self.scope == Scope::All {
             return false;
         }
@@ -120,9 +124,10 @@
 }
 
 /// The common part of a file's settings as a document, and what is this instance's own.
-fn numbered(start: &Start) -> Result<(Own, Document), String> {
-    let number = start.version.ok_or("version: missing, and instances agree on settings")?;
-    let (own, common) = Own::part(&start.settings).map_err(|fault| format!("settings.{fault}"))?;
+fn numbered(start: &SidecarConfig) -> Result<(LocalSettings, Document), String> {
+    let number = start.settings_version.ok_or("version: missing, and instances agree on settings")?;
+    let (own, common) =
+        LocalSettings::split(&start.settings_text).map_err(|fault| format!("settings.{fault}"))?;
     if common.text.len() > MOST_DOCUMENT {
         return Err(format!("settings: over {MOST_DOCUMENT} bytes, the most that is passed on"));
     }
@@ -148,11 +153,11 @@
     names: Arc<[String]>,
     me: InstanceId,
     member: Member,
-    own: Arc<Mutex<Own>>,
+    own: Arc<Mutex<LocalSettings>>,
     keeper: Option<Keeper>,
     /// The ways to the keepers, and to those that our keeper has heard of.
-    to_keepers: HashMap<InstanceId, Sender<Word>>,
-    to_members: HashMap<Holder, Sender<Word>>,
+    to_keepers: HashMap<InstanceId, Sender<Message>>,
+    to_members: HashMap<Holder, Sender<Message>>,
     /// What was last said of acting or not.
     acted: bool,
     /// What is agreed can't be kept to.
@@ -165,7 +170,7 @@
 
 /// Begins to agree; the future that is given runs for as long as the program.
 pub fn begin(
-    start: &Start, known: Arc<List>, parts: Parts,
+    start: &SidecarConfig, known: Arc<DiscoveryList>, parts: Parts,
 ) -> Result<(Accord, impl Future<Output = ()>), String> {
     let (own, document) = numbered(start)?;
     // Shared by all links to our keeper: one copy for each would grow by the square.
@@ -173,19 +178,23 @@
     let id = |name: &String| names.iter().position(|other| other == name).map(|at| InstanceId(at as u32));
     let me = id(&start.name).ok_or_else(|| format!("name: {:?} is not in accord.instances", start.name))?;
     let keepers: Vec<InstanceId> = parts.operated.keepers.iter().filter_map(id).collect();
-    let within = oakhollow_accord::lease(oakhollow_terms::micros(parts.operated.within));
+    let within = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(
+        parts.operated.max_divergence_s,
+    ));
     let own = Arc::new(Mutex::new(own));
-    let judge: Judge = {
+    let judge: Validator = {
         let own = own.clone();
         Arc::new(move |texts: &[Arc<str>]| place(&own, texts).map(|_| ()))
     };
     let (inputs, incoming) = bounded(MOST_INPUTS);
     let running = Running {
         keeper: keepers.contains(&me).then(|| Keeper::new(parts.clock.now(), within)),
-        member: match (parts.operated.lists, parts.operated.scope) {
-            (Lists::Whole, _) => Member::new(keepers.clone(), within, judge).with_whole_lists(),
-            (Lists::Drains, Scope::All) => Member::new(keepers.clone(), within, judge),
-            (Lists::Drains, Scope::Listed) => Member::new(keepers.clone(), within, judge).subscribing(),
+        member: match (parts.operated.list_sharing, parts.operated.scope) {
+            (ListSharing::Whole, _) => Member::new(keepers.clone(), within, judge).with_full_lists(),
+            (ListSharing::Drains, Scope::All) => Member::new(keepers.clone(), within, judge),
+            (ListSharing::Drains, Scope::Listed) => {
+                Member::new(keepers.clone(), within, judge).with_subscription()
+            }
         },
         names,
         me,
@@ -203,34 +212,34 @@
 }
 
 /// What a list tells, in the words of the agreement; with how it words each entry only where that is passed on.
-fn told(list: &List, lists: Lists) -> Listed {
-    let fact = |entry: &Entry| {
-        let worded = (lists == Lists::Whole).then(|| Arc::from(oakhollow_terms::to_json(entry)));
-        Fact { since: entry.since_ms(), out: !entry.ready(), first_hand: true, entry: worded }
+fn told(list: &DiscoveryList, lists: ListSharing) -> ListUpdate {
+    let fact = |entry: &EndpointEntry| {
+        let worded = (lists == ListSharing::Whole).then(|| Arc::from(oakhollow_terms::to_json(entry)));
+        Fact { since: entry.since_ms(), excluded: !entry.is_active(), first_hand: true, entry: worded }
     };
     let entries = list.endpoints.iter().map(|entry| {
-        let fact = (!entry.left()).then(|| fact(entry));
+        let fact = (!entry.has_left()).then(|| fact(entry));
         (Arc::from(entry.name.as_str()), fact)
     });
-    Listed { index: list.index.0, whole: list.snapshot, entries: entries.collect() }
+    ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() }
 }
 
-fn place(own: &Mutex<Own>, texts: &[Arc<str>]) -> Result<oakhollow_terms::Place, String> {
+fn place(own: &Mutex<LocalSettings>, texts: &[Arc<str>]) -> Result<oakhollow_terms::Settings, String> {
     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
     own.lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .place(&texts)
+        .merge(&texts)
         .map_err(|fault| format!("settings.{fault}"))
 }
 
 impl Running {
     async fn run(
-        mut self, first: (Document, Arc<List>), keepers: Vec<InstanceId>,
+        mut self, first: (Document, Arc<DiscoveryList>), keepers: Vec<InstanceId>,
         inputs: (Sender<Input>, Receiver<Input>),
     ) {
         let (inputs, incoming) = inputs;
         let greeting = Greeting::new(&self.names[self.me.0 as usize], self.parts.clock.now().0).to_json();
-        let silence = Duration::from_secs_f64(self.parts.operated.within.max(1.0));
+        let silence = Duration::from_secs_f64(self.parts.operated.max_divergence_s.max(1.0));
         let mut links = Vec::new();
         for keeper in keepers {
             let (to, words) = bounded(MOST_WORDS);
@@ -250,18 +259,19 @@
         }
     }
 
-    async fn agree(&mut self, (first, known): (Document, Arc<List>), incoming: Receiver<Input>) {
+    async fn agree(&mut self, (first, known): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>) {
         let (mut actions, now) = (Vec::new(), self.parts.clock.now());
-        self.member.written(now, first, &mut actions);
+        self.member.propose(now, first, &mut actions);
         if !known.endpoints.is_empty() {
-            self.member.listed(now, told(&known, self.parts.operated.lists), &mut actions);
+            self.member.handle_list_update(now, told(&known, self.parts.operated.list_sharing), &mut actions);
         }
         self.carry_out(actions).await;
         loop {
             let now = self.parts.clock.now();
-            let keeper = self.keeper.as_ref().and_then(|keeper| keeper.due(now));
-            let lapses = Some(self.member.until()).filter(|until| *until > now);
-            let due = [Some(self.member.due()), keeper, lapses].into_iter().flatten().min().unwrap_or(now);
+            let keeper = self.keeper.as_ref().and_then(|keeper| keeper.next_wakeup(now));
+            let lapses = Some(self.member.lease_valid_until()).filter(|until| *until > now);
+            let due =
+                [Some(self.member.next_wakeup()), keeper, lapses].into_iter().flatten().min().unwrap_or(now);
             let woke = async {
                 Timer::at(self.parts.clock.instant(due)).await;
                 None
@@ -281,21 +291,25 @@
         let mut waits = None;
         match input {
             None => {
-                self.member.woke(now, &mut actions);
+                self.member.handle_timer(now, &mut actions);
                 if let Some(keeper) = &mut self.keeper {
-                    keeper.woke(now, &mut out);
+                    keeper.handle_timer(now, &mut out);
                 }
             }
             Some(Input::Listed(list, done)) => {
                 (self.cut_off, waits) = (false, done);
-                self.member.listed(now, told(&list, self.parts.operated.lists), &mut actions);
+                self.member.handle_list_update(
+                    now,
+                    told(&list, self.parts.operated.list_sharing),
+                    &mut actions,
+                );
             }
             Some(Input::ListFails) => {
                 self.cut_off = true;
-                actions.push(Action::Heard);
+                actions.push(Action::ApplyLists);
             }
-            Some(Input::Marked(mark)) if self.parts.operated.marks => {
-                self.member.marked(now, (&mark.name, mark.out, mark.at.0), &mut actions);
+            Some(Input::Marked(mark)) if self.parts.operated.share_maintenance => {
+                self.member.handle_maintenance_change(now, (&mark.name, mark.out, mark.at.0), &mut actions);
             }
             Some(Input::Marked(_)) => {}
             Some(Input::Asked(to)) => _ = to.try_send(self.status()),
@@ -304,10 +318,10 @@
                 if let Ok((own, document)) = numbered(&start) {
                     let lock = || self.own.lock().unwrap_or_else(PoisonError::into_inner);
                     let before = std::mem::replace(&mut *lock(), own);
-                    if self.member.written(now, document, &mut actions) {
+                    if self.member.propose(now, document, &mut actions) {
                         // Its own part may have changed alone.
-                        if !actions.contains(&Action::Act) {
-                            actions.push(Action::Act);
+                        if !actions.contains(&Action::ApplyDocuments) {
+                            actions.push(Action::ApplyDocuments);
                         }
                     } else {
                         *lock() = before;
@@ -329,17 +343,19 @@
             }
             Some(Input::ToKeeper(holder, word)) => {
                 if let Some(keeper) = &mut self.keeper {
-                    keeper.on(now, holder, word, &mut out);
+                    keeper.handle_message(now, holder, word, &mut out);
                 }
             }
-            Some(Input::ToMember(keeper, word)) => self.member.on(now, keeper, word, &mut actions),
+            Some(Input::ToMember(keeper, word)) => {
+                self.member.handle_message(now, keeper, word, &mut actions)
+            }
         }
         self.pass_on(out);
         self.carry_out(actions).await;
         waits.map(|done| done.try_send(()));
     }
 
-    fn pass_on(&self, out: Vec<(Holder, Word)>) {
+    fn pass_on(&self, out: Vec<(Holder, Message)>) {
         for (holder, word) in out {
             self.to_members.get(&holder).map(|to| to.try_send(word));
         }
@@ -349,11 +365,12 @@
     async fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Say(keeper, word) => {
+                Action::Send(keeper, word) => {
                     self.to_keepers.get(&keeper).map(|to| to.try_send(word));
                 }
-                Action::Act => {
-                    let texts: Vec<Arc<str>> = self.member.keeps_to().map(|(_, text)| text.clone()).collect();
+                Action::ApplyDocuments => {
+                    let texts: Vec<Arc<str>> =
+                        self.member.active_documents().map(|(_, text)| text.clone()).collect();
                     match place(&self.own, &texts) {
                         Ok(place) => {
                             self.unreadable = false;
@@ -368,27 +385,33 @@
                         }
                     }
                 }
-                Action::Heard => self.hear_lists().await,
-                Action::Mark { name, out, at } => self.mark(&name, out, at).await,
+                Action::ApplyLists => self.hear_lists().await,
+                Action::ApplyMaintenance { name, in_maintenance: out, set_at: at } => {
+                    self.mark(&name, out, at).await
+                }
                 Action::Log(text) => info!(self.parts.log, "{}", text),
             }
         }
-        let until = match self.parts.operated.unsure {
+        let until = match self.parts.operated.no_lease_policy {
             // Once it has heard what holds, it goes on by that.
             _ if self.unreadable => Micros(0),
-            Unsure::Hold if self.member.base().is_some() => Micros::NEVER,
-            _ => self.member.until(),
+            NoLeasePolicy::Hold if self.member.committed().is_some() => Micros::NEVER,
+            _ => self.member.lease_valid_until(),
         };
         self.parts.lease.set(until);
         // Also said by one that acts all the same.
-        let acts = until.min(self.member.until()) > self.parts.clock.now();
+        let acts = until.min(self.member.lease_valid_until()) > self.parts.clock.now();
         if acts != self.acted {
             self.acted = acts;
-            lock(&self.parts.registry).sure = acts || self.parts.operated.unsure != Unsure::Refuse;
+            lock(&self.parts.registry).sure =
+                acts || self.parts.operated.no_lease_policy != NoLeasePolicy::Refuse;
             match acts {
                 true => info!(self.parts.log, "sure: a majority's leases live, keeps to {}", self.kept()),
                 false => {
-                    warn!(self.parts.log, "unsure: no majority's leases, {:?}", self.parts.operated.unsure)
+                    warn!(
+                        self.parts.log,
+                        "unsure: no majority's leases, {:?}", self.parts.operated.no_lease_policy
+                    )
                 }
             }
             self.parts.orders.tell(Order::Look).await;
@@ -398,12 +421,13 @@
     /// Whom others' lists let drain; and whom they name that this one does not, while it can't be had.
     async fn hear_lists(&mut self) {
         let mut elsewhere = Elsewhere::new();
-        for (name, since) in self.member.untold().chain(self.member.out()) {
+        for (name, since) in self.member.unconfirmed_servers().chain(self.member.excluded_servers()) {
             let known = elsewhere.entry(name.to_string()).or_insert(since);
             *known = since.max(*known);
         }
         if self.out != elsewhere {
-            let (out, untold) = (self.member.out().len(), self.member.untold().count());
+            let (out, untold) =
+                (self.member.excluded_servers().len(), self.member.unconfirmed_servers().count());
             info!(
                 self.parts.log,
                 "by others' lists {} servers drain or have left, of {} none tells yet", out, untold
@@ -413,14 +437,17 @@
             self.parts.orders.have_done(|done| Order::Drained(elsewhere, done)).await;
         }
         if self.cut_off {
-            let entries = self.member.unknown().filter_map(|entry| read::<Entry>(entry.as_bytes()).ok());
-            let entries: Vec<Entry> = entries.collect();
+            let entries = self
+                .member
+                .foreign_entries()
+                .filter_map(|entry| read_json::<EndpointEntry>(entry.as_bytes()).ok());
+            let entries: Vec<EndpointEntry> = entries.collect();
             if !entries.is_empty() {
                 let list = lock(&self.parts.registry).add(entries);
                 info!(self.parts.log, "discovery fails: {} servers by others' lists", list.endpoints.len());
-                self.member.listed(
+                self.member.handle_list_update(
                     self.parts.clock.now(),
-                    told(&list, self.parts.operated.lists),
+                    told(&list, self.parts.operated.list_sharing),
                     &mut Vec::new(),
                 );
                 self.parts.orders.tell(Order::Listed(ListKind::Cached, Arc::new(list), Heard::first())).await;
@@ -445,27 +472,27 @@
     }
 
     fn kept(&self) -> String {
-        self.member.keeps_to().map(|(version, _)| version.to_string()).collect::<Vec<_>>().join(" ")
+        self.member.active_documents().map(|(version, _)| version.to_string()).collect::<Vec<_>>().join(" ")
     }
 
     fn status(&self) -> String {
         let (now, name) = (self.parts.clock.now(), |id: InstanceId| &self.names[id.0 as usize]);
         let left = |until: Micros| format!("{:.2} s", (until - now).secs());
-        let holds = self.member.base().map_or("nothing yet".to_string(), |base| base.to_string());
+        let holds = self.member.committed().map_or("nothing yet".to_string(), |base| base.to_string());
         let mut text = format!(
             "{} holds {holds}, keeps to {}, lease for {}\n",
             name(self.me),
             self.kept(),
-            left(self.member.until())
+            left(self.member.lease_valid_until())
         );
-        for (server, _) in self.member.out() {
+        for (server, _) in self.member.excluded_servers() {
             text += &format!("out by others' lists: {server}\n");
         }
-        for (server, _) in self.member.untold() {
+        for (server, _) in self.member.unconfirmed_servers() {
             text += &format!("held back until a majority of keepers tells of it: {server}\n");
         }
         if let Some(keeper) = &self.keeper {
-            let cleared = keeper.cleared().map_or("nothing yet".to_string(), |cleared| cleared.to_string());
+            let cleared = keeper.committed().map_or("nothing yet".to_string(), |cleared| cleared.to_string());
             text += &format!("keeper: {cleared} holds here\n");
             for (holder, until, knows) in keeper.leases() {
                 let knows: Vec<String> = knows.map(|version| version.to_string()).collect();
@@ -476,13 +503,13 @@
                     knows.join(" ")
                 );
             }
-            for waiting in keeper.pending(now).iter().flat_map(|(version, waiting)| {
+            for waiting in keeper.pending_version(now).iter().flat_map(|(version, waiting)| {
                 waiting.iter().map(move |one| {
-                    let how = if one.refuses { "which refuses it" } else { "or its lease" };
+                    let how = if one.rejects { "which refuses it" } else { "or its lease" };
                     format!(
                         "pending: {version} waits for {}, {how}, {}\n",
                         name(one.holder.instance),
-                        left(one.until)
+                        left(one.expires_at)
                     )
                 })
             }) {
@@ -495,8 +522,8 @@
 
 /// Carries words both ways until the link breaks, falls silent or says what makes no sense.
 async fn carry(
-    stream: Async<TcpStream>, words: &Receiver<Word>, silence: Duration, inputs: &Sender<Input>,
-    heard: impl Fn(Word) -> Input,
+    stream: Async<TcpStream>, words: &Receiver<Message>, silence: Duration, inputs: &Sender<Input>,
+    heard: impl Fn(Message) -> Input,
 ) -> Option<String> {
     let (reads, mut writes) = io::split(Uninterrupted(stream));
     let mut reads = BufReader::new(reads);
@@ -512,7 +539,7 @@
             if count > MOST_A_SECOND {
                 Timer::at(since + Duration::from_secs(1)).await;
             }
-            match read::<Word>(line.trim().as_bytes()) {
+            match read_json::<Message>(line.trim().as_bytes()) {
                 Ok(word) => _ = inputs.send(heard(word)).await,
                 Err(fault) => return Some(fault),
             }
@@ -531,7 +558,7 @@
 
 /// A link to a keeper, made again for as long as the program lives.
 async fn dial(
-    keeper: InstanceId, at: SocketAddr, greeting: String, words: Receiver<Word>, inputs: Sender<Input>,
+    keeper: InstanceId, at: SocketAddr, greeting: String, words: Receiver<Message>, inputs: Sender<Input>,
     silence: Duration,
 ) {
     loop {
@@ -622,7 +649,7 @@
     let greeting = Greeting::read(greeting.trim_ascii())?;
     let at = names.iter().position(|name| *name == greeting.name);
     let at = at.ok_or_else(|| format!("name: {:?} is not in accord.instances", greeting.name))?;
-    let holder = Holder { instance: InstanceId(at as u32), life: greeting.life };
+    let holder = Holder { instance: InstanceId(at as u32), incarnation: greeting.incarnation };
     let (to, words) = bounded(MOST_WORDS);
     let _ = inputs.send(Input::Linked(holder, to)).await;
     let odd = carry(stream, &words, silence, inputs, |word| Input::ToKeeper(holder, word)).await;
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -21,7 +21,7 @@
 use oakhollow::rules::Sidecar;
 use oakhollow::types::*;
 use oakhollow_guard::AttemptPermit;
-use oakhollow_terms::{List, Marks, Place, Taught, Unsure};
+use oakhollow_terms::{DiscoveryList, LearntServers, MaintenanceMarks, NoLeasePolicy, Settings};
 use slog::{info, Logger};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -110,7 +110,7 @@
         hop: HopNo,
         end: End<P::Answer>,
     },
-    Listed(ListKind, Arc<List>, Heard),
+    Listed(ListKind, Arc<DiscoveryList>, Heard),
     /// A server is out by hand, or back; the sender is dropped when that holds.
     Marked(Mark, Sender<()>),
     /// What holds from now on, what is left of workloads that no more do, and who waits for it.
@@ -120,7 +120,7 @@
     /// The lease has begun or run out, or the list may not be used any more.
     Look,
     /// What the module has learnt is asked for.
-    Asked(Sender<Taught>),
+    Asked(Sender<LearntServers>),
     /// The program ends: calls have their answers by then.
     AnswerBy(Micros),
     /// That moment has come.
@@ -234,15 +234,17 @@
     /// What is told all that happens, and says whether an attempt may be started.
     pub monitor: Rc<Monitor>,
     /// What another process learnt in our place.
-    pub taught: Taught,
+    pub taught: LearntServers,
 }
 
 impl<P: Protocol> Dispatcher<P> {
-    pub fn new(place: &Place, seed: u64, known: (&List, Marks), parts: Parts<P>) -> Dispatcher<P> {
+    pub fn new(
+        place: &Settings, seed: u64, known: (&DiscoveryList, MaintenanceMarks), parts: Parts<P>,
+    ) -> Dispatcher<P> {
         let Parts { protocol, desk, tasks, log, ask, lease, list_deadline, monitor, taught } = parts;
         let (mut actions, now, (known, marks)) = (Vec::new(), desk.clock.now(), known);
         let mut dispatcher = Dispatcher {
-            sidecar: Sidecar::new(&place.terms, seed, now, &mut actions),
+            sidecar: Sidecar::new(&place.decision, seed, now, &mut actions),
             timers: Timers::new(desk.clock),
             endpoints: EndpointList::new(&place.zones, marks),
             calls: FnvHashMap::default(),
@@ -254,8 +256,8 @@
             monitor,
             held_back: false,
             left: FnvHashMap::default(),
-            most_hops: place.terms.most_hops as usize,
-            warm_within: place.terms.warm_within,
+            most_hops: place.decision.most_hops as usize,
+            warm_within: place.decision.warm_within,
             answer_by: Micros::NEVER,
             actions,
             protocol,
@@ -608,9 +610,9 @@
             Some(Left::Nothing) => false,
         };
         let sure = match self.lease.lapsed(|| now) {
-            None | Some(Unsure::Hold) => true,
-            Some(Unsure::Refuse) => false,
-            Some(Unsure::Strictest) => first && !self.endpoints.cold(server, now, self.warm_within),
+            None | Some(NoLeasePolicy::Hold) => true,
+            Some(NoLeasePolicy::Refuse) => false,
+            Some(NoLeasePolicy::Strictest) => first && !self.endpoints.cold(server, now, self.warm_within),
         };
         left && sure && no < self.most_hops
     }
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 use crate::endpoint_registry::Mark;
 use crate::start_time::StartWindow;
 use oakhollow::types::*;
-use oakhollow_terms::{Entry, List, Marks};
+use oakhollow_terms::{DiscoveryList, EndpointEntry, MaintenanceMarks};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     ready: usize,
     given: u32,
     /// Out by hand, or back, over whatever the list says.
-    marks: Marks,
+    marks: MaintenanceMarks,
     /// Whom others' lists let drain, and in which life, by the time of its start in milliseconds.
     elsewhere: Arc<Elsewhere>,
     /// Nothing may be sent on: to the module every server drains.
@@ -28,7 +28,7 @@
 pub type Elsewhere = BTreeMap<String, u64>;
 
 struct Known {
-    entry: Entry,
+    entry: EndpointEntry,
     /// When it started, as far as the list goes.
     started: Micros,
     listing: Listing,
@@ -48,7 +48,7 @@
 }
 
 impl EndpointList {
-    pub fn new(zones: &[String], marks: Marks) -> EndpointList {
+    pub fn new(zones: &[String], marks: MaintenanceMarks) -> EndpointList {
         EndpointList { zones: zones.to_vec(), marks, ..EndpointList::default() }
     }
 
@@ -66,7 +66,7 @@
     /// Holds everything back, or no more: all that is known, as it stands by that.
     pub fn hold_back(&mut self, held_back: bool) -> Told {
         self.held_back = held_back;
-        let known: Vec<Entry> = self.known.values().map(|known| known.entry.clone()).collect();
+        let known: Vec<EndpointEntry> = self.known.values().map(|known| known.entry.clone()).collect();
         let mut entries = Vec::new();
         // Connections to who stays are kept: what is retired was so when it was told.
         known.iter().for_each(|entry| self.enter(entry, None, &mut entries, &mut Vec::new()));
@@ -80,7 +80,7 @@
         let now = &self.elsewhere;
         let named = before.keys().chain(now.keys()).filter(|name| before.get(*name) != now.get(*name));
         let known = named.filter_map(|name| self.known.get(self.numbers.get(name)?));
-        let known: Vec<Entry> = known.map(|known| known.entry.clone()).collect();
+        let known: Vec<EndpointEntry> = known.map(|known| known.entry.clone()).collect();
         let (mut entries, mut retired) = (Vec::new(), Vec::new());
         known.iter().for_each(|entry| self.enter(entry, None, &mut entries, &mut retired));
         self.forget_gone(&entries);
@@ -101,22 +101,22 @@
     }
 
     /// What the list says of a server, as it stands by the marks.
-    fn listing(&self, entry: &Entry, server: ServerId, started: Micros) -> Listing {
-        let mut listing = Listing { started, ..entry.listing(server, &self.zones) };
+    fn listing(&self, entry: &EndpointEntry, server: ServerId, started: Micros) -> Listing {
+        let mut listing = Listing { started, ..entry.to_listing(server, &self.zones) };
         let elsewhere = self.elsewhere.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
-        let out = self.held_back || elsewhere || self.marks.out.contains(&entry.name);
+        let out = self.held_back || elsewhere || self.marks.in_maintenance.contains(&entry.name);
         if listing.standing == Standing::Ready && out {
             listing.standing = Standing::Draining;
         }
         // Whoever puts a server back has started it anew.
-        if let Some(back) = self.marks.back.get(&entry.name) {
+        if let Some(back) = self.marks.returned.get(&entry.name) {
             listing.started = listing.started.max(*back);
         }
         listing
     }
 
     /// Takes what the list tells. Servers that are new on it have started within `window`.
-    pub fn take(&mut self, list: &List, window: StartWindow) -> Told {
+    pub fn take(&mut self, list: &DiscoveryList, window: StartWindow) -> Told {
         let mut retired = Vec::new();
         if list.snapshot {
             let named = list.endpoints.iter().filter_map(|entry| self.numbers.get(&entry.name));
@@ -135,8 +135,8 @@
 
     /// When a server started, as far as the list goes. What was settled when that start was first heard of stands. Guards
     /// against a clock that was stepped back: a later start has the later time, whatever the list says.
-    fn started(&self, entry: &Entry, server: ServerId, window: Option<StartWindow>) -> Micros {
-        let listed = entry.started();
+    fn started(&self, entry: &EndpointEntry, server: ServerId, window: Option<StartWindow>) -> Micros {
+        let listed = entry.started_at();
         match (self.known.get(&server), window) {
             (Some(known), _) if known.entry.since_ms() == entry.since_ms() => known.started,
             (_, None) => listed,
@@ -149,7 +149,7 @@
     }
 
     fn enter(
-        &mut self, entry: &Entry, window: Option<StartWindow>, entries: &mut Vec<Listing>,
+        &mut self, entry: &EndpointEntry, window: Option<StartWindow>, entries: &mut Vec<Listing>,
         retired: &mut Vec<SocketAddr>,
     ) {
         let server = *self.numbers.entry(entry.name.clone()).or_insert_with(|| {
@@ -234,18 +234,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::read;
+    use oakhollow_terms::read_json;
 
     #[test]
     fn who_was_replaced_while_all_was_held_back_is_told_to_be_gone() {
-        let list = |name: &str, since: u64| -> List {
+        let list = |name: &str, since: u64| -> DiscoveryList {
             let entry = format!(
                 r#"{{"name":"{name}","address":"127.0.0.1:70","status":"active","since_ms":{since}}}"#
             );
             let json = format!(r#"{{"index":{since},"snapshot":false,"endpoints":[{entry}]}}"#);
-            read(json.as_bytes()).expect("a list")
+            read_json(json.as_bytes()).expect("a list")
         };
-        let mut endpoints = EndpointList::new(&[], Marks::default());
+        let mut endpoints = EndpointList::new(&[], MaintenanceMarks::default());
         let window = StartWindow { latest: Micros::millis(10), earliest: None };
         endpoints.take(&list("a", 1), window);
         let held = endpoints.hold_back(true);
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -1,7 +1,7 @@
 //! What the whole program knows of servers by name: the list as last told, and which are out by hand. No sockets, no clock.
 use crate::metrics::ServerCounts;
 use oakhollow::types::Micros;
-use oakhollow_terms::{Entry, List, Marks, Version};
+use oakhollow_terms::{DiscoveryList, EndpointEntry, ListIndex, MaintenanceMarks};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -23,9 +23,9 @@
 
 #[derive(Default, Debug)]
 pub struct EndpointRegistry {
-    entries: BTreeMap<String, Entry>,
-    version: Version,
-    marks: Marks,
+    entries: BTreeMap<String, EndpointEntry>,
+    version: ListIndex,
+    marks: MaintenanceMarks,
     /// The list was told by discovery, or discovery has failed to.
     pub settled: bool,
     /// When the list was last told, or said to be unchanged.
@@ -48,20 +48,20 @@
 }
 
 impl EndpointRegistry {
-    pub fn new(known: &List, marks: Marks) -> EndpointRegistry {
+    pub fn new(known: &DiscoveryList, marks: MaintenanceMarks) -> EndpointRegistry {
         let mut registry = EndpointRegistry { marks, sure: true, fresh: true, ..EndpointRegistry::default() };
         registry.take(known);
         registry
     }
 
     /// Takes what the list tells.
-    pub fn take(&mut self, list: &List) {
+    pub fn take(&mut self, list: &DiscoveryList) {
         self.version = list.index;
         if list.snapshot {
             self.entries.clear();
         }
         for entry in &list.endpoints {
-            if entry.left() {
+            if entry.has_left() {
                 self.entries.remove(&entry.name);
             } else {
                 self.entries.insert(entry.name.clone(), entry.clone());
@@ -70,8 +70,8 @@
     }
 
     /// Takes entries that others' lists tell, in between what the own one does. Gives them as changes of that.
-    pub fn add(&mut self, endpoints: Vec<Entry>) -> List {
-        let list = List { index: self.version, snapshot: false, endpoints };
+    pub fn add(&mut self, endpoints: Vec<EndpointEntry>) -> DiscoveryList {
+        let list = DiscoveryList { index: self.version, snapshot: false, endpoints };
         self.take(&list);
         list
     }
@@ -87,28 +87,30 @@
     }
 
     /// All there are.
-    pub fn list(&self) -> List {
+    pub fn list(&self) -> DiscoveryList {
         let endpoints = self.entries.values().cloned().collect();
-        List { index: self.version, snapshot: true, endpoints }
+        DiscoveryList { index: self.version, snapshot: true, endpoints }
     }
 
-    pub fn marks(&self) -> &Marks {
+    pub fn marks(&self) -> &MaintenanceMarks {
         &self.marks
     }
 
     /// A server is out, or back in use. Saying it again changes nothing; nobody's name is refused.
     pub fn mark(&mut self, name: &str, out: bool, now: Micros) -> Result<Mark, Refused> {
-        let was_out = self.marks.out.contains(name);
+        let was_out = self.marks.in_maintenance.contains(name);
         if !was_out && !self.entries.contains_key(name) {
             return Err(Refused::Unknown);
         }
         let mut mark = Mark { name: name.to_string(), out, at: now };
         match (was_out, out) {
-            (false, true) if self.marks.out.len() >= Marks::MOST => return Err(Refused::TooMany),
+            (false, true) if self.marks.in_maintenance.len() >= MaintenanceMarks::MAX_ENTRIES => {
+                return Err(Refused::TooMany)
+            }
             (false, true) => self.set(&mark),
             (true, false) => self.set(&mark),
             // Guards against a second cold start by a call that is only repeated.
-            (false, false) => mark.at = self.marks.back.get(name).copied().unwrap_or_default(),
+            (false, false) => mark.at = self.marks.returned.get(name).copied().unwrap_or_default(),
             (true, true) => {}
         }
         Ok(mark)
@@ -123,8 +125,8 @@
     pub fn counts(&self) -> ServerCounts {
         let mut counts = ServerCounts::default();
         for entry in self.entries.values() {
-            let out = self.marks.out.contains(&entry.name);
-            match (out, entry.ready()) {
+            let out = self.marks.in_maintenance.contains(&entry.name);
+            match (out, entry.is_active()) {
                 (true, _) => counts.maintenance += 1,
                 (false, true) => counts.ready += 1,
                 (false, false) => counts.draining += 1,
@@ -135,38 +137,38 @@
 
     /// Whether a call would be served at once.
     pub fn serves(&self) -> bool {
-        let mut usable = self.entries.values().filter(|entry| entry.ready());
+        let mut usable = self.entries.values().filter(|entry| entry.is_active());
         self.able
             && self.sure
             && self.fresh
             && self.settled
-            && usable.any(|entry| !self.marks.out.contains(&entry.name))
+            && usable.any(|entry| !self.marks.in_maintenance.contains(&entry.name))
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::read;
+    use oakhollow_terms::read_json;
 
-    fn list(text: &str) -> List {
+    fn list(text: &str) -> DiscoveryList {
         let entry = |name| format!(r#"{{"name":"{name}","address":"127.0.0.1:70","status":"active"}}"#);
         let entries: Vec<String> = text.split_whitespace().map(entry).collect();
         let json = format!(r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
-        read(json.as_bytes()).expect("a list")
+        read_json(json.as_bytes()).expect("a list")
     }
 
     #[test]
     fn two_calls_out_need_one_back_and_nobodys_name_is_refused() {
-        let mut registry = EndpointRegistry::new(&list("a b"), Marks::default());
+        let mut registry = EndpointRegistry::new(&list("a b"), MaintenanceMarks::default());
         let at = Micros::millis;
         assert_eq!(registry.mark("c", true, at(1)), Err(Refused::Unknown));
         assert!(registry.mark("a", true, at(1)).is_ok() && registry.mark("a", true, at(2)).is_ok());
         // Kept while the list leaves it out, and put back all the same.
         registry.take(&list("b"));
-        assert!(registry.marks().out.contains("a"));
+        assert!(registry.marks().in_maintenance.contains("a"));
         assert_eq!(registry.mark("a", false, at(3)).map(|mark| mark.at), Ok(at(3)));
-        assert!(registry.marks().out.is_empty());
+        assert!(registry.marks().in_maintenance.is_empty());
         registry.take(&list("a b"));
         // A call that is only repeated is no second cold start.
         assert_eq!(registry.mark("a", false, at(9)).map(|mark| mark.at), Ok(at(3)));
@@ -175,7 +177,7 @@
 
     #[test]
     fn it_serves_with_a_server_that_is_not_out_alone() {
-        let mut registry = EndpointRegistry::new(&list("a"), Marks::default());
+        let mut registry = EndpointRegistry::new(&list("a"), MaintenanceMarks::default());
         assert!(!registry.serves());
         (registry.able, registry.settled) = (true, true);
         assert!(registry.serves());
@@ -185,8 +187,9 @@
 
     #[test]
     fn marks_are_bounded() {
-        let names: Vec<String> = (0..=Marks::MOST).map(|number| format!("s{number}")).collect();
-        let mut registry = EndpointRegistry::new(&list(&names.join(" ")), Marks::default());
+        let names: Vec<String> =
+            (0..=MaintenanceMarks::MAX_ENTRIES).map(|number| format!("s{number}")).collect();
+        let mut registry = EndpointRegistry::new(&list(&names.join(" ")), MaintenanceMarks::default());
         let refused = names.iter().filter_map(|name| registry.mark(name, true, Micros(1)).err());
         assert_eq!(refused.collect::<Vec<_>>(), [Refused::TooMany]);
     }
--- a/sidecar/src/generations.rs
+++ b/sidecar/src/generations.rs
@@ -87,7 +87,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::{read, Place};
+    use oakhollow_terms::{read_json, Settings};
 
     fn terms(workloads: &[(&str, f64)]) -> Terms {
         let class = |(semantics, payoff): &(&str, f64)| {
@@ -100,7 +100,7 @@
             r#"{{"me":0,"balancers":1,"bounds":{{"most_hops":2}},"rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5}},"workloads":[{}]}}"#,
             classes.join(",")
         );
-        read::<Place>(json.as_bytes()).expect("settings").terms
+        read_json::<Settings>(json.as_bytes()).expect("settings").decision
     }
 
     #[test]
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -11,7 +11,10 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use futures_lite::io::{self, BufReader, ReadHalf, WriteHalf};
-use oakhollow_terms::{read, Line, List, Marks, Rest, Taught, Told};
+use oakhollow_terms::{
+    read_json, DiscoveryList, HandoverMessage, HandoverState, LearntServers, MaintenanceChange,
+    MaintenanceMarks,
+};
 use slog::{info, warn, Logger};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,7 +23,7 @@
 /// How long a process that comes waits for the one before it.
 const WITHIN: Duration = Duration::from_millis(300);
 /// Lines that may wait for a peer that does not read: each server's mark once.
-const MOST_WAITING: usize = Marks::MOST;
+const MOST_WAITING: usize = MaintenanceMarks::MAX_ENTRIES;
 /// The longest line that is taken: a list of many thousands.
 const MOST_LINE: u64 = 16 * 1024 * 1024;
 /// How long until a socket that could not be made is tried again.
@@ -28,15 +31,15 @@
 
 type Incoming = BufReader<ReadHalf<Uninterrupted<Async<UnixStream>>>>;
 /// The way to one other process, and what is to be said to it.
-type Link = (Sender<Line>, Receiver<Line>);
+type Link = (Sender<HandoverMessage>, Receiver<HandoverMessage>);
 type Outgoing = WriteHalf<Uninterrupted<Async<UnixStream>>>;
 
 /// The way to other processes of this sidecar, if there are any.
 #[derive(Clone, Default)]
-pub struct HandoverLinks(Arc<Mutex<Vec<Sender<Line>>>>);
+pub struct HandoverLinks(Arc<Mutex<Vec<Sender<HandoverMessage>>>>);
 
 impl HandoverLinks {
-    fn links(&self) -> std::sync::MutexGuard<'_, Vec<Sender<Line>>> {
+    fn links(&self) -> std::sync::MutexGuard<'_, Vec<Sender<HandoverMessage>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -48,17 +51,24 @@
     }
 
     /// Tells a mark to all but the one that told it.
-    pub fn tell(&self, mark: &Mark, from: Option<&Sender<Line>>) {
+    pub fn tell(&self, mark: &Mark, from: Option<&Sender<HandoverMessage>>) {
         let Mark { name, out, at } = mark.clone();
-        self.say(Line::Mark(Told { name, out, at_us: at.0 }), from);
+        self.say(
+            HandoverMessage::MaintenanceChange(MaintenanceChange {
+                name,
+                in_maintenance: out,
+                set_at_us: at.0,
+            }),
+            from,
+        );
     }
 
     /// This process takes nobody in any more.
     pub fn part(&self) {
-        self.say(Line::Parting, None);
+        self.say(HandoverMessage::StoppedAccepting, None);
     }
 
-    fn say(&self, line: Line, from: Option<&Sender<Line>>) {
+    fn say(&self, line: HandoverMessage, from: Option<&Sender<HandoverMessage>>) {
         let links = self.links();
         let others = links.iter().filter(|link| !from.is_some_and(|from| link.same_channel(from)));
         others.for_each(|link| _ = link.try_send(line.clone()));
@@ -71,8 +81,8 @@
 
 /// The process before this one, and what it told.
 pub struct Predecessor {
-    pub marks: Marks,
-    pub rest: Rest,
+    pub marks: MaintenanceMarks,
+    pub rest: HandoverState,
     reads: Incoming,
     writes: Outgoing,
 }
@@ -153,7 +163,7 @@
             let (reads, mut writes) = io::split(Uninterrupted(stream));
             let taught = self.taught().await;
             let (marks, list, link) = self.snapshot();
-            let snapshot = self.store.word(&marks, Rest { list: Some(list), taught });
+            let snapshot = self.store.word(&marks, HandoverState { list: Some(list), learnt: taught });
             if say(&mut writes, &snapshot).await {
                 self.link(BufReader::new(reads), writes, link, Shared::WithSuccessor).await;
             } else {
@@ -164,12 +174,12 @@
 
     /// What holds now, and a link that is told all that changes from now on: both under one lock, so that no mark falls
     /// between the two.
-    fn snapshot(&self) -> (Marks, List, Link) {
+    fn snapshot(&self) -> (MaintenanceMarks, DiscoveryList, Link) {
         let registry = lock(&self.registry);
         (registry.marks().clone(), registry.list(), self.peers.link())
     }
 
-    fn unlink(&self, link: &Sender<Line>) {
+    fn unlink(&self, link: &Sender<HandoverMessage>) {
         self.peers.links().retain(|other| !other.same_channel(link));
     }
 
@@ -178,13 +188,17 @@
         self.share(with).await;
         let heard = async {
             while let Some(line) = line(&mut reads, MOST_LINE).await {
-                match read(line.trim().as_bytes()) {
+                match read_json(line.trim().as_bytes()) {
                     // Made a moment ago: guards against a time by the other process's clock.
-                    Ok(Line::Mark(Told { name, out, .. })) => {
+                    Ok(HandoverMessage::MaintenanceChange(MaintenanceChange {
+                        name,
+                        in_maintenance: out,
+                        ..
+                    })) => {
                         self.mark(Mark { name, out, at: self.clock.now() }, &link).await;
                     }
                     // What it still has ends with each answer: guards against doing with half for seconds.
-                    Ok(Line::Parting) => {
+                    Ok(HandoverMessage::StoppedAccepting) => {
                         info!(self.log, "the other process takes nobody in any more");
                         self.orders.tell(Order::Shared(Shared::Alone)).await;
                     }
@@ -207,7 +221,7 @@
     }
 
     /// What a worker's module has learnt; all of them see about the same.
-    async fn taught(&self) -> Taught {
+    async fn taught(&self) -> LearntServers {
         let (to, learnt) = bounded(1);
         self.orders.tell(Order::Asked(to)).await;
         within(WITHIN / 3, async { learnt.recv().await.ok() }).await.unwrap_or_default()
@@ -219,7 +233,7 @@
         self.orders.tell(Order::Shared(with)).await;
     }
 
-    async fn mark(&self, mark: Mark, from: &Sender<Line>) {
+    async fn mark(&self, mark: Mark, from: &Sender<HandoverMessage>) {
         {
             let mut registry = lock(&self.registry);
             registry.set(&mark);
@@ -246,7 +260,7 @@
     use std::time::Instant;
 
     /// What a process finds that comes where `says` is all that the one before has to say, and how long that takes.
-    fn greeted(name: &str, says: Option<&str>) -> (Option<Marks>, Duration) {
+    fn greeted(name: &str, says: Option<&str>) -> (Option<MaintenanceMarks>, Duration) {
         let folder = std::env::temp_dir().join(format!("oakhollow-peers-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let store =
@@ -271,9 +285,10 @@
 
     #[test]
     fn a_start_never_hangs_on_what_the_process_before_says() {
-        let mut marks = Marks::default();
+        let mut marks = MaintenanceMarks::default();
         marks.set("s-1", true, oakhollow::types::Micros(1));
-        let whole = marks.to_json("127.0.0.1:70".parse().expect("an address"), Rest::default(), None);
+        let whole =
+            marks.to_json("127.0.0.1:70".parse().expect("an address"), HandoverState::default(), None);
         let line = |text: &str| format!("{text}\n");
         assert_eq!(greeted("whole", Some(&line(&whole))).0, Some(marks));
         let odd = [
--- a/sidecar/src/host_clock.rs
+++ b/sidecar/src/host_clock.rs
@@ -12,5 +12,5 @@
     let boot = std::fs::read_to_string(BOOT_ID).ok()?.trim().to_string();
     let monotonic = clock_gettime(ClockId::Monotonic);
     let monotonic = monotonic.tv_sec * MICROS + monotonic.tv_nsec / 1_000;
-    Some(HostClock { boot, ahead_us: clock.now().0 as i64 - monotonic })
+    Some(HostClock { boot_id: boot, offset_us: clock.now().0 as i64 - monotonic })
 }
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -12,7 +12,7 @@
 use async_channel::{bounded, Receiver, Sender};
 use futures_lite::{future, AsyncWrite};
 use oakhollow::types::{Micros, Outcome};
-use oakhollow_guard::{AttemptPermit, Denial, LastLook};
+use oakhollow_guard::{AttemptPermit, Denial, SendConditions};
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
 use std::net::{SocketAddr, TcpStream};
@@ -261,13 +261,13 @@
     // The connection took its time too.
     let left = content.left(by, Instant::now());
     let told = told(left);
-    let look = LastLook {
-        server_wanted: target.wanted.get(),
+    let look = SendConditions {
+        server_available: target.wanted.get(),
         lease_valid: target.fence.lease_valid(),
         list_fresh: target.fence.list_fresh(),
         client_gone: content.gone.has_come(),
-        left: Micros(left.as_micros() as u64),
-        told,
+        time_left: Micros(left.as_micros() as u64),
+        announced_timeout: told,
     };
     let permit = match target.monitor.send(&target.permit, look) {
         Ok(permit) => permit,
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -10,8 +10,8 @@
 use crate::reactor::{Async, Timer};
 use futures_lite::future;
 use oakhollow::types::*;
-use oakhollow_guard::{AnswerKind, CloseReason, Effect};
-use oakhollow_terms::Named;
+use oakhollow_guard::{AnswerKind, CloseReason, RepeatSafety};
+use oakhollow_terms::WorkloadSettings;
 use rustix::net::sockopt;
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
@@ -70,7 +70,7 @@
 /// What a request is, beside what the decisions need of it.
 struct Identity {
     class: Rc<str>,
-    effect: Effect,
+    effect: RepeatSafety,
     id: Rc<str>,
 }
 
@@ -267,7 +267,7 @@
         let (mut ask, left, long, mut identity) = self.read_call(&head)?;
         let (shared, came) = (self.shared, kept.len());
         // To the module it is a request of which nothing may be sent twice, and its time begins with its last byte.
-        (ask.workload, identity.effect) = (long, Effect::Unsafe);
+        (ask.workload, identity.effect) = (long, RepeatSafety::Unsafe);
         let longest = at_slowest(rest.length().unwrap_or(MOST_LONG));
         ask.abandon = (ask.abandon + Micros(longest.as_micros() as u64)).min(shared.latest());
         let _open =
@@ -363,7 +363,8 @@
         }
         let workload = names.workloads.iter().position(|workload| workload.name == name);
         let workload = workload.ok_or(fault(404, "no such workload"))?;
-        let Named { abandon: longest, tagged, .. } = names.workloads[workload];
+        let WorkloadSettings { max_client_wait: longest, has_idempotency_key: tagged, .. } =
+            names.workloads[workload];
         let class = names.class_names[workload].clone();
         let identity = Identity { class, effect: names.effects[workload], id: id.into() };
         // Guards against sending twice what no server could tell for a repeat.
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -3,7 +3,7 @@
 use super::head::Head;
 use crate::dispatcher::Told;
 use oakhollow::types::Report;
-use oakhollow_terms::REPORT_VALUES;
+use oakhollow_terms::LOAD_REPORT_COLUMNS;
 
 const LOAD: &str = "Load-Report";
 /// A report is short: guards against working through a header of many kilobytes with each answer.
@@ -28,7 +28,7 @@
             "busy_reqs" => &mut report.held,
             "pending" => &mut report.waiting,
             "cpu_share" => &mut report.busy,
-            other if REPORT_VALUES.contains(&other) => continue, // not read
+            other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // not read
             _ => return None,
         };
         if std::mem::replace(slot, figure).is_some() {
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -17,8 +17,8 @@
 use crate::list_deadline::ListDeadline;
 use crate::monitor::Monitor;
 use crate::timers::Clock;
-use oakhollow_guard::{AttemptPermit, Effect};
-use oakhollow_terms::Named;
+use oakhollow_guard::{AttemptPermit, RepeatSafety};
+use oakhollow_terms::WorkloadSettings;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -57,11 +57,11 @@
 
 /// What requests call things by.
 pub struct Names {
-    pub workloads: Vec<Named>,
+    pub workloads: Vec<WorkloadSettings>,
     /// Their names, in the same order, as metrics have them.
     pub class_names: Vec<Rc<str>>,
     /// What requests of them do at a server, in the same order.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<RepeatSafety>,
     /// Their numbers, in the same order.
     pub numbers: Vec<Numbers>,
     pub classes: Vec<ClassId>,
--- a/sidecar/src/http1/watch/call.rs
+++ b/sidecar/src/http1/watch/call.rs
@@ -7,7 +7,7 @@
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use oakhollow_terms::Version;
+use oakhollow_terms::ListIndex;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::fmt::{self, Display, Formatter};
@@ -29,7 +29,7 @@
     /// Whom to call.
     pub discovery: SocketAddr,
     /// What changed after this version is asked for, or the whole list.
-    pub from: Version,
+    pub from: ListIndex,
     /// The longest line that is taken, in bytes.
     pub most_line: usize,
 }
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -18,7 +18,7 @@
 use futures_lite::future;
 use oakhollow::types::{ListKind, Micros};
 use oakhollow::Chance;
-use oakhollow_terms::{read, List, Start, Version};
+use oakhollow_terms::{read_json, DiscoveryList, ListIndex, SidecarConfig};
 use pacing::pause_after_rejection;
 use progress::LineArrival;
 use slog::{info, warn, Logger};
@@ -36,7 +36,7 @@
 const FLOWS: Duration = Duration::from_millis(500);
 /// A call that told nothing for the longest back-off has been a pause itself. Guards against the sum of both, which may
 /// come to more than what is missed counts as told after.
-const PAUSE: Duration = Duration::from_micros(Start::MOST_BETWEEN_ASKS.0);
+const PAUSE: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// The slowest pace of a line, in bytes a second, that needs no other call beside it.
 const SLOWEST: f64 = 48_000.0;
 /// Calls that may be under way at a time: guards against a fleet whose calls pile up at a discovery that is slow for all.
@@ -47,7 +47,7 @@
     /// Where the list is watched at first.
     pub discovery: SocketAddr,
     /// The version of the list that is known at first.
-    pub known: Version,
+    pub known: ListIndex,
     /// All workers.
     pub orders: Orders,
     /// What the program knows by name.
@@ -92,7 +92,7 @@
     parts: Parts,
     discovery: SocketAddr,
     /// The version of the list that was told last.
-    told: Version,
+    told: ListIndex,
     /// Calls under way, the newest last.
     calls: Vec<ListCall>,
     /// When the last whole line came.
@@ -404,8 +404,8 @@
     }
 
     async fn tell(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
-        let unchanged = || List { index: self.told, ..List::default() };
-        let list: Result<List, String> = match line {
+        let unchanged = || DiscoveryList { index: self.told, ..DiscoveryList::default() };
+        let list: Result<DiscoveryList, String> = match line {
             // Guards against asking again and again where nothing has changed: the module waits for an answer.
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
@@ -414,11 +414,11 @@
                 }
                 return Ok(());
             }
-            _ => read(line),
+            _ => read_json(line),
         };
         let list = list.and_then(|list| follows(list, self.told)).map_err(|fault| {
             // What a line that can't be read would have told is unknown: the next call starts from the whole list.
-            self.told = Version::default();
+            self.told = ListIndex::default();
             info!(self.parts.log, "a line of the list makes no sense: {}", fault);
             fault
         })?;
@@ -462,7 +462,7 @@
 }
 
 /// Changes follow the version that was asked from. Guards against following another list by this one's versions.
-fn follows(list: List, told: Version) -> Result<List, String> {
+fn follows(list: DiscoveryList, told: ListIndex) -> Result<DiscoveryList, String> {
     if !list.snapshot && list.index.0 < told.0 {
         return Err(format!("index: changes up to version {}, after version {}", list.index.0, told.0));
     }
@@ -474,7 +474,7 @@
     use super::*;
     use crate::endpoint_registry::EndpointRegistry;
     use async_channel::bounded;
-    use oakhollow_terms::Marks;
+    use oakhollow_terms::MaintenanceMarks;
     use slog::{o, Discard};
     use std::pin::pin;
 
@@ -482,11 +482,13 @@
         at: SocketAddr, workers: Vec<async_channel::Sender<Order>>, asks: Receiver<()>,
         reloads: Receiver<Reload>,
     ) -> Watch {
-        let registry: Shared =
-            Arc::new(std::sync::Mutex::new(EndpointRegistry::new(&List::default(), Marks::default())));
+        let registry: Shared = Arc::new(std::sync::Mutex::new(EndpointRegistry::new(
+            &DiscoveryList::default(),
+            MaintenanceMarks::default(),
+        )));
         Watch::new(Parts {
             discovery: at,
-            known: Version(41),
+            known: ListIndex(41),
             orders: Orders::of(workers),
             registry,
             accord: None,
@@ -541,9 +543,9 @@
         // The worker's queue is full, so that telling it waits, and meanwhile the watch is moved.
         sender.try_send(Order::Look).expect("room");
         let given_up = future::block_on(future::poll_once(watch.tell(line, true, arrival)));
-        assert!(given_up.is_none() && watch.told == Version(41), "{:?}", watch.told);
+        assert!(given_up.is_none() && watch.told == ListIndex(41), "{:?}", watch.told);
         orders.try_recv().expect("the one before");
-        assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == Version(42));
+        assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == ListIndex(42));
         assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Changes, ..))));
     }
 
@@ -555,11 +557,11 @@
         let mut watch = watch(at, vec![sender], asks, reloads);
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         let lower = br#"{"index":40,"snapshot":false,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == Version(0));
+        assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == ListIndex(0));
         assert!(orders.try_recv().is_err());
         // A whole list holds whatever its number.
         let whole = br#"{"index":40,"snapshot":true,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == Version(40));
+        assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == ListIndex(40));
         assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Whole, ..))));
     }
 }
--- a/sidecar/src/lease.rs
+++ b/sidecar/src/lease.rs
@@ -1,7 +1,7 @@
 //! Until when this instance may act on what it keeps to, as all threads read it. Looked at before each decision is carried
 //! out, and once more before a hop's first byte: whoever wakes after a stop must not go on by what held before it.
 use oakhollow::types::Micros;
-use oakhollow_terms::Unsure;
+use oakhollow_terms::NoLeasePolicy;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 pub struct Lease {
     until: Arc<AtomicU64>,
     /// None where instances don't agree on anything.
-    unsure: Option<Unsure>,
+    unsure: Option<NoLeasePolicy>,
 }
 
 impl Lease {
@@ -19,7 +19,7 @@
     }
 
     /// One that has yet to begin.
-    pub fn none(unsure: Unsure) -> Lease {
+    pub fn none(unsure: NoLeasePolicy) -> Lease {
         Lease { until: Arc::default(), unsure: Some(unsure) }
     }
 
@@ -37,12 +37,12 @@
     }
 
     /// What to do without a lease, if there is none that lives. The clock is asked only where there may be none.
-    pub fn lapsed(&self, now: impl FnOnce() -> Micros) -> Option<Unsure> {
+    pub fn lapsed(&self, now: impl FnOnce() -> Micros) -> Option<NoLeasePolicy> {
         self.unsure.filter(|_| self.until() <= now())
     }
 
     /// Nothing at all may be sent on.
     pub fn refuses(&self, now: impl FnOnce() -> Micros) -> bool {
-        self.lapsed(now) == Some(Unsure::Refuse)
+        self.lapsed(now) == Some(NoLeasePolicy::Refuse)
     }
 }
