--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -19,7 +19,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{future, Stream, StreamExt};
 use oakhollow::types::Micros;
-use oakhollow_terms::{Marks, Operator, Place, Shape, Start};
+use oakhollow_terms::{KeySet, MaintenanceMarks, OperatorConfig, Settings, SidecarConfig};
 use slog::{info, warn, Logger};
 use std::io::{Error, ErrorKind, Result};
 use std::net::TcpListener;
@@ -122,7 +122,7 @@
     reloads: Sender<Reload>,
     lost: Option<Lost>,
     /// The keys of the file that holds.
-    shape: Shape,
+    shape: KeySet,
     registry: Shared,
     peers: HandoverLinks,
     /// How instances agree on settings, where they do.
@@ -160,8 +160,9 @@
 /// Runs one sidecar until `words` say stop, or end, and then as long as it takes to part in good order. `reread`
 /// gives what it is to be started with by now. A fault is one line.
 pub fn run(
-    start: Start, operator: Operator, reread: impl Fn(&Shape) -> std::result::Result<Start, String>,
-    log: Logger, words: impl Stream<Item = Word>,
+    start: SidecarConfig, operator: OperatorConfig,
+    reread: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
+    words: impl Stream<Item = Word>,
 ) -> std::result::Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     let tasks = Tasks::of(&executor);
@@ -180,7 +181,7 @@
             _ => None,
         };
         if let Some(list) = before.as_ref().and_then(|before| before.rest.list.clone()) {
-            start.known = list;
+            start.known_list = list;
         }
         let program =
             Program::build(start, operator, log, tasks, (listeners, passed), (store, clock, before));
@@ -189,8 +190,8 @@
 }
 
 /// The longest that any API call may take.
-fn longest(place: &Place) -> Micros {
-    place.workloads.iter().map(|workload| workload.abandon).max().unwrap_or_default()
+fn longest(place: &Settings) -> Micros {
+    place.workloads.iter().map(|workload| workload.max_client_wait).max().unwrap_or_default()
 }
 
 /// How long after the word to stop the program is sure to live.
@@ -214,14 +215,18 @@
 
 impl Program {
     fn build(
-        start: Start, operator: Operator, log: Logger, tasks: Tasks, listeners: (Vec<TcpListener>, bool),
+        start: SidecarConfig, operator: OperatorConfig, log: Logger, tasks: Tasks,
+        listeners: (Vec<TcpListener>, bool),
         kept: (Option<Arc<MaintenanceStore>>, Clock, Option<Predecessor>),
     ) -> std::result::Result<Program, String> {
         let failed = |fault: Error| format!("cannot start: {fault}");
         let ((listeners, passed), (store, clock, before)) = (listeners, kept);
-        let lease = operator.accord.as_ref().map_or_else(Lease::off, |operated| Lease::none(operated.unsure));
+        let lease = operator
+            .accord
+            .as_ref()
+            .map_or_else(Lease::off, |operated| Lease::none(operated.no_lease_policy));
         let agrees = operator.accord.clone().map(|operated| (operated, start.clone()));
-        let Start { place, limits, known, .. } = start;
+        let SidecarConfig { settings: place, limits, known_list: known, .. } = start;
         let workers = operator.workers;
         // Half of the connections are for callers: each call of theirs has mostly one hop out.
         let by_memory = (limits.memory_mb * 0.75 * 1024.0 / CONNECTION_KB) as usize;
@@ -241,7 +246,7 @@
         }
         let (ask, asks) = bounded(1);
         let (deadline, drain_grace) = (ListDeadline::none(), place.drain_grace);
-        let instances = place.terms.sidecars;
+        let instances = place.decision.sidecars;
         let (reload, reloads) = bounded(1);
         let longest = longest(&place);
         say_if_cut_short(&log, longest);
@@ -249,9 +254,9 @@
         let marks = match (&before, &store) {
             (Some(before), _) => before.marks.clone(),
             (None, Some(store)) => store.load(&log)?,
-            (None, None) => Marks::default(),
+            (None, None) => MaintenanceMarks::default(),
         };
-        let taught = before.as_ref().map(|before| before.rest.taught.clone()).unwrap_or_default();
+        let taught = before.as_ref().map(|before| before.rest.learnt.clone()).unwrap_or_default();
         let (peers, takes_over) = (HandoverLinks::default(), before.is_some());
         let registry: Shared = Arc::new(Mutex::new(EndpointRegistry::new(&known, marks.clone())));
         let known = Arc::new(known);
@@ -335,7 +340,7 @@
             clock,
             longest: duration(longest),
             grace: grace(longest),
-            shape: start.shape,
+            shape: start.keys,
             reloads: reload,
             lost: None,
             registry,
@@ -349,7 +354,7 @@
     }
 
     async fn live(
-        mut self, reread: impl Fn(&Shape) -> std::result::Result<Start, String>,
+        mut self, reread: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
         words: impl Stream<Item = Word>,
     ) -> std::result::Result<(), String> {
         // Held until the end: a word that is late by a phase is heard by nobody, and ends nothing.
@@ -413,7 +418,9 @@
         self.lost.take().map_or(Ok(()), |Lost(why)| Err(why))
     }
 
-    async fn step(&mut self, event: Event, reread: &impl Fn(&Shape) -> std::result::Result<Start, String>) {
+    async fn step(
+        &mut self, event: Event, reread: &impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
+    ) {
         let row = LIFE.iter().find(|(phase, given, ..)| *phase == self.phase && *given == event);
         let Some(&(_, _, phase, action)) = row else { return };
         match action {
@@ -437,16 +444,16 @@
                             return;
                         }
                     }
-                    let (longest, drain_grace) = (longest(&start.place), start.place.drain_grace);
-                    let instances = start.place.terms.sidecars;
+                    let (longest, drain_grace) = (longest(&start.settings), start.settings.drain_grace);
+                    let instances = start.settings.decision.sidecars;
                     // Once the end has been ordered, its time is that of the settings which held then.
                     if self.phase == Phase::Serving {
                         (self.longest, self.grace) = (duration(longest), grace(longest));
                     }
-                    self.shape = start.shape;
+                    self.shape = start.keys;
                     // Where instances agree, the settings hold once that is settled.
                     if self.accord.is_none() {
-                        let place = Arc::new(start.place);
+                        let place = Arc::new(start.settings);
                         self.orders.have_done(|done| Order::Retuned(place, done)).await;
                     }
                     info!(self.log, "file read again, the list is watched at {}", start.discovery);
--- a/sidecar/src/list_freshness.rs
+++ b/sidecar/src/list_freshness.rs
@@ -10,7 +10,7 @@
 const NOTIFIED_WITHIN: Micros = Micros::millis(6_000);
 /// For so long calls that are turned away count as calls to a discovery that is down, where the list is long: what the platform lets
 /// an instance go without asking.
-const OUTAGE: Micros = Micros(2 * oakhollow_terms::Start::MOST_BETWEEN_ASKS.0);
+const OUTAGE: Micros = Micros(2 * oakhollow_terms::SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// A list of so many endpoints is long. What a fleet's calls cost a discovery grows with the lines of its answers: the shorter the list,
 /// the likelier calls are turned away because it is down, and not because it has too many callers.
 const LONG_LIST: f64 = 1_000.0;
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -1,7 +1,7 @@
 //! `oakhollow`: one sidecar, started with the file that `RELAY_CONFIG` or the first argument names.
 use clap::{Parser, Subcommand, ValueEnum};
 use oakhollow_sidecar::{logging, planned, run, signals, workers};
-use oakhollow_terms::{Operator, Shape, Start};
+use oakhollow_terms::{KeySet, OperatorConfig, SidecarConfig};
 use slog::warn;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -57,7 +57,7 @@
 }
 
 fn plan(file: &Path, lost: &[String], part: f64) -> Result<(), String> {
-    let plan = Operator::from_file(file, cores())?.plan();
+    let plan = OperatorConfig::from_file(file, cores())?.site_plan();
     let plan = plan.ok_or_else(|| format!("{}: plan: missing", file.display()))?;
     print!("{}", planned::report(&plan, lost, part)?);
     Ok(())
@@ -72,11 +72,11 @@
     let words = signals().map_err(|fault| format!("signals: {fault}"))?;
     let path = args.file.ok_or("RELAY_CONFIG: not set, and no file was named")?;
     let operator =
-        args.operator.map(|path| Operator::from_file(&path, cores())).transpose()?.unwrap_or_default();
-    let start = Start::from_file(&path)?;
-    let read = |before: &Shape| Start::after(before, &path);
+        args.operator.map(|path| OperatorConfig::from_file(&path, cores())).transpose()?.unwrap_or_default();
+    let start = SidecarConfig::from_file(&path)?;
+    let read = |before: &KeySet| SidecarConfig::from_replacement_file(before, &path);
     let (log, _flush) = logging::to_stderr(&start.name, args.log_level.into());
-    if let Some(plan) = operator.plan() {
+    if let Some(plan) = operator.site_plan() {
         planned::doubts(&plan).iter().for_each(|doubt| warn!(log, "the plan does not hold {}", doubt));
     }
     workers::keep_panics();
--- a/sidecar/src/maintenance_store.rs
+++ b/sidecar/src/maintenance_store.rs
@@ -5,7 +5,7 @@
 use crate::host_clock::host_clock;
 use crate::timers::Clock;
 use async_channel::{bounded, Receiver, Sender};
-use oakhollow_terms::{Marks, Rest};
+use oakhollow_terms::{HandoverState, MaintenanceMarks};
 use slog::{info, warn, Logger};
 use std::io::Result;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 /// What is to be written, and who waits to hear how the first try went.
 #[derive(Default)]
 struct Pending {
-    state: Option<Marks>,
+    state: Option<MaintenanceMarks>,
     waiting: Vec<Sender<Kept>>,
     /// A thread writes.
     served: bool,
@@ -68,7 +68,7 @@
 
     /// What was kept; nothing where there is no file, or one that makes no sense. A file that can't be read for several
     /// seconds is a fault: guards against sending calls to servers that an operator took out.
-    pub fn load(&self, log: &Logger) -> std::result::Result<Marks, String> {
+    pub fn load(&self, log: &Logger) -> std::result::Result<MaintenanceMarks, String> {
         let begun = Instant::now();
         let bytes = loop {
             match durable_file::read(&self.path) {
@@ -82,31 +82,31 @@
                 }
             }
         };
-        let Some(bytes) = bytes else { return Ok(Marks::default()) };
+        let Some(bytes) = bytes else { return Ok(MaintenanceMarks::default()) };
         match self.read(&bytes) {
             Ok((marks, _)) => {
-                info!(log, "maintenance state read, {} out by hand", marks.out.len());
+                info!(log, "maintenance state read, {} out by hand", marks.in_maintenance.len());
                 Ok(marks)
             }
             Err(fault) => {
                 warn!(log, "maintenance state makes no sense: {}: {}", self.path.display(), fault);
-                Ok(Marks::default())
+                Ok(MaintenanceMarks::default())
             }
         }
     }
 
     /// Reads a state that another process of this sidecar has written or said, with its times by our clock.
-    pub fn read(&self, json: &[u8]) -> std::result::Result<(Marks, Rest), String> {
-        Marks::from_json(json, self.listen, host_clock(self.clock).as_ref(), self.clock.now())
+    pub fn read(&self, json: &[u8]) -> std::result::Result<(MaintenanceMarks, HandoverState), String> {
+        MaintenanceMarks::from_json(json, self.listen, host_clock(self.clock).as_ref(), self.clock.now())
     }
 
     /// Words a state for another process of this sidecar.
-    pub fn word(&self, marks: &Marks, rest: Rest) -> String {
+    pub fn word(&self, marks: &MaintenanceMarks, rest: HandoverState) -> String {
         marks.to_json(self.listen, rest, host_clock(self.clock))
     }
 
     /// Has a state written, instead of any that still waits. What this returns tells how the first try went.
-    pub fn submit(self: &Arc<Self>, marks: Marks, log: &Logger) -> Receiver<Kept> {
+    pub fn submit(self: &Arc<Self>, marks: MaintenanceMarks, log: &Logger) -> Receiver<Kept> {
         let (tell, first) = bounded(1);
         let mut pending = self.lock();
         pending.state = Some(marks);
@@ -160,7 +160,7 @@
     }
 
     /// Waits for a state to write.
-    fn next(&self) -> (Marks, Vec<Sender<Kept>>) {
+    fn next(&self) -> (MaintenanceMarks, Vec<Sender<Kept>>) {
         let mut pending = self.lock();
         loop {
             if let Some(state) = pending.state.take() {
@@ -171,12 +171,12 @@
     }
 
     /// To be written again, unless another state has come meanwhile.
-    fn put_back(&self, state: Marks) {
+    fn put_back(&self, state: MaintenanceMarks) {
         self.lock().state.get_or_insert(state);
     }
 
-    fn write(&self, state: &Marks) -> Result<()> {
-        durable_file::replace(&self.path, self.word(state, Rest::default()).as_bytes())
+    fn write(&self, state: &MaintenanceMarks) -> Result<()> {
+        durable_file::replace(&self.path, self.word(state, HandoverState::default()).as_bytes())
     }
 
     fn lock(&self) -> MutexGuard<'_, Pending> {
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -4,8 +4,8 @@
 use crate::timers::Clock;
 use oakhollow::types::{CallId, HopNo, Kind, Listing, Micros, Outcome, ServerId, Standing, Terms};
 use oakhollow_guard::{
-    AnswerKind, AttemptPermit, CloseReason, Denial, Effect, Event, Guard, LastLook, Limits, Location,
-    RetryBudget, Rule, SendPermit,
+    AnswerKind, AttemptPermit, CloseReason, Denial, Event, Guard, Limits, Location, RepeatSafety,
+    RetryBudget, Rule, SendConditions, SendPermit,
 };
 use slog::{debug, error, Drain, Level, Logger};
 use std::cell::{Cell, RefCell};
@@ -29,19 +29,22 @@
 }
 
 /// The effect that a request of a workload has.
-pub fn effect(kind: Kind) -> Effect {
+pub fn effect(kind: Kind) -> RepeatSafety {
     match kind {
-        Kind::Repeatable => Effect::Safe,
-        Kind::Tagged { group, memory } => Effect::Keyed { memory, group },
-        Kind::OnceOnly => Effect::Unsafe,
+        Kind::Repeatable => RepeatSafety::Safe,
+        Kind::Tagged { group, memory } => RepeatSafety::Keyed { retention: memory, group },
+        Kind::OnceOnly => RepeatSafety::Unsafe,
     }
 }
 
 /// What of the settings the guard checks.
 pub fn limits(terms: &Terms, drain_grace: Micros) -> Limits {
     let budget = terms.beyond_first.as_ref();
-    let retry_budget =
-        budget.map(|bound| RetryBudget { few: bound.few, share: bound.share, window: bound.window });
+    let retry_budget = budget.map(|bound| RetryBudget {
+        min_retries: bound.few,
+        retry_ratio: bound.share,
+        window: bound.window,
+    });
     Limits { drain_grace, retry_budget }
 }
 
@@ -66,7 +69,7 @@
     /// A request was read: what this returns owes it one answer.
     pub fn accept(self: &Rc<Self>, accepted: Accepted) -> OpenRequest {
         let Accepted { request, request_id, class, effect, deadline } = accepted;
-        self.observe(Event::Accepted { request, request_id, effect, deadline });
+        self.observe(Event::Accepted { request, request_id, repeat_safety: effect, deadline });
         OpenRequest {
             monitor: self.clone(),
             request,
@@ -106,7 +109,7 @@
     }
 
     /// Whether its first byte may be written, by what is known now.
-    pub fn send(&self, permit: &AttemptPermit, look: LastLook) -> Result<SendPermit, Denial> {
+    pub fn send(&self, permit: &AttemptPermit, look: SendConditions) -> Result<SendPermit, Denial> {
         let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, look);
         self.tell_violations();
         if self.verbose {
@@ -213,7 +216,7 @@
     /// The name of its class.
     pub class: Rc<str>,
     /// What it does at a server.
-    pub effect: Effect,
+    pub effect: RepeatSafety,
     /// When its client gives up.
     pub deadline: Micros,
 }
--- a/sidecar/src/planned.rs
+++ b/sidecar/src/planned.rs
@@ -1,20 +1,20 @@
 //! `oakhollow plan FILE`: what the operator's plan comes to, in words, for no loss, each loss and each two, or those that are
 //! named.
-use oakhollow_sites::{Held, Plan, SiteId};
+use oakhollow_sites::{LossOutcome, Plan, SiteId};
 use std::fmt::Write;
 
 /// Below this part of the most that could be served a plan does not hold.
 const HOLDS: f64 = 0.95;
 
 /// Why a plan does not hold without these sites, a line each.
-fn faults(plan: &Plan, held: &Held) -> Vec<String> {
-    let starved = held.sites.iter().zip(&plan.sites).filter(|(site, _)| site.starves);
+fn faults(plan: &Plan, held: &LossOutcome) -> Vec<String> {
+    let starved = held.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
     let mut faults: Vec<String> =
         starved.map(|(_, site)| format!("the floors are over the room of {}", site.name)).collect();
-    if held.payoff < HOLDS * held.most {
+    if held.payoff < HOLDS * held.max_payoff {
         faults.push(format!(
             "{:.1} % of the payoff that the room left could serve",
-            100.0 * held.payoff / held.most
+            100.0 * held.payoff / held.max_payoff
         ));
     }
     faults
@@ -24,14 +24,14 @@
 pub fn doubts(plan: &Plan) -> Vec<String> {
     let each = (0..plan.sites.len()).map(SiteId).filter(|_| plan.sites.len() > 1);
     each.flat_map(|lost| {
-        let faults = faults(plan, &plan.without(&[lost], 1.0));
+        let faults = faults(plan, &plan.simulate_loss(&[lost], 1.0));
         faults.into_iter().map(move |fault| format!("without {}: {fault}", plan.sites[lost.0].name))
     })
     .collect()
 }
 
 fn tell(plan: &Plan, lost: &[SiteId], part: f64, text: &mut String) {
-    let held = plan.without(lost, part);
+    let held = plan.simulate_loss(lost, part);
     let names: Vec<&str> = lost.iter().map(|site| plan.sites[site.0].name.as_str()).collect();
     let title =
         if names.is_empty() { "nothing lost".to_string() } else { format!("lost: {}", names.join(", ")) };
@@ -42,17 +42,20 @@
         "site", "room", "own", "others'", "served", "full"
     );
     for (site, held) in plan.sites.iter().zip(&held.sites).filter(|(_, held)| !held.lost) {
-        let (own, others) = (plan.work(&held.rows, |row| row.own), plan.work(&held.rows, |row| row.others));
-        let full = held.work / site.room;
+        let (own, others) = (
+            plan.total_work(&held.class_outcomes, |row| row.own),
+            plan.total_work(&held.class_outcomes, |row| row.others),
+        );
+        let full = held.served_work / site.capacity;
         let _ = writeln!(
             text,
             "  {:<12} {:>10.1} {own:>10.1} {others:>10.1} {:>10.1} {full:>6.2}",
-            site.name, site.room, held.work
+            site.name, site.capacity, held.served_work
         );
     }
-    for calls in plan.order() {
-        let refused: f64 = held.sites.iter().map(|site| site.rows[calls.0].refused()).sum();
-        let (nowhere, calls) = (held.nowhere[calls.0], &plan.calls[calls.0]);
+    for calls in plan.refusal_order() {
+        let refused: f64 = held.sites.iter().map(|site| site.class_outcomes[calls.0].refused()).sum();
+        let (nowhere, calls) = (held.dropped[calls.0], &plan.classes[calls.0]);
         if refused + nowhere > 1e-6 {
             let _ = writeln!(
                 text,
@@ -61,7 +64,7 @@
             );
         }
     }
-    let of_most = if held.most > 0.0 { held.payoff / held.most } else { 1.0 };
+    let of_most = if held.max_payoff > 0.0 { held.payoff / held.max_payoff } else { 1.0 };
     let _ = writeln!(
         text,
         "  payoff {:.1} a second, {of_most:.3} of the most that the room left could serve",
@@ -79,7 +82,8 @@
         place.map(SiteId).ok_or_else(|| format!("--lost: there is no site {name:?}"))
     };
     let lost: Vec<SiteId> = lost.iter().map(id).collect::<Result<_, _>>()?;
-    let order: Vec<&str> = plan.order().iter().map(|calls| plan.calls[calls.0].name.as_str()).collect();
+    let order: Vec<&str> =
+        plan.refusal_order().iter().map(|calls| plan.classes[calls.0].name.as_str()).collect();
     let mut text = format!("refused first: {}\n", order.join(", "));
     if !lost.is_empty() {
         tell(plan, &lost, part, &mut text);
@@ -97,14 +101,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::Operator;
+    use oakhollow_terms::OperatorConfig;
 
     const FILE: &str = "[plan]\n[plan.calls]\norder = { payoff = 5.0 }\nsearch = { payoff = 1.0, floor = 0.5 }\n[plan.sites]\n\
         lj = { room = 100.0, load = { order = 40.0, search = 40.0 } }\nmb = { room = 60.0, load = { order = 20.0, search = 20.0 } }\n";
 
     #[test]
     fn a_plan_tells_what_is_refused_first_and_how_much() {
-        let plan = Operator::from_toml(FILE, 8).expect("a file").plan().expect("a plan");
+        let plan = OperatorConfig::from_toml(FILE, 8).expect("a file").site_plan().expect("a plan");
         let text = report(&plan, &["lj".into()], 1.0).expect("a report");
         assert!(text.starts_with("refused first: search, order\n"), "{text}");
         // mb has 60 for 120: the floor of search is 30, order has the rest of what may be taken.
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -23,7 +23,7 @@
 use fnv::FnvHashMap;
 use futures_lite::future;
 use oakhollow::types::{ListKind, Micros, Terms};
-use oakhollow_terms::{List, Marks, Place, Taught};
+use oakhollow_terms::{DiscoveryList, LearntServers, MaintenanceMarks, Settings};
 use slog::{o, Logger};
 use std::cell::RefCell;
 use std::future::Future;
@@ -39,15 +39,15 @@
 /// What the program tells its workers.
 #[derive(Clone)]
 pub enum Order {
-    Listed(ListKind, Arc<List>, Heard),
+    Listed(ListKind, Arc<DiscoveryList>, Heard),
     /// Its sender is dropped when that holds.
     Marked(Mark, Sender<()>),
     /// Take callers in. Its sender is dropped when that holds.
     Open(Sender<()>),
     /// What the modules have learnt is asked for.
-    Asked(Sender<Taught>),
+    Asked(Sender<LearntServers>),
     /// Settings that hold from now on. Its sender is dropped when they do.
-    Retuned(Arc<Place>, Sender<()>),
+    Retuned(Arc<Settings>, Sender<()>),
     /// Whom others' lists let drain. Its sender is dropped when that holds.
     Drained(Arc<Elsewhere>, Sender<()>),
     /// The lease has begun or run out, or the list may not be used any more.
@@ -199,12 +199,12 @@
 /// What all workers carry calls by.
 #[derive(Clone)]
 pub struct Kit {
-    pub place: Place,
+    pub place: Settings,
     pub seed: u64,
-    pub known: Arc<List>,
-    pub marks: Marks,
+    pub known: Arc<DiscoveryList>,
+    pub marks: MaintenanceMarks,
     /// What another process learnt in this one's place, for each worker.
-    pub taught: Taught,
+    pub taught: LearntServers,
     pub workers: usize,
     pub callers: Bound,
     pub links: Bound,
@@ -247,11 +247,12 @@
 }
 
 /// What this worker is among all workers of all sidecars.
-fn placed(mut place: Place, number: usize, workers: usize) -> Place {
-    place.terms.number = place.terms.number.saturating_mul(workers as u32).saturating_add(number as u32);
-    place.terms.sidecars = place.terms.sidecars.saturating_mul(workers as u32);
+fn placed(mut place: Settings, number: usize, workers: usize) -> Settings {
+    place.decision.number =
+        place.decision.number.saturating_mul(workers as u32).saturating_add(number as u32);
+    place.decision.sidecars = place.decision.sidecars.saturating_mul(workers as u32);
     // The few hops on top of a share are the program's: parted among its workers, the odd ones to the first.
-    if let Some(bound) = &mut place.terms.beyond_first {
+    if let Some(bound) = &mut place.decision.beyond_first {
         let (few, workers) = (bound.few, workers as f64);
         bound.few = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
     }
@@ -282,27 +283,27 @@
 }
 
 /// What is offered from now on by name, and what is left to calls of all else.
-fn classes_of(classes: &mut Classes, place: &Place) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
-    let kinds = place.terms.workloads.iter().map(|workload| workload.kind);
+fn classes_of(classes: &mut Classes, place: &Settings) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
+    let kinds = place.decision.workloads.iter().map(|workload| workload.kind);
     let named: Vec<_> = place.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
     classes.take(&named)
 }
 
 /// What requests call things by.
-fn names_of(place: &mut Place, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> Names {
+fn names_of(place: &mut Settings, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> Names {
     let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
     Names {
         class_names,
         effects: numbers
             .iter()
-            .map(|number| monitor::effect(place.terms.workloads[number.usual.0].kind))
+            .map(|number| monitor::effect(place.decision.workloads[number.usual.0].kind))
             .collect(),
         workloads: std::mem::take(&mut place.workloads),
         numbers,
         classes,
         customers: std::mem::take(&mut place.customers),
-        warm_keys: place.terms.warm_keys,
-        most_hops: place.terms.most_hops as usize,
+        warm_keys: place.decision.warm_keys,
+        most_hops: place.decision.most_hops as usize,
     }
 }
 
@@ -312,19 +313,20 @@
     let (mut generations, mut classes) = (Generations::default(), Classes::default());
     let (named, mut left) = classes_of(&mut classes, &place);
     let numbers;
-    (place.terms, numbers) = generations.take(place.terms);
+    (place.decision, numbers) = generations.take(place.decision);
     let log = if kit.workers > 1 { kit.log.new(o!("worker" => number)) } else { kit.log };
     let (desk, notes) = Desk::new(kit.clock, gauges.calls);
-    let limits = monitor::limits(&place.terms, place.drain_grace);
+    let limits = monitor::limits(&place.decision, place.drain_grace);
     let monitor = Monitor::new(limits, kit.metrics, kit.clock, log.clone());
     let links = Share::of(kit.links);
-    let pool = Pool::new(tasks.clone(), links, (place.connect_within, place.idle_close), log.clone());
+    let pool =
+        Pool::new(tasks.clone(), links, (place.connect_timeout, place.server_idle_timeout), log.clone());
     // One watch feeds all: the first asks for all of them, and they hear the same.
     let ask = if number == 0 { kit.ask } else { bounded(1).0 };
     let parts = Parts {
         protocol: Rc::new(Http1 {
             pool: pool.clone(),
-            tells_load: place.terms.tells_load,
+            tells_load: place.decision.tells_load,
             fence: Fence {
                 lease: kit.lease.clone(),
                 list_deadline: kit.list_deadline.clone(),
@@ -342,10 +344,10 @@
         taught: kit.taught,
     };
     let seed = kit.seed ^ (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let mut terms = place.terms.clone();
+    let mut terms = place.decision.clone();
     // Not to be left to the order that follows: a call may come before it.
     if kit.beside {
-        none_beyond(&mut place.terms);
+        none_beyond(&mut place.decision);
     }
     let dispatcher = Dispatcher::new(&place, seed, (&kit.known, kit.marks), parts);
     tasks.run(dispatcher.run(notes));
@@ -370,14 +372,14 @@
             Order::Drained(elsewhere, done) => desk.tell(Note::Drained(elsewhere, done)).await,
             Order::Look => desk.tell(Note::Look).await,
             Order::Retuned(place, done) => {
-                let mut place = placed(Place::clone(&place), number, kit.workers);
+                let mut place = placed(Settings::clone(&place), number, kit.workers);
                 let (numbers, named);
                 (named, left) = classes_of(&mut classes, &place);
-                (place.terms, numbers) = generations.take(place.terms);
-                pool.retune(place.connect_within, place.idle_close);
-                monitor.set_limits(monitor::limits(&place.terms, place.drain_grace));
+                (place.decision, numbers) = generations.take(place.decision);
+                pool.retune(place.connect_timeout, place.server_idle_timeout);
+                monitor.set_limits(monitor::limits(&place.decision, place.drain_grace));
                 let names = names_of(&mut place, numbers, named);
-                terms = place.terms;
+                terms = place.decision;
                 // The module first: a call that comes by the new names must find its number there.
                 let terms = Box::new(shared(terms.clone(), with));
                 desk.tell(Note::Retuned(terms, left.clone(), Some(done))).await;
--- a/sidecar/tests/asks.rs
+++ b/sidecar/tests/asks.rs
@@ -2,7 +2,7 @@
 //! again in time, whatever the settings allow.
 use oakhollow::rules::Sidecar;
 use oakhollow::types::{Action, Event, ListKind, Micros, Terms};
-use oakhollow_terms::Start;
+use oakhollow_terms::SidecarConfig;
 use std::collections::BTreeSet;
 
 const SIDECARS: u64 = 300;
@@ -19,9 +19,9 @@
         "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"semantics":"read_like"}}]}}}}"#
     );
     std::fs::write(&file, json).expect("the file");
-    let start = Start::from_file(&file).expect("sound");
+    let start = SidecarConfig::from_file(&file).expect("sound");
     std::fs::remove_file(&file).expect("removed");
-    start.place.terms
+    start.settings.decision
 }
 
 /// When one sidecar asks, whose watch ends at 0 and whose asks all fail at once, until then.
--- a/terms/src/agreed.rs
+++ b/terms/src/agreed.rs
@@ -1,5 +1,5 @@
 //! Settings as instances agree on them: the part that is the same for all, as text, and each instance's own on top of it.
-use crate::{mark, read, stricter, to_json, Place, Start};
+use crate::{read_json, stable_hash, stricter, to_json, Settings, SidecarConfig};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
@@ -9,44 +9,44 @@
 /// An instance's own part of the settings.
 ///
 /// ```
-/// use oakhollow_terms::Own;
+/// use oakhollow_terms::LocalSettings;
 /// let of = |me: u32, hops: u32| format!(r#"{{"me":{me},"balancers":2,"bounds":{{"most_hops":{hops}}},
 ///   "rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5}},
 ///   "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":1,"semantics":"read_like"}}]}}"#);
-/// let (own, first) = Own::part(&of(1, 3)).unwrap();
-/// let (_, second) = Own::part(&of(0, 2)).unwrap();
-/// assert_eq!(first, Own::part(&of(0, 3)).unwrap().1);
-/// let place = own.place(&[first.text.as_str(), &second.text]).unwrap();
-/// assert_eq!((place.terms.number, place.terms.most_hops), (1, 2));
+/// let (own, first) = LocalSettings::split(&of(1, 3)).unwrap();
+/// let (_, second) = LocalSettings::split(&of(0, 2)).unwrap();
+/// assert_eq!(first, LocalSettings::split(&of(0, 3)).unwrap().1);
+/// let place = own.merge(&[first.text.as_str(), &second.text]).unwrap();
+/// assert_eq!((place.decision.number, place.decision.most_hops), (1, 2));
 /// ```
 #[derive(Clone, Default, Debug)]
-pub struct Own(Map<String, Value>);
+pub struct LocalSettings(Map<String, Value>);
 
 /// The part that is the same for all.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Common {
+pub struct SharedSettings {
     pub text: String,
     pub hash: u64,
 }
 
-impl Own {
+impl LocalSettings {
     /// Parts settings as text.
-    pub fn part(settings: &str) -> Result<(Own, Common), String> {
-        let mut all: Map<String, Value> = read(settings.as_bytes())?;
+    pub fn split(settings: &str) -> Result<(LocalSettings, SharedSettings), String> {
+        let mut all: Map<String, Value> = read_json(settings.as_bytes())?;
         let own = OWN.iter().filter_map(|key| Some((key.to_string(), all.remove(*key)?))).collect();
         let text = Value::Object(all).to_string();
-        Ok((Own(own), Common { hash: mark(&text), text }))
+        Ok((LocalSettings(own), SharedSettings { hash: stable_hash(&text), text }))
     }
 
     /// The strictest of what is common, with this instance's own; the earliest comes first.
-    pub fn place(&self, common: &[&str]) -> Result<Place, String> {
-        let mut each = common.iter().map(|text| read::<Value>(text.as_bytes()));
+    pub fn merge(&self, common: &[&str]) -> Result<Settings, String> {
+        let mut each = common.iter().map(|text| read_json::<Value>(text.as_bytes()));
         let first = each.next().unwrap_or(Ok(Value::Null))?;
         let mut all = each.try_fold(first, |all, one| stricter(&all, &one?))?;
         if let Value::Object(all) = &mut all {
             all.extend(self.0.clone());
         }
-        Start::on_sockets(read(all.to_string().as_bytes())?)
+        SidecarConfig::on_sockets(read_json(all.to_string().as_bytes())?)
     }
 }
 
@@ -61,16 +61,18 @@
 /// ```
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Greeting {
-    accord: u32,
+    #[serde(rename = "accord")]
+    protocol_version: u32,
     pub name: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Greeting {
     const VERSION: u32 = 2;
 
     pub fn new(name: &str, life: u64) -> Greeting {
-        Greeting { accord: Self::VERSION, name: name.into(), life }
+        Greeting { protocol_version: Self::VERSION, name: name.into(), incarnation: life }
     }
 
     pub fn to_json(&self) -> String {
@@ -78,8 +80,8 @@
     }
 
     pub fn read(line: &[u8]) -> Result<Greeting, String> {
-        let greeting: Greeting = read(line)?;
-        match greeting.accord {
+        let greeting: Greeting = read_json(line)?;
+        match greeting.protocol_version {
             Self::VERSION => Ok(greeting),
             other => Err(format!("accord: {other} is not read")),
         }
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -1,5 +1,5 @@
 //! The one place where what a sidecar is told at its start is read, checked and given defaults: the settings
-//! object ([`Place`]), the file of a sidecar on sockets ([`Start`]) and the list of servers ([`List`]). Whoever
+//! object ([`Settings`]), the file of a sidecar on sockets ([`SidecarConfig`]) and the list of servers ([`DiscoveryList`]). Whoever
 //! finds a fault is told the key, as in `settings.workloads[1].payoff: must not be negative`.
 mod agreed;
 mod list;
@@ -11,14 +11,16 @@
 mod start;
 mod stricter;
 
-pub use agreed::{Common, Greeting, Own};
-pub use list::{Entry, List, Version};
-pub use marks::{HostClock, Line, Marks, Rest, Taught, Told};
-pub use operator::{Accord, Lists, Operator, Scope, Unsure};
-pub use place::{micros, Named, Place, REPORT_VALUES};
-pub use plan::Planned;
-pub use shape::Shape;
-pub use start::{Limits, Numbered, Start};
+pub use agreed::{Greeting, LocalSettings, SharedSettings};
+pub use list::{DiscoveryList, EndpointEntry, ListIndex};
+pub use marks::{
+    HandoverMessage, HandoverState, HostClock, LearntServers, MaintenanceChange, MaintenanceMarks,
+};
+pub use operator::{AccordConfig, ListSharing, NoLeasePolicy, OperatorConfig, Scope};
+pub use place::{micros_from_seconds, Settings, WorkloadSettings, LOAD_REPORT_COLUMNS};
+pub use plan::SitePlanConfig;
+pub use shape::KeySet;
+pub use start::{Limits, SettingsVersion, SidecarConfig};
 pub use stricter::stricter;
 
 use fnv::FnvHasher;
@@ -27,7 +29,7 @@
 use std::hash::Hasher;
 
 /// Reads JSON; a fault names the key it lies at.
-pub fn read<T: DeserializeOwned>(json: &[u8]) -> Result<T, String> {
+pub fn read_json<T: DeserializeOwned>(json: &[u8]) -> Result<T, String> {
     let mut source = serde_json::Deserializer::from_slice(json);
     let read = serde_path_to_error::deserialize(&mut source).map_err(|fault| {
         let (path, fault) = (fault.path().to_string(), fault.inner().to_string());
@@ -51,10 +53,10 @@
 /// A number without meaning that every process has for this server's name alike.
 ///
 /// ```
-/// assert_eq!(oakhollow_terms::mark("s-1"), oakhollow_terms::mark("s-1"));
-/// assert_ne!(oakhollow_terms::mark("s-1"), oakhollow_terms::mark("s-2"));
+/// assert_eq!(oakhollow_terms::stable_hash("s-1"), oakhollow_terms::stable_hash("s-1"));
+/// assert_ne!(oakhollow_terms::stable_hash("s-1"), oakhollow_terms::stable_hash("s-2"));
 /// ```
-pub fn mark(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of servers as discovery words it.
-use crate::mark;
+use crate::stable_hash;
 use oakhollow::types::*;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -7,24 +7,24 @@
 
 /// Which state of the list was told.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
-pub struct Version(pub u64);
+pub struct ListIndex(pub u64);
 
 /// One whole list, or the entries that changed since the one before.
 ///
 /// ```
-/// use oakhollow_terms::{read, List};
+/// use oakhollow_terms::{read_json, DiscoveryList};
 /// let line = br#"{"index":3,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:70","status":"gone"}]}"#;
-/// assert!(read::<List>(line).unwrap_err().starts_with("endpoints[0].status: unknown variant `gone`"));
+/// assert!(read_json::<DiscoveryList>(line).unwrap_err().starts_with("endpoints[0].status: unknown variant `gone`"));
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct List {
-    pub index: Version,
+pub struct DiscoveryList {
+    pub index: ListIndex,
     pub snapshot: bool,
-    pub endpoints: Vec<Entry>,
+    pub endpoints: Vec<EndpointEntry>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub name: String,
     pub address: SocketAddr,
     #[serde(default)]
@@ -60,9 +60,9 @@
     }
 }
 
-impl Entry {
+impl EndpointEntry {
     /// Wants calls, as far as the list goes.
-    pub fn ready(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self.status, Status::Active)
     }
 
@@ -72,16 +72,16 @@
     }
 
     /// The same as a time of its own unit; one that no clock reaches is the latest there is.
-    pub fn started(&self) -> Micros {
+    pub fn started_at(&self) -> Micros {
         Micros(self.since_ms.saturating_mul(1000))
     }
 
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         matches!(self.status, Status::Left)
     }
 
     /// What the module is told of it, under the number that the host has given the server.
-    pub fn listing(&self, server: ServerId, zones: &[String]) -> Listing {
+    pub fn to_listing(&self, server: ServerId, zones: &[String]) -> Listing {
         let place = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         Listing {
             server,
@@ -93,8 +93,8 @@
                 Status::Left => Standing::Gone,
             },
             size: self.weight,
-            mark: mark(&self.name),
-            started: self.started(),
+            mark: stable_hash(&self.name),
+            started: self.started_at(),
         }
     }
 }
--- a/terms/src/marks.rs
+++ b/terms/src/marks.rs
@@ -1,5 +1,5 @@
 //! Which servers are out by hand, and what of a sidecar outlives its process: a file, or a line to its successor.
-use crate::{read, to_json, List};
+use crate::{read_json, to_json, DiscoveryList};
 use oakhollow::learnt::Judged;
 use oakhollow::types::Micros;
 use oakhollow::Tally;
@@ -9,10 +9,10 @@
 
 /// By name, whatever the list says.
 #[derive(Clone, PartialEq, Debug, Default)]
-pub struct Marks {
-    pub out: BTreeSet<String>,
+pub struct MaintenanceMarks {
+    pub in_maintenance: BTreeSet<String>,
     /// Put back in use, and when.
-    pub back: BTreeMap<String, Micros>,
+    pub returned: BTreeMap<String, Micros>,
 }
 
 /// As written. One of another form, or of another sidecar, is not read.
@@ -25,7 +25,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     clock: Option<HostClock>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    list: Option<List>,
+    list: Option<DiscoveryList>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     servers: Vec<ServerFigures>,
 }
@@ -34,9 +34,11 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct HostClock {
     /// Tells one boot of the host from another.
-    pub boot: String,
+    #[serde(rename = "boot")]
+    pub boot_id: String,
     /// By how much the process's clock is ahead of the monotonic one, in microseconds.
-    pub ahead_us: i64,
+    #[serde(rename = "ahead_us")]
+    pub offset_us: i64,
 }
 
 impl HostClock {
@@ -44,7 +46,7 @@
     /// which, the wall clocks are compared. It has been by now in any case.
     fn rebase(ours: Option<&HostClock>, writer: Option<&HostClock>, at: Micros, now: Micros) -> Micros {
         let shift = match (ours, writer) {
-            (Some(ours), Some(writer)) if ours.boot == writer.boot => ours.ahead_us - writer.ahead_us,
+            (Some(ours), Some(writer)) if ours.boot_id == writer.boot_id => ours.offset_us - writer.offset_us,
             _ => 0,
         };
         Micros(at.0.saturating_add_signed(shift)).min(now)
@@ -64,13 +66,13 @@
 }
 
 /// What one instance of the decisions has learnt of each server, by name.
-pub type Taught = Vec<(String, Judged)>;
+pub type LearntServers = Vec<(String, Judged)>;
 
 /// What a successor is told beside the marks.
 #[derive(Clone, Default, Debug)]
-pub struct Rest {
-    pub list: Option<List>,
-    pub taught: Taught,
+pub struct HandoverState {
+    pub list: Option<DiscoveryList>,
+    pub learnt: LearntServers,
 }
 
 impl ServerFigures {
@@ -98,22 +100,26 @@
 
 /// A mark as one process tells another.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct MaintenanceChange {
     pub name: String,
-    pub out: bool,
-    pub at_us: u64,
+    #[serde(rename = "out")]
+    pub in_maintenance: bool,
+    #[serde(rename = "at_us")]
+    pub set_at_us: u64,
 }
 
 /// What one process tells another of the same sidecar, a line each.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Line {
-    Mark(Told),
+pub enum HandoverMessage {
+    #[serde(rename = "mark")]
+    MaintenanceChange(MaintenanceChange),
     /// It takes nobody in any more.
-    Parting,
+    #[serde(rename = "parting")]
+    StoppedAccepting,
 }
 
-impl Line {
+impl HandoverMessage {
     pub fn to_json(&self) -> String {
         to_json(self)
     }
@@ -121,33 +127,33 @@
 
 const VERSION: u32 = 1;
 
-impl Marks {
+impl MaintenanceMarks {
     /// Marks that may stand at a time, and returns that are remembered: guards against a file and a memory without end.
-    pub const MOST: usize = 4_096;
+    pub const MAX_ENTRIES: usize = 4_096;
     /// How long a return is remembered: longer than any server takes to warm up.
     const MEMORY: Micros = Micros::millis(600_000);
 
     pub fn set(&mut self, name: &str, out: bool, at: Micros) {
         if out {
-            self.out.insert(name.into());
-            self.back.remove(name);
+            self.in_maintenance.insert(name.into());
+            self.returned.remove(name);
             return;
         }
-        self.out.remove(name);
-        self.back.retain(|_, back| *back + Self::MEMORY > at);
-        if self.back.len() < Self::MOST {
-            self.back.insert(name.into(), at);
+        self.in_maintenance.remove(name);
+        self.returned.retain(|_, back| *back + Self::MEMORY > at);
+        if self.returned.len() < Self::MAX_ENTRIES {
+            self.returned.insert(name.into(), at);
         }
     }
 
     /// `rest` goes to a successor only; `clock` is that of this process.
-    pub fn to_json(&self, listen: SocketAddr, rest: Rest, clock: Option<HostClock>) -> String {
-        let back = self.back.iter().map(|(name, at)| (name.clone(), at.0)).collect();
-        let servers = rest.taught.iter().map(ServerFigures::of).collect();
+    pub fn to_json(&self, listen: SocketAddr, rest: HandoverState, clock: Option<HostClock>) -> String {
+        let back = self.returned.iter().map(|(name, at)| (name.clone(), at.0)).collect();
+        let servers = rest.learnt.iter().map(ServerFigures::of).collect();
         let written = Written {
             version: VERSION,
             listen,
-            out: self.out.clone(),
+            out: self.in_maintenance.clone(),
             back,
             clock,
             list: rest.list,
@@ -160,29 +166,29 @@
     ///
     /// ```
     /// use oakhollow::types::Micros;
-    /// use oakhollow_terms::{HostClock, Marks, Rest, Taught};
+    /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearntServers};
     /// let (here, there) = ("127.0.0.1:70".parse().unwrap(), "127.0.0.1:71".parse().unwrap());
-    /// let read = |json: String, listen| Marks::from_json(json.as_bytes(), listen, None, Micros::millis(9));
-    /// let mut marks = Marks::default();
-    /// marks.out.insert("s-1".into());
-    /// assert_eq!(read(marks.to_json(here, Rest::default(), None), here).unwrap().0, marks);
-    /// let taught: Taught = vec![("s-2".into(), oakhollow::learnt::Judged { ease: 0.5, ..Default::default() })];
-    /// let rest = Rest { taught: taught.clone(), ..Rest::default() };
-    /// assert_eq!(read(marks.to_json(here, rest, None), here).unwrap().1.taught, taught);
-    /// assert!(read(marks.to_json(here, Rest::default(), None), there).unwrap_err().starts_with("listen: "));
+    /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, Micros::millis(9));
+    /// let mut marks = MaintenanceMarks::default();
+    /// marks.in_maintenance.insert("s-1".into());
+    /// assert_eq!(read(marks.to_json(here, HandoverState::default(), None), here).unwrap().0, marks);
+    /// let taught: LearntServers = vec![("s-2".into(), oakhollow::learnt::Judged { ease: 0.5, ..Default::default() })];
+    /// let rest = HandoverState { learnt: taught.clone(), ..HandoverState::default() };
+    /// assert_eq!(read(marks.to_json(here, rest, None), here).unwrap().1.learnt, taught);
+    /// assert!(read(marks.to_json(here, HandoverState::default(), None), there).unwrap_err().starts_with("listen: "));
     ///
     /// // Put back 2 ms ago by a clock that was 5 ms ahead of ours.
-    /// let clock = |ahead_us| Some(HostClock { boot: "one".into(), ahead_us });
+    /// let clock = |ahead_us| Some(HostClock { boot_id: "one".into(), offset_us: ahead_us });
     /// marks.set("s-3", false, Micros::millis(12));
-    /// let json = marks.to_json(here, Rest::default(), clock(5_000));
-    /// let ours = Marks::from_json(json.as_bytes(), here, clock(0).as_ref(), Micros::millis(9)).unwrap().0;
-    /// assert_eq!(ours.back["s-3"], Micros::millis(7));
-    /// assert_eq!(read(json, here).unwrap().0.back["s-3"], Micros::millis(9));
+    /// let json = marks.to_json(here, HandoverState::default(), clock(5_000));
+    /// let ours = MaintenanceMarks::from_json(json.as_bytes(), here, clock(0).as_ref(), Micros::millis(9)).unwrap().0;
+    /// assert_eq!(ours.returned["s-3"], Micros::millis(7));
+    /// assert_eq!(read(json, here).unwrap().0.returned["s-3"], Micros::millis(9));
     /// ```
     pub fn from_json(
         json: &[u8], listen: SocketAddr, ours: Option<&HostClock>, now: Micros,
-    ) -> Result<(Marks, Rest), String> {
-        let written: Written = read(json)?;
+    ) -> Result<(MaintenanceMarks, HandoverState), String> {
+        let written: Written = read_json(json)?;
         if written.version != VERSION {
             return Err(format!("version: {} is not read", written.version));
         }
@@ -193,6 +199,9 @@
         let by_ours = |at| HostClock::rebase(ours, writer.as_ref(), Micros(at), now);
         let back = written.back.into_iter().map(|(name, at)| (name, by_ours(at))).collect();
         let taught = written.servers.into_iter().filter_map(ServerFigures::read).collect();
-        Ok((Marks { out: written.out, back }, Rest { list: written.list, taught }))
+        Ok((
+            MaintenanceMarks { in_maintenance: written.out, returned: back },
+            HandoverState { list: written.list, learnt: taught },
+        ))
     }
 }
--- a/terms/src/place.rs
+++ b/terms/src/place.rs
@@ -7,36 +7,36 @@
 /// ```
 /// let json = r#"{"me":0,"balancers":2,"bounds":{"most_hops":3},"rules":{"cold_from":0.5,"fall_s":1,"warm_within_s":5},
 ///   "workloads":[{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":-1,"semantics":"read_like"}]}"#;
-/// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(json.as_bytes()).unwrap_err();
+/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
 /// assert_eq!(fault, "workloads[0].payoff: must be a number from 0 up");
 /// let json = json.replace("-1", "1").replace("read_like", "sometimes");
-/// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(json.as_bytes()).unwrap_err();
+/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
 /// assert!(fault.starts_with("workloads[0].semantics: unknown variant `sometimes`"), "{fault}");
 /// let json = json.replace("sometimes", "idempotency_key");
-/// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(json.as_bytes()).unwrap_err();
+/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
 /// assert_eq!(fault, "workloads[0].group: must be all, zone or cell for idempotency_key, not \"\"");
 /// let part = json.replace("idempotency_key", "read_like").replace("fall_s", "spare_attempts\":3,\"budget_share\":0.1,\"fall_s");
-/// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(part.as_bytes()).unwrap_err();
+/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(part.as_bytes()).unwrap_err();
 /// assert!(fault.starts_with("rules.extra_window_s: must be set where another"), "{fault}");
 /// let fault = part.replace("fall_s", "extra_window_s\":-2,\"fall_s");
-/// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(fault.as_bytes()).unwrap_err();
+/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(fault.as_bytes()).unwrap_err();
 /// assert_eq!(fault, "rules.extra_window_s: must be over 0 and at most 3600");
-/// let place: oakhollow_terms::Place = oakhollow_terms::read(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
-/// assert_eq!(place.terms.most_hops, 3);
+/// let place: oakhollow_terms::Settings = oakhollow_terms::read_json(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
+/// assert_eq!(place.decision.most_hops, 3);
 /// // A repeat may arrive as much later than it is decided on as its connection takes: a quarter of a second here.
 /// let json = json.replace("\"group\":\"cell\"", "").replace("idempotency_key", "idempotency_key\",\"group\":\"cell\",\"memory_span_s\":\"x")
 ///     .replace("\"x\"", "1.5").replace("\"most_hops\":3", "\"most_hops\":3,\"connect_timeout_s\":0.25");
-/// let place: oakhollow_terms::Place = oakhollow_terms::read(json.as_bytes()).unwrap();
+/// let place: oakhollow_terms::Settings = oakhollow_terms::read_json(json.as_bytes()).unwrap();
 /// let memory = oakhollow::types::Micros::millis(1_250);
-/// assert_eq!(place.terms.workloads[0].kind, oakhollow::types::Kind::Tagged { group: oakhollow::types::Group::Cell, memory });
+/// assert_eq!(place.decision.workloads[0].kind, oakhollow::types::Kind::Tagged { group: oakhollow::types::Group::Cell, memory });
 /// assert_eq!(place.workloads[0].name, "view");
 /// ```
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "Told")]
-pub struct Place {
-    pub terms: Terms,
+pub struct Settings {
+    pub decision: Terms,
     /// In the order of [`Terms::workloads`].
-    pub workloads: Vec<Named>,
+    pub workloads: Vec<WorkloadSettings>,
     /// In the order of [`Terms::customers`].
     pub customers: Vec<String>,
     pub zones: Vec<String>,
@@ -44,25 +44,25 @@
     pub tier: String,
     /// How long a server that drains may still be sent new hops.
     pub drain_grace: Micros,
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// When a server closes a connection that has stood idle, at the latest.
-    pub idle_close: Micros,
+    pub server_idle_timeout: Micros,
     /// What a program of its own must not take up, if anything; the simulator may send it.
-    pub mixed: Option<String>,
+    pub inconsistency: Option<String>,
 }
 
 /// What the host needs of a workload.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct WorkloadSettings {
     pub name: String,
     /// The longest that a client waits.
-    pub abandon: Micros,
+    pub max_client_wait: Micros,
     /// Calls of it carry a key of their own.
-    pub tagged: bool,
+    pub has_idempotency_key: bool,
 }
 
 /// Seconds as the settings have them.
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     Micros((seconds * 1e6).round().max(0.0) as u64)
 }
 
@@ -210,7 +210,12 @@
         Ok(Some(BeyondFirst {
             share: within("budget_share", budget_share, share, "a number from 0 to 1")?,
             few: within("spare_attempts", spare_attempts, few, "a whole number from 0 to 1000000")?,
-            window: micros(within("extra_window_s", extra_window_s, window, "over 0 and at most 3600")?),
+            window: micros_from_seconds(within(
+                "extra_window_s",
+                extra_window_s,
+                window,
+                "over 0 and at most 3600",
+            )?),
         }))
     }
 }
@@ -246,10 +251,10 @@
     NonIdempotent,
 }
 
-impl TryFrom<Told> for Place {
+impl TryFrom<Told> for Settings {
     type Error = String;
 
-    fn try_from(told: Told) -> Result<Place, String> {
+    fn try_from(told: Told) -> Result<Settings, String> {
         told.check()?;
         let Told { bounds, rules, .. } = &told;
         let mut kinds = Vec::new();
@@ -260,16 +265,16 @@
                     class.group
                 )
             })?;
-            let (quoted, payoff) = (micros(class.quoted_time_s), class.payoff);
+            let (quoted, payoff) = (micros_from_seconds(class.quoted_time_s), class.payoff);
             kinds.push(Workload { kind, quoted, payoff });
         }
-        let named = |class: &Class| Named {
+        let named = |class: &Class| WorkloadSettings {
             name: class.name.clone(),
-            abandon: micros(class.abandon_time_s),
-            tagged: matches!(class.semantics, Semantics::IdempotencyKey),
+            max_client_wait: micros_from_seconds(class.abandon_time_s),
+            has_idempotency_key: matches!(class.semantics, Semantics::IdempotencyKey),
         };
-        Ok(Place {
-            terms: Terms {
+        Ok(Settings {
+            decision: Terms {
                 sidecars: told.balancers,
                 number: told.me,
                 near: (told.prices.cross_zone > 0.0).then_some(PlaceId(told.zone)),
@@ -281,23 +286,27 @@
                 beyond_first: rules.beyond_first()?,
                 may_cancel: bounds.cancel,
                 may_race: bounds.parallel_tries,
-                cool_down: if bounds.retry_after { micros(bounds.max_retry_after_s) } else { Micros(0) },
+                cool_down: if bounds.retry_after {
+                    micros_from_seconds(bounds.max_retry_after_s)
+                } else {
+                    Micros(0)
+                },
                 tells_load: told.report.tells_load(),
                 may_tell: bounds.peer_messages,
                 warm_keys: told.family_info.warm_keys,
                 must_ask: told.discovery == Some(Discovery::OnRequest),
-                ask_within: micros(rules.ask_within_s),
+                ask_within: micros_from_seconds(rules.ask_within_s),
                 cold_from: rules.cold_from,
-                warm_within: micros(rules.warm_within_s),
-                fall_span: micros(rules.fall_s),
+                warm_within: micros_from_seconds(rules.warm_within_s),
+                fall_span: micros_from_seconds(rules.fall_s),
             },
             workloads: told.workloads.iter().map(named).collect(),
             customers: told.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             tier: told.stages.get(told.tier).cloned().unwrap_or_default(),
-            drain_grace: micros(rules.stop_sending_within_s),
-            connect_within: micros(bounds.connect_timeout_s),
-            idle_close: micros(bounds.idle_close_s),
-            mixed: told.mixed(),
+            drain_grace: micros_from_seconds(rules.stop_sending_within_s),
+            connect_timeout: micros_from_seconds(bounds.connect_timeout_s),
+            server_idle_timeout: micros_from_seconds(bounds.idle_close_s),
+            inconsistency: told.mixed(),
             zones: told.zones,
         })
     }
@@ -311,8 +320,8 @@
         let Reporting { columns, source } = &self.report;
         let tells = *source == Source::Answers;
         let pushed = self.discovery.as_ref().map_or(tells, |discovery| *discovery == Discovery::Pushed);
-        if let Some(at) = columns.iter().position(|column| !REPORT_VALUES.contains(&column.as_str())) {
-            let (odd, all) = (&columns[at], REPORT_VALUES.join(", "));
+        if let Some(at) = columns.iter().position(|column| !LOAD_REPORT_COLUMNS.contains(&column.as_str())) {
+            let (odd, all) = (&columns[at], LOAD_REPORT_COLUMNS.join(", "));
             return Some(format!("report.columns[{at}]: unknown value {odd:?}, known are {all}"));
         }
         let why = match () {
@@ -386,7 +395,7 @@
 }
 
 /// Values that a load report may hold.
-pub const REPORT_VALUES: [&str; 6] =
+pub const LOAD_REPORT_COLUMNS: [&str; 6] =
     ["busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"];
 
 impl Reporting {
@@ -401,7 +410,7 @@
     /// A repeat arrives later than it is decided on, by as much as its connection takes: guards against one that comes up
     /// when its server remembers no more.
     fn kind(&self, connect_timeout_s: f64) -> Option<Kind> {
-        let memory = micros(self.memory_span_s - connect_timeout_s);
+        let memory = micros_from_seconds(self.memory_span_s - connect_timeout_s);
         let group = match self.group.as_str() {
             "all" => Some(Group::All),
             "zone" => Some(Group::Place),
--- a/terms/src/plan.rs
+++ b/terms/src/plan.rs
@@ -1,12 +1,12 @@
 //! The plan for the loss of sites, as the operator's file words it.
-use oakhollow_sites::{Calls, CallsId, Goes, Plan, Site, SiteId};
+use oakhollow_sites::{ClassId, Failover, Plan, Site, SiteId, TrafficClass};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
 /// As written: sites and classes of calls by name. Each class is a workload, or `workload/customer`.
 ///
 /// ```
-/// use oakhollow_terms::Operator;
+/// use oakhollow_terms::OperatorConfig;
 /// let text = |goes: &str, first: &str, floor: f64| format!(r#"[plan]
 /// refuse_first = ["{first}"]
 /// [plan.calls]
@@ -16,8 +16,8 @@
 /// lj = {{ room = 100.0, goes = {goes}, load = {{ order = 80.0, search = 10.0 }} }}
 /// mb = {{ room = 60.0, load = {{ order = 70.0 }} }}
 /// "#);
-/// let fault = |goes: &str, first: &str, floor: f64| Operator::from_toml(&text(goes, first, floor), 8).map(|_| ()).unwrap_err();
-/// assert!(Operator::from_toml(&text("\"room\"", "search", 0.2), 8).unwrap().plan().is_some());
+/// let fault = |goes: &str, first: &str, floor: f64| OperatorConfig::from_toml(&text(goes, first, floor), 8).map(|_| ()).unwrap_err();
+/// assert!(OperatorConfig::from_toml(&text("\"room\"", "search", 0.2), 8).unwrap().site_plan().is_some());
 /// assert_eq!(fault("{ kp = 1.0 }", "search", 0.2), "line 7: plan.sites.lj.goes: there is no site \"kp\"");
 /// assert_eq!(fault("{ mb = 0.5 }", "search", 0.2), "line 7: plan.sites.lj.goes: shares add up to 0.5, not to 1");
 /// assert_eq!(fault("\"room\"", "sarch", 0.2), "line 2: plan.refuse_first: no calls are named \"sarch\"");
@@ -25,7 +25,7 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Planned {
+pub struct SitePlanConfig {
     sites: BTreeMap<String, PlannedSite>,
     calls: BTreeMap<String, PlannedCalls>,
     #[serde(default)]
@@ -85,7 +85,7 @@
 /// The key at fault, by its parts below `plan`, and why.
 pub(crate) type Fault = (Vec<String>, String);
 
-impl Planned {
+impl SitePlanConfig {
     pub(crate) fn plan(&self) -> Result<Plan, Fault> {
         let fault = |key: &[&str], why: String| (key.iter().map(|part| part.to_string()).collect(), why);
         let part = |key: &[&str], figure: f64| match (0.0..=1.0).contains(&figure) {
@@ -96,12 +96,12 @@
             true => Ok(figure),
             false => Err(fault(key, format!("must be over 0, not {figure}"))),
         };
-        let calls_id = |name: &String| self.calls.keys().position(|known| known == name).map(CallsId);
+        let calls_id = |name: &String| self.calls.keys().position(|known| known == name).map(ClassId);
         let site_id = |name: &String| self.sites.keys().position(|known| known == name).map(SiteId);
         let unknown_calls = |key: &[&str], name: &String| fault(key, format!("no calls are named {name:?}"));
         let mut calls = Vec::new();
         for (name, written) in &self.calls {
-            calls.push(Calls {
+            calls.push(TrafficClass {
                 name: name.clone(),
                 payoff: positive(&["calls", name, "payoff"], written.payoff)?,
                 work: positive(&["calls", name, "work"], written.work)?,
@@ -112,8 +112,8 @@
         for (name, written) in &self.sites {
             let key = ["sites", name, "goes"];
             let goes = match &written.goes {
-                Way::Named(Word::Room) => Goes::ByRoom,
-                Way::Named(Word::Nowhere) => Goes::Nowhere,
+                Way::Named(Word::Room) => Failover::ByCapacity,
+                Way::Named(Word::Nowhere) => Failover::Drop,
                 Way::Shares(shares) => {
                     let mut to = Vec::new();
                     for (other, share) in shares {
@@ -128,7 +128,7 @@
                     if (sum - 1.0).abs() > 1e-6 {
                         return Err(fault(&key, format!("shares add up to {sum}, not to 1")));
                     }
-                    Goes::Shares(to)
+                    Failover::Shares(to)
                 }
             };
             let mut load = vec![0.0; calls.len()];
@@ -148,7 +148,7 @@
                 return Err(fault(&["sites", name, "room"], why));
             }
             let reserve = part(&["sites", name, "reserve"], written.reserve)?;
-            sites.push(Site { name: name.clone(), room, reserve, goes, load });
+            sites.push(Site { name: name.clone(), capacity: room, reserve, failover: goes, load });
         }
         let mut first = Vec::new();
         for name in &self.refuse_first {
@@ -161,6 +161,12 @@
         if !(self.price >= 0.0 && self.price.is_finite()) {
             return Err(fault(&["price"], format!("must be a number from 0 up, not {}", self.price)));
         }
-        Ok(Plan { sites, calls, first, price: self.price, most: part(&["most"], self.most)? })
+        Ok(Plan {
+            sites,
+            classes: calls,
+            refuse_first: first,
+            cross_site_cost: self.price,
+            max_foreign_share: part(&["most"], self.most)?,
+        })
     }
 }
--- a/terms/src/shape.rs
+++ b/terms/src/shape.rs
@@ -4,29 +4,29 @@
 
 /// The keys of a file by their paths; of a list's entries, those that all of them have.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Shape(BTreeSet<String>);
+pub struct KeySet(BTreeSet<String>);
 
 /// Keys that come and go: the list as last known, and what only tagged workloads need.
 const LOOSE: [&str; 3] = ["known", "group", "memory_span_s"];
 
-impl Shape {
+impl KeySet {
     /// Nothing for what can't be read; whoever reads it says why.
-    pub fn of(json: &[u8]) -> Shape {
-        serde_json::from_slice(json).map(|value| Shape(paths(&value, ""))).unwrap_or_default()
+    pub fn of(json: &[u8]) -> KeySet {
+        serde_json::from_slice(json).map(|value| KeySet(paths(&value, ""))).unwrap_or_default()
     }
 
     /// A key of `other` that this one is short of.
     ///
     /// ```
-    /// use oakhollow_terms::Shape;
-    /// let of = |json: &str| Shape::of(json.as_bytes());
+    /// use oakhollow_terms::KeySet;
+    /// let of = |json: &str| KeySet::of(json.as_bytes());
     /// let whole = of(r#"{"a":{"b":1,"c":2},"known":{"x":1},"w":[{"n":1,"p":2},{"n":3,"p":4,"group":"all"}]}"#);
-    /// let lacks = |json: &str| of(json).lacks(&whole).map(str::to_string);
+    /// let lacks = |json: &str| of(json).missing_key(&whole).map(str::to_string);
     /// assert_eq!(lacks(r#"{"a":{"b":1,"c":2},"w":[{"n":1,"p":2}]}"#), None);
     /// assert_eq!(lacks(r#"{"a":{"b":1},"w":[{"n":1,"p":2}]}"#).unwrap(), "a.c");
     /// assert_eq!(lacks(r#"{"a":{"b":1,"c":2},"w":[{"n":1,"p":2},{"n":1}]}"#).unwrap(), "w[].p");
     /// ```
-    pub fn lacks<'a>(&self, other: &'a Shape) -> Option<&'a str> {
+    pub fn missing_key<'a>(&self, other: &'a KeySet) -> Option<&'a str> {
         other.0.iter().find(|key| !self.0.contains(*key)).map(String::as_str)
     }
 }
