--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,6 +1,6 @@
 //! Batches in, replies out: which instance each event belongs to, and what each server is called there.
 use crate::wire::{In, Item, Out};
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use oakhollow_terms::{mark, micros};
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 
 /// One instance with its own numbering of servers, so that nothing of it depends on its neighbours.
 struct Instance {
-    sidecar: Sidecar,
+    sidecar: Balancer,
     workloads: usize,
     numbers: HashMap<String, ServerId>,
     names: Vec<String>,
@@ -18,11 +18,11 @@
 }
 
 impl Instance {
-    fn listings(&mut self, items: &[Item]) -> Result<Vec<Listing>, String> {
+    fn listings(&mut self, items: &[Item]) -> Result<Vec<ListedServer>, String> {
         items.iter().map(|item| self.listing(item)).collect()
     }
 
-    fn listing(&mut self, item: &Item) -> Result<Listing, String> {
+    fn listing(&mut self, item: &Item) -> Result<ListedServer, String> {
         let server = match self.numbers.get(&item.endpoint) {
             Some(&known) => known,
             None => {
@@ -33,19 +33,19 @@
                 fresh
             }
         };
-        let standing = match item.availability {
-            0 => Standing::Gone,
-            1 => Standing::Ready,
-            2 => Standing::Draining,
+        let status = match item.availability {
+            0 => ServerStatus::Gone,
+            1 => ServerStatus::Ready,
+            2 => ServerStatus::Draining,
             other => return Err(format!("field availability: unknown state {other}")),
         };
-        Ok(Listing {
+        Ok(ListedServer {
             server,
-            place: PlaceId(item.hall),
+            zone: ZoneId(item.hall),
             cell: CellId(item.block),
-            standing,
-            size: item.nominal,
-            mark: mark(&item.endpoint),
+            status,
+            weight: item.nominal,
+            name_hash: mark(&item.endpoint),
             started: micros(item.launched_s),
         })
     }
@@ -112,7 +112,7 @@
             In::Init { who, init_seed, env } => {
                 let terms = env.terms;
                 let mut actions = std::mem::take(&mut self.actions);
-                let sidecar = Sidecar::new(&terms, init_seed, self.now, &mut actions);
+                let sidecar = Balancer::new(&terms, init_seed, self.now, &mut actions);
                 let (workloads, numbers, names) = (terms.workloads.len(), HashMap::new(), Vec::new());
                 let marks = HashMap::new();
                 self.instances.insert(who, Instance { sidecar, workloads, numbers, names, marks });
@@ -139,38 +139,45 @@
                 };
                 let Some(instance) = self.instances.get_mut(&who) else { return Err(unknown(who)) };
                 let entries = instance.listings(items)?;
-                self.tell(who, Event::Listed { kind, entries: &entries })?;
+                self.tell(who, Event::ListReceived { kind, entries: &entries })?;
             }
             In::Order { who, xid, category, expires_in_s, tenant, options, key } => {
                 if self.instances.get(&who).is_some_and(|instance| category >= instance.workloads) {
                     return Err(format!("field category: there is no workload {category}"));
                 }
-                let (workload, customer) = (WorkloadId(category), CustomerId(tenant));
-                let (left, repeat) = (micros(expires_in_s), options & 2 != 0);
+                let (workload, tenant) = (WorkloadId(category), TenantId(tenant));
+                let (time_left, client_retry) = (micros(expires_in_s), options & 2 != 0);
                 self.tell(
                     who,
-                    Event::Arrived(Arrival { call: CallId(xid), workload, left, customer, repeat, key }),
+                    Event::CallArrived(Arrival {
+                        call: CallId(xid),
+                        workload,
+                        time_left,
+                        tenant,
+                        client_retry,
+                        affinity_key: key,
+                    }),
                 )?;
             }
             In::Headers { who, xid, r#try } => {
-                self.tell(who, Event::Streaming { call: CallId(xid), hop: HopNo(r#try) })?
+                self.tell(who, Event::AnswerStarted { call: CallId(xid), hop: HopNo(r#try) })?
             }
             In::Finished { who, xid, r#try, wait_time_s, complete, outcome, telemetry } => {
-                let (call, hop, waited) = (CallId(xid), HopNo(r#try), micros(wait_time_s));
-                let (closed, report) = (complete, telemetry.map(Report::from));
-                let ending = Ending { call, hop, outcome: outcome.into(), waited, closed, report };
-                self.tell(who, Event::Ended(ending))?;
+                let (call, hop, elapsed) = (CallId(xid), HopNo(r#try), micros(wait_time_s));
+                let (call_over, load) = (complete, telemetry.map(LoadReport::from));
+                let ending = HopResult { call, hop, outcome: outcome.into(), elapsed, call_over, load };
+                self.tell(who, Event::HopEnded(ending))?;
             }
-            In::Withdrawn { who, xid } => self.tell(who, Event::Withdrawn { call: CallId(xid) })?,
-            In::Wake { who, cookie } => self.tell(who, Event::Woke(Token(cookie)))?,
+            In::Withdrawn { who, xid } => self.tell(who, Event::CallWithdrawn { call: CallId(xid) })?,
+            In::Wake { who, cookie } => self.tell(who, Event::TimerFired(TimerToken(cookie)))?,
             In::HealthResult { who } => self.instances.get(&who).map(|_| ()).ok_or_else(|| unknown(who))?,
             In::Inbox { who, raw } => {
                 let instance = self.instances.get(&who).ok_or_else(|| unknown(who))?;
                 // A message that says nothing, or of a server not listed here, is no fault of anybody's.
                 let known =
-                    unpack(&raw).and_then(|(mark, strain)| Some((*instance.marks.get(&mark)?, strain)));
-                if let Some((server, strain)) = known {
-                    self.tell(who, Event::Heard { server, strain })?;
+                    unpack(&raw).and_then(|(mark, slowdown)| Some((*instance.marks.get(&mark)?, slowdown)));
+                if let Some((server, slowdown)) = known {
+                    self.tell(who, Event::PeerReported { server, slowdown })?;
                 }
             }
         }
@@ -197,18 +204,20 @@
             let names = &self.instances[&who].names;
             let name = |server: ServerId| names[server.0 as usize].as_str();
             let said = match action {
-                Action::Send { call, server, give_up } => {
-                    Out::Try { who, xid: call.0, endpoint: name(server), give_up_after_s: give_up.secs() }
+                Action::Send { call, server, timeout } => {
+                    Out::Try { who, xid: call.0, endpoint: name(server), give_up_after_s: timeout.secs() }
                 }
                 Action::Cancel { call, hop } => Out::Revoke { who, xid: call.0, r#try: hop.0 },
-                Action::Dismiss { call, cool_down } => {
-                    Out::Bounce { who, xid: call.0, cool_down_s: cool_down.secs() }
+                Action::Refuse { call, retry_after } => {
+                    Out::Bounce { who, xid: call.0, cool_down_s: retry_after.secs() }
                 }
                 Action::Fail { call } => Out::EndFailed { who, xid: call.0 },
-                Action::Wake { after, token } => Out::Remind { who, after_s: after.secs(), cookie: token.0 },
+                Action::SetTimer { after, token } => {
+                    Out::Remind { who, after_s: after.secs(), cookie: token.0 }
+                }
                 Action::Subscribe => Out::Subscribe { who, want: true },
-                Action::Tell { server, strain } => {
-                    Out::Say { who, to: -1, raw: pack(mark(name(server)) as u32, strain) }
+                Action::TellPeers { server, slowdown } => {
+                    Out::Say { who, to: -1, raw: pack(mark(name(server)) as u32, slowdown) }
                 }
                 Action::Log { text, server: None } => Out::Emit { who, text },
                 Action::Log { text, server: Some(server) } => {
@@ -233,8 +242,8 @@
 }
 
 /// What sidecars tell each other of a server: its mark, and its strain in tenths.
-fn pack(mark: u32, strain: f64) -> String {
-    format!("{mark:x}:{}", (strain * 10.0).round().clamp(0.0, 9_999.0))
+fn pack(mark: u32, slowdown: f64) -> String {
+    format!("{mark:x}:{}", (slowdown * 10.0).round().clamp(0.0, 9_999.0))
 }
 
 fn unpack(raw: &str) -> Option<(u32, f64)> {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -81,12 +81,12 @@
     cpu_share: Option<f64>,
 }
 
-impl From<Telemetry> for Report {
-    fn from(told: Telemetry) -> Report {
-        Report {
-            held: told.busy_reqs.and_then(Report::sound),
-            waiting: told.pending.and_then(Report::sound),
-            busy: told.cpu_share.and_then(Report::sound),
+impl From<Telemetry> for LoadReport {
+    fn from(told: Telemetry) -> LoadReport {
+        LoadReport {
+            open_calls: told.busy_reqs.and_then(LoadReport::plausible),
+            queued_calls: told.pending.and_then(LoadReport::plausible),
+            cpu_utilization: told.cpu_share.and_then(LoadReport::plausible),
         }
     }
 }
--- a/benches/events.rs
+++ b/benches/events.rs
@@ -8,7 +8,7 @@
 mod place;
 
 use divan::{black_box, Bencher};
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -29,37 +29,37 @@
     day: Day,
     size: u32,
     now: Micros,
-    sidecar: Sidecar,
+    sidecar: Balancer,
     actions: Vec<Action>,
-    timers: BinaryHeap<Reverse<(Micros, Token)>>,
+    timers: BinaryHeap<Reverse<(Micros, TimerToken)>>,
     out: VecDeque<(CallId, HopNo, ServerId, Micros)>,
     hops: HashMap<CallId, u32>,
     calls: u32,
     turns: u32,
 }
 
-fn listing(number: u32, started: Micros, standing: Standing) -> Listing {
-    Listing {
+fn listing(number: u32, started: Micros, status: ServerStatus) -> ListedServer {
+    ListedServer {
         server: ServerId(number),
-        place: PlaceId(number % 3),
+        zone: ZoneId(number % 3),
         cell: CellId(number / 8),
-        standing,
-        size: 1.0,
-        mark: u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15),
+        status,
+        weight: 1.0,
+        name_hash: u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         started,
     }
 }
 
 impl World {
     fn new(day: Day, size: u32) -> World {
-        let terms = Terms {
-            cold_from: 0.1,
-            warm_within: Micros::millis(3_600_000_000),
-            fall_span: Micros::millis(2_000),
-            ..place::terms(&[Kind::Repeatable, Kind::OnceOnly])
+        let terms = BalancerConfig {
+            cold_capacity: 0.1,
+            warm_up_time: Micros::millis(3_600_000_000),
+            collapse_window: Micros::millis(2_000),
+            ..place::terms(&[Idempotency::Idempotent, Idempotency::NonIdempotent])
         };
         let (now, mut actions) = (Micros::millis(100_000_000), Vec::new());
-        let sidecar = Sidecar::new(&terms, 7, now, &mut actions);
+        let sidecar = Balancer::new(&terms, 7, now, &mut actions);
         let mut world = World {
             day,
             size,
@@ -72,9 +72,9 @@
             calls: 0,
             turns: 0,
         };
-        let entries: Vec<Listing> =
-            (0..size).map(|at| listing(at, world.started(at), Standing::Ready)).collect();
-        world.tell(Event::Listed { kind: ListKind::Whole, entries: &entries });
+        let entries: Vec<ListedServer> =
+            (0..size).map(|at| listing(at, world.started(at), ServerStatus::Ready)).collect();
+        world.tell(Event::ListReceived { kind: ListKind::Whole, entries: &entries });
         for _ in 0..(4 * size).max(20_000) {
             world.turn();
         }
@@ -100,8 +100,8 @@
                     self.out.push_back((call, HopNo(*hop), server, self.now));
                     *hop += 1;
                 }
-                Action::Wake { after, token } => self.timers.push(Reverse((self.now + after, token))),
-                Action::Dismiss { call, .. } | Action::Fail { call } => _ = self.hops.remove(&call),
+                Action::SetTimer { after, token } => self.timers.push(Reverse((self.now + after, token))),
+                Action::Refuse { call, .. } | Action::Fail { call } => _ = self.hops.remove(&call),
                 _ => {}
             }
         }
@@ -115,8 +115,8 @@
         if !lost {
             self.hops.remove(&call);
         }
-        let ending = Ending { call, hop, outcome, waited: self.now - sent, closed: !lost, report: None };
-        self.tell(Event::Ended(ending));
+        let ending = HopResult { call, hop, outcome, elapsed: self.now - sent, call_over: !lost, load: None };
+        self.tell(Event::HopEnded(ending));
     }
 
     /// One API call in, one hop's end out, and what falls due.
@@ -125,7 +125,7 @@
         self.turns += 1;
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= self.now) {
             if let Some(Reverse((_, token))) = self.timers.pop() {
-                self.tell(Event::Woke(token));
+                self.tell(Event::TimerFired(token));
             }
         }
         if self.day == Day::Churn {
@@ -135,8 +135,15 @@
         for _ in 0..arrivals {
             self.calls = (self.calls + 1) & 0x00FF_FFFF;
             let (call, workload) = (CallId(self.calls), WorkloadId((self.calls.is_multiple_of(4)) as usize));
-            let (left, customer) = (Micros::millis(1_000), CustomerId(0));
-            self.tell(Event::Arrived(Arrival { call, workload, left, customer, repeat: false, key: None }));
+            let (time_left, tenant) = (Micros::millis(1_000), TenantId(0));
+            self.tell(Event::CallArrived(Arrival {
+                call,
+                workload,
+                time_left,
+                tenant,
+                client_retry: false,
+                affinity_key: None,
+            }));
         }
         while self.out.len() > OUT {
             self.end_one();
@@ -145,9 +152,9 @@
 
     fn churn(&mut self) {
         let (number, step) = (self.turns / 3 % self.size, self.turns % 3);
-        let standing = [Standing::Draining, Standing::Gone, Standing::Ready][step as usize];
-        let entry = listing(number, Micros(0), standing);
-        self.tell(Event::Listed { kind: ListKind::Changes, entries: &[entry] });
+        let status = [ServerStatus::Draining, ServerStatus::Gone, ServerStatus::Ready][step as usize];
+        let entry = listing(number, Micros(0), status);
+        self.tell(Event::ListReceived { kind: ListKind::Changes, entries: &[entry] });
     }
 }
 
--- a/guard/src/event.rs
+++ b/guard/src/event.rs
@@ -1,6 +1,6 @@
 //! What the guard is told, and the reasons for it.
 use crate::server::Location;
-use oakhollow::types::{CallId, Group, HopNo, Micros, Outcome, ServerId, Standing};
+use oakhollow::types::{CallId, DedupScope, HopNo, Micros, Outcome, ServerId, ServerStatus};
 use std::fmt::{Display, Formatter, Result};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
         /// How long they remember it.
         memory: Micros,
         /// Which servers share it.
-        group: Group,
+        group: DedupScope,
     },
     /// Unsafe to repeat.
     Unsafe,
@@ -155,7 +155,7 @@
         /// The server.
         server: ServerId,
         /// Whether it takes new requests.
-        standing: Standing,
+        standing: ServerStatus,
         /// Where it stands.
         location: Location,
     },
--- a/guard/src/server.rs
+++ b/guard/src/server.rs
@@ -1,22 +1,22 @@
 //! What is known of one server.
-use oakhollow::types::{CellId, Group, Micros, PlaceId, Standing};
+use oakhollow::types::{CellId, DedupScope, Micros, ServerStatus, ZoneId};
 
 /// Where a server stands.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Location {
     /// Its place.
-    pub place: PlaceId,
+    pub place: ZoneId,
     /// Its cell.
     pub cell: CellId,
 }
 
 impl Location {
     /// Whether servers at both share what they remember.
-    pub(crate) fn shares(self, other: Location, group: Group) -> bool {
+    pub(crate) fn shares(self, other: Location, group: DedupScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Place => self.place == other.place,
-            Group::Cell => self.cell == other.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => self.place == other.place,
+            DedupScope::Cell => self.cell == other.cell,
         }
     }
 }
@@ -29,17 +29,17 @@
 }
 
 impl Server {
-    pub fn new(standing: Standing, location: Location, now: Micros) -> Server {
+    pub fn new(standing: ServerStatus, location: Location, now: Micros) -> Server {
         let mut server = Server { location, drained: None };
         server.list(standing, location, now);
         server
     }
 
-    pub fn list(&mut self, standing: Standing, location: Location, now: Micros) {
+    pub fn list(&mut self, standing: ServerStatus, location: Location, now: Micros) {
         self.location = location;
         self.drained = match standing {
-            Standing::Ready => None,
-            Standing::Draining | Standing::Gone => self.drained.or(Some(now)),
+            ServerStatus::Ready => None,
+            ServerStatus::Draining | ServerStatus::Gone => self.drained.or(Some(now)),
         };
     }
 
--- a/guard/tests/rules.rs
+++ b/guard/tests/rules.rs
@@ -1,5 +1,5 @@
 //! Each rule is seen to be broken by a sequence that breaks it, and by none that keeps it.
-use oakhollow::types::{CallId, CellId, Group, HopNo, Micros, Outcome, PlaceId, ServerId, Standing};
+use oakhollow::types::{CallId, CellId, DedupScope, HopNo, Micros, Outcome, ServerId, ServerStatus, ZoneId};
 use oakhollow_guard::*;
 
 const DEADLINE: Micros = Micros::millis(1_000);
@@ -23,7 +23,7 @@
     fn within(effect: Effect, limits: Limits) -> Play {
         let mut play = Play { guard: Guard::new(limits), now: Micros(0) };
         for (server, cell) in [(A, 1), (B, 2)] {
-            play.lists(server, Standing::Ready, cell);
+            play.lists(server, ServerStatus::Ready, cell);
         }
         play.accept(ONE, effect);
         play
@@ -49,8 +49,8 @@
         });
     }
 
-    fn lists(&mut self, server: ServerId, standing: Standing, cell: u32) -> &mut Play {
-        let location = Location { place: PlaceId(0), cell: CellId(cell) };
+    fn lists(&mut self, server: ServerId, standing: ServerStatus, cell: u32) -> &mut Play {
+        let location = Location { place: ZoneId(0), cell: CellId(cell) };
         self.on(Event::ServerListed { server, standing, location })
     }
 
@@ -100,7 +100,7 @@
 }
 
 fn keyed() -> Effect {
-    Effect::Keyed { memory: Micros::millis(300), group: Group::Cell }
+    Effect::Keyed { memory: Micros::millis(300), group: DedupScope::Cell }
 }
 
 #[test]
@@ -229,14 +229,14 @@
     let limits = Limits { drain_grace: Micros::millis(100), retry_budget: None };
     let mut play = Play::within(Effect::Safe, limits);
     let permit = play.starts(FIRST, A).expect("allowed");
-    play.lists(A, Standing::Draining, 1);
+    play.lists(A, ServerStatus::Draining, 1);
     assert!(play.at(140).may_send(&permit));
     // Said again, it drains since it did first.
-    play.lists(A, Standing::Gone, 1).at(160);
+    play.lists(A, ServerStatus::Gone, 1).at(160);
     let (now, look) = (play.now, play.look());
     assert_eq!(play.guard.send(now, &permit, look), Err(Denial::ServerNotWanted));
     assert_eq!(play.broken(), [Rule::NothingToDrained]);
-    play.lists(A, Standing::Ready, 1);
+    play.lists(A, ServerStatus::Ready, 1);
     assert!(play.may_send(&permit));
 }
 
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,7 +1,7 @@
 //! A sidecar of the rig's own, which agrees as all others do and forwards calls in the plainest way, honestly or with one fault
 //! of choice: whoever judges scenes must catch each of those.
 use crate::stand::{each, header, read_head};
-use oakhollow::types::{Kind, Micros};
+use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{lease, Action, Document, Fact, InstanceId, Judge, Listed, Member, Version, Word};
 use oakhollow_terms::{micros, read, to_json, Entry, Greeting, List, Operator, Own, Start};
 use std::collections::{BTreeMap, HashMap};
@@ -68,7 +68,7 @@
 
 fn offered(own: &Own, texts: &[&str]) -> Result<Offered, String> {
     let place = own.place(texts)?;
-    let kinds = place.terms.workloads.iter().map(|workload| workload.kind == Kind::Repeatable);
+    let kinds = place.terms.workloads.iter().map(|workload| workload.idempotency == Idempotency::Idempotent);
     Ok(place.workloads.into_iter().map(|named| named.name).zip(kinds).collect())
 }
 
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -18,7 +18,7 @@
 use async_executor::Task;
 use fnv::FnvHashMap;
 use futures_lite::{future, StreamExt};
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use oakhollow_guard::AttemptPermit;
 use oakhollow_terms::{List, Marks, Place, Taught, Unsure};
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Told {
     Nothing,
-    Load(Report),
+    Load(LoadReport),
     /// Something that can't be read; it counts as nothing.
     Odd,
 }
@@ -86,7 +86,7 @@
 pub struct Ask {
     pub workload: WorkloadId,
     pub class: ClassId,
-    pub customer: CustomerId,
+    pub customer: TenantId,
     pub repeat: bool,
     pub abandon: Micros,
     pub most_hops: usize,
@@ -114,7 +114,7 @@
     /// A server is out by hand, or back; the sender is dropped when that holds.
     Marked(Mark, Sender<()>),
     /// What holds from now on, what is left of workloads that no more do, and who waits for it.
-    Retuned(Box<Terms>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
+    Retuned(Box<BalancerConfig>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
     /// Whom others' lists let drain; the sender is dropped when that holds.
     Drained(Arc<Elsewhere>, Sender<()>),
     /// The lease has begun or run out, or the list may not be used any more.
@@ -198,7 +198,7 @@
     ask: Sender<()>,
     endpoints: EndpointList,
     timers: Timers,
-    sidecar: Sidecar,
+    sidecar: Balancer,
     calls: FnvHashMap<CallId, Call<P>>,
     actions: Vec<Action>,
     /// Ends of hops that carrying out an action has brought about; the module hears of them after it.
@@ -242,7 +242,7 @@
         let Parts { protocol, desk, tasks, log, ask, lease, list_deadline, monitor, taught } = parts;
         let (mut actions, now, (known, marks)) = (Vec::new(), desk.clock.now(), known);
         let mut dispatcher = Dispatcher {
-            sidecar: Sidecar::new(&place.terms, seed, now, &mut actions),
+            sidecar: Balancer::new(&place.terms, seed, now, &mut actions),
             timers: Timers::new(desk.clock),
             endpoints: EndpointList::new(&place.zones, marks),
             calls: FnvHashMap::default(),
@@ -254,8 +254,8 @@
             monitor,
             held_back: false,
             left: FnvHashMap::default(),
-            most_hops: place.terms.most_hops as usize,
-            warm_within: place.terms.warm_within,
+            most_hops: place.terms.max_hops as usize,
+            warm_within: place.terms.warm_up_time,
             answer_by: Micros::NEVER,
             actions,
             protocol,
@@ -269,7 +269,7 @@
         dispatcher.listed(ListKind::Cached, told);
         for (name, judged) in &taught {
             if let Some(id) = dispatcher.endpoints.number(name) {
-                dispatcher.sidecar.judge_as(id, judged);
+                dispatcher.sidecar.restore_server_health(id, judged);
             }
         }
         let told = dispatcher.endpoints.all();
@@ -287,7 +287,7 @@
             match future::or(due, note).await {
                 Some(Ok(token)) => {
                     self.look();
-                    self.on(Event::Woke(token));
+                    self.on(Event::TimerFired(token));
                 }
                 Some(Err(note)) => {
                     self.hear(note);
@@ -332,13 +332,20 @@
                     Call { class, content, abandon, most_hops, verdict: Some(verdict), hops: Vec::new() };
                 self.calls.insert(call, known);
                 self.monitor.queued(call);
-                self.on(Event::Arrived(Arrival { call, workload, left, customer, repeat, key }));
+                self.on(Event::CallArrived(Arrival {
+                    call,
+                    workload,
+                    time_left: left,
+                    tenant: customer,
+                    client_retry: repeat,
+                    affinity_key: key,
+                }));
             }
             Note::Withdrawn(call) => {
                 if self.calls.get_mut(&call).is_some_and(|known| known.verdict.take().is_some()) {
                     self.desk.held.down();
                     self.call_off(call);
-                    self.on(Event::Withdrawn { call });
+                    self.on(Event::CallWithdrawn { call });
                     self.clear(call);
                 }
             }
@@ -372,7 +379,7 @@
             }
             Note::Asked(to) => {
                 let named = |(id, judged)| (self.endpoints.name(id).to_string(), judged);
-                let servers = self.sidecar.judged().map(named).collect();
+                let servers = self.sidecar.server_health().map(named).collect();
                 let _ = to.try_send(servers);
             }
             Note::Look => {}
@@ -385,7 +392,7 @@
                     Timer::after(left).await;
                     desk.tell(Note::TimeUp).await;
                 });
-                self.on(Event::AnswerBy(by));
+                self.on(Event::ShutdownBegun(by));
             }
             Note::TimeUp => {
                 // Hops that are out were sent with more time: the module hears now that it is over.
@@ -400,8 +407,8 @@
             }
             Note::Retuned(terms, left, done) => {
                 self.left = left;
-                (self.most_hops, self.warm_within) = (terms.most_hops as usize, terms.warm_within);
-                self.on(Event::Retuned(&terms));
+                (self.most_hops, self.warm_within) = (terms.max_hops as usize, terms.warm_up_time);
+                self.on(Event::ConfigChanged(&terms));
                 let told = self.endpoints.all();
                 self.listed(ListKind::Cached, told);
                 self.forbid();
@@ -423,7 +430,7 @@
 
     fn listed(&mut self, kind: ListKind, told: endpoint_list::Told) {
         told.entries.iter().for_each(|listing| self.monitor.server_listed(listing));
-        self.on(Event::Listed { kind, entries: &told.entries });
+        self.on(Event::ListReceived { kind, entries: &told.entries });
         told.retired.into_iter().for_each(|address| self.protocol.retire(address));
         self.desk.listed.set(self.endpoints.any_ready());
     }
@@ -441,7 +448,7 @@
     }
 
     /// A report that can't be read is counted, and said of at the first, second, fourth, eighth ... one.
-    fn weigh(&mut self, told: Told) -> Option<Report> {
+    fn weigh(&mut self, told: Told) -> Option<LoadReport> {
         match told {
             Told::Nothing => None,
             Told::Load(report) => Some(report),
@@ -455,14 +462,23 @@
         }
     }
 
-    fn ended(&mut self, call: CallId, hop: HopNo, outcome: Outcome, told: (Option<Report>, Option<Micros>)) {
+    fn ended(
+        &mut self, call: CallId, hop: HopNo, outcome: Outcome, told: (Option<LoadReport>, Option<Micros>),
+    ) {
         let (now, (report, waited)) = (self.desk.clock.now(), told);
         let Some(known) = self.calls.get(&call) else { return };
         let waited = waited.unwrap_or(now - known.hops[hop.0 as usize].sent);
         let closed = known.verdict.is_none();
         self.sidecar.on(
             now,
-            Event::Ended(Ending { call, hop, outcome, waited, closed, report }),
+            Event::HopEnded(HopResult {
+                call,
+                hop,
+                outcome,
+                elapsed: waited,
+                call_over: closed,
+                load: report,
+            }),
             &mut self.actions,
         );
         self.carry_out();
@@ -522,11 +538,11 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { call, server, give_up } => self.send(call, server, give_up),
+                Action::Send { call, server, timeout } => self.send(call, server, timeout),
                 Action::Cancel { call, hop } => {
                     self.end_hop(call, hop, Outcome::Cancelled);
                 }
-                Action::Dismiss { call, cool_down } => {
+                Action::Refuse { call, retry_after: cool_down } => {
                     self.refused(call);
                     self.answer(call, Verdict::Dismissed { cool_down });
                     self.clear(call);
@@ -535,10 +551,10 @@
                     self.answer(call, Verdict::Errored);
                     self.clear(call);
                 }
-                Action::Wake { after, token } => self.timers.set(self.desk.clock.now() + after, token),
+                Action::SetTimer { after, token } => self.timers.set(self.desk.clock.now() + after, token),
                 // A full channel holds the same request already.
                 // The platform's protocol on sockets has no message between sidecars: told to nobody.
-                Action::Tell { .. } => {}
+                Action::TellPeers { .. } => {}
                 Action::Subscribe => _ = self.ask.try_send(()),
                 Action::Log { text, server: None } => info!(self.log, "{}", text),
                 Action::Log { text, server: Some(server) } => {
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -31,18 +31,18 @@
     entry: Entry,
     /// When it started, as far as the list goes.
     started: Micros,
-    listing: Listing,
+    listing: ListedServer,
 }
 
 impl Known {
     fn ready(&self) -> bool {
-        self.listing.standing == Standing::Ready
+        self.listing.status == ServerStatus::Ready
     }
 }
 
 /// What a list comes down to.
 pub struct Told {
-    pub entries: Vec<Listing>,
+    pub entries: Vec<ListedServer>,
     /// Addresses at which nothing new is wanted from now on.
     pub retired: Vec<SocketAddr>,
 }
@@ -88,8 +88,8 @@
     }
 
     /// Guards against names piling up through many deploys; one that comes back gets a new number.
-    fn forget_gone(&mut self, entries: &[Listing]) {
-        for entry in entries.iter().filter(|entry| entry.standing == Standing::Gone) {
+    fn forget_gone(&mut self, entries: &[ListedServer]) {
+        for entry in entries.iter().filter(|entry| entry.status == ServerStatus::Gone) {
             self.forget(entry.server);
         }
     }
@@ -101,12 +101,12 @@
     }
 
     /// What the list says of a server, as it stands by the marks.
-    fn listing(&self, entry: &Entry, server: ServerId, started: Micros) -> Listing {
-        let mut listing = Listing { started, ..entry.listing(server, &self.zones) };
+    fn listing(&self, entry: &Entry, server: ServerId, started: Micros) -> ListedServer {
+        let mut listing = ListedServer { started, ..entry.listing(server, &self.zones) };
         let elsewhere = self.elsewhere.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
         let out = self.held_back || elsewhere || self.marks.out.contains(&entry.name);
-        if listing.standing == Standing::Ready && out {
-            listing.standing = Standing::Draining;
+        if listing.status == ServerStatus::Ready && out {
+            listing.status = ServerStatus::Draining;
         }
         // Whoever puts a server back has started it anew.
         if let Some(back) = self.marks.back.get(&entry.name) {
@@ -149,7 +149,7 @@
     }
 
     fn enter(
-        &mut self, entry: &Entry, window: Option<StartWindow>, entries: &mut Vec<Listing>,
+        &mut self, entry: &Entry, window: Option<StartWindow>, entries: &mut Vec<ListedServer>,
         retired: &mut Vec<SocketAddr>,
     ) {
         let server = *self.numbers.entry(entry.name.clone()).or_insert_with(|| {
@@ -162,11 +162,11 @@
         let same = same.and_then(|id| Some((id, self.known.get(id)?)));
         // Guards against sending to a server that is not there any more what another at its address would run: of
         // two at one address the one that started last is there.
-        if let Some((_, other)) = same.filter(|_| listing.standing == Standing::Ready) {
+        if let Some((_, other)) = same.filter(|_| listing.status == ServerStatus::Ready) {
             if other.ready() && other.listing.started > listing.started {
-                listing.standing = Standing::Gone;
+                listing.status = ServerStatus::Gone;
             } else {
-                let gone = Listing { standing: Standing::Gone, ..other.listing.clone() };
+                let gone = ListedServer { status: ServerStatus::Gone, ..other.listing.clone() };
                 self.forget(gone.server);
                 entries.push(gone);
             }
@@ -175,7 +175,7 @@
         let before = self.drop_known(server);
         self.ready += usize::from(known.ready());
         // Of two at one address, one that is there no more must not take the other's place.
-        if known.listing.standing != Standing::Gone {
+        if known.listing.status != ServerStatus::Gone {
             self.at.insert(address, server);
         }
         self.known.insert(server, known);
@@ -188,7 +188,7 @@
             // Guards against requests that go to the server which had this address before, and may be silent.
             None => retired.push(address),
         }
-        if listing.standing != Standing::Ready {
+        if listing.status != ServerStatus::Ready {
             retired.push(address);
         }
         entries.push(listing);
@@ -250,7 +250,7 @@
         endpoints.take(&list("a", 1), window);
         let held = endpoints.hold_back(true);
         assert!(
-            !endpoints.any_ready() && held.entries.iter().all(|entry| entry.standing == Standing::Draining)
+            !endpoints.any_ready() && held.entries.iter().all(|entry| entry.status == ServerStatus::Draining)
         );
         assert!(held.retired.is_empty());
         let before = [endpoints.number("a"), {
@@ -258,11 +258,11 @@
         }];
         let told = endpoints.hold_back(false).entries;
         // Whichever is entered first, the later one is there, and all numbers told before are ready or gone.
-        let last = |id: ServerId| told.iter().rfind(|entry| entry.server == id).map(|entry| entry.standing);
-        assert_eq!(last(endpoints.number("b").expect("there")), Some(Standing::Ready));
+        let last = |id: ServerId| told.iter().rfind(|entry| entry.server == id).map(|entry| entry.status);
+        assert_eq!(last(endpoints.number("b").expect("there")), Some(ServerStatus::Ready));
         assert!(endpoints.number("a").is_none() && endpoints.any_ready());
         for id in before.into_iter().flatten() {
-            assert!(matches!(last(id), Some(Standing::Ready | Standing::Gone)), "{id:?}: {told:?}");
+            assert!(matches!(last(id), Some(ServerStatus::Ready | ServerStatus::Gone)), "{id:?}: {told:?}");
         }
     }
 }
--- a/sidecar/src/generations.rs
+++ b/sidecar/src/generations.rs
@@ -19,10 +19,10 @@
 
 impl Left {
     /// None if what was allowed then is allowed now; `now` is the workload of that name, if it is offered still.
-    fn of(then: Kind, now: Option<Kind>) -> Option<Left> {
+    fn of(then: Idempotency, now: Option<Idempotency>) -> Option<Left> {
         match (then, now) {
             (_, None) => Some(Left::Nothing),
-            (Kind::OnceOnly, _) | (_, Some(Kind::Repeatable)) => None,
+            (Idempotency::NonIdempotent, _) | (_, Some(Idempotency::Idempotent)) => None,
             (then, Some(now)) if then == now => None,
             // Repeats in another group, or after a shorter memory, may be told for no repeat.
             _ => Some(Left::FirstHops),
@@ -36,11 +36,11 @@
 
 /// All names that were ever offered, with their kinds.
 #[derive(Default)]
-pub struct Classes(Vec<(String, Kind)>);
+pub struct Classes(Vec<(String, Idempotency)>);
 
 impl Classes {
     /// The numbers of what is offered from now on, in order, and what is left to calls of all others.
-    pub fn take(&mut self, offered: &[(String, Kind)]) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
+    pub fn take(&mut self, offered: &[(String, Idempotency)]) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
         let new = offered.iter().filter(|one| !self.0.contains(one)).cloned().collect::<Vec<_>>();
         self.0.extend(new);
         let number = |one| ClassId(self.0.iter().position(|other| other == one).unwrap_or_default());
@@ -59,7 +59,7 @@
 impl Generations {
     /// Takes what holds from now on: the same terms with all workloads in them by number, and the numbers of those that
     /// are offered, in their order.
-    pub fn take(&mut self, terms: Terms) -> (Terms, Vec<Numbers>) {
+    pub fn take(&mut self, terms: BalancerConfig) -> (BalancerConfig, Vec<Numbers>) {
         let mut number = |workload: Workload| {
             let known = self.0.iter().position(|other| *other == workload);
             WorkloadId(known.unwrap_or_else(|| {
@@ -72,7 +72,7 @@
             .iter()
             .map(|workload| Numbers {
                 usual: number(workload.clone()),
-                long: number(Workload { kind: Kind::OnceOnly, ..workload.clone() }),
+                long: number(Workload { idempotency: Idempotency::NonIdempotent, ..workload.clone() }),
             })
             .collect();
         let offered = |at| numbers.iter().any(|one| one.usual.0 == at || one.long.0 == at);
@@ -80,7 +80,7 @@
         let payoff = |at, workload: &Workload| if offered(at) { workload.payoff } else { 0.0 };
         let all = self.0.iter().enumerate();
         let workloads = all.map(|(at, one)| Workload { payoff: payoff(at, one), ..one.clone() }).collect();
-        (Terms { workloads, ..terms }, numbers)
+        (BalancerConfig { workloads, ..terms }, numbers)
     }
 }
 
@@ -89,7 +89,7 @@
     use super::*;
     use oakhollow_terms::{read, Place};
 
-    fn terms(workloads: &[(&str, f64)]) -> Terms {
+    fn terms(workloads: &[(&str, f64)]) -> BalancerConfig {
         let class = |(semantics, payoff): &(&str, f64)| {
             format!(
                 r#"{{"name":"{semantics}{payoff}","quoted_time_s":1,"abandon_time_s":2,"payoff":{payoff},"semantics":"{semantics}"}}"#
@@ -105,16 +105,19 @@
 
     #[test]
     fn open_calls_keep_what_is_not_forbidden_by_now() {
-        let (view, tagged) =
-            (Kind::Repeatable, |ms| Kind::Tagged { group: Group::Cell, memory: Micros::millis(ms) });
-        let named = |all: &[(&str, Kind)]| {
+        let (view, tagged) = (Idempotency::Idempotent, |ms| Idempotency::ByKey {
+            scope: DedupScope::Cell,
+            window: Micros::millis(ms),
+        });
+        let named = |all: &[(&str, Idempotency)]| {
             all.iter().map(|(name, kind)| (name.to_string(), *kind)).collect::<Vec<_>>()
         };
         let mut classes = Classes::default();
         let (first, left) =
-            classes.take(&named(&[("view", view), ("save", tagged(5)), ("pay", Kind::OnceOnly)]));
+            classes.take(&named(&[("view", view), ("save", tagged(5)), ("pay", Idempotency::NonIdempotent)]));
         assert!(left.is_empty());
-        let (second, left) = classes.take(&named(&[("view", Kind::OnceOnly), ("save", tagged(4))]));
+        let (second, left) =
+            classes.take(&named(&[("view", Idempotency::NonIdempotent), ("save", tagged(4))]));
         let of = |class| left.get(&class).copied();
         assert_eq!(
             first.iter().map(|class| of(*class)).collect::<Vec<_>>(),
@@ -132,9 +135,9 @@
         assert_eq!(second[1], first[0]);
         // A call of the dropped one is still what it was, and counts for nothing.
         let dropped = &all.workloads[first[1].usual.0];
-        assert_eq!((dropped.kind, dropped.payoff), (Kind::Repeatable, 0.0));
-        assert_eq!(all.workloads[second[0].usual.0].kind, Kind::OnceOnly);
-        assert!(second.iter().all(|one| all.workloads[one.long.0].kind == Kind::OnceOnly));
+        assert_eq!((dropped.idempotency, dropped.payoff), (Idempotency::Idempotent, 0.0));
+        assert_eq!(all.workloads[second[0].usual.0].idempotency, Idempotency::NonIdempotent);
+        assert!(second.iter().all(|one| all.workloads[one.long.0].idempotency == Idempotency::NonIdempotent));
         // Back again, it has the number it had.
         let (all, third) = generations.take(terms(&[("read_like", 9.0)]));
         assert_eq!((third[0], all.workloads[third[0].usual.0].payoff), (first[1], 9.0));
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -383,7 +383,7 @@
             workload: names.numbers[workload].usual,
             class: names.classes[workload],
             most_hops: names.most_hops,
-            customer: CustomerId(customer.and_then(known).unwrap_or(0)),
+            customer: TenantId(customer.and_then(known).unwrap_or(0)),
             repeat: head.only("Client-Retry")? == Some("1"),
             abandon: (came + left).min(self.shared.latest()),
             key: if names.warm_keys { key(head.only("Request-Info")?) } else { None },
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -2,7 +2,7 @@
 //! `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, the names being those of `report.columns`.
 use super::head::Head;
 use crate::dispatcher::Told;
-use oakhollow::types::Report;
+use oakhollow::types::LoadReport;
 use oakhollow_terms::REPORT_VALUES;
 
 const LOAD: &str = "Load-Report";
@@ -18,16 +18,16 @@
     }
 }
 
-fn read(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+fn read(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     let mut figures = text.split(',');
     for part in figures.by_ref().take(MOST_FIGURES) {
         let (name, figure) = part.split_once('=')?;
-        let figure = Some(Report::sound(figure.trim().parse().ok()?)?);
+        let figure = Some(LoadReport::plausible(figure.trim().parse().ok()?)?);
         let slot = match name.trim() {
-            "busy_reqs" => &mut report.held,
-            "pending" => &mut report.waiting,
-            "cpu_share" => &mut report.busy,
+            "busy_reqs" => &mut report.open_calls,
+            "pending" => &mut report.queued_calls,
+            "cpu_share" => &mut report.cpu_utilization,
             other if REPORT_VALUES.contains(&other) => continue, // not read
             _ => return None,
         };
@@ -45,7 +45,10 @@
     #[test]
     fn a_whole_report_is_read_and_an_odd_one_tells_nothing() {
         let whole = read("busy_reqs=3.5, pending=1,svc_ms=40").unwrap();
-        assert_eq!((whole.held, whole.waiting, whole.busy), (Some(3.5), Some(1.0), None));
+        assert_eq!(
+            (whole.open_calls, whole.queued_calls, whole.cpu_utilization),
+            (Some(3.5), Some(1.0), None)
+        );
         let odd = [
             "",
             "busy_reqs",
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -17,7 +17,7 @@
 use call::{CallEvent, CallFailure, ListCall, Request};
 use futures_lite::future;
 use oakhollow::types::{ListKind, Micros};
-use oakhollow::Chance;
+use oakhollow::SeededRng;
 use oakhollow_terms::{read, List, Start, Version};
 use pacing::pause_after_rejection;
 use progress::LineArrival;
@@ -106,7 +106,7 @@
     freshness: ListFreshness,
     /// Workers were told that the list may not be used.
     is_stale: bool,
-    chance: Chance,
+    chance: SeededRng,
 }
 
 /// What the watch waits for.
@@ -134,7 +134,7 @@
             up_to_date: None,
             freshness: ListFreshness::started_at(parts.clock.now()),
             is_stale: false,
-            chance: Chance::new(parts.seed),
+            chance: SeededRng::new(parts.seed),
             parts,
         }
     }
@@ -259,7 +259,7 @@
     }
 
     fn open_call(&mut self) {
-        let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.draw());
+        let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.uniform());
         info!(self.parts.log, "list asked for at {} from version {}", self.discovery, self.told.0);
         let request = Request { discovery: self.discovery, from: self.told, most_line: self.parts.most_line };
         (self.retry_at, self.not_before) = (None, None);
@@ -350,7 +350,7 @@
             // By lot, within the time that is left: guards against all that a discovery holds unanswered, and
             // resets when it is back.
             let most = if call.has_told { SILENCE } else { SILENCE + FLOWS };
-            let wait = most.saturating_sub(waited).mul_f64(self.chance.draw());
+            let wait = most.saturating_sub(waited).mul_f64(self.chance.uniform());
             info!(self.parts.log, "watch of the list {}, opened anew: {}", failure, progress);
             let at = Instant::now() + wait;
             self.retry_at = Some(self.not_before.map_or(at, |not_before| not_before.max(at)));
@@ -373,7 +373,7 @@
         match failure {
             CallFailure::Rejected(_) => {
                 let waited = call.progress().begun().elapsed();
-                let pause = pause_after_rejection(waited, self.parts.instances, self.chance.draw());
+                let pause = pause_after_rejection(waited, self.parts.instances, self.chance.uniform());
                 self.not_before = Some(Instant::now() + pause);
             }
             CallFailure::Unreachable(_) => self.freshness.unreachable(self.parts.clock.now()),
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -241,7 +241,7 @@
         }
         let (ask, asks) = bounded(1);
         let (deadline, drain_grace) = (ListDeadline::none(), place.drain_grace);
-        let instances = place.terms.sidecars;
+        let instances = place.terms.instances;
         let (reload, reloads) = bounded(1);
         let longest = longest(&place);
         say_if_cut_short(&log, longest);
@@ -438,7 +438,7 @@
                         }
                     }
                     let (longest, drain_grace) = (longest(&start.place), start.place.drain_grace);
-                    let instances = start.place.terms.sidecars;
+                    let instances = start.place.terms.instances;
                     // Once the end has been ordered, its time is that of the settings which held then.
                     if self.phase == Phase::Serving {
                         (self.longest, self.grace) = (duration(longest), grace(longest));
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -2,7 +2,9 @@
 //! debug log. Sending, repeating, closing and starting go through this and nothing else, by what it returns.
 use crate::metrics::{AttemptKind, Metrics, RefusalReason, SystemCall};
 use crate::timers::Clock;
-use oakhollow::types::{CallId, HopNo, Kind, Listing, Micros, Outcome, ServerId, Standing, Terms};
+use oakhollow::types::{
+    BalancerConfig, CallId, HopNo, Idempotency, ListedServer, Micros, Outcome, ServerId, ServerStatus,
+};
 use oakhollow_guard::{
     AnswerKind, AttemptPermit, CloseReason, Denial, Effect, Event, Guard, LastLook, Limits, Location,
     RetryBudget, Rule, SendPermit,
@@ -29,19 +31,19 @@
 }
 
 /// The effect that a request of a workload has.
-pub fn effect(kind: Kind) -> Effect {
+pub fn effect(kind: Idempotency) -> Effect {
     match kind {
-        Kind::Repeatable => Effect::Safe,
-        Kind::Tagged { group, memory } => Effect::Keyed { memory, group },
-        Kind::OnceOnly => Effect::Unsafe,
+        Idempotency::Idempotent => Effect::Safe,
+        Idempotency::ByKey { scope, window } => Effect::Keyed { memory: window, group: scope },
+        Idempotency::NonIdempotent => Effect::Unsafe,
     }
 }
 
 /// What of the settings the guard checks.
-pub fn limits(terms: &Terms, drain_grace: Micros) -> Limits {
-    let budget = terms.beyond_first.as_ref();
+pub fn limits(terms: &BalancerConfig, drain_grace: Micros) -> Limits {
+    let budget = terms.retry_budget.as_ref();
     let retry_budget =
-        budget.map(|bound| RetryBudget { few: bound.few, share: bound.share, window: bound.window });
+        budget.map(|bound| RetryBudget { few: bound.base, share: bound.ratio, window: bound.window });
     Limits { drain_grace, retry_budget }
 }
 
@@ -150,10 +152,10 @@
     }
 
     /// What is known of a server from now on.
-    pub fn server_listed(&self, listing: &Listing) {
-        let location = Location { place: listing.place, cell: listing.cell };
-        self.observe(Event::ServerListed { server: listing.server, standing: listing.standing, location });
-        if listing.standing == Standing::Gone {
+    pub fn server_listed(&self, listing: &ListedServer) {
+        let location = Location { place: listing.zone, cell: listing.cell };
+        self.observe(Event::ServerListed { server: listing.server, standing: listing.status, location });
+        if listing.status == ServerStatus::Gone {
             self.guard.borrow_mut().forget_server(listing.server);
         }
     }
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -1,7 +1,7 @@
 //! The one clock, and the module's timers as a stream of the tokens that fall due.
 use crate::reactor::Timer;
 use futures_lite::Stream;
-use oakhollow::types::{Micros, Token};
+use oakhollow::types::{Micros, TimerToken};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
@@ -47,8 +47,8 @@
     clock: Clock,
     /// By the millisecond, the latest first once that has come: guards against sorting tens of thousands of which most
     /// concern calls that are over.
-    due: BTreeMap<u64, Vec<(Micros, u64, Token)>>,
-    now: Vec<(Micros, u64, Token)>,
+    due: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
+    now: Vec<(Micros, u64, TimerToken)>,
     set: u64,
     bell: Timer,
 }
@@ -59,14 +59,14 @@
     }
 
     /// Timers of one time fall due in the order in which they were set.
-    pub fn set(&mut self, at: Micros, token: Token) {
+    pub fn set(&mut self, at: Micros, token: TimerToken) {
         self.set += 1;
         self.due.entry(at.0 / 1000).or_default().push((at, self.set, token));
     }
 }
 
 impl Timers {
-    fn ring_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<Token>> {
+    fn ring_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
         self.bell.set_at(at);
         if Pin::new(&mut self.bell).poll(context).is_ready() {
             context.waker().wake_by_ref();
@@ -76,9 +76,9 @@
 }
 
 impl Stream for Timers {
-    type Item = Token;
+    type Item = TimerToken;
 
-    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<Token>> {
+    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<TimerToken>> {
         if let Some((_, _, token)) = self.now.pop() {
             return Poll::Ready(Some(token));
         }
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -22,7 +22,7 @@
 use async_executor::LocalExecutor;
 use fnv::FnvHashMap;
 use futures_lite::future;
-use oakhollow::types::{ListKind, Micros, Terms};
+use oakhollow::types::{BalancerConfig, ListKind, Micros};
 use oakhollow_terms::{List, Marks, Place, Taught};
 use slog::{o, Logger};
 use std::cell::RefCell;
@@ -248,25 +248,26 @@
 
 /// What this worker is among all workers of all sidecars.
 fn placed(mut place: Place, number: usize, workers: usize) -> Place {
-    place.terms.number = place.terms.number.saturating_mul(workers as u32).saturating_add(number as u32);
-    place.terms.sidecars = place.terms.sidecars.saturating_mul(workers as u32);
+    place.terms.instance_index =
+        place.terms.instance_index.saturating_mul(workers as u32).saturating_add(number as u32);
+    place.terms.instances = place.terms.instances.saturating_mul(workers as u32);
     // The few hops on top of a share are the program's: parted among its workers, the odd ones to the first.
-    if let Some(bound) = &mut place.terms.beyond_first {
-        let (few, workers) = (bound.few, workers as f64);
-        bound.few = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
+    if let Some(bound) = &mut place.terms.retry_budget {
+        let (few, workers) = (bound.base, workers as f64);
+        bound.base = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
     }
     place
 }
 
 /// As one of two sidecars, while another process is the other.
-fn shared(mut terms: Terms, shared: Shared) -> Terms {
+fn shared(mut terms: BalancerConfig, shared: Shared) -> BalancerConfig {
     let (sidecars, number) = match shared {
         Shared::Alone => return terms,
         Shared::WithPredecessor => (2, 0),
         Shared::WithSuccessor => (2, 1),
     };
-    terms.number = terms.number.saturating_mul(sidecars).saturating_add(number);
-    terms.sidecars = terms.sidecars.saturating_mul(sidecars);
+    terms.instance_index = terms.instance_index.saturating_mul(sidecars).saturating_add(number);
+    terms.instances = terms.instances.saturating_mul(sidecars);
     if shared == Shared::WithPredecessor {
         none_beyond(&mut terms);
     }
@@ -275,15 +276,15 @@
 
 /// Hops beyond calls' first stay with the process that was there before, until it parts: guards against two that each grant
 /// them, and against a window that holds what the one sent and the other sends.
-fn none_beyond(terms: &mut Terms) {
-    if let Some(bound) = &mut terms.beyond_first {
-        (bound.few, bound.share) = (0.0, 0.0);
+fn none_beyond(terms: &mut BalancerConfig) {
+    if let Some(bound) = &mut terms.retry_budget {
+        (bound.base, bound.ratio) = (0.0, 0.0);
     }
 }
 
 /// What is offered from now on by name, and what is left to calls of all else.
 fn classes_of(classes: &mut Classes, place: &Place) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
-    let kinds = place.terms.workloads.iter().map(|workload| workload.kind);
+    let kinds = place.terms.workloads.iter().map(|workload| workload.idempotency);
     let named: Vec<_> = place.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
     classes.take(&named)
 }
@@ -295,14 +296,14 @@
         class_names,
         effects: numbers
             .iter()
-            .map(|number| monitor::effect(place.terms.workloads[number.usual.0].kind))
+            .map(|number| monitor::effect(place.terms.workloads[number.usual.0].idempotency))
             .collect(),
         workloads: std::mem::take(&mut place.workloads),
         numbers,
         classes,
         customers: std::mem::take(&mut place.customers),
-        warm_keys: place.terms.warm_keys,
-        most_hops: place.terms.most_hops as usize,
+        warm_keys: place.terms.key_affinity,
+        most_hops: place.terms.max_hops as usize,
     }
 }
 
@@ -324,7 +325,7 @@
     let parts = Parts {
         protocol: Rc::new(Http1 {
             pool: pool.clone(),
-            tells_load: place.terms.tells_load,
+            tells_load: place.terms.load_reports,
             fence: Fence {
                 lease: kit.lease.clone(),
                 list_deadline: kit.list_deadline.clone(),
@@ -394,7 +395,7 @@
                     accepting.cancel().await;
                 }
                 listener = None;
-                if with != Shared::Alone && terms.beyond_first.is_some() {
+                if with != Shared::Alone && terms.retry_budget.is_some() {
                     let mut last = shared(terms.clone(), with);
                     none_beyond(&mut last);
                     desk.tell(Note::Retuned(Box::new(last), left.clone(), None)).await;
--- a/sidecar/tests/asks.rs
+++ b/sidecar/tests/asks.rs
@@ -1,7 +1,7 @@
 //! A whole zone loses discovery at once: its sidecars' asks are spread, and after it has failed for however long each asks
 //! again in time, whatever the settings allow.
-use oakhollow::rules::Sidecar;
-use oakhollow::types::{Action, Event, ListKind, Micros, Terms};
+use oakhollow::rules::Balancer;
+use oakhollow::types::{Action, BalancerConfig, Event, ListKind, Micros};
 use oakhollow_terms::Start;
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 const IN_TIME: Micros = Micros::millis(5_000);
 const WINDOW: u64 = 100_000;
 
-fn terms(ask_within: &str) -> Terms {
+fn terms(ask_within: &str) -> BalancerConfig {
     let name = format!("oakhollow-asks-{}-{ask_within}.json", std::process::id());
     let file = std::env::temp_dir().join(name);
     let json = format!(
@@ -25,26 +25,26 @@
 }
 
 /// When one sidecar asks, whose watch ends at 0 and whose asks all fail at once, until then.
-fn asks(terms: &Terms, seed: u64, until: Micros) -> Vec<Micros> {
+fn asks(terms: &BalancerConfig, seed: u64, until: Micros) -> Vec<Micros> {
     let (mut out, mut now, mut wakes, mut asks) = (Vec::new(), Micros(0), BTreeSet::new(), Vec::new());
-    let mut sidecar = Sidecar::new(terms, seed, now, &mut out);
-    sidecar.on(now, Event::Listed { kind: ListKind::Whole, entries: &[] }, &mut out);
+    let mut sidecar = Balancer::new(terms, seed, now, &mut out);
+    sidecar.on(now, Event::ListReceived { kind: ListKind::Whole, entries: &[] }, &mut out);
     out.retain(|action| *action != Action::Subscribe);
-    sidecar.on(now, Event::Listed { kind: ListKind::Failed, entries: &[] }, &mut out);
+    sidecar.on(now, Event::ListReceived { kind: ListKind::Failed, entries: &[] }, &mut out);
     while now < until {
         while let Some(action) = out.pop() {
             match action {
-                Action::Wake { after, token } => _ = wakes.insert((now + after, token.0)),
+                Action::SetTimer { after, token } => _ = wakes.insert((now + after, token.0)),
                 Action::Subscribe => {
                     asks.push(now);
-                    sidecar.on(now, Event::Listed { kind: ListKind::Failed, entries: &[] }, &mut out);
+                    sidecar.on(now, Event::ListReceived { kind: ListKind::Failed, entries: &[] }, &mut out);
                 }
                 _ => {}
             }
         }
         let (then, token) = wakes.pop_first().expect("its heart beats");
         now = then;
-        sidecar.on(now, Event::Woke(oakhollow::types::Token(token)), &mut out);
+        sidecar.on(now, Event::TimerFired(oakhollow::types::TimerToken(token)), &mut out);
     }
     asks
 }
--- a/sidecar/tests/leavers/main.rs
+++ b/sidecar/tests/leavers/main.rs
@@ -242,7 +242,7 @@
     stage.end(ms(400))
 }
 
-fn play_all(share: Share, cases: &[Case]) {
+fn run_scenarios(share: Share, cases: &[Case]) {
     let mut red = Vec::new();
     for Case { name, play, least } in cases {
         for number in 1..=PLAYS {
@@ -268,15 +268,15 @@
 
 #[test]
 fn no_attempt_begins_for_a_leaver() {
-    play_all(Share::Whole, &CASES);
+    run_scenarios(Share::Whole, &CASES);
 }
 
 #[test]
 fn no_attempt_begins_for_a_leaver_at_a_fifth_of_a_core() {
-    play_all(Share::Fifth, &CASES);
+    run_scenarios(Share::Fifth, &CASES);
 }
 
 #[test]
 fn no_attempt_begins_for_a_leaver_after_the_process_stood() {
-    play_all(Share::Whole, &STOOD);
+    run_scenarios(Share::Whole, &STOOD);
 }
--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -590,7 +590,7 @@
         let words: Vec<&str> = words.iter().copied().chain(listen.as_deref()).collect();
         let mut program = self.launch(&self.config(&words, &address.to_string()), &before);
         if let Some((holder, _, time)) = taken {
-            thread::sleep(Duration::from_micros(runner::length_us(time)));
+            thread::sleep(Duration::from_micros(runner::parse_duration_us(time)));
             drop(holder);
         }
         let deaf = words.contains(&"deaf");
@@ -633,7 +633,7 @@
 
     fn call(&mut self, id: &str, mut stream: TcpStream, workload: &str, left: &str) {
         self.calls += 1;
-        let (calls, left) = (self.calls, runner::length_us(left) / 1000);
+        let (calls, left) = (self.calls, runner::parse_duration_us(left) / 1000);
         let head = format!("Host: api.internal\r\nRequest-Id: {calls:016x}\r\nRequest-Class: {workload}\r\nRequest-Timeout-Ms: {left}\r\n");
         let request = match workload {
             "view" => format!("GET /view/7?x=y HTTP/1.1\r\n{head}\r\n"),
@@ -842,7 +842,7 @@
                 let told = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
                 let told = Duration::from_millis(told.expect("a time").parse().expect("a number"));
                 let passed = self.admitted.expect("admitted") - self.marked.expect("a mark");
-                let left = Duration::from_micros(runner::length_us(left));
+                let left = Duration::from_micros(runner::parse_duration_us(left));
                 assert!(told + passed <= left, "told {told:?}, {passed:?} after which {left:?} were left");
             }
             ["freezes"] => self.signal("STOP"),
@@ -896,7 +896,7 @@
                 read_message(&mut stream)
                     .is_some_and(|(head, _)| head.starts_with(&format!("HTTP/1.1 {status} ")))
             }),
-            ["wait", time] => thread::sleep(Duration::from_micros(runner::length_us(time))),
+            ["wait", time] => thread::sleep(Duration::from_micros(runner::parse_duration_us(time))),
             ["stop"] => {
                 self.signal("TERM");
                 self.marked = Some(Instant::now());
@@ -949,7 +949,7 @@
             ["mark"] => self.marked = Some(Instant::now()),
             ["before", time] => {
                 let passed = self.marked.expect("a mark").elapsed();
-                assert!(passed < Duration::from_micros(runner::length_us(time)), "{passed:?}");
+                assert!(passed < Duration::from_micros(runner::parse_duration_us(time)), "{passed:?}");
             }
             ["moves", ref how @ ..] => {
                 let how = how.first().copied().unwrap_or_default().to_string();
@@ -1017,7 +1017,7 @@
 
     fn puts(&mut self, id: &str, (workload, left): (&str, &str), bytes: &str, how: &str) {
         self.calls += 1;
-        let (calls, left) = (self.calls, runner::length_us(left) / 1000);
+        let (calls, left) = (self.calls, runner::parse_duration_us(left) / 1000);
         let bytes: usize = bytes.parse().expect("bytes");
         let framing = match how {
             "chunked" => "Transfer-Encoding: chunked".to_string(),
@@ -1114,5 +1114,5 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     // All of them took 3.8 s of processor time in 50 s, four at once: a fiftieth of a core each.
     let cores = thread::available_parallelism().map_or(1, |cores| cores.get());
-    runner::play_all(folder.as_ref(), (cores / 2).max(2), World::default, World::play);
+    runner::run_scenarios(folder.as_ref(), (cores / 2).max(2), World::default, World::play);
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 //! that does not grow with their number. Nothing is decided here: whether a drawn server fits is asked of the rules.
 use crate::records::{Server, Trust};
 use crate::types::*;
-use crate::{scatter, Allowance, Chance, Tally};
+use crate::{scatter, Allowance, OutcomeCounts, SeededRng};
 use fnv::FnvHashMap;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -51,13 +51,13 @@
     ease: u64,
     stuck: u32,
     answered: Option<u32>,
-    record: Tally,
+    record: OutcomeCounts,
 }
 
 #[derive(Default)]
 pub struct Fleet {
     now: Micros,
-    near: Option<PlaceId>,
+    near: Option<ZoneId>,
     slots: Slab<Entry>,
     numbers: FnvHashMap<ServerId, usize>,
     ring: Vec<(Turn, usize)>,
@@ -77,12 +77,12 @@
     stuck: u32,
     answered: usize,
     answered_out: u32,
-    record: Tally,
+    record: OutcomeCounts,
 }
 
 impl Fleet {
     /// `near` is our own place, where crossing is priced. Elsewhere the ring must keep cells together.
-    pub fn new(near: Option<PlaceId>) -> Fleet {
+    pub fn new(near: Option<ZoneId>) -> Fleet {
         Fleet { near, ..Fleet::default() }
     }
 
@@ -107,7 +107,7 @@
     }
 
     fn cell_slots(&self, cell: CellId) -> impl Iterator<Item = usize> + '_ {
-        let turn = Listing::cell_turn(cell);
+        let turn = ListedServer::cell_turn(cell);
         let (from, to) = match self.near {
             None => {
                 let from = self.ring.partition_point(|((at, _), _)| at.0 < turn);
@@ -159,7 +159,8 @@
     /// The first of those around us that fit, in a key's own order, which is the same at every sidecar.
     pub fn in_order_of(&self, key: u64, most: usize, fits: &impl Fn(&Server) -> bool) -> Vec<&Server> {
         let fitting = self.around().filter(|server| fits(server));
-        let mut order: Vec<_> = fitting.map(|server| (scatter(key ^ server.listing.mark), server)).collect();
+        let mut order: Vec<_> =
+            fitting.map(|server| (scatter(key ^ server.listing.name_hash), server)).collect();
         if order.len() > most {
             order.select_nth_unstable_by_key(most, |(turn, _)| *turn);
             order.truncate(most);
@@ -169,18 +170,18 @@
     }
 
     /// The records of all around us but this one, together.
-    pub fn peers(&self, id: ServerId) -> Tally {
+    pub fn peers(&self, id: ServerId) -> OutcomeCounts {
         let own = self.numbers.get(&id).map(|slot| &self.slots[*slot]).filter(|entry| entry.around);
         let own = own.map(|entry| entry.server.record).unwrap_or_default();
-        Tally { good: self.record.good - own.good, bad: self.record.bad - own.bad }
+        OutcomeCounts { good: self.record.good - own.good, bad: self.record.bad - own.bad }
     }
 
     /// An even draw among those of some classes that fit, of one cell only if that is said. Drawn blindly first:
     /// mostly nearly all fit; looked through where that fails.
     pub fn draw(
-        &self, classes: &[Class], cell: Option<CellId>, lots: &mut Chance, fits: &impl Fn(&Server) -> bool,
+        &self, classes: &[Class], cell: Option<CellId>, lots: &mut SeededRng, fits: &impl Fn(&Server) -> bool,
     ) -> Option<&Server> {
-        let even = |fitting: Vec<usize>, lots: &mut Chance| {
+        let even = |fitting: Vec<usize>, lots: &mut SeededRng| {
             (!fitting.is_empty()).then(|| &self.slots[fitting[lots.below(fitting.len())]].server)
         };
         let fit = |slot: &usize| fits(&self.slots[*slot].server);
@@ -231,7 +232,7 @@
     pub fn remove(&mut self, id: ServerId) {
         let Some(slot) = self.numbers.get(&id).copied() else { return };
         let before = self.part(slot);
-        self.slots[slot].server.listing.standing = Standing::Gone;
+        self.slots[slot].server.listing.status = ServerStatus::Gone;
         self.slots[slot].around = false;
         self.recount(before, slot);
         self.numbers.remove(&id);
@@ -241,7 +242,7 @@
     /// Takes what the list tells. A whole one names all there are. `cold` is the allowance that a fresh server starts
     /// with. Our part of the ring must be drawn or fitted after it.
     pub fn list(
-        &mut self, whole: bool, entries: &[Listing], turn: impl Fn(&Listing) -> (u64, u64),
+        &mut self, whole: bool, entries: &[ListedServer], turn: impl Fn(&ListedServer) -> (u64, u64),
         mut cold: impl FnMut() -> Allowance,
     ) {
         let many = whole || entries.len() > FEW;
@@ -249,14 +250,15 @@
             self.clear();
         }
         if whole {
-            self.slots.iter_mut().for_each(|(_, entry)| entry.server.listing.standing = Standing::Gone);
+            self.slots.iter_mut().for_each(|(_, entry)| entry.server.listing.status = ServerStatus::Gone);
         }
         for listing in entries {
             let cold = cold();
             let slot = match self.numbers.get(&listing.server) {
                 Some(slot) => *slot,
                 None => {
-                    let server = Server::new(&Listing { standing: Standing::Gone, ..*listing }, 0, cold);
+                    let server =
+                        Server::new(&ListedServer { status: ServerStatus::Gone, ..*listing }, 0, cold);
                     self.enter(server, turn(listing))
                 }
             };
@@ -286,7 +288,7 @@
             let slots: Vec<usize> = self.slots.iter().map(|(slot, _)| slot).collect();
             slots.into_iter().for_each(|slot| self.recount(Part::default(), slot));
         }
-        let gone = |server: &&Server| server.listing.standing == Standing::Gone && server.out == 0;
+        let gone = |server: &&Server| server.listing.status == ServerStatus::Gone && server.out == 0;
         let gone: Vec<ServerId> = match many {
             true => self.all().filter(gone).map(|server| server.listing.server).collect(),
             false => entries
@@ -453,7 +455,7 @@
         Part {
             usable,
             around,
-            size: (server.listing.size * PARTS).round().max(0.0) as u128,
+            size: (server.listing.weight * PARTS).round().max(0.0) as u128,
             ease: server.ease.to_bits(),
             stuck: if server.trust == Trust::Fit { 0 } else { server.out },
             answered: server.answered.then_some(server.out),
@@ -471,7 +473,7 @@
         self.classes.iter_mut().for_each(Vec::clear);
         self.eases.clear();
         (self.usable, self.size, self.size_around, self.first, self.room) = (0, 0, 0, 0, 0.0);
-        (self.stuck, self.answered, self.answered_out, self.record) = (0, 0, 0, Tally::default());
+        (self.stuck, self.answered, self.answered_out, self.record) = (0, 0, 0, OutcomeCounts::default());
     }
 
     fn recount(&mut self, before: Part, slot: usize) {
@@ -534,8 +536,8 @@
     fn class_anew(&mut self, slot: usize) {
         let Entry { server, around, class, parked, .. } = &self.slots[slot];
         let barred = server.trust != Trust::Fit && server.out > 0;
-        let able = *around && server.listing.standing == Standing::Ready && !barred;
-        let near = self.near.is_none_or(|near| near == server.listing.place);
+        let able = *around && server.listing.status == ServerStatus::Ready && !barred;
+        let near = self.near.is_none_or(|near| near == server.listing.zone);
         let rests = able && server.rest > self.now;
         let wanted = (able && !rests).then_some(match (server.out, server.answered, near) {
             (1.., ..) => Class::Busy,
@@ -569,6 +571,6 @@
 
 impl Entry {
     fn ready(&self) -> bool {
-        self.server.listing.standing == Standing::Ready
+        self.server.listing.status == ServerStatus::Ready
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
 //! Decisions of a sidecar load balancer, without sockets, clocks or threads: a host hands events to
-//! [`rules::Sidecar::on`] and carries out the actions that come back. See `docs/design.md`.
+//! [`rules::Balancer::on`] and carries out the actions that come back. See `docs/design.md`.
 //!
 //! Beside the interface types ([`types`]) this file holds the measures that the rules read.
 pub mod fleet;
-pub mod learnt;
 pub mod records;
 pub mod rules;
+pub mod server_health;
 pub mod types;
 
 use nanorand::{Rng, WyRand};
 use std::collections::VecDeque;
-use types::{BeyondFirst, Micros};
+use types::{Micros, RetryBudget};
 
 /// A coarse histogram: two bins an octave from 1 ms up, halved by its owner now and then.
 ///
@@ -155,12 +155,12 @@
 
 /// Good and bad, in two bins.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
-pub struct Tally {
+pub struct OutcomeCounts {
     pub good: f64,
     pub bad: f64,
 }
 
-impl Tally {
+impl OutcomeCounts {
     pub fn add(&mut self, good: bool) {
         *(if good { &mut self.good } else { &mut self.bad }) += 1.0;
     }
@@ -181,9 +181,12 @@
     }
 }
 
-impl std::iter::Sum for Tally {
-    fn sum<I: Iterator<Item = Tally>>(tallies: I) -> Tally {
-        tallies.fold(Tally::default(), |all, one| Tally { good: all.good + one.good, bad: all.bad + one.bad })
+impl std::iter::Sum for OutcomeCounts {
+    fn sum<I: Iterator<Item = OutcomeCounts>>(tallies: I) -> OutcomeCounts {
+        tallies.fold(OutcomeCounts::default(), |all, one| OutcomeCounts {
+            good: all.good + one.good,
+            bad: all.bad + one.bad,
+        })
     }
 }
 
@@ -234,8 +237,8 @@
 /// window, hops a part longer than it: what it allows holds at every instant, and also by a clock that is a little off.
 ///
 /// ```
-/// use oakhollow::{types::{BeyondFirst, Micros}, Sliding};
-/// let mut hops = Sliding::new(BeyondFirst { few: 1.0, share: 0.1, window: Micros::millis(2_000) });
+/// use oakhollow::{types::{Micros, RetryBudget}, Sliding};
+/// let mut hops = Sliding::new(RetryBudget { base: 1.0, ratio: 0.1, window: Micros::millis(2_000) });
 /// (0..10).for_each(|_| hops.take(Micros(0)));
 /// assert_eq!(hops.allowed(Micros(0)), 2.0);
 /// hops.spend(Micros(0));
@@ -244,23 +247,23 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Sliding {
-    pub bound: BeyondFirst,
+    pub bound: RetryBudget,
     taken: [(u64, u32); PARTS as usize],
     spent: VecDeque<Micros>,
     /// What holds later, and from when.
-    next: Option<(Micros, BeyondFirst)>,
+    next: Option<(Micros, RetryBudget)>,
 }
 
 impl Sliding {
-    pub fn new(bound: BeyondFirst) -> Sliding {
+    pub fn new(bound: RetryBudget) -> Sliding {
         Sliding { bound, taken: [(0, 0); PARTS as usize], spent: VecDeque::new(), next: None }
     }
 
     /// By another bound, or by none, with what is known of hops under the one before. Guards against a bound that comes
     /// anew and grants at once what calls of before it have spent.
-    pub fn retuned(known: Option<Sliding>, bound: Option<BeyondFirst>, now: Micros) -> Option<Sliding> {
+    pub fn retuned(known: Option<Sliding>, bound: Option<RetryBudget>, now: Micros) -> Option<Sliding> {
         bound.map(|bound| {
-            let nothing = BeyondFirst { few: 0.0, share: 0.0, ..bound };
+            let nothing = RetryBudget { base: 0.0, ratio: 0.0, ..bound };
             let mut hops = known.unwrap_or_else(|| Sliding::new(nothing));
             hops.retune(bound, now);
             hops
@@ -269,7 +272,7 @@
 
     /// Another bound: what it takes holds at once, what it grants a window later. Guards against a window that holds what
     /// two bounds, or two processes that follow each other, grant together.
-    pub fn retune(&mut self, bound: BeyondFirst, now: Micros) {
+    pub fn retune(&mut self, bound: RetryBudget, now: Micros) {
         if self.next.map_or(self.bound, |(_, bound)| bound) == bound {
             return;
         }
@@ -278,8 +281,8 @@
         }
         let longest = bound.window.max(self.bound.window);
         self.next = Some((now + longest + Micros(longest.0 / PARTS), bound));
-        let (few, share) = (bound.few.min(self.bound.few), bound.share.min(self.bound.share));
-        self.bound = BeyondFirst { few, share, ..bound };
+        let (base, ratio) = (bound.base.min(self.bound.base), bound.ratio.min(self.bound.ratio));
+        self.bound = RetryBudget { base, ratio, ..bound };
     }
 
     /// Time has passed.
@@ -310,7 +313,7 @@
         self.pass(now);
         let turn = now.0 / self.part();
         let inside = self.taken.iter().filter(|(stamp, _)| stamp + PARTS > turn);
-        self.bound.few + self.bound.share * inside.map(|(_, count)| f64::from(*count)).sum::<f64>()
+        self.bound.base + self.bound.ratio * inside.map(|(_, count)| f64::from(*count)).sum::<f64>()
     }
 
     /// Hops in the window that ends now.
@@ -345,21 +348,21 @@
 
 /// The one source of chance of an instance: the same seed, the same draws.
 #[derive(Clone)]
-pub struct Chance(WyRand);
+pub struct SeededRng(WyRand);
 
-impl Default for Chance {
-    fn default() -> Chance {
-        Chance::new(0)
+impl Default for SeededRng {
+    fn default() -> SeededRng {
+        SeededRng::new(0)
     }
 }
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        Chance(WyRand::new_seed(seed))
+impl SeededRng {
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(WyRand::new_seed(seed))
     }
 
     /// An even draw from 0 up to 1.
-    pub fn draw(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         f64::from(self.0.generate::<u32>()) / 4294967296.0
     }
 
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,6 +1,6 @@
 //! What one instance remembers: plain records of API calls, servers and figures. Nothing is decided here.
 use crate::types::*;
-use crate::{Allowance, Bins, Tally};
+use crate::{Allowance, Bins, OutcomeCounts};
 use std::collections::BTreeMap;
 
 /// Where an API call stands.
@@ -23,7 +23,7 @@
 
 pub struct Hop {
     pub server: ServerId,
-    pub place: PlaceId,
+    pub zone: ZoneId,
     pub cell: CellId,
     pub sent: Micros,
     pub ended: Option<Outcome>,
@@ -48,12 +48,12 @@
     pub key: Option<u64>, // where servers are quicker with one they know
     pub abandon: Micros,
     pub patience: Micros,
-    pub most_hops: usize, // as the place had it when the call came
+    pub max_hops: usize, // as the place had it when the call came
     pub hops: Vec<Hop>,
 }
 
 pub struct Server {
-    pub listing: Listing,
+    pub listing: ListedServer,
     pub out: u32,
     pub answered: bool,
     pub trust: Trust,
@@ -61,17 +61,17 @@
     pub rest: Micros,
     pub until: Micros,
     pub asides: u32,
-    pub record: Tally,
+    pub record: OutcomeCounts,
     pub unreached: bool,
     pub ease: f64,
     /// How much longer a call took there than at an idle server, as it last told, and when.
-    pub strain: f64,
+    pub slowdown: f64,
     pub heard: Micros,
     pub cold: Allowance,
 }
 
 impl Server {
-    pub fn new(listing: &Listing, out: u32, cold: Allowance) -> Server {
+    pub fn new(listing: &ListedServer, out: u32, cold: Allowance) -> Server {
         Server {
             listing: listing.clone(),
             out,
@@ -80,10 +80,10 @@
             rest: Micros(0),
             until: Micros(0),
             asides: 0,
-            record: Tally::default(),
+            record: OutcomeCounts::default(),
             unreached: false,
             ease: 1.0,
-            strain: 1.0,
+            slowdown: 1.0,
             heard: Micros(0),
             cold,
         }
@@ -91,7 +91,7 @@
 
     /// Its part of the work: the listed size, less where it has been slow.
     pub fn weight(&self) -> f64 {
-        self.listing.size.max(0.01) * self.ease
+        self.listing.weight.max(0.01) * self.ease
     }
 
     pub fn answer(&mut self, slow: bool) {
@@ -101,11 +101,11 @@
 
     /// Its strain by now: what it told counts for less the older it is.
     pub fn strained(&self, now: Micros) -> f64 {
-        1.0 + (self.strain - 1.0) / (1.0 + 0.1 * (now - self.heard).secs())
+        1.0 + (self.slowdown - 1.0) / (1.0 + 0.1 * (now - self.heard).secs())
     }
 
     pub fn usable(&self) -> bool {
-        self.listing.standing == Standing::Ready && self.trust == Trust::Fit
+        self.listing.status == ServerStatus::Ready && self.trust == Trust::Fit
     }
 }
 
@@ -115,49 +115,49 @@
     pub workloads: Vec<Workload>,
     pub shares: Vec<f64>, // API calls a second that each customer may send through this sidecar alone
     pub all_shares: f64,  // never 0
-    pub beyond_share: f64,
+    pub overage_payoff: f64,
     pub dearest: f64,
     pub lifted: f64,
-    pub most_hops: usize,
+    pub max_hops: usize,
     pub may_cancel: bool,
-    pub may_race: bool,
-    pub cool_down: Micros,
+    pub may_hedge: bool,
+    pub max_retry_after: Micros,
     pub ask_again: Micros, // half of the time within which the list must be asked for again
     pub my_part: f64,
     pub my_number: f64,
-    pub near: Option<PlaceId>,
-    pub tells_load: bool,
-    pub may_tell: bool,
-    pub warm_keys: bool,
-    pub cold_from: f64,
-    pub warm_within: Micros,
-    pub fall_span: Micros,
+    pub near: Option<ZoneId>,
+    pub load_reports: bool,
+    pub peer_messages: bool,
+    pub key_affinity: bool,
+    pub cold_capacity: f64,
+    pub warm_up_time: Micros,
+    pub collapse_window: Micros,
 }
 
 impl Figures {
-    pub fn new(terms: &Terms) -> Figures {
-        let sidecars = f64::from(terms.sidecars.max(1));
+    pub fn new(terms: &BalancerConfig) -> Figures {
+        let instances = f64::from(terms.instances.max(1));
         Figures {
             workloads: terms.workloads.clone(),
-            shares: terms.customers.iter().map(|rate| rate / sidecars).collect(),
-            all_shares: terms.customers.iter().sum::<f64>().max(0.001) / sidecars,
-            beyond_share: terms.beyond_share,
+            shares: terms.tenant_quotas.iter().map(|rate| rate / instances).collect(),
+            all_shares: terms.tenant_quotas.iter().sum::<f64>().max(0.001) / instances,
+            overage_payoff: terms.overage_payoff,
             dearest: terms.workloads.iter().map(|workload| workload.payoff).fold(0.0, f64::max),
-            lifted: terms.worst_workload,
-            most_hops: terms.most_hops as usize,
+            lifted: terms.worst_workload_weight,
+            max_hops: terms.max_hops as usize,
             may_cancel: terms.may_cancel,
-            may_race: terms.may_race,
-            cool_down: terms.cool_down,
-            ask_again: terms.ask_within.times(0.5),
-            my_part: 1.0 / sidecars,
-            my_number: f64::from(terms.number) % sidecars,
-            near: terms.near,
-            tells_load: terms.tells_load,
-            may_tell: terms.may_tell,
-            warm_keys: terms.warm_keys,
-            cold_from: terms.cold_from,
-            warm_within: terms.warm_within,
-            fall_span: terms.fall_span,
+            may_hedge: terms.may_hedge,
+            max_retry_after: terms.max_retry_after,
+            ask_again: terms.resubscribe_within.times(0.5),
+            my_part: 1.0 / instances,
+            my_number: f64::from(terms.instance_index) % instances,
+            near: terms.local_zone,
+            load_reports: terms.load_reports,
+            peer_messages: terms.peer_messages,
+            key_affinity: terms.key_affinity,
+            cold_capacity: terms.cold_capacity,
+            warm_up_time: terms.warm_up_time,
+            collapse_window: terms.collapse_window,
         }
     }
 }
@@ -165,10 +165,10 @@
 impl Figures {
     /// The part of its full capacity that a cold server has by now at the least; none once it is warm.
     pub fn cold_share(&self, server: &Server, now: Micros) -> Option<f64> {
-        let (started, from) = (server.listing.started, self.cold_from);
+        let (started, from) = (server.listing.started, self.cold_capacity);
         let age = now - started;
-        let cold = started.0 > 0 && age < self.warm_within;
-        cold.then(|| from + (1.0 - from) * age.secs() / self.warm_within.secs())
+        let cold = started.0 > 0 && age < self.warm_up_time;
+        cold.then(|| from + (1.0 - from) * age.secs() / self.warm_up_time.secs())
     }
 }
 
@@ -185,8 +185,8 @@
 impl Level {
     /// Takes one answer's time. The level is the long-run median: it follows lower ones a fifth of the way and rises
     /// by a thousandth at a time, so that a long crowd can't become what counts as uncrowded.
-    fn add(&mut self, waited: Micros, first: f64) {
-        self.long.add(waited);
+    fn add(&mut self, elapsed: Micros, first: f64) {
+        self.long.add(elapsed);
         if self.long.total >= 128.0 {
             let long = self.median();
             self.level = self.level.zip(long).map(|(old, long)| (0.8 * old + 0.2 * long).min(1.001 * old));
@@ -214,7 +214,7 @@
     /// Its hops in flight.
     pub held: u32,
     /// How many of late came within the threshold, or outlived it.
-    pub late: Tally,
+    pub late: OutcomeCounts,
 }
 
 /// Answers that make a level: over all workloads, and of one.
@@ -265,9 +265,9 @@
 
     /// How much longer a call takes at a server than at an idle one, by what it reports: the calls it holds for
     /// each that it works on.
-    pub fn strain(&mut self, report: &Report) -> Option<f64> {
-        let held = report.held?;
-        let at_work = match (report.waiting, report.busy) {
+    pub fn slowdown(&mut self, report: &LoadReport) -> Option<f64> {
+        let held = report.open_calls?;
+        let at_work = match (report.queued_calls, report.cpu_utilization) {
             (Some(waiting), _) => held - waiting,
             (None, Some(busy)) if busy < CORES_TO_BE_HAD => {
                 (self.idle_held, self.idle_busy) =
@@ -281,13 +281,13 @@
     }
 
     /// Takes one answer's time; tells the recent median and the uncrowded level, in microseconds.
-    pub fn measure(&mut self, waited: Micros, workload: WorkloadId) -> Option<(f64, f64)> {
-        self.recent.add(waited);
-        self.all.add(waited, FIRST);
+    pub fn measure(&mut self, elapsed: Micros, workload: WorkloadId) -> Option<(f64, f64)> {
+        self.recent.add(elapsed);
+        self.all.add(elapsed, FIRST);
         let own = &mut self.of(workload).level;
-        own.add(waited, FIRST_OF_ONE);
+        own.add(elapsed, FIRST_OF_ONE);
         if let Some(level) = own.level {
-            self.ratios.add(Micros((waited.0 as f64 / level.max(1.0) * AS_LONG) as u64));
+            self.ratios.add(Micros((elapsed.0 as f64 / level.max(1.0) * AS_LONG) as u64));
         }
         let median = self.recent.median()?.0 as f64;
         for bins in [&mut self.recent, &mut self.ratios] {
@@ -314,7 +314,7 @@
     }
 
     /// All calls of late, in time or not.
-    pub fn late(&self) -> Tally {
+    pub fn late(&self) -> OutcomeCounts {
         self.own.iter().map(|own| own.late).sum()
     }
 
@@ -322,7 +322,7 @@
     pub fn alone_late(&self, part: f64) -> Option<WorkloadId> {
         let all = self.late();
         let alone = |own: &Own| {
-            let others = Tally { good: all.good - own.late.good, bad: all.bad - own.late.bad };
+            let others = OutcomeCounts { good: all.good - own.late.good, bad: all.bad - own.late.bad };
             let known = own.late.bad >= 3.0 && others.good >= 3.0;
             known && own.late.rate() > part && others.rate() < 0.5 * part
         };
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,10 +1,10 @@
-//! Every decision of one sidecar: build a [`Sidecar`] from the place's [`Terms`] and a seed, hand each event
-//! to [`Sidecar::on`] with the present time, carry out the actions it appends, in order. It reads no clock.
+//! Every decision of one sidecar: build a [`Balancer`] from the place's [`BalancerConfig`] and a seed, hand each event
+//! to [`Balancer::on`] with the present time, carry out the actions it appends, in order. It reads no clock.
 //! `docs/design.md` says what is kept of the design and when each departure acts.
 use crate::fleet::{Class, Fleet};
 use crate::records::*;
 use crate::types::*;
-use crate::{Allowance, Chance, Pace, Slices, Sliding, Tally};
+use crate::{Allowance, OutcomeCounts, Pace, SeededRng, Slices, Sliding};
 use fnv::FnvHashMap;
 use std::collections::BTreeMap;
 use Effect::*;
@@ -91,11 +91,11 @@
 
 /// One instance of the decisions.
 #[derive(Default)]
-pub struct Sidecar {
+pub struct Balancer {
     now: Micros,
     figures: Figures,
-    chance: Chance,
-    lots: Chance, // for the pick alone, which draws as often as it must
+    chance: SeededRng,
+    lots: SeededRng, // for the pick alone, which draws as often as it must
     pub(crate) fleet: Fleet,
     dither: f64, // which way a part of a call is rounded, for this beat
     peak: f64,   // the most of our calls in flight of late
@@ -108,9 +108,9 @@
     crowd: Crowding,
     dragging: Option<WorkloadId>, // whose calls alone are late, wherever they are sent
     budget: f64,
-    beyond_first: Option<Sliding>, // where the place bounds the hops beyond calls' first
-    outcomes: Tally,
-    long_run: Tally,
+    retry_budget: Option<Sliding>, // where the place bounds the hops beyond calls' first
+    outcomes: OutcomeCounts,
+    long_run: OutcomeCounts,
     suppressed: bool,
     sends: Pace,
     warm_served: Pace,
@@ -124,27 +124,27 @@
 const COPY: u64 = 0;
 const PATIENT: u64 = 1;
 const OWN: u64 = 3;
-const POKED: Token = Token(OWN);
-const ASK: Token = Token(4 + OWN);
-const HEART: Token = Token(8 + OWN);
+const POKED: TimerToken = TimerToken(OWN);
+const ASK: TimerToken = TimerToken(4 + OWN);
+const HEART: TimerToken = TimerToken(8 + OWN);
 
-impl Sidecar {
-    pub fn new(terms: &Terms, seed: u64, now: Micros, out: &mut Vec<Action>) -> Sidecar {
+impl Balancer {
+    pub fn new(terms: &BalancerConfig, seed: u64, now: Micros, out: &mut Vec<Action>) -> Balancer {
         let figures = Figures::new(terms);
-        let mut sidecar = Sidecar {
+        let mut sidecar = Balancer {
             now,
-            chance: Chance::new(seed),
-            lots: Chance::new(!seed),
-            fleet: Fleet::new(terms.near),
+            chance: SeededRng::new(seed),
+            lots: SeededRng::new(!seed),
+            fleet: Fleet::new(terms.local_zone),
             purses: figures.shares.iter().map(|share| Allowance { left: 2.0 * share, seen: now }).collect(),
-            beyond_first: terms.beyond_first.map(Sliding::new),
+            retry_budget: terms.retry_budget.map(Sliding::new),
             figures,
             slices: Slices::new(WINDOW, QUANTILE, MINIMUM_SAMPLES),
             budget: 2.0,
-            subscribed: !terms.must_ask,
-            ..Sidecar::default()
+            subscribed: !terms.must_subscribe,
+            ..Balancer::default()
         };
-        out.push(Action::Wake { after: BEAT, token: HEART });
+        out.push(Action::SetTimer { after: BEAT, token: HEART });
         sidecar.ask(out);
         sidecar
     }
@@ -152,22 +152,22 @@
     pub fn on(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Listed { kind, entries } => self.listed(kind, entries, out),
-            Event::Arrived(arrival) => self.arrived(arrival, out),
-            Event::Streaming { call, hop } => {
+            Event::ListReceived { kind, entries } => self.listed(kind, entries, out),
+            Event::CallArrived(arrival) => self.arrived(arrival, out),
+            Event::AnswerStarted { call, hop } => {
                 // The answer has begun: that hop belongs to the client now.
                 self.calls.entry(call).and_modify(|call| call.state = Over);
                 self.drop_rest(call, Some(hop), out);
             }
-            Event::Ended(ending) => self.ended(ending, out),
-            Event::Withdrawn { call } => self.step(call, Left, out),
-            Event::Heard { server, strain } => self.heard(server, strain),
-            Event::Retuned(terms) => return self.retuned(terms),
-            Event::AnswerBy(by) => self.answer_by(by, out),
-            Event::Woke(POKED) => self.poked = false,
-            Event::Woke(ASK) => self.ask(out),
-            Event::Woke(HEART) => self.beat(out),
-            Event::Woke(Token(token)) => match (CallId((token >> 2) as u32), token & 3) {
+            Event::HopEnded(ending) => self.ended(ending, out),
+            Event::CallWithdrawn { call } => self.step(call, Left, out),
+            Event::PeerReported { server, slowdown } => self.heard(server, slowdown),
+            Event::ConfigChanged(terms) => return self.retuned(terms),
+            Event::ShutdownBegun(by) => self.answer_by(by, out),
+            Event::TimerFired(POKED) => self.poked = false,
+            Event::TimerFired(ASK) => self.ask(out),
+            Event::TimerFired(HEART) => self.beat(out),
+            Event::TimerFired(TimerToken(token)) => match (CallId((token >> 2) as u32), token & 3) {
                 (call, COPY) => self.outlived(call, out),
                 (call, PATIENT) => self.step(call, Hopeless, out),
                 _ => {}
@@ -201,12 +201,12 @@
     }
 
     fn remind(call: CallId, what: u64, after: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Wake { after, token: Token(u64::from(call.0) << 2 | what) });
+        out.push(Action::SetTimer { after, token: TimerToken(u64::from(call.0) << 2 | what) });
     }
 
-    fn retuned(&mut self, terms: &Terms) {
+    fn retuned(&mut self, terms: &BalancerConfig) {
         self.figures = Figures::new(terms);
-        self.beyond_first = Sliding::retuned(self.beyond_first.take(), terms.beyond_first, self.now);
+        self.retry_budget = Sliding::retuned(self.retry_budget.take(), terms.retry_budget, self.now);
     }
 
     /// This instance ends soon. Guards against an end that finds a call sent on, or waiting, for longer.
@@ -220,37 +220,44 @@
     // ---- API calls ----
 
     fn arrived(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
-        let Arrival { call: id, workload: WorkloadId(workload), left, customer, repeat, key } = arrival;
-        let lifted = self.chance.draw() < self.figures.lifted;
+        let Arrival {
+            call: id,
+            workload: WorkloadId(workload),
+            time_left,
+            tenant,
+            client_retry,
+            affinity_key,
+        } = arrival;
+        let lifted = self.chance.uniform() < self.figures.lifted;
         let terms = &self.figures.workloads[workload];
         // Guards against starving the cheapest workload: a part of each is ranked with the dearest.
         let mut worth = if lifted { self.figures.dearest } else { terms.payoff };
         // Streams are uneven: with more than the even part of the usual traffic goes as much more of a share.
         let part = (SHARE_ROOM * self.sends.a_second / self.figures.all_shares).max(1.0);
-        let share = self.figures.shares.get(customer.0).map_or(f64::INFINITY, |share| share * part);
-        let purse = self.purses.get_mut(customer.0);
+        let share = self.figures.shares.get(tenant.0).map_or(f64::INFINITY, |share| share * part);
+        let purse = self.purses.get_mut(tenant.0);
         if purse.is_some_and(|purse| !purse.take(share, 2.0 * share.max(1.0), self.now)) {
-            worth *= self.figures.beyond_share;
+            worth *= self.figures.overage_payoff;
         }
         let drags = self.dragging == Some(WorkloadId(workload));
-        worth *= if repeat || drags { REPEAT_WORTH } else { 1.0 };
+        worth *= if client_retry || drags { REPEAT_WORTH } else { 1.0 };
         let worth = (worth * 1000.0) as u32; // in thousandths, as the queue orders it
         self.arrivals += 1;
-        self.beyond_first.iter_mut().for_each(|hops| hops.take(self.now));
-        let (hope, usual) = (terms.quoted.min(left), self.crowd.usual(WorkloadId(workload)));
+        self.retry_budget.iter_mut().for_each(|hops| hops.take(self.now));
+        let (hope, usual) = (terms.quoted_time.min(time_left), self.crowd.usual(WorkloadId(workload)));
         let call = Call {
             workload,
             state: Fresh,
             turn: (u32::MAX - worth, self.arrivals),
-            key: key.filter(|_| self.figures.warm_keys),
-            abandon: self.now + left,
+            key: affinity_key.filter(|_| self.figures.key_affinity),
+            abandon: self.now + time_left,
             patience: self.now + hope.times(PATIENCE).min(hope - usual.times(2.0)),
-            most_hops: self.figures.most_hops,
+            max_hops: self.figures.max_hops,
             hops: Vec::new(),
         };
         // A small sidecar's calls are too few for a queue: of a told crowd it turns away its part, by worth.
-        let told = self.figures.tells_load;
-        let thinned = told && self.crowd.rank(worth, self.chance.draw()) < self.crowd.thinned;
+        let told = self.figures.load_reports;
+        let thinned = told && self.crowd.rank(worth, self.chance.uniform()) < self.crowd.thinned;
         self.calls.insert(id, call);
         let room = self.queue.is_empty() && self.has_width() && self.pick(id).is_some();
         let input = if room { Room } else { Crowd };
@@ -299,16 +306,16 @@
         let now = self.now;
         let target = self.fleet.get(server)?;
         let cold = self.figures.cold_share(target, now).map(|share| self.cold_left(target, share) - 1.0);
-        let (place, cell, trust) = (target.listing.place, target.listing.cell, target.trust);
+        let (zone, cell, trust) = (target.listing.zone, target.listing.cell, target.trust);
         let call = self.calls.get_mut(&id)?;
-        let give_up = call.abandon - now;
+        let timeout = call.abandon - now;
         let extra = !call.hops.is_empty();
         if extra {
-            self.beyond_first.iter_mut().for_each(|hops| hops.spend(now));
+            self.retry_budget.iter_mut().for_each(|hops| hops.spend(now));
         }
         self.budget = if extra { self.budget - 1.0 } else { (self.budget + BUDGET_SHARE).min(BUDGET_DEPTH) };
-        call.hops.push(Hop { server, place, cell, sent: now, ended: None, outlived: false, copy });
-        out.push(Action::Send { call: id, server, give_up });
+        call.hops.push(Hop { server, zone, cell, sent: now, ended: None, outlived: false, copy });
+        out.push(Action::Send { call: id, server, timeout });
         self.out += 1;
         self.crowd.of(WorkloadId(call.workload)).held += 1;
         self.peak = self.peak.max(f64::from(self.out));
@@ -324,8 +331,8 @@
             self.sign(server, Sign::Due, "its time aside is over".into(), out);
         }
         if !copy {
-            let threshold = self.slices.quantile(now).unwrap_or(give_up);
-            Self::remind(id, COPY, threshold.min(give_up), out);
+            let threshold = self.slices.quantile(now).unwrap_or(timeout);
+            Self::remind(id, COPY, threshold.min(timeout), out);
         }
         None
     }
@@ -333,7 +340,7 @@
     /// Rule five: a hop beyond the first fits the place's bound. The less a call is worth the sooner it
     /// stops, and no short while takes all: guards against a first moment of trouble that leaves nothing.
     fn may_add(&mut self, id: CallId) -> bool {
-        let (Some(hops), Some(call)) = (&mut self.beyond_first, self.calls.get(&id)) else { return true };
+        let (Some(hops), Some(call)) = (&mut self.retry_budget, self.calls.get(&id)) else { return true };
         if call.hops.is_empty() {
             return true;
         }
@@ -377,20 +384,21 @@
         }
         if !self.queue.is_empty() && !self.poked {
             self.poked = true;
-            out.push(Action::Wake { after: POKE, token: POKED });
+            out.push(Action::SetTimer { after: POKE, token: POKED });
         }
     }
 
     fn turn_away(&mut self, id: CallId, out: &mut Vec<Action>) -> Option<Input> {
         let call = &self.calls[&id];
-        let harmless = match self.figures.workloads[call.workload].kind {
-            Kind::Repeatable | Kind::Tagged { group: Group::All, .. } => true,
+        let harmless = match self.figures.workloads[call.workload].idempotency {
+            Idempotency::Idempotent | Idempotency::ByKey { scope: DedupScope::All, .. } => true,
             _ => !call.hops.iter().any(Hop::may_have_run),
         };
         if harmless {
-            let soon = self.figures.workloads[call.workload].quoted.times(0.05 + 0.1 * self.chance.draw());
-            let cool_down = soon.min(self.figures.cool_down);
-            out.push(Action::Dismiss { call: id, cool_down });
+            let soon =
+                self.figures.workloads[call.workload].quoted_time.times(0.05 + 0.1 * self.chance.uniform());
+            let retry_after = soon.min(self.figures.max_retry_after);
+            out.push(Action::Refuse { call: id, retry_after });
         } else {
             out.push(Action::Fail { call: id });
         }
@@ -433,7 +441,7 @@
         // stale then, but the crowding measure is not. A hop at a server set aside is rescued all the same.
         let stuck = self.fleet.get(server).is_some_and(|server| server.trust != Trust::Fit);
         let calm = !self.crowd.crowded && self.queue.is_empty() && self.has_width();
-        let may = self.figures.may_race && (calm || stuck) && !self.suppressed;
+        let may = self.figures.may_hedge && (calm || stuck) && !self.suppressed;
         let may = may && self.dragging != Some(workload);
         if may && self.budget >= 1.0 && self.may_add(id) && self.pick(id).is_some() {
             self.step(id, Outlived, out);
@@ -442,12 +450,12 @@
         }
     }
 
-    fn ended(&mut self, ending: Ending, out: &mut Vec<Action>) {
-        let Ending { call: id, hop: HopNo(no), outcome, closed, .. } = ending;
+    fn ended(&mut self, ending: HopResult, out: &mut Vec<Action>) {
+        let HopResult { call: id, hop: HopNo(no), outcome, call_over, .. } = ending;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let many = self.figures.workloads[call.workload].kind != Kind::OnceOnly;
+        let many = self.figures.workloads[call.workload].idempotency != Idempotency::NonIdempotent;
         let workload = WorkloadId(call.workload);
-        let (state, abandon, more) = (call.state, call.abandon, call.hops.len() < call.most_hops);
+        let (state, abandon, more) = (call.state, call.abandon, call.hops.len() < call.max_hops);
         let Some(hop) = call.hops.get_mut(no as usize).filter(|hop| hop.open()) else { return };
         hop.ended = Some(outcome);
         let (server, outlived) = (hop.server, hop.outlived);
@@ -455,7 +463,7 @@
         self.out -= 1;
         self.crowd.of(workload).held -= 1;
         self.fleet.change(server, |known| known.out -= 1);
-        let left = |known: &Server| known.out == 0 && known.listing.standing == Standing::Gone;
+        let left = |known: &Server| known.out == 0 && known.listing.status == ServerStatus::Gone;
         if self.fleet.get(server).is_some_and(left) {
             self.fleet.remove(server);
         }
@@ -468,7 +476,7 @@
         }
         let input = match outcome {
             Outcome::Succeeded => Answered,
-            _ if closed => Left,
+            _ if call_over => Left,
             _ if open => LostOne,
             _ if more && (many || outcome.proves_not_run()) && self.now < abandon => LostAgain,
             _ => LostAll,
@@ -480,24 +488,24 @@
 
     /// Rules two and three: is the server ready, new to this call, and one where a repeat does no harm?
     fn open_to(&self, call: &Call, server: &Server) -> bool {
-        let Listing { server: id, place, cell, standing, .. } = server.listing;
-        let kind = self.figures.workloads[call.workload].kind;
-        let harmless = |hop: &Hop| match kind {
+        let ListedServer { server: id, zone, cell, status, .. } = server.listing;
+        let idempotency = self.figures.workloads[call.workload].idempotency;
+        let harmless = |hop: &Hop| match idempotency {
             _ if !hop.may_have_run() => true,
-            Kind::Repeatable => true,
-            Kind::OnceOnly => false,
-            Kind::Tagged { memory, .. } if self.now >= hop.sent + memory => false,
-            Kind::Tagged { group: Group::All, .. } => true,
-            Kind::Tagged { group: Group::Place, .. } => hop.place == place,
-            Kind::Tagged { group: Group::Cell, .. } => hop.cell == cell,
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::ByKey { window, .. } if self.now >= hop.sent + window => false,
+            Idempotency::ByKey { scope: DedupScope::All, .. } => true,
+            Idempotency::ByKey { scope: DedupScope::Zone, .. } => hop.zone == zone,
+            Idempotency::ByKey { scope: DedupScope::Cell, .. } => hop.cell == cell,
         };
-        standing == Standing::Ready && call.hops.iter().all(|hop| hop.server != id && harmless(hop))
+        status == ServerStatus::Ready && call.hops.iter().all(|hop| hop.server != id && harmless(hop))
     }
 
     /// The one cell in which a tagged call may go out again.
     fn bound_to(&self, call: &Call) -> Option<CellId> {
-        let kind = self.figures.workloads[call.workload].kind;
-        let bound = matches!(kind, Kind::Tagged { group: Group::Cell, .. });
+        let idempotency = self.figures.workloads[call.workload].idempotency;
+        let bound = matches!(idempotency, Idempotency::ByKey { scope: DedupScope::Cell, .. });
         call.hops.iter().find(|hop| bound && hop.may_have_run()).map(|hop| hop.cell)
     }
 
@@ -508,12 +516,12 @@
             self.settle(rested);
         }
         let call = self.calls.get(&id)?;
-        if call.hops.len() >= call.most_hops || self.now >= call.abandon {
+        if call.hops.len() >= call.max_hops || self.now >= call.abandon {
             return None;
         }
         let (per_unit, mean, cell) = (self.per_unit(), self.fleet.mean_out(), self.bound_to(call));
         let load = |server: &Server| f64::from(server.out) + if server.answered { 0.0 } else { mean };
-        let away = |server: &Server| self.figures.near.is_some_and(|near| near != server.listing.place);
+        let away = |server: &Server| self.figures.near.is_some_and(|near| near != server.listing.zone);
         let burden = |server: &Server| {
             let heavier = server.strained(self.now) * if away(server) { CROSSING } else { 1.0 };
             (load(server) + 1.0) * heavier / server.weight()
@@ -527,7 +535,7 @@
             let one = draw(classes)?;
             Some(lighter(one, if two { draw(classes)? } else { one }, &burden))
         };
-        let told = self.figures.tells_load;
+        let told = self.figures.load_reports;
         let found = home.or_else(|| of(near, told)).or_else(|| of(far, told)).or_else(|| of(busy, true));
         debug_assert!({
             let rank = |server: &Server| if load(server) < 0.5 { u8::from(away(server)) } else { 2 };
@@ -542,7 +550,7 @@
     /// Where servers are quicker with a key they met lately: the lighter of two of the first few in an order
     /// that is the same for all. Guards against a key too dear for those: one far lighter helps.
     fn home<'a>(
-        &'a self, key: u64, lots: &mut Chance, fits: &impl Fn(&Server) -> bool,
+        &'a self, key: u64, lots: &mut SeededRng, fits: &impl Fn(&Server) -> bool,
         burden: &impl Fn(&Server) -> f64,
     ) -> Option<&'a Server> {
         let most = (self.fleet.ready() / A_HOME_IN).max(1);
@@ -563,7 +571,7 @@
         let due = |share| {
             let lack = 1.0 - self.cold_left(server, share);
             let wait = if lack > 0.0 { lack / self.cold_pace(share).0 } else { 0.0 };
-            (self.now + Micros((wait * 1e6) as u64)).min(server.listing.started + self.figures.warm_within)
+            (self.now + Micros((wait * 1e6) as u64)).min(server.listing.started + self.figures.warm_up_time)
         };
         let cold = self.figures.cold_share(server, self.now).map_or(Micros(0), |share| {
             let late = due(share).max(self.now);
@@ -592,7 +600,7 @@
     fn draw_circle(&mut self, changed: Option<&[ServerId]>) {
         let (all, part, figures, now) = (self.fleet.ready(), self.figures.my_part, &self.figures, self.now);
         let wanted = (0.8 * self.peak).max(CIRCLE_LEAST).max(CIRCLES_A_SERVER * all as f64 * part);
-        let wanted = if figures.warm_keys { all as f64 } else { wanted };
+        let wanted = if figures.key_affinity { all as f64 } else { wanted };
         let start = figures.near.map_or(all as f64 * part * figures.my_number, |_| 0.0) as usize;
         let room = |server: &Server| match server.trust {
             Trust::Fit => figures.cold_share(server, now).unwrap_or(1.0),
@@ -619,7 +627,7 @@
     /// Rule four: a cold server gets its part of what a warm one serves us; without that a few calls in the
     /// span in which it could fall, all sidecars together. Returns the rate and the burst.
     fn cold_pace(&self, share: f64) -> (f64, f64) {
-        let span = self.figures.fall_span.secs();
+        let span = self.figures.collapse_window.secs();
         let rate = (self.warm_served.a_second * share).max(4.0 * self.figures.my_part / span);
         (rate, rate * span * 0.5)
     }
@@ -637,38 +645,39 @@
     }
 
     fn evidence(
-        &mut self, id: ServerId, workload: WorkloadId, ending: &Ending, outlived: bool, out: &mut Vec<Action>,
+        &mut self, id: ServerId, workload: WorkloadId, ending: &HopResult, outlived: bool,
+        out: &mut Vec<Action>,
     ) {
-        let Ending { outcome, waited, .. } = *ending;
+        let HopResult { outcome, elapsed, .. } = *ending;
         let good = outcome == Outcome::Succeeded;
         self.outcomes.add(good);
         self.long_run.add(good);
         // A server slower than the level for most of our calls holds fewer of them: it would tip first.
-        let slow = waited.0 as f64 > CROWDED * self.crowd.all.level.unwrap_or(f64::INFINITY);
+        let slow = elapsed.0 as f64 > CROWDED * self.crowd.all.level.unwrap_or(f64::INFINITY);
         let full = Some(STRAIN_FULL).filter(|_| outcome == Outcome::Full);
-        let strain = full.or_else(|| ending.report.and_then(|report| self.crowd.strain(&report)));
-        let strain = strain.filter(|_| self.figures.tells_load);
-        if let Some((strain, known)) = strain.zip(self.fleet.get(id).map(|server| server.strain)) {
-            let news = self.figures.may_tell && (strain / known).log2().abs() >= NEWS;
-            out.extend(news.then_some(Action::Tell { server: id, strain }));
-            self.heard(id, strain);
+        let slowdown = full.or_else(|| ending.load.and_then(|report| self.crowd.slowdown(&report)));
+        let slowdown = slowdown.filter(|_| self.figures.load_reports);
+        if let Some((slowdown, known)) = slowdown.zip(self.fleet.get(id).map(|server| server.slowdown)) {
+            let news = self.figures.peer_messages && (slowdown / known).log2().abs() >= NEWS;
+            out.extend(news.then_some(Action::TellPeers { server: id, slowdown }));
+            self.heard(id, slowdown);
         }
         let warm = self.fleet.change(id, |server| {
-            server.unreached = outcome.proves_not_run() && strain.is_none(); // full by its load is not ill
+            server.unreached = outcome.proves_not_run() && slowdown.is_none(); // full by its load is not ill
             if good {
                 server.answer(slow);
             }
             self.figures.cold_share(server, self.now).is_none()
         });
-        let more = strain.map_or(0.0, |strain| THINS * (strain.min(STRAIN_FULL) / STRAINED).ln());
+        let more = slowdown.map_or(0.0, |slowdown| THINS * (slowdown.min(STRAIN_FULL) / STRAINED).ln());
         self.crowd.thinned = (self.crowd.thinned + more).clamp(0.0, 0.9);
         self.warm_served.seen += f64::from(u8::from(good && warm == Some(true)));
         if good && !outlived {
             self.crowd.of(workload).late.add(true);
         }
         if good && self.dragging != Some(workload) {
-            self.slices.add(self.now, waited);
-            self.weigh_width(waited, workload, out);
+            self.slices.add(self.now, elapsed);
+            self.weigh_width(elapsed, workload, out);
         }
         if !(good && outlived) {
             self.judge(id, good, out);
@@ -676,8 +685,8 @@
         self.gate(out);
     }
 
-    fn heard(&mut self, id: ServerId, strain: f64) {
-        self.fleet.change(id, |server| (server.strain, server.heard) = (strain.max(1.0), self.now));
+    fn heard(&mut self, id: ServerId, slowdown: f64) {
+        self.fleet.change(id, |server| (server.slowdown, server.heard) = (slowdown.max(1.0), self.now));
     }
 
     /// Copies pause while errors run past SuppressAt times the trip rate.
@@ -695,16 +704,16 @@
 
     /// Our own calls in flight are bounded by what latency shows: past a multiple of its uncrowded level,
     /// more only wait in servers, and tip them into the slow state. Never under what our usual rate needs.
-    fn weigh_width(&mut self, waited: Micros, workload: WorkloadId, out: &mut Vec<Action>) {
+    fn weigh_width(&mut self, elapsed: Micros, workload: WorkloadId, out: &mut Vec<Action>) {
         let (usable, left) = (self.fleet.usable(), self.left_of_fleet());
         let crowd = &mut self.crowd;
-        let Some((median, level)) = crowd.measure(waited, workload) else { return };
+        let Some((median, level)) = crowd.measure(elapsed, workload) else { return };
         let strained = crowd.strained();
         let shown = strained > if crowd.crowded { EASED } else { CROWDED };
-        let crowded = if self.figures.tells_load { crowd.thinned > 0.0 } else { shown };
+        let crowded = if self.figures.load_reports { crowd.thinned > 0.0 } else { shown };
         // Little's law asks for the mean, and its scatter besides: guards against turning away, in calm, what
         // a few long calls leave no room for. Told load acts on what is offered, and the width stands wider.
-        let (told, quick) = (self.figures.tells_load, (self.sends.a_second / SHOWS_CROWD).min(1.0));
+        let (told, quick) = (self.figures.load_reports, (self.sends.a_second / SHOWS_CROWD).min(1.0));
         let skew = if told { 1.0 } else { crowd.all.long.skew().clamp(1.0, 4.0) };
         let needed = self.sends.a_second * level / 1e6 * left * skew;
         let usual = if told { 1.0 + 2.4 * needed + 3.0 * needed.sqrt() } else { needed };
@@ -767,7 +776,7 @@
                 server.until = now + ASIDE.times(f64::from(1 << doubled));
                 server.asides += 1;
             } else if trust == Trust::Fit {
-                (server.record, server.asides) = (Tally { good: 1.0, bad: 0.0 }, 0);
+                (server.record, server.asides) = (OutcomeCounts { good: 1.0, bad: 0.0 }, 0);
             }
             Some(trust)
         };
@@ -787,21 +796,21 @@
         }
     }
 
-    fn listed(&mut self, kind: ListKind, entries: &[Listing], out: &mut Vec<Action>) {
+    fn listed(&mut self, kind: ListKind, entries: &[ListedServer], out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             (self.subscribed, self.failed_asks) = (false, self.failed_asks + 1);
             let longest = Micros::millis(250 << self.failed_asks.min(6)).min(self.figures.ask_again);
-            let after = longest.times(0.5 + 0.5 * self.chance.draw());
+            let after = longest.times(0.5 + 0.5 * self.chance.uniform());
             self.ask_at = self.now + after;
             let text = || Action::log(format!("list failed, asking again in {:.2} s", after.secs()));
             out.extend((self.failed_asks == 1).then(text));
-            return out.push(Action::Wake { after, token: ASK });
+            return out.push(Action::SetTimer { after, token: ASK });
         }
         if kind != ListKind::Cached {
             (self.subscribed, self.failed_asks) = (true, 0);
         }
         // Spreads the first sends of many sidecars, so that they don't meet a cold server at once.
-        let cold = || Allowance { left: 1.0 - self.chance.draw(), seen: self.now };
+        let cold = || Allowance { left: 1.0 - self.chance.uniform(), seen: self.now };
         let whole = kind != ListKind::Changes;
         self.fleet.list(whole, entries, |listing| turn(&self.figures, listing), cold);
         let changed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
@@ -817,7 +826,7 @@
     fn beat(&mut self, out: &mut Vec<Action>) {
         self.peak *= 0.98;
         let to_two_servers = 0.5 / self.figures.my_part / self.fleet.usable().max(1.0);
-        self.dither = 0.999 - self.chance.draw() * to_two_servers.min(1.0);
+        self.dither = 0.999 - self.chance.uniform() * to_two_servers.min(1.0);
         self.draw_circle(None);
         let warm = |server: &&Server| server.usable() && self.figures.cold_share(server, self.now).is_none();
         let warm = self.fleet.around().filter(warm).count() as f64;
@@ -841,15 +850,15 @@
         }
         self.gate(out);
         self.ask(out);
-        out.push(Action::Wake { after: BEAT, token: HEART });
+        out.push(Action::SetTimer { after: BEAT, token: HEART });
     }
 }
 
 /// Where a server stands on our ring. Where crossing is priced the order is our own, by lot, and a server of
 /// another place comes before one of ours only now and then.
-fn turn(figures: &Figures, listing: &Listing) -> (u64, u64) {
+fn turn(figures: &Figures, listing: &ListedServer) -> (u64, u64) {
     let Some(near) = figures.near else { return listing.turn() };
-    listing.turn_by_lot(figures.my_number as u64, if listing.place == near { 1.0 } else { FAR })
+    listing.turn_by_lot(figures.my_number as u64, if listing.zone == near { 1.0 } else { FAR })
 }
 
 fn lighter<'a>(one: &'a Server, other: &'a Server, burden: &impl Fn(&Server) -> f64) -> &'a Server {
--- a/src/types.rs
+++ b/src/types.rs
@@ -50,87 +50,87 @@
     /// A server, by whatever numbering the host keeps for this instance.
     ServerId(u32);
     /// A place (zone, site, data centre).
-    PlaceId(u32);
+    ZoneId(u32);
     /// A small set of servers that share what they remember of tagged API calls.
     CellId(u32);
-    /// A workload, by its position in [`Terms::workloads`].
+    /// A workload, by its position in [`BalancerConfig::workloads`].
     WorkloadId(usize);
-    /// A customer, by its position in [`Terms::customers`].
-    CustomerId(usize);
+    /// A customer, by its position in [`BalancerConfig::tenant_quotas`].
+    TenantId(usize);
     /// A timer; given back unchanged.
-    Token(u64);
+    TimerToken(u64);
 }
 
 /// Which servers drop a repeat of a tagged API call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Group {
+pub enum DedupScope {
     All,
-    Place,
+    Zone,
     Cell,
 }
 
 /// What a repeat of an API call may do.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
-    Repeatable,
-    Tagged { group: Group, memory: Micros },
-    OnceOnly,
+pub enum Idempotency {
+    Idempotent,
+    ByKey { scope: DedupScope, window: Micros },
+    NonIdempotent,
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub struct Workload {
-    pub kind: Kind,
-    pub quoted: Micros,
+    pub idempotency: Idempotency,
+    pub quoted_time: Micros,
     pub payoff: f64,
 }
 
 /// In any window of this length, hops beyond calls' first are at most `few` and `share` of the calls taken in it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct BeyondFirst {
-    pub few: f64,
-    pub share: f64,
+pub struct RetryBudget {
+    pub base: f64,
+    pub ratio: f64,
     pub window: Micros,
 }
 
 /// What the place lays down for one instance at its start.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct BalancerConfig {
     /// Sidecars in this tier, this one included.
-    pub sidecars: u32,
+    pub instances: u32,
     /// Which of them this one is, from 0 up.
-    pub number: u32,
+    pub instance_index: u32,
     /// Our own place, where leaving it has a price.
-    pub near: Option<PlaceId>,
+    pub local_zone: Option<ZoneId>,
     pub workloads: Vec<Workload>,
     /// API calls a second within each customer's share, over all sidecars.
-    pub customers: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     /// What an API call beyond its customer's share is worth, as a part of its payoff.
-    pub beyond_share: f64,
+    pub overage_payoff: f64,
     /// How much of the result hangs on the worst-served workload.
-    pub worst_workload: f64,
-    pub most_hops: u32,
+    pub worst_workload_weight: f64,
+    pub max_hops: u32,
     /// The bound on hops beyond each call's first, where there is one.
-    pub beyond_first: Option<BeyondFirst>,
+    pub retry_budget: Option<RetryBudget>,
     pub may_cancel: bool,
-    pub may_race: bool,
+    pub may_hedge: bool,
     /// The longest cool-down that clients are told of; zero where none is passed on.
-    pub cool_down: Micros,
+    pub max_retry_after: Micros,
     /// Whether servers report their load with every answer.
-    pub tells_load: bool,
+    pub load_reports: bool,
     /// Whether sidecars may tell each other what they learn.
-    pub may_tell: bool,
+    pub peer_messages: bool,
     /// Whether a server does less work for a key that it met lately.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Whether changes of the list must be asked for.
-    pub must_ask: bool,
-    pub ask_within: Micros,
-    pub cold_from: f64,
-    pub warm_within: Micros,
-    pub fall_span: Micros,
+    pub must_subscribe: bool,
+    pub resubscribe_within: Micros,
+    pub cold_capacity: f64,
+    pub warm_up_time: Micros,
+    pub collapse_window: Micros,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
+pub enum ServerStatus {
     Ready,
     Draining,
     Gone,
@@ -138,28 +138,28 @@
 
 /// One line of the list of servers.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct ListedServer {
     pub server: ServerId,
-    pub place: PlaceId,
+    pub zone: ZoneId,
     pub cell: CellId,
-    pub standing: Standing,
-    pub size: f64,
+    pub status: ServerStatus,
+    pub weight: f64,
     /// A number without meaning that every sidecar has for this server alike.
-    pub mark: u64,
+    pub name_hash: u64,
     /// When it last started; zero for long ago.
     pub started: Micros,
 }
 
-impl Listing {
+impl ListedServer {
     /// Where it stands in the order that all sidecars share: cells spread evenly however many there are.
     pub fn turn(&self) -> (u64, u64) {
-        (Self::cell_turn(self.cell), self.mark)
+        (Self::cell_turn(self.cell), self.name_hash)
     }
 
     /// Where it stands in an order of one's own, by lot: twice the weight, twice as often before another.
     pub fn turn_by_lot(&self, own: u64, weight: f64) -> (u64, u64) {
-        let even = (scatter(self.mark ^ scatter(own + 1)) >> 11) as f64 / (1u64 << 53) as f64;
-        ((-even.max(1e-12).ln() / weight * 1e12) as u64, self.mark)
+        let even = (scatter(self.name_hash ^ scatter(own + 1)) >> 11) as f64 / (1u64 << 53) as f64;
+        ((-even.max(1e-12).ln() / weight * 1e12) as u64, self.name_hash)
     }
 
     /// Where a cell stands in that order.
@@ -206,85 +206,85 @@
     pub call: CallId,
     pub workload: WorkloadId,
     /// Until the client abandons this try.
-    pub left: Micros,
-    pub customer: CustomerId,
+    pub time_left: Micros,
+    pub tenant: TenantId,
     /// The client has tried before and marked this try so.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// What it is about, where that is told: the same number at every sidecar.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
 }
 
 /// What a server tells of its load with an answer: late, and a little noisy.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
-pub struct Report {
+pub struct LoadReport {
     /// API calls that it holds, those that wait included.
-    pub held: Option<f64>,
+    pub open_calls: Option<f64>,
     /// API calls that wait.
-    pub waiting: Option<f64>,
+    pub queued_calls: Option<f64>,
     /// How busy its cores are, 1 at most.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
 }
 
-impl Report {
+impl LoadReport {
     /// Past this a figure is a fault and not a load.
     const MOST: f64 = 1e6;
 
     /// A figure that means something, if it is one.
-    pub fn sound(figure: f64) -> Option<f64> {
+    pub fn plausible(figure: f64) -> Option<f64> {
         (0.0..=Self::MOST).contains(&figure).then_some(figure)
     }
 }
 
 /// How a hop ended, and whether its API call is over by that or by something earlier.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct HopResult {
     pub call: CallId,
     pub hop: HopNo,
     pub outcome: Outcome,
     /// From the send until now.
-    pub waited: Micros,
-    pub closed: bool,
-    pub report: Option<Report>,
+    pub elapsed: Micros,
+    pub call_over: bool,
+    pub load: Option<LoadReport>,
 }
 
 /// `Heard` is what another sidecar found of a server's strain.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    Listed {
+    ListReceived {
         kind: ListKind,
-        entries: &'a [Listing],
+        entries: &'a [ListedServer],
     },
-    Arrived(Arrival),
-    Streaming {
+    CallArrived(Arrival),
+    AnswerStarted {
         call: CallId,
         hop: HopNo,
     },
-    Ended(Ending),
-    Withdrawn {
+    HopEnded(HopResult),
+    CallWithdrawn {
         call: CallId,
     },
-    Woke(Token),
-    Heard {
+    TimerFired(TimerToken),
+    PeerReported {
         server: ServerId,
-        strain: f64,
+        slowdown: f64,
     },
     /// This instance ends soon: whatever is open is answered by then.
-    AnswerBy(Micros),
+    ShutdownBegun(Micros),
     /// The place lays down something else from now on; workloads keep their numbers. A whole list must follow, by which
     /// servers are measured anew.
-    Retuned(&'a Terms),
+    ConfigChanged(&'a BalancerConfig),
 }
 
 /// `Tell` is for all other sidecars, where they may tell each other; it may be lost.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    Send { call: CallId, server: ServerId, give_up: Micros },
+    Send { call: CallId, server: ServerId, timeout: Micros },
     Cancel { call: CallId, hop: HopNo },
-    Dismiss { call: CallId, cool_down: Micros },
+    Refuse { call: CallId, retry_after: Micros },
     Fail { call: CallId },
-    Wake { after: Micros, token: Token },
+    SetTimer { after: Micros, token: TimerToken },
     Subscribe,
-    Tell { server: ServerId, strain: f64 },
+    TellPeers { server: ServerId, slowdown: f64 },
     Log { text: String, server: Option<ServerId> },
 }
 
--- a/terms/src/agreed.rs
+++ b/terms/src/agreed.rs
@@ -17,7 +17,7 @@
 /// let (_, second) = Own::part(&of(0, 2)).unwrap();
 /// assert_eq!(first, Own::part(&of(0, 3)).unwrap().1);
 /// let place = own.place(&[first.text.as_str(), &second.text]).unwrap();
-/// assert_eq!((place.terms.number, place.terms.most_hops), (1, 2));
+/// assert_eq!((place.terms.instance_index, place.terms.max_hops), (1, 2));
 /// ```
 #[derive(Clone, Default, Debug)]
 pub struct Own(Map<String, Value>);
--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -81,19 +81,19 @@
     }
 
     /// What the module is told of it, under the number that the host has given the server.
-    pub fn listing(&self, server: ServerId, zones: &[String]) -> Listing {
+    pub fn listing(&self, server: ServerId, zones: &[String]) -> ListedServer {
         let place = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
-        Listing {
+        ListedServer {
             server,
-            place: PlaceId(place as u32),
+            zone: ZoneId(place as u32),
             cell: CellId(self.group),
-            standing: match self.status {
-                Status::Active => Standing::Ready,
-                Status::Leaving => Standing::Draining,
-                Status::Left => Standing::Gone,
+            status: match self.status {
+                Status::Active => ServerStatus::Ready,
+                Status::Leaving => ServerStatus::Draining,
+                Status::Left => ServerStatus::Gone,
             },
-            size: self.weight,
-            mark: mark(&self.name),
+            weight: self.weight,
+            name_hash: mark(&self.name),
             started: self.started(),
         }
     }
--- a/terms/src/marks.rs
+++ b/terms/src/marks.rs
@@ -1,8 +1,8 @@
 //! Which servers are out by hand, and what of a sidecar outlives its process: a file, or a line to its successor.
 use crate::{read, to_json, List};
-use oakhollow::learnt::Judged;
+use oakhollow::server_health::ServerHealth;
 use oakhollow::types::Micros;
-use oakhollow::Tally;
+use oakhollow::OutcomeCounts;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 }
 
 /// What one instance of the decisions has learnt of each server, by name.
-pub type Taught = Vec<(String, Judged)>;
+pub type Taught = Vec<(String, ServerHealth)>;
 
 /// What a successor is told beside the marks.
 #[derive(Clone, Default, Debug)]
@@ -74,25 +74,29 @@
 }
 
 impl ServerFigures {
-    fn of((name, judged): &(String, Judged)) -> ServerFigures {
+    fn of((name, judged): &(String, ServerHealth)) -> ServerFigures {
         ServerFigures {
             name: name.clone(),
-            ease: judged.ease,
-            good: judged.record.good,
-            bad: judged.record.bad,
-            answered: judged.answered,
-            asides: judged.asides,
-            aside_us: judged.aside.map(|until| until.0),
+            ease: judged.weight_factor,
+            good: judged.outcomes.good,
+            bad: judged.outcomes.bad,
+            answered: judged.has_answered,
+            asides: judged.ejections,
+            aside_us: judged.ejected_until.map(|until| until.0),
         }
     }
 
     /// None where a figure means nothing.
-    fn read(self) -> Option<(String, Judged)> {
+    fn read(self) -> Option<(String, ServerHealth)> {
         let count = |figure: f64| (0.0..1e9).contains(&figure);
         let sound = (0.01..=1.0).contains(&self.ease) && count(self.good) && count(self.bad);
-        let record = Tally { good: self.good, bad: self.bad };
-        let (answered, asides, aside) = (self.answered, self.asides, self.aside_us.map(Micros));
-        sound.then_some((self.name, Judged { ease: self.ease, record, answered, asides, aside }))
+        let outcomes = OutcomeCounts { good: self.good, bad: self.bad };
+        let (has_answered, ejections, ejected_until) =
+            (self.answered, self.asides, self.aside_us.map(Micros));
+        sound.then_some((
+            self.name,
+            ServerHealth { weight_factor: self.ease, outcomes, has_answered, ejections, ejected_until },
+        ))
     }
 }
 
@@ -166,7 +170,7 @@
     /// let mut marks = Marks::default();
     /// marks.out.insert("s-1".into());
     /// assert_eq!(read(marks.to_json(here, Rest::default(), None), here).unwrap().0, marks);
-    /// let taught: Taught = vec![("s-2".into(), oakhollow::learnt::Judged { ease: 0.5, ..Default::default() })];
+    /// let taught: Taught = vec![("s-2".into(), oakhollow::server_health::ServerHealth { weight_factor: 0.5, ..Default::default() })];
     /// let rest = Rest { taught: taught.clone(), ..Rest::default() };
     /// assert_eq!(read(marks.to_json(here, rest, None), here).unwrap().1.taught, taught);
     /// assert!(read(marks.to_json(here, Rest::default(), None), there).unwrap_err().starts_with("listen: "));
--- a/terms/src/place.rs
+++ b/terms/src/place.rs
@@ -1,4 +1,4 @@
-//! The settings object: what the place lays down, as the module's [`Terms`] and as figures for the host.
+//! The settings object: what the place lays down, as the module's [`BalancerConfig`] and as figures for the host.
 use oakhollow::types::*;
 use serde::Deserialize;
 
@@ -22,22 +22,22 @@
 /// let fault = oakhollow_terms::read::<oakhollow_terms::Place>(fault.as_bytes()).unwrap_err();
 /// assert_eq!(fault, "rules.extra_window_s: must be over 0 and at most 3600");
 /// let place: oakhollow_terms::Place = oakhollow_terms::read(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
-/// assert_eq!(place.terms.most_hops, 3);
+/// assert_eq!(place.terms.max_hops, 3);
 /// // A repeat may arrive as much later than it is decided on as its connection takes: a quarter of a second here.
 /// let json = json.replace("\"group\":\"cell\"", "").replace("idempotency_key", "idempotency_key\",\"group\":\"cell\",\"memory_span_s\":\"x")
 ///     .replace("\"x\"", "1.5").replace("\"most_hops\":3", "\"most_hops\":3,\"connect_timeout_s\":0.25");
 /// let place: oakhollow_terms::Place = oakhollow_terms::read(json.as_bytes()).unwrap();
 /// let memory = oakhollow::types::Micros::millis(1_250);
-/// assert_eq!(place.terms.workloads[0].kind, oakhollow::types::Kind::Tagged { group: oakhollow::types::Group::Cell, memory });
+/// assert_eq!(place.terms.workloads[0].idempotency, oakhollow::types::Idempotency::ByKey { scope: oakhollow::types::DedupScope::Cell, window: memory });
 /// assert_eq!(place.workloads[0].name, "view");
 /// ```
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "Told")]
 pub struct Place {
-    pub terms: Terms,
-    /// In the order of [`Terms::workloads`].
+    pub terms: BalancerConfig,
+    /// In the order of [`BalancerConfig::workloads`].
     pub workloads: Vec<Named>,
-    /// In the order of [`Terms::customers`].
+    /// In the order of [`BalancerConfig::tenant_quotas`].
     pub customers: Vec<String>,
     pub zones: Vec<String>,
     /// Which tier's servers this instance sends to.
@@ -190,7 +190,7 @@
 
 impl Rules {
     /// The bound on hops beyond each call's first: all three keys, or none.
-    fn beyond_first(&self) -> Result<Option<BeyondFirst>, String> {
+    fn beyond_first(&self) -> Result<Option<RetryBudget>, String> {
         let Rules { budget_share, spare_attempts, extra_window_s, .. } = self;
         if budget_share.is_none() && spare_attempts.is_none() && extra_window_s.is_none() {
             return Ok(None);
@@ -207,9 +207,9 @@
         let share = |figure| (0.0..=1.0).contains(&figure);
         let few = |figure: f64| (0.0..=MOST_SPARE).contains(&figure) && figure.fract() == 0.0;
         let window = |figure| figure > 0.0 && figure <= LONGEST_WINDOW_S;
-        Ok(Some(BeyondFirst {
-            share: within("budget_share", budget_share, share, "a number from 0 to 1")?,
-            few: within("spare_attempts", spare_attempts, few, "a whole number from 0 to 1000000")?,
+        Ok(Some(RetryBudget {
+            ratio: within("budget_share", budget_share, share, "a number from 0 to 1")?,
+            base: within("spare_attempts", spare_attempts, few, "a whole number from 0 to 1000000")?,
             window: micros(within("extra_window_s", extra_window_s, window, "over 0 and at most 3600")?),
         }))
     }
@@ -260,8 +260,8 @@
                     class.group
                 )
             })?;
-            let (quoted, payoff) = (micros(class.quoted_time_s), class.payoff);
-            kinds.push(Workload { kind, quoted, payoff });
+            let (quoted_time, payoff) = (micros(class.quoted_time_s), class.payoff);
+            kinds.push(Workload { idempotency: kind, quoted_time, payoff });
         }
         let named = |class: &Class| Named {
             name: class.name.clone(),
@@ -269,27 +269,31 @@
             tagged: matches!(class.semantics, Semantics::IdempotencyKey),
         };
         Ok(Place {
-            terms: Terms {
-                sidecars: told.balancers,
-                number: told.me,
-                near: (told.prices.cross_zone > 0.0).then_some(PlaceId(told.zone)),
+            terms: BalancerConfig {
+                instances: told.balancers,
+                instance_index: told.me,
+                local_zone: (told.prices.cross_zone > 0.0).then_some(ZoneId(told.zone)),
                 workloads: kinds,
-                customers: told.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
-                beyond_share: told.overage_payoff,
-                worst_workload: told.goal.worst_class,
-                most_hops: bounds.most_hops,
-                beyond_first: rules.beyond_first()?,
+                tenant_quotas: told.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
+                overage_payoff: told.overage_payoff,
+                worst_workload_weight: told.goal.worst_class,
+                max_hops: bounds.most_hops,
+                retry_budget: rules.beyond_first()?,
                 may_cancel: bounds.cancel,
-                may_race: bounds.parallel_tries,
-                cool_down: if bounds.retry_after { micros(bounds.max_retry_after_s) } else { Micros(0) },
-                tells_load: told.report.tells_load(),
-                may_tell: bounds.peer_messages,
-                warm_keys: told.family_info.warm_keys,
-                must_ask: told.discovery == Some(Discovery::OnRequest),
-                ask_within: micros(rules.ask_within_s),
-                cold_from: rules.cold_from,
-                warm_within: micros(rules.warm_within_s),
-                fall_span: micros(rules.fall_s),
+                may_hedge: bounds.parallel_tries,
+                max_retry_after: if bounds.retry_after {
+                    micros(bounds.max_retry_after_s)
+                } else {
+                    Micros(0)
+                },
+                load_reports: told.report.tells_load(),
+                peer_messages: bounds.peer_messages,
+                key_affinity: told.family_info.warm_keys,
+                must_subscribe: told.discovery == Some(Discovery::OnRequest),
+                resubscribe_within: micros(rules.ask_within_s),
+                cold_capacity: rules.cold_from,
+                warm_up_time: micros(rules.warm_within_s),
+                collapse_window: micros(rules.fall_s),
             },
             workloads: told.workloads.iter().map(named).collect(),
             customers: told.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
@@ -400,18 +404,20 @@
 impl Class {
     /// A repeat arrives later than it is decided on, by as much as its connection takes: guards against one that comes up
     /// when its server remembers no more.
-    fn kind(&self, connect_timeout_s: f64) -> Option<Kind> {
+    fn kind(&self, connect_timeout_s: f64) -> Option<Idempotency> {
         let memory = micros(self.memory_span_s - connect_timeout_s);
         let group = match self.group.as_str() {
-            "all" => Some(Group::All),
-            "zone" => Some(Group::Place),
-            "cell" => Some(Group::Cell),
+            "all" => Some(DedupScope::All),
+            "zone" => Some(DedupScope::Zone),
+            "cell" => Some(DedupScope::Cell),
             _ => None,
         };
         match self.semantics {
-            Semantics::ReadLike => Some(Kind::Repeatable),
-            Semantics::NonIdempotent => Some(Kind::OnceOnly),
-            Semantics::IdempotencyKey => group.map(|group| Kind::Tagged { group, memory }),
+            Semantics::ReadLike => Some(Idempotency::Idempotent),
+            Semantics::NonIdempotent => Some(Idempotency::NonIdempotent),
+            Semantics::IdempotencyKey => {
+                group.map(|group| Idempotency::ByKey { scope: group, window: memory })
+            }
         }
     }
 }
--- a/terms/src/start.rs
+++ b/terms/src/start.rs
@@ -109,13 +109,14 @@
     pub(crate) fn on_sockets(mut place: Place) -> Result<Place, String> {
         // On sockets nothing comes unasked: the list must be watched, wherever the simulator would push it.
         let terms = &mut place.terms;
-        if terms.ask_within.0 == 0 || terms.ask_within > Self::ASK_WITHIN {
-            terms.ask_within = Self::ASK_WITHIN;
+        if terms.resubscribe_within.0 == 0 || terms.resubscribe_within > Self::ASK_WITHIN {
+            terms.resubscribe_within = Self::ASK_WITHIN;
         }
         // What a pushed list says counts as told whether or not a watch is open: guards against being without one for
         // longer than a server that drains may be sent to.
-        if !std::mem::replace(&mut terms.must_ask, true) && place.drain_grace.0 > 0 {
-            terms.ask_within = terms.ask_within.min(place.drain_grace.max(Self::LEAST_BETWEEN_ASKS));
+        if !std::mem::replace(&mut terms.must_subscribe, true) && place.drain_grace.0 > 0 {
+            terms.resubscribe_within =
+                terms.resubscribe_within.min(place.drain_grace.max(Self::LEAST_BETWEEN_ASKS));
         }
         if let Some(mixed) = &place.mixed {
             return Err(mixed.clone());
@@ -145,8 +146,8 @@
                 "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"semantics":"read_like"}}]}}"#
             );
             let terms = Start::on_sockets(read(json.as_bytes()).expect("settings")).expect("sound").terms;
-            assert!(terms.must_ask);
-            terms.ask_within
+            assert!(terms.must_subscribe);
+            terms.resubscribe_within
         };
         assert_eq!(ask_within("pushed", r#","stop_sending_within_s":0.15"#), Micros::millis(150));
         assert_eq!(ask_within("pushed", r#","stop_sending_within_s":0.01"#), Start::LEAST_BETWEEN_ASKS);
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -3,9 +3,9 @@
 //! build the module itself holds every pick against a plain walk over all servers.
 mod place;
 
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
-use oakhollow::{Chance, Sliding};
+use oakhollow::{SeededRng, Sliding};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cmp::Reverse;
@@ -14,22 +14,22 @@
 const MEMORY: Micros = Micros::millis(400);
 const LEFT: Micros = Micros::millis(900);
 const MOST_HOPS: usize = 4;
-const KINDS: [Kind; 5] = [
-    Kind::Repeatable,
-    Kind::OnceOnly,
-    Kind::Tagged { group: Group::All, memory: MEMORY },
-    Kind::Tagged { group: Group::Place, memory: MEMORY },
-    Kind::Tagged { group: Group::Cell, memory: MEMORY },
+const KINDS: [Idempotency; 5] = [
+    Idempotency::Idempotent,
+    Idempotency::NonIdempotent,
+    Idempotency::ByKey { scope: DedupScope::All, window: MEMORY },
+    Idempotency::ByKey { scope: DedupScope::Zone, window: MEMORY },
+    Idempotency::ByKey { scope: DedupScope::Cell, window: MEMORY },
 ];
 
 struct Hop {
-    to: Listing,
+    to: ListedServer,
     sent: Micros,
     ended: Option<Outcome>,
 }
 
 struct Call {
-    kind: Kind,
+    kind: Idempotency,
     abandon: Micros,
     hops: Vec<Hop>,
     answers: u32,
@@ -43,20 +43,24 @@
 
     fn harmless(&self) -> bool {
         let unsure = self.hops.iter().any(|hop| !hop.ended.is_some_and(Outcome::proves_not_run));
-        !unsure || matches!(self.kind, Kind::Repeatable | Kind::Tagged { group: Group::All, .. })
+        !unsure
+            || matches!(
+                self.kind,
+                Idempotency::Idempotent | Idempotency::ByKey { scope: DedupScope::All, .. }
+            )
     }
 }
 
 /// Host, servers and judge.
 struct Day {
     now: Micros,
-    sidecar: Sidecar,
-    listed: BTreeMap<ServerId, Listing>,
+    sidecar: Balancer,
+    listed: BTreeMap<ServerId, ListedServer>,
     calls: BTreeMap<CallId, Call>,
-    timers: BinaryHeap<Reverse<(Micros, u64, Token)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerToken)>>,
     due: BinaryHeap<Reverse<(Micros, u64, CallId, usize)>>,
     set: u64,
-    world: Chance,
+    world: SeededRng,
     /// When calls were taken, and when hops beyond a call's first went out.
     taken: Vec<Micros>,
     added: Vec<Micros>,
@@ -65,33 +69,33 @@
 #[derive(Clone, Debug)]
 struct Shape {
     servers: u32,
-    sidecars: u32,
+    instances: u32,
     near: bool,
     /// Hops of a hundred that go wrong, and changes of the list a second.
     wrong: u32,
     churn: u32,
     calls: u32,
-    bound: Option<BeyondFirst>,
+    bound: Option<RetryBudget>,
 }
 
 impl Day {
     fn new(shape: &Shape, seed: u64) -> Day {
         let workload = place::workload;
-        let terms = Terms {
-            sidecars: shape.sidecars,
-            number: shape.sidecars / 2,
-            near: shape.near.then_some(PlaceId(1)),
+        let terms = BalancerConfig {
+            instances: shape.instances,
+            instance_index: shape.instances / 2,
+            local_zone: shape.near.then_some(ZoneId(1)),
             workloads: KINDS.into_iter().map(workload).collect(),
-            customers: vec![1e6],
-            beyond_share: 0.5,
-            worst_workload: 0.2,
-            most_hops: MOST_HOPS as u32,
-            beyond_first: shape.bound,
-            warm_within: Micros::millis(4_000),
+            tenant_quotas: vec![1e6],
+            overage_payoff: 0.5,
+            worst_workload_weight: 0.2,
+            max_hops: MOST_HOPS as u32,
+            retry_budget: shape.bound,
+            warm_up_time: Micros::millis(4_000),
             ..place::terms(&[])
         };
         let (now, mut actions) = (Micros::millis(1_000_000), Vec::new());
-        let sidecar = Sidecar::new(&terms, seed, now, &mut actions);
+        let sidecar = Balancer::new(&terms, seed, now, &mut actions);
         let mut day = Day {
             now,
             sidecar,
@@ -100,25 +104,25 @@
             timers: BinaryHeap::new(),
             due: BinaryHeap::new(),
             set: 0,
-            world: Chance::new(seed ^ 0xDA7),
+            world: SeededRng::new(seed ^ 0xDA7),
             taken: Vec::new(),
             added: Vec::new(),
         };
         day.carry_out(actions, shape);
-        let entries: Vec<Listing> =
-            (0..shape.servers).map(|id| day.entry(id, Standing::Ready, Micros(0))).collect();
+        let entries: Vec<ListedServer> =
+            (0..shape.servers).map(|id| day.entry(id, ServerStatus::Ready, Micros(0))).collect();
         day.list(ListKind::Whole, &entries, shape);
         day
     }
 
-    fn entry(&self, id: u32, standing: Standing, started: Micros) -> Listing {
-        Listing {
+    fn entry(&self, id: u32, status: ServerStatus, started: Micros) -> ListedServer {
+        ListedServer {
             server: ServerId(id),
-            place: PlaceId(id % 2),
+            zone: ZoneId(id % 2),
             cell: CellId(id / 4),
-            standing,
-            size: [1.0, 2.0, 0.5][id as usize % 3],
-            mark: u64::from(id).wrapping_mul(0x2545_F491_4F6C_DD1D),
+            status,
+            weight: [1.0, 2.0, 0.5][id as usize % 3],
+            name_hash: u64::from(id).wrapping_mul(0x2545_F491_4F6C_DD1D),
             started,
         }
     }
@@ -129,24 +133,24 @@
         self.carry_out(actions, shape);
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Listing], shape: &Shape) {
+    fn list(&mut self, kind: ListKind, entries: &[ListedServer], shape: &Shape) {
         if kind == ListKind::Whole {
             self.listed.clear();
         }
         self.listed.extend(entries.iter().map(|entry| (entry.server, entry.clone())));
-        self.tell(Event::Listed { kind, entries }, shape);
+        self.tell(Event::ListReceived { kind, entries }, shape);
     }
 
     fn carry_out(&mut self, actions: Vec<Action>, shape: &Shape) {
         for action in actions {
             self.set += 1;
             match action {
-                Action::Send { call, server, give_up } => {
-                    self.judge_send(call, server, give_up);
+                Action::Send { call, server, timeout } => {
+                    self.judge_send(call, server, timeout);
                     self.judge_window(call, shape);
                 }
                 Action::Cancel { call, hop } => self.end(call, hop.0 as usize, Outcome::Cancelled, shape),
-                Action::Dismiss { call, .. } => {
+                Action::Refuse { call, .. } => {
                     let known = self.calls.get_mut(&call).expect("a call that was taken");
                     assert!(known.harmless(), "dismissed though a hop may have run");
                     assert!(self.now <= known.abandon && !known.over(), "dismissed late, or once more");
@@ -157,38 +161,38 @@
                     assert!(self.now <= known.abandon && !known.over(), "failed late, or once more");
                     known.answers += 1;
                 }
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.timers.push(Reverse((self.now + after, self.set, token)))
                 }
-                Action::Subscribe | Action::Tell { .. } | Action::Log { .. } => {}
+                Action::Subscribe | Action::TellPeers { .. } | Action::Log { .. } => {}
             }
         }
     }
 
-    fn judge_send(&mut self, id: CallId, server: ServerId, give_up: Micros) {
+    fn judge_send(&mut self, id: CallId, server: ServerId, timeout: Micros) {
         let to = self.listed.get(&server).expect("a server that is listed").clone();
         let call = self.calls.get_mut(&id).expect("a call that was taken");
-        assert!(to.standing == Standing::Ready, "sent to a server that is {:?}", to.standing);
+        assert!(to.status == ServerStatus::Ready, "sent to a server that is {:?}", to.status);
         assert!(!call.over() && self.now < call.abandon, "sent after its answer or its time");
-        assert!(self.now + give_up <= call.abandon, "a hop that outlives its call");
+        assert!(self.now + timeout <= call.abandon, "a hop that outlives its call");
         assert!(call.hops.len() < MOST_HOPS, "too many hops");
         assert!(call.hops.iter().all(|hop| hop.to.server != server), "twice to one server");
         for hop in call.hops.iter().filter(|hop| !hop.ended.is_some_and(Outcome::proves_not_run)) {
             let fresh = self.now < hop.sent + MEMORY;
             let may = match call.kind {
-                Kind::Repeatable => true,
-                Kind::OnceOnly => false,
-                Kind::Tagged { group: Group::All, .. } => fresh,
-                Kind::Tagged { group: Group::Place, .. } => fresh && hop.to.place == to.place,
-                Kind::Tagged { group: Group::Cell, .. } => fresh && hop.to.cell == to.cell,
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::ByKey { scope: DedupScope::All, .. } => fresh,
+                Idempotency::ByKey { scope: DedupScope::Zone, .. } => fresh && hop.to.zone == to.zone,
+                Idempotency::ByKey { scope: DedupScope::Cell, .. } => fresh && hop.to.cell == to.cell,
             };
             assert!(may, "{:?} sent again where it may take effect twice", call.kind);
         }
         call.hops.push(Hop { to, sent: self.now, ended: None });
         let hop = call.hops.len() - 1;
         let took = Micros(1_000 + self.world.below(60_000) as u64);
-        let took = if self.world.draw() < 0.05 { took.times(15.0) } else { took };
-        self.due.push(Reverse((self.now + took.min(give_up), self.set, id, hop)));
+        let took = if self.world.uniform() < 0.05 { took.times(15.0) } else { took };
+        self.due.push(Reverse((self.now + took.min(timeout), self.set, id, hop)));
     }
 
     /// Rule five, by a plain count over the window that ends now.
@@ -198,7 +202,7 @@
         let inside =
             |times: &[Micros]| times.iter().filter(|at| **at + bound.window > self.now).count() as f64;
         let (added, taken) = (inside(&self.added), inside(&self.taken));
-        assert!(added <= bound.few + bound.share * taken, "{added} hops beyond the first, {taken} calls");
+        assert!(added <= bound.base + bound.ratio * taken, "{added} hops beyond the first, {taken} calls");
     }
 
     fn end(&mut self, id: CallId, hop: usize, outcome: Outcome, shape: &Shape) {
@@ -211,9 +215,9 @@
         if outcome == Outcome::Succeeded && !call.over() {
             call.answers += 1;
         }
-        let (waited, closed) = (now - call.hops[hop].sent, call.over());
-        let ending = Ending { call: id, hop: HopNo(hop as u32), outcome, waited, closed, report: None };
-        self.tell(Event::Ended(ending), shape);
+        let (elapsed, call_over) = (now - call.hops[hop].sent, call.over());
+        let ending = HopResult { call: id, hop: HopNo(hop as u32), outcome, elapsed, call_over, load: None };
+        self.tell(Event::HopEnded(ending), shape);
     }
 
     fn outcome(&mut self, shape: &Shape) -> Outcome {
@@ -236,7 +240,7 @@
                 (Some(at), due) if due.is_none_or(|due| at <= due) => {
                     if let Some(Reverse((_, _, token))) = self.timers.pop() {
                         self.now = self.now.max(at);
-                        self.tell(Event::Woke(token), shape);
+                        self.tell(Event::TimerFired(token), shape);
                     }
                 }
                 (_, due) => {
@@ -265,14 +269,15 @@
         let known = Call { kind: KINDS[workload], abandon, hops: Vec::new(), answers: 0, left: false };
         self.calls.insert(call, known);
         self.taken.push(self.now);
-        let (workload, customer, repeat) = (WorkloadId(workload), CustomerId(0), self.world.draw() < 0.1);
-        let arrival = Arrival { call, workload, left: LEFT, customer, repeat, key: None };
-        self.tell(Event::Arrived(arrival), shape);
+        let (workload, tenant, client_retry) =
+            (WorkloadId(workload), TenantId(0), self.world.uniform() < 0.1);
+        let arrival = Arrival { call, workload, time_left: LEFT, tenant, client_retry, affinity_key: None };
+        self.tell(Event::CallArrived(arrival), shape);
         // A client that leaves at once, now and then.
         let known = self.calls.get_mut(&call).expect("just taken");
-        if self.world.draw() < 0.03 && !known.over() {
+        if self.world.uniform() < 0.03 && !known.over() {
             known.left = true;
-            self.tell(Event::Withdrawn { call }, shape);
+            self.tell(Event::CallWithdrawn { call }, shape);
         }
     }
 
@@ -282,33 +287,33 @@
             0 => self.now,
             _ => self.listed.get(&ServerId(id)).map_or(self.now, |entry| entry.started),
         };
-        let standing =
-            [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone][self.world.below(4)];
-        if self.world.draw() < 0.02 {
+        let status = [ServerStatus::Ready, ServerStatus::Ready, ServerStatus::Draining, ServerStatus::Gone]
+            [self.world.below(4)];
+        if self.world.uniform() < 0.02 {
             // All but a few are gone, or the whole list is told anew.
             let least = self.world.below(shape.servers as usize) as u32;
             let ids: Vec<u32> = (least..shape.servers).collect();
-            let entries: Vec<Listing> =
-                ids.into_iter().map(|id| self.entry(id, Standing::Ready, Micros(0))).collect();
+            let entries: Vec<ListedServer> =
+                ids.into_iter().map(|id| self.entry(id, ServerStatus::Ready, Micros(0))).collect();
             self.list(ListKind::Whole, &entries, shape);
         } else {
-            let entry = self.entry(id, standing, started);
+            let entry = self.entry(id, status, started);
             self.list(ListKind::Changes, &[entry], shape);
         }
     }
 }
 
 fn shape() -> impl Strategy<Value = Shape> {
-    let bound = (0..6_u32, 0.0..0.5, 1..3_000_u64).prop_map(|(few, share, window)| BeyondFirst {
-        few: f64::from(few),
-        share,
+    let bound = (0..6_u32, 0.0..0.5, 1..3_000_u64).prop_map(|(base, ratio, window)| RetryBudget {
+        base: f64::from(base),
+        ratio,
         window: Micros::millis(window),
     });
     let bound = proptest::option::of(bound);
     (1..60_u32, 1..20_u32, any::<bool>(), 0..90_u32, 0..60_u32, 20..300_u32, bound).prop_map(
-        |(servers, sidecars, near, wrong, churn, calls, bound)| Shape {
+        |(servers, instances, near, wrong, churn, calls, bound)| Shape {
             servers,
-            sidecars,
+            instances,
             near,
             wrong,
             churn,
@@ -328,16 +333,16 @@
     #[test]
     fn windows_are_filled_and_never_over(
         gaps in proptest::collection::vec((0..40_000_u64, 0..3_usize), 1..400),
-        few in 0..5_u32, share in 0.0..1.0, window in 1..1_500_u64, change in 0..400_usize,
+        base in 0..5_u32, ratio in 0.0..1.0, window in 1..1_500_u64, change in 0..400_usize,
     ) {
         let window = Micros::millis(window);
-        let bound = BeyondFirst { few: f64::from(few), share, window };
+        let bound = RetryBudget { base: f64::from(base), ratio, window };
         let mut hops = Sliding::new(bound);
         let (mut now, mut taken, mut added) = (Micros::millis(5_000), Vec::new(), Vec::new());
         for (at, (gap, calls)) in gaps.into_iter().enumerate() {
             if at == change {
                 // Another process, beside one that sends no more.
-                hops = Sliding::new(BeyondFirst { few: 0.0, share: 0.0, ..bound });
+                hops = Sliding::new(RetryBudget { base: 0.0, ratio: 0.0, ..bound });
             } else if at == change + 50 {
                 hops.retune(bound, now); // the one before has parted
             }
@@ -347,12 +352,12 @@
             while hops.spent(now) as f64 + 1.0 <= hops.allowed(now) {
                 hops.spend(now);
                 added.push(now);
-                let most = bound.few + share * inside(&taken, window) as f64;
+                let most = bound.base + ratio * inside(&taken, window) as f64;
                 prop_assert!(inside(&added, window) as f64 <= most);
             }
             if at < change {
                 let part = Micros(window.0 / 32 + 1);
-                let sure = bound.few + share * inside(&taken, window - part - part) as f64;
+                let sure = bound.base + ratio * inside(&taken, window - part - part) as f64;
                 prop_assert!(inside(&added, window + part + part) as f64 + 1.0 > sure);
             }
         }
@@ -369,7 +374,7 @@
                 1..8 => Micros(day.world.below(1_000) as u64),
                 _ => Micros(day.world.below(20_000) as u64),
             };
-            let changes = gap.secs() * f64::from(shape.churn) + day.world.draw();
+            let changes = gap.secs() * f64::from(shape.churn) + day.world.uniform();
             for _ in 0..changes as u32 {
                 day.change_list(&shape);
             }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 use oakhollow::fleet::{Class, Fleet};
 use oakhollow::records::{Server, Trust};
 use oakhollow::types::*;
-use oakhollow::{Allowance, Chance, Tally};
+use oakhollow::{Allowance, OutcomeCounts, SeededRng};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -27,15 +27,15 @@
 #[derive(Default)]
 struct Plain {
     now: Micros,
-    near: Option<PlaceId>,
+    near: Option<ZoneId>,
     servers: BTreeMap<ServerId, (Server, f64)>,
     circle: Vec<ServerId>,
 }
 
 impl Plain {
-    fn list(&mut self, whole: bool, entries: &[Listing]) {
+    fn list(&mut self, whole: bool, entries: &[ListedServer]) {
         if whole {
-            self.servers.values_mut().for_each(|(server, _)| server.listing.standing = Standing::Gone);
+            self.servers.values_mut().for_each(|(server, _)| server.listing.status = ServerStatus::Gone);
         }
         for entry in entries {
             let fresh = || (Server::new(entry, 0, allowance()), 0.0);
@@ -45,11 +45,11 @@
             }
             known.listing = entry.clone();
         }
-        self.servers.retain(|_, (server, _)| server.listing.standing != Standing::Gone || server.out > 0);
+        self.servers.retain(|_, (server, _)| server.listing.status != ServerStatus::Gone || server.out > 0);
     }
 
     fn ring(&self) -> Vec<ServerId> {
-        let ready = self.servers.values().filter(|(server, _)| server.listing.standing == Standing::Ready);
+        let ready = self.servers.values().filter(|(server, _)| server.listing.status == ServerStatus::Ready);
         let mut ring: Vec<_> =
             ready.map(|(server, _)| (server.listing.turn(), server.listing.server)).collect();
         ring.sort_unstable();
@@ -79,7 +79,7 @@
 
     fn class(&self, server: &Server) -> Option<Class> {
         let trusted = server.trust == Trust::Fit || server.out == 0;
-        let near = self.near.is_none_or(|near| near == server.listing.place);
+        let near = self.near.is_none_or(|near| near == server.listing.zone);
         let able = trusted && server.rest <= self.now && self.circle.contains(&server.listing.server);
         able.then_some(match (server.out > 0, server.answered, near) {
             (true, ..) => Class::Busy,
@@ -96,7 +96,7 @@
         assert_eq!(ids(fleet.around().collect()), self.circle);
         let all = || self.servers.values().map(|(server, _)| server);
         let sizes =
-            |servers: Vec<&Server>| 0.01 + servers.iter().map(|server| server.listing.size).sum::<f64>();
+            |servers: Vec<&Server>| 0.01 + servers.iter().map(|server| server.listing.weight).sum::<f64>();
         let close = |one: f64, other: f64| assert!((one - other).abs() < 1e-6, "{one} against {other}");
         let usable: Vec<&Server> = all().filter(|server| server.usable()).collect();
         assert_eq!((fleet.usable(), fleet.ready()), (usable.len() as f64, self.ring().len()));
@@ -110,10 +110,10 @@
         let answered: Vec<f64> =
             self.around().filter(|one| one.answered).map(|one| f64::from(one.out)).collect();
         close(fleet.mean_out(), answered.iter().sum::<f64>() / answered.len().max(1) as f64);
-        let mut lots = Chance::new(1);
+        let mut lots = SeededRng::new(1);
         for server in all() {
             let id = server.listing.server;
-            let peers: Tally =
+            let peers: OutcomeCounts =
                 self.around().filter(|one| one.listing.server != id).map(|one| one.record).sum();
             close(fleet.peers(id).good, peers.good);
             close(fleet.peers(id).bad, peers.bad);
@@ -132,8 +132,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Whole(Vec<Listing>),
-    Changes(Vec<Listing>),
+    Whole(Vec<ListedServer>),
+    Changes(Vec<ListedServer>),
     Sent(u32),
     Ended(u32, bool, bool),
     Trusted(u32, u8),
@@ -142,14 +142,14 @@
     Beat,
 }
 
-fn listing(servers: u32) -> impl Strategy<Value = Listing> {
-    (0..servers, 0..3_u8, 0..4_u8, 0..3_u64).prop_map(|(server, standing, size, started)| Listing {
+fn listing(servers: u32) -> impl Strategy<Value = ListedServer> {
+    (0..servers, 0..3_u8, 0..4_u8, 0..3_u64).prop_map(|(server, status, size, started)| ListedServer {
         server: ServerId(server),
-        place: PlaceId(server % 2),
+        zone: ZoneId(server % 2),
         cell: CellId(server % 7),
-        standing: [Standing::Ready, Standing::Draining, Standing::Gone][usize::from(standing)],
-        size: [0.0, 0.5, 1.0, 8.0][usize::from(size)],
-        mark: u64::from(server) * 7919 % 101,
+        status: [ServerStatus::Ready, ServerStatus::Draining, ServerStatus::Gone][usize::from(status)],
+        weight: [0.0, 0.5, 1.0, 8.0][usize::from(size)],
+        name_hash: u64::from(server) * 7919 % 101,
         started: Micros(started * 1000),
     })
 }
@@ -194,8 +194,8 @@
         self.plain.draw_circle(start, wanted, changed);
     }
 
-    fn list(&mut self, whole: bool, entries: &[Listing]) {
-        self.fleet.list(whole, entries, Listing::turn, allowance);
+    fn list(&mut self, whole: bool, entries: &[ListedServer]) {
+        self.fleet.list(whole, entries, ListedServer::turn, allowance);
         self.plain.list(whole, entries);
         let changed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
         self.draw_circle(Some(&changed).filter(|_| !whole).map(Vec::as_slice));
@@ -214,7 +214,7 @@
                         server.answer(*slow);
                     }
                 });
-                let gone = |server: &Server| server.out == 0 && server.listing.standing == Standing::Gone;
+                let gone = |server: &Server| server.out == 0 && server.listing.status == ServerStatus::Gone;
                 if self.fleet.get(ServerId(*id)).is_some_and(gone) {
                     self.fleet.remove(ServerId(*id));
                     self.plain.servers.remove(&ServerId(*id));
@@ -244,11 +244,11 @@
 
     #[test]
     fn as_the_plain_one(
-        steps in prop::collection::vec(step(60), 1..80), sidecars in 1..12_u32, number in 0..12_u32, near in 0..3_u32,
+        steps in prop::collection::vec(step(60), 1..80), instances in 1..12_u32, number in 0..12_u32, near in 0..3_u32,
         wanted in 0..30_u32,
     ) {
-        let (part, number) = (1.0 / f64::from(sidecars), f64::from(number % sidecars));
-        let near = (near < 2).then_some(PlaceId(near));
+        let (part, number) = (1.0 / f64::from(instances), f64::from(number % instances));
+        let near = (near < 2).then_some(ZoneId(near));
         let plain = Plain { near, ..Plain::default() };
         let mut both = Both { fleet: Fleet::new(near), plain, part, number, wanted: f64::from(wanted) };
         for step in &steps {
@@ -261,19 +261,19 @@
 #[test]
 fn draws_are_even() {
     for (servers, every) in [(8, 2), (40, 2), (400, 40), (400, 3)] {
-        let entry = |id: u32| Listing {
+        let entry = |id: u32| ListedServer {
             server: ServerId(id),
-            place: PlaceId(0),
+            zone: ZoneId(0),
             cell: CellId(id),
-            standing: Standing::Ready,
-            size: 1.0,
-            mark: 0,
+            status: ServerStatus::Ready,
+            weight: 1.0,
+            name_hash: 0,
             started: Micros(0),
         };
         let mut fleet = Fleet::new(None);
-        fleet.list(true, &(0..servers).map(entry).collect::<Vec<_>>(), Listing::turn, allowance);
+        fleet.list(true, &(0..servers).map(entry).collect::<Vec<_>>(), ListedServer::turn, allowance);
         fleet.redraw(0, 1e9, room);
-        let (mut lots, mut counts) = (Chance::new(5), BTreeMap::new());
+        let (mut lots, mut counts) = (SeededRng::new(5), BTreeMap::new());
         let fits = |server: &Server| server.listing.server.0.is_multiple_of(every);
         let fitting = f64::from(servers.div_ceil(every));
         let draws = (400.0 * fitting) as u32;
--- a/tests/place/mod.rs
+++ b/tests/place/mod.rs
@@ -1,32 +1,32 @@
 //! The place that tests and benches of the module start from; each says what is different in its own.
 use oakhollow::types::*;
 
-pub fn workload(kind: Kind) -> Workload {
-    Workload { kind, quoted: Micros::millis(500), payoff: 1.0 }
+pub fn workload(idempotency: Idempotency) -> Workload {
+    Workload { idempotency, quoted_time: Micros::millis(500), payoff: 1.0 }
 }
 
 /// One sidecar, one customer who may do all, copies and cancels allowed, a list that comes unasked.
-pub fn terms(kinds: &[Kind]) -> Terms {
-    Terms {
-        sidecars: 1,
-        number: 0,
-        near: None,
+pub fn terms(kinds: &[Idempotency]) -> BalancerConfig {
+    BalancerConfig {
+        instances: 1,
+        instance_index: 0,
+        local_zone: None,
         workloads: kinds.iter().copied().map(workload).collect(),
-        customers: vec![1e9],
-        beyond_share: 1.0,
-        worst_workload: 0.0,
-        most_hops: 4,
-        beyond_first: None,
+        tenant_quotas: vec![1e9],
+        overage_payoff: 1.0,
+        worst_workload_weight: 0.0,
+        max_hops: 4,
+        retry_budget: None,
         may_cancel: true,
-        may_race: true,
-        cool_down: Micros::millis(500),
-        tells_load: false,
-        may_tell: false,
-        warm_keys: false,
-        must_ask: false,
-        ask_within: Micros::millis(10_000),
-        cold_from: 0.2,
-        warm_within: Micros::millis(8_000),
-        fall_span: Micros::millis(1_000),
+        may_hedge: true,
+        max_retry_after: Micros::millis(500),
+        load_reports: false,
+        peer_messages: false,
+        key_affinity: false,
+        must_subscribe: false,
+        resubscribe_within: Micros::millis(10_000),
+        cold_capacity: 0.2,
+        warm_up_time: Micros::millis(8_000),
+        collapse_window: Micros::millis(1_000),
     }
 }
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -7,14 +7,14 @@
 use std::thread;
 use std::time::Instant;
 
-pub fn length_us(text: &str) -> u64 {
+pub fn parse_duration_us(text: &str) -> u64 {
     let (digits, unit) = text.split_at(text.find(|c: char| c.is_alphabetic()).expect("a unit"));
     let number: f64 = digits.parse().expect("a number");
     (number * if unit == "ms" { 1e3 } else { 1e6 }) as u64
 }
 
 /// Plays the files of the folder, so many at once; a fault ends its own file alone, and all are named in the end.
-pub fn play_all<P>(
+pub fn run_scenarios<P>(
     folder: &Path, at_once: usize, begin: impl Fn() -> P + Sync, play: impl Fn(&mut P, &str) + Sync,
 ) {
     let files = std::fs::read_dir(folder).expect("the folder").map(|file| file.expect("a file").path());
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -14,18 +14,18 @@
 //! ACTION: send ID.HOP [SERVER], cancel ID.HOP, dismiss ID soon|late (cool-down under half a second or not), fail ID, subscribe, tell SERVER, log WORDS.
 mod runner;
 
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 struct Play {
     now: Micros,
-    terms: Option<Terms>,
+    terms: Option<BalancerConfig>,
     workloads: Vec<String>,
     servers: Vec<String>,
-    sidecar: Option<Sidecar>,
-    timers: Vec<(Micros, usize, Token)>,
+    sidecar: Option<Balancer>,
+    timers: Vec<(Micros, usize, TimerToken)>,
     done: Vec<String>,
     hops: BTreeMap<u32, u32>,
     sent: BTreeMap<String, u32>,
@@ -34,23 +34,23 @@
 }
 
 fn length(text: &str) -> Micros {
-    Micros(runner::length_us(text))
+    Micros(runner::parse_duration_us(text))
 }
 
 /// `load=HELD:WAITING`.
-fn report(text: &str) -> Report {
-    let (held, waiting) =
+fn report(text: &str) -> LoadReport {
+    let (open_calls, queued_calls) =
         text.strip_prefix("load=").and_then(|load| load.split_once(':')).expect("load=HELD:WAITING");
-    let figure = |text: &str| text.parse().ok().and_then(Report::sound);
-    Report { held: figure(held), waiting: figure(waiting), busy: None }
+    let figure = |text: &str| text.parse().ok().and_then(LoadReport::plausible);
+    LoadReport { open_calls: figure(open_calls), queued_calls: figure(queued_calls), cpu_utilization: None }
 }
 
 /// `FEW:SHARE:WINDOW`, or no.
-fn beyond(text: &str) -> Option<BeyondFirst> {
+fn beyond(text: &str) -> Option<RetryBudget> {
     let parts: Vec<&str> = text.split(':').collect();
-    let [few, share, window] = parts[..] else { return None };
+    let [base, ratio, window] = parts[..] else { return None };
     let number = |text: &str| text.parse().expect("a number");
-    Some(BeyondFirst { few: number(few), share: number(share), window: length(window) })
+    Some(RetryBudget { base: number(base), ratio: number(ratio), window: length(window) })
 }
 
 /// Holds a count against `LEAST..MOST`.
@@ -72,27 +72,30 @@
             found.unwrap_or(other).to_string()
         };
         let number = |key: &str, other: &str| get(key, other).parse::<f64>().expect("a number");
-        self.terms = Some(Terms {
-            sidecars: number("sidecars", "2") as u32,
-            number: number("number", "0") as u32,
-            near: get("near", "no").parse().ok().map(PlaceId),
+        self.terms = Some(BalancerConfig {
+            instances: number("sidecars", "2") as u32,
+            instance_index: number("number", "0") as u32,
+            local_zone: get("near", "no").parse().ok().map(ZoneId),
             workloads: Vec::new(),
-            customers: get("customer", "1000").split(',').map(|rate| rate.parse().expect("a rate")).collect(),
-            beyond_share: 0.1,
-            worst_workload: 0.0,
-            most_hops: number("hops", "4") as u32,
-            beyond_first: beyond(&get("beyond", "no")),
+            tenant_quotas: get("customer", "1000")
+                .split(',')
+                .map(|rate| rate.parse().expect("a rate"))
+                .collect(),
+            overage_payoff: 0.1,
+            worst_workload_weight: 0.0,
+            max_hops: number("hops", "4") as u32,
+            retry_budget: beyond(&get("beyond", "no")),
             may_cancel: get("cancel", "yes") == "yes",
-            may_race: get("race", "yes") == "yes",
-            cool_down: length(&get("cool", "2s")),
-            tells_load: get("loads", "no") == "yes",
-            may_tell: get("tell", "no") == "yes",
-            warm_keys: get("keys", "no") == "yes",
-            must_ask: get("ask", "none") != "none",
-            ask_within: length(&get("ask", "0s").replace("none", "0s")),
-            cold_from: number("cold", "0.3"),
-            warm_within: length(&get("warm", "10s")),
-            fall_span: length(&get("fall", "1s")),
+            may_hedge: get("race", "yes") == "yes",
+            max_retry_after: length(&get("cool", "2s")),
+            load_reports: get("loads", "no") == "yes",
+            peer_messages: get("tell", "no") == "yes",
+            key_affinity: get("keys", "no") == "yes",
+            must_subscribe: get("ask", "none") != "none",
+            resubscribe_within: length(&get("ask", "0s").replace("none", "0s")),
+            cold_capacity: number("cold", "0.3"),
+            warm_up_time: length(&get("warm", "10s")),
+            collapse_window: length(&get("fall", "1s")),
         });
         self.now = Micros::millis(100_000);
         self.next_call = 1000;
@@ -100,21 +103,21 @@
 
     fn workload(&mut self, words: &[&str]) {
         let kind: Vec<&str> = words[1].split(':').collect();
-        let group = |name| match name {
-            "all" => Group::All,
-            "place" => Group::Place,
-            "cell" => Group::Cell,
+        let scope = |name| match name {
+            "all" => DedupScope::All,
+            "place" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
             other => panic!("no group {other}"),
         };
-        let kind = match kind[..] {
-            ["repeatable"] => Kind::Repeatable,
-            ["once-only"] => Kind::OnceOnly,
-            ["tagged", name, span] => Kind::Tagged { group: group(name), memory: length(span) },
+        let idempotency = match kind[..] {
+            ["repeatable"] => Idempotency::Idempotent,
+            ["once-only"] => Idempotency::NonIdempotent,
+            ["tagged", name, span] => Idempotency::ByKey { scope: scope(name), window: length(span) },
             _ => panic!("no kind {}", words[1]),
         };
         self.workloads.push(words[0].to_string());
         let payoff = words[3].parse().expect("payoff");
-        let workload = Workload { kind, quoted: length(words[2]), payoff };
+        let workload = Workload { idempotency, quoted_time: length(words[2]), payoff };
         self.terms.as_mut().expect("place first").workloads.push(workload);
     }
 
@@ -122,12 +125,12 @@
         let mut out = Vec::new();
         if self.sidecar.is_none() {
             let terms = self.terms.as_ref().expect("place first");
-            self.sidecar = Some(Sidecar::new(terms, 7, self.now, &mut out));
+            self.sidecar = Some(Balancer::new(terms, 7, self.now, &mut out));
         }
         self.sidecar.as_mut().expect("started").on(self.now, event, &mut out);
         for action in out {
             let said = match action {
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.timers.push((self.now + after, self.timers.len(), token));
                     continue;
                 }
@@ -139,13 +142,17 @@
                     format!("send {}.{} {name}", call.0, *hop - 1)
                 }
                 Action::Cancel { call, hop } => format!("cancel {}.{}", call.0, hop.0),
-                Action::Dismiss { call, cool_down } => {
+                Action::Refuse { call, retry_after } => {
                     self.dismissed += 1;
-                    format!("dismiss {} {}", call.0, if cool_down < length("0.5s") { "soon" } else { "late" })
+                    format!(
+                        "dismiss {} {}",
+                        call.0,
+                        if retry_after < length("0.5s") { "soon" } else { "late" }
+                    )
                 }
                 Action::Fail { call } => format!("fail {}", call.0),
                 Action::Subscribe => "subscribe".to_string(),
-                Action::Tell { server, .. } => format!("tell {}", self.servers[server.0 as usize]),
+                Action::TellPeers { server, .. } => format!("tell {}", self.servers[server.0 as usize]),
                 Action::Log { text, .. } => format!("log {text}"),
             };
             self.done.push(said);
@@ -159,11 +166,11 @@
             "cached" => ListKind::Cached,
             _ => ListKind::Failed,
         };
-        let entries: Vec<Listing> = words[1..].iter().map(|word| self.listing(word)).collect();
-        self.tell(Event::Listed { kind, entries: &entries });
+        let entries: Vec<ListedServer> = words[1..].iter().map(|word| self.listing(word)).collect();
+        self.tell(Event::ListReceived { kind, entries: &entries });
     }
 
-    fn listing(&mut self, word: &str) -> Listing {
+    fn listing(&mut self, word: &str) -> ListedServer {
         let parts: Vec<&str> = word.split(':').collect();
         let number =
             |key: &str| parts.iter().find_map(|part| part.strip_prefix(key)?.strip_prefix('=')?.parse().ok());
@@ -172,37 +179,36 @@
             self.servers.push(parts[0].to_string());
             self.servers.len() - 1
         });
-        let standing = match () {
-            _ if parts.contains(&"draining") => Standing::Draining,
-            _ if parts.contains(&"gone") => Standing::Gone,
-            _ => Standing::Ready,
+        let status = match () {
+            _ if parts.contains(&"draining") => ServerStatus::Draining,
+            _ if parts.contains(&"gone") => ServerStatus::Gone,
+            _ => ServerStatus::Ready,
         };
-        Listing {
+        ListedServer {
             server: ServerId(known as u32),
-            place: PlaceId(number("place").unwrap_or(0.0) as u32),
+            zone: ZoneId(number("place").unwrap_or(0.0) as u32),
             cell: CellId(number("cell").unwrap_or(0.0) as u32),
-            standing,
-            size: number("size").unwrap_or(1.0),
-            mark: known as u64,
+            status,
+            weight: number("size").unwrap_or(1.0),
+            name_hash: known as u64,
             started: if parts.contains(&"new") { self.now } else { Micros(0) },
         }
     }
 
     fn call(&mut self, id: u32, words: &[&str]) {
         let workload = self.workloads.iter().position(|name| name == words[0]).expect("a workload");
-        let customer =
-            words.iter().find_map(|word| word.strip_prefix("customer=")?.parse().ok()).unwrap_or(0);
-        self.tell(Event::Arrived(Arrival {
+        let tenant = words.iter().find_map(|word| word.strip_prefix("customer=")?.parse().ok()).unwrap_or(0);
+        self.tell(Event::CallArrived(Arrival {
             call: CallId(id),
             workload: WorkloadId(workload),
-            left: length(words[1]),
-            customer: CustomerId(customer),
-            repeat: words.contains(&"repeat"),
-            key: words.iter().find_map(|word| word.strip_prefix("key=")?.parse().ok()),
+            time_left: length(words[1]),
+            tenant: TenantId(tenant),
+            client_retry: words.contains(&"repeat"),
+            affinity_key: words.iter().find_map(|word| word.strip_prefix("key=")?.parse().ok()),
         }));
     }
 
-    fn ends(&mut self, which: &str, outcome: &str, waited: Micros, report: Option<Report>) {
+    fn ends(&mut self, which: &str, outcome: &str, elapsed: Micros, report: Option<LoadReport>) {
         let (call, hop) = hop(which);
         let outcome = match outcome {
             "succeeded" => Outcome::Succeeded,
@@ -214,8 +220,8 @@
             "cancelled" => Outcome::Cancelled,
             other => panic!("no outcome {other}"),
         };
-        let closed = matches!(outcome, Outcome::Succeeded | Outcome::Cancelled);
-        self.tell(Event::Ended(Ending { call, hop, outcome, waited, closed, report }));
+        let call_over = matches!(outcome, Outcome::Succeeded | Outcome::Cancelled);
+        self.tell(Event::HopEnded(HopResult { call, hop, outcome, elapsed, call_over, load: report }));
     }
 
     fn wait(&mut self, until: Micros) {
@@ -226,7 +232,7 @@
             }
             let (due, _, token) = self.timers.remove(next);
             self.now = due;
-            self.tell(Event::Woke(token));
+            self.tell(Event::TimerFired(token));
         }
         self.now = until;
     }
@@ -287,19 +293,19 @@
                 range.for_each(|id| self.call(id, &words[2..]));
             }
             ["call", id, ..] => self.call(id.parse().expect("an id"), &words[2..]),
-            ["ends", which, outcome, waited] => self.ends(which, outcome, length(waited), None),
-            ["ends", which, outcome, waited, load] => {
-                self.ends(which, outcome, length(waited), Some(report(load)))
+            ["ends", which, outcome, elapsed] => self.ends(which, outcome, length(elapsed), None),
+            ["ends", which, outcome, elapsed, load] => {
+                self.ends(which, outcome, length(elapsed), Some(report(load)))
             }
-            ["heard", server, strain] => {
+            ["heard", server, slowdown] => {
                 let known = self.servers.iter().position(|name| name == server).expect("a server");
                 let server = ServerId(known as u32);
-                self.tell(Event::Heard { server, strain: strain.parse().expect("a strain") });
+                self.tell(Event::PeerReported { server, slowdown: slowdown.parse().expect("a strain") });
             }
-            ["streams", which] => self.tell(Event::Streaming { call: hop(which).0, hop: hop(which).1 }),
-            ["leaves", id] => self.tell(Event::Withdrawn { call: CallId(id.parse().expect("an id")) }),
+            ["streams", which] => self.tell(Event::AnswerStarted { call: hop(which).0, hop: hop(which).1 }),
+            ["leaves", id] => self.tell(Event::CallWithdrawn { call: CallId(id.parse().expect("an id")) }),
             ["wait", time] => self.wait(self.now + length(time)),
-            ["ends-in", time] => self.tell(Event::AnswerBy(self.now + length(time))),
+            ["ends-in", time] => self.tell(Event::ShutdownBegun(self.now + length(time))),
             ["traffic", count, workload, every, took] => {
                 let turns = self.turns(workload, took);
                 self.traffic(count.parse().expect("a count"), length(every), &turns)
@@ -333,5 +339,5 @@
 #[test]
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    runner::play_all(folder.as_ref(), 1, Play::default, Play::play);
+    runner::run_scenarios(folder.as_ref(), 1, Play::default, Play::play);
 }
--- a/tests/sum.rs
+++ b/tests/sum.rs
@@ -2,7 +2,7 @@
 //! together, also while one of them gets most of the calls.
 mod place;
 
-use oakhollow::rules::Sidecar;
+use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -15,21 +15,21 @@
 const WARM_WITHIN: Micros = Micros::millis(8_000);
 const TOOK: Micros = Micros::millis(20);
 
-fn listing(server: ServerId, started: Micros) -> Listing {
-    Listing {
+fn listing(server: ServerId, started: Micros) -> ListedServer {
+    ListedServer {
         server,
-        place: PlaceId(0),
+        zone: ZoneId(0),
         cell: CellId(server.0),
-        standing: Standing::Ready,
-        size: 1.0,
-        mark: u64::from(server.0),
+        status: ServerStatus::Ready,
+        weight: 1.0,
+        name_hash: u64::from(server.0),
         started,
     }
 }
 
 struct Instance {
-    sidecar: Sidecar,
-    timers: BinaryHeap<Reverse<(Micros, u64, Token)>>,
+    sidecar: Balancer,
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerToken)>>,
     hops: HashMap<CallId, u32>,
 }
 
@@ -48,20 +48,21 @@
 impl World {
     fn new(count: u32) -> World {
         let now = Micros::millis(1_000_000);
-        let workload = Workload { quoted: Micros::millis(1_000), ..place::workload(Kind::Repeatable) };
-        let terms = |number| Terms {
-            sidecars: count,
-            number,
+        let workload =
+            Workload { quoted_time: Micros::millis(1_000), ..place::workload(Idempotency::Idempotent) };
+        let terms = |instance_index| BalancerConfig {
+            instances: count,
+            instance_index,
             workloads: vec![workload.clone()],
-            cold_from: COLD_FROM,
-            warm_within: WARM_WITHIN,
+            cold_capacity: COLD_FROM,
+            warm_up_time: WARM_WITHIN,
             ..place::terms(&[])
         };
         let (instances, due, sends) = (Vec::new(), BinaryHeap::new(), HashMap::new());
         let mut world = World { now, instances, due, set: 0, sends };
         for number in 0..count {
             let mut out = Vec::new();
-            let sidecar = Sidecar::new(&terms(number), u64::from(number) + 3, now, &mut out);
+            let sidecar = Balancer::new(&terms(number), u64::from(number) + 3, now, &mut out);
             world.instances.push(Instance { sidecar, timers: BinaryHeap::new(), hops: HashMap::new() });
             world.carry_out(number as usize, out);
         }
@@ -84,7 +85,7 @@
                     *hop += 1;
                     *self.sends.entry(server).or_default() += 1;
                 }
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.instances[at].timers.push(Reverse((self.now + after, self.set, token)));
                 }
                 _ => {}
@@ -92,9 +93,9 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Listing]) {
+    fn list(&mut self, kind: ListKind, entries: &[ListedServer]) {
         for at in 0..self.instances.len() {
-            self.tell(at, Event::Listed { kind, entries });
+            self.tell(at, Event::ListReceived { kind, entries });
         }
     }
 
@@ -109,7 +110,7 @@
                         break;
                     }
                     self.instances[at].timers.pop();
-                    self.tell(at, Event::Woke(token));
+                    self.tell(at, Event::TimerFired(token));
                 }
             }
             while let Some(&Reverse((due, _, at, call, hop))) = self.due.peek() {
@@ -117,9 +118,9 @@
                     break;
                 }
                 self.due.pop();
-                let (outcome, waited, report) = (Outcome::Succeeded, TOOK, None);
-                let ending = Ending { call, hop, outcome, waited, closed: true, report };
-                self.tell(at, Event::Ended(ending));
+                let (outcome, elapsed, load) = (Outcome::Succeeded, TOOK, None);
+                let ending = HopResult { call, hop, outcome, elapsed, call_over: true, load };
+                self.tell(at, Event::HopEnded(ending));
             }
             self.set += 1;
             let at = match number as u32 % apart {
@@ -127,10 +128,17 @@
                 _ => 0,
             };
             let (call, workload) = (CallId(self.set as u32), WorkloadId(0));
-            let (left, customer) = (Micros::millis(2_000), CustomerId(0));
+            let (time_left, tenant) = (Micros::millis(2_000), TenantId(0));
             self.tell(
                 at,
-                Event::Arrived(Arrival { call, workload, left, customer, repeat: false, key: None }),
+                Event::CallArrived(Arrival {
+                    call,
+                    workload,
+                    time_left,
+                    tenant,
+                    client_retry: false,
+                    affinity_key: None,
+                }),
             );
         }
     }
@@ -145,7 +153,7 @@
 fn a_cold_server_gets_its_share_of_all_instances_together() {
     for apart in [4, 10, 1_000] {
         let mut world = World::new(INSTANCES);
-        let warm: Vec<Listing> = (0..WARM).map(|id| listing(ServerId(id), Micros(0))).collect();
+        let warm: Vec<ListedServer> = (0..WARM).map(|id| listing(ServerId(id), Micros(0))).collect();
         world.list(ListKind::Whole, &warm);
         world.run(600, apart, Micros::millis(6_000));
         let started = world.now;
@@ -170,7 +178,7 @@
 #[test]
 fn what_each_instance_could_save_up_never_meets_a_cold_server_at_once() {
     let mut world = World::new(MANY);
-    let warm: Vec<Listing> = (0..WARM).map(|id| listing(ServerId(id), Micros(0))).collect();
+    let warm: Vec<ListedServer> = (0..WARM).map(|id| listing(ServerId(id), Micros(0))).collect();
     world.list(ListKind::Whole, &warm);
     world.run(400, 1, Micros::millis(10_000));
     let started = world.now;
