--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -2,15 +2,15 @@
 //! asking for leases. What is agreed is carried out before it is said to be known. The rules are those of the package
 //! `oakhollow_accord`; without `[accord]` in the operator's file nothing here runs.
 use crate::endpoint_list::Elsewhere;
-use crate::endpoint_registry::{lock, Mark, Shared as EndpointRegistry};
+use crate::endpoint_registry::{lock, Mark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::lease::Lease;
 use crate::lines::{line, say, within};
 use crate::maintenance_store::MaintenanceStore;
-use crate::start_time::Heard;
+use crate::start_time::ListArrival;
 use crate::timers::Clock;
 use crate::uninterrupted::Uninterrupted;
-use crate::workers::{Order, Orders};
+use crate::workers::{CommandBroadcaster, WorkerCommand};
 use async_channel::{bounded, Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -73,12 +73,12 @@
 
 /// The way for the console, and for a file that was read.
 #[derive(Clone)]
-pub struct Accord {
+pub struct AccordHandle {
     inputs: Sender<Input>,
     scope: Scope,
 }
 
-impl Accord {
+impl AccordHandle {
     /// Takes a file that was read; if it can't be one that instances agree on, all stays as it was.
     pub async fn written(&self, start: Start) -> Result<(), String> {
         numbered(&start)?;
@@ -87,13 +87,13 @@
         refused.recv().await.map_or(Ok(()), Err)
     }
 
-    pub async fn listed(&self, list: Arc<List>) {
+    pub async fn apply_list(&self, list: Arc<List>) {
         let _ = self.inputs.send(Input::Listed(list, None)).await;
     }
 
     /// To be waited for before workers hear of that list: what it names and nobody tells of yet is held back by then. True if
     /// that was needed; otherwise they come first.
-    pub async fn listed_before(&self, list: &Arc<List>) -> bool {
+    pub async fn apply_list_before_workers(&self, list: &Arc<List>) -> bool {
         if self.scope == Scope::All {
             return false;
         }
@@ -103,7 +103,7 @@
         true
     }
 
-    pub async fn list_fails(&self) {
+    pub async fn list_unavailable(&self) {
         let _ = self.inputs.send(Input::ListFails).await;
     }
 
@@ -134,8 +134,8 @@
 pub struct Parts {
     pub operated: Operated,
     pub lease: Lease,
-    pub orders: Orders,
-    pub registry: EndpointRegistry,
+    pub orders: CommandBroadcaster,
+    pub registry: SharedRegistry,
     /// Where marks are kept, and the other process of this sidecar, which is told of them.
     pub store: Option<Arc<MaintenanceStore>>,
     pub peers: HandoverLinks,
@@ -166,7 +166,7 @@
 /// Begins to agree; the future that is given runs for as long as the program.
 pub fn begin(
     start: &Start, known: Arc<List>, parts: Parts,
-) -> Result<(Accord, impl Future<Output = ()>), String> {
+) -> Result<(AccordHandle, impl Future<Output = ()>), String> {
     let (own, document) = numbered(start)?;
     // Shared by all links to our keeper: one copy for each would grow by the square.
     let names: Arc<[String]> = parts.operated.instances.keys().cloned().collect();
@@ -198,7 +198,7 @@
         out: Elsewhere::new(),
         parts,
     };
-    let accord = Accord { inputs: inputs.clone(), scope: running.parts.operated.scope };
+    let accord = AccordHandle { inputs: inputs.clone(), scope: running.parts.operated.scope };
     Ok((accord, running.run((document, known), keepers, (inputs, incoming))))
 }
 
@@ -263,7 +263,7 @@
             let lapses = Some(self.member.until()).filter(|until| *until > now);
             let due = [Some(self.member.due()), keeper, lapses].into_iter().flatten().min().unwrap_or(now);
             let woke = async {
-                Timer::at(self.parts.clock.instant(due)).await;
+                Timer::at(self.parts.clock.instant_at(due)).await;
                 None
             };
             let heard = async { Some(incoming.recv().await) };
@@ -358,7 +358,10 @@
                         Ok(place) => {
                             self.unreadable = false;
                             let place = Arc::new(place);
-                            self.parts.orders.have_done(|done| Order::Retuned(place, done)).await;
+                            self.parts
+                                .orders
+                                .send_and_wait(|done| WorkerCommand::ApplySettings(place, done))
+                                .await;
                             info!(self.parts.log, "keeps to {}", self.kept());
                         }
                         // Each was judged with the others and alone before it was taken; what can't be kept to is not acted on.
@@ -391,7 +394,7 @@
                     warn!(self.parts.log, "unsure: no majority's leases, {:?}", self.parts.operated.unsure)
                 }
             }
-            self.parts.orders.tell(Order::Look).await;
+            self.parts.orders.send(WorkerCommand::RecheckDeadlines).await;
         }
     }
 
@@ -410,7 +413,7 @@
             );
             self.out = elsewhere.clone();
             let elsewhere = Arc::new(elsewhere);
-            self.parts.orders.have_done(|done| Order::Drained(elsewhere, done)).await;
+            self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyPeerDrains(elsewhere, done)).await;
         }
         if self.cut_off {
             let entries = self.member.unknown().filter_map(|entry| read::<Entry>(entry.as_bytes()).ok());
@@ -423,7 +426,10 @@
                     told(&list, self.parts.operated.lists),
                     &mut Vec::new(),
                 );
-                self.parts.orders.tell(Order::Listed(ListKind::Cached, Arc::new(list), Heard::first())).await;
+                self.parts
+                    .orders
+                    .send(WorkerCommand::ApplyList(ListKind::Cached, Arc::new(list), ListArrival::now()))
+                    .await;
             }
         }
     }
@@ -441,7 +447,7 @@
         }
         info!(self.parts.log, "{} {} by hand, at another instance", name, if out { "out" } else { "back" });
         self.parts.peers.tell(&mark, None);
-        self.parts.orders.have_done(|done| Order::Marked(mark, done)).await;
+        self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark, done)).await;
     }
 
     fn kept(&self) -> String {
--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -1,17 +1,17 @@
 //! The second address, for operators alone: asks whether this process serves, and takes servers out by hand or puts them
 //! back. It has a thread, a reactor and descriptors of its own, so that it answers however busy the workers are.
-use crate::accord::Accord;
-use crate::endpoint_registry::{lock, Mark, Refused, Shared};
+use crate::accord::AccordHandle;
+use crate::endpoint_registry::{lock, Mark, Refused, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
 use crate::http1::head::{Fault, Head};
 use crate::http1::messages::{Assembler, Came, Side};
 use crate::maintenance_store::{Kept, MaintenanceStore};
-use crate::metrics::{Gauges, Metrics};
+use crate::metrics::{GaugeValues, Metrics};
 use crate::reactor::{Async, Timer};
 use crate::tasks::Tasks;
 use crate::timers::Clock;
-use crate::workers::{self, on_this_thread, Order, Orders};
+use crate::workers::{self, run_on_this_thread, CommandBroadcaster, WorkerCommand};
 use async_executor::Task;
 use futures_lite::{future, AsyncWriteExt};
 use oakhollow::types::Micros;
@@ -37,13 +37,13 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 pub struct Console {
-    pub registry: Shared,
-    pub orders: Orders,
+    pub registry: SharedRegistry,
+    pub orders: CommandBroadcaster,
     pub clock: Clock,
     pub log: Logger,
     pub store: Option<Arc<MaintenanceStore>>,
     pub peers: HandoverLinks,
-    pub accord: Option<Accord>,
+    pub accord: Option<AccordHandle>,
     pub metrics: Arc<Metrics>,
     /// What each worker holds.
     pub gauges: Vec<workers::Gauges>,
@@ -117,7 +117,7 @@
         loop {
             let listened = bound.take().map_or_else(|| TcpListener::bind(at), Ok).and_then(|listener| {
                 info!(console.log, "console at {}", listener.local_addr()?);
-                on_this_thread(|tasks| console.clone().answer_all(listener, tasks))
+                run_on_this_thread(|tasks| console.clone().answer_all(listener, tasks))
             });
             match listened {
                 // The process before this one has the address still, as was said.
@@ -176,7 +176,7 @@
                 Some(accord) => Ok(Answer::plain(200, accord.status().await)),
                 None => Err(Fault { status: 404, why: "instances agree on nothing here" }),
             },
-            Call::Metrics => Ok(Answer::plain(200, self.metrics.text(self.gauges()))),
+            Call::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauges()))),
             Call::Mark { name, out } => {
                 let name = plain(name).ok_or(Fault { status: 400, why: "the name is malformed" })?;
                 self.mark(&name, out).await
@@ -184,13 +184,13 @@
         }
     }
 
-    fn gauges(&self) -> Gauges {
+    fn gauges(&self) -> GaugeValues {
         let registry = lock(&self.registry);
-        Gauges {
+        GaugeValues {
             requests: self.gauges.iter().map(|worker| worker.calls.get()).sum(),
             connections: self.gauges.iter().map(|worker| worker.connections.get()).sum(),
-            servers: registry.counts(),
-            list_age: registry.told.map(|told| Micros(told.elapsed().as_micros() as u64)),
+            endpoints: registry.counts(),
+            list_age: registry.last_heard.map(|heard| Micros(heard.elapsed().as_micros() as u64)),
             watch_open: registry.watch_open,
         }
     }
@@ -215,7 +215,7 @@
         }
         info!(self.log, "{} {} by hand", name, if *out { "out" } else { "back" });
         let applied = async {
-            self.orders.have_done(|done| Order::Marked(mark.clone(), done)).await;
+            self.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark.clone(), done)).await;
             true
         };
         let kept = async {
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -11,7 +11,7 @@
 use crate::monitor::Monitor;
 use crate::oneshot::{self, oneshot};
 use crate::reactor::Timer;
-use crate::start_time::{Heard, StartWindow};
+use crate::start_time::{ListArrival, StartWindow};
 use crate::tasks::Tasks;
 use crate::timers::{duration, Clock, Timers};
 use async_channel::{bounded, Receiver, Sender};
@@ -41,8 +41,8 @@
     /// Makes one attempt and waits for its end, until `by` at most. Dropping the future cancels it.
     fn attempt(
         &self, permit: AttemptPermit, content: Rc<Self::Content>, to: SocketAddr, by: Instant,
-        progress: Rc<Progress>,
-    ) -> impl Future<Output = End<Self::Answer>> + 'static;
+        progress: Rc<AttemptProgress>,
+    ) -> impl Future<Output = AttemptEnd<Self::Answer>> + 'static;
 
     /// Nothing new is wanted at this address.
     fn retire(&self, at: SocketAddr);
@@ -50,46 +50,46 @@
 
 /// How far a hop's request has come.
 #[derive(Default)]
-pub struct Progress {
+pub struct AttemptProgress {
     /// Its first byte may be out: what forbids it from now on comes too late.
-    pub begun: Cell<bool>,
+    pub send_started: Cell<bool>,
     /// When its last byte was written; until then no server has begun it.
-    pub written: Cell<Option<Instant>>,
+    pub fully_sent_at: Cell<Option<Instant>>,
 }
 
 /// What a server tells of its load at the end of a hop.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Told {
-    Nothing,
-    Load(Report),
+pub enum LoadReport {
+    Absent,
+    Valid(Report),
     /// Something that can't be read; it counts as nothing.
-    Odd,
+    Malformed,
 }
 
 /// How a hop ended.
-pub struct End<A> {
+pub struct AttemptEnd<A> {
     pub outcome: Outcome,
     pub answer: Option<A>,
-    pub told: Told,
+    pub load_report: LoadReport,
     /// How long the server took, where that is not all the time since the send.
-    pub waited: Option<Micros>,
+    pub latency: Option<Micros>,
 }
 
 /// The one final answer of an API call.
-pub enum Verdict<A> {
-    Succeeded(A),
-    Dismissed { cool_down: Micros },
-    Errored,
+pub enum RequestOutcome<A> {
+    Served(A),
+    Refused { cool_down: Micros },
+    Failed,
 }
 
 /// What the decisions need to know of an API call.
-pub struct Ask {
+pub struct RequestParams {
     pub workload: WorkloadId,
     pub class: ClassId,
     pub customer: CustomerId,
-    pub repeat: bool,
-    pub abandon: Micros,
-    pub most_hops: usize,
+    pub client_retry: bool,
+    pub deadline: Micros,
+    pub max_attempts: usize,
     /// What it is about, where servers are quicker with what they know.
     pub key: Option<u64>,
 }
@@ -97,45 +97,45 @@
 /// An API call as it is taken in.
 pub struct Taken<P: Protocol> {
     pub call: CallId,
-    pub ask: Ask,
+    pub ask: RequestParams,
     pub content: Rc<P::Content>,
-    pub verdict: oneshot::Sender<Verdict<P::Answer>>,
+    pub verdict: oneshot::Sender<RequestOutcome<P::Answer>>,
 }
 
-pub enum Note<P: Protocol> {
-    Taken(Taken<P>),
+pub enum DispatcherMessage<P: Protocol> {
+    NewRequest(Taken<P>),
     Withdrawn(CallId),
-    Ended {
+    AttemptEnded {
         call: CallId,
         hop: HopNo,
-        end: End<P::Answer>,
+        end: AttemptEnd<P::Answer>,
     },
-    Listed(ListKind, Arc<List>, Heard),
+    ApplyList(ListKind, Arc<List>, ListArrival),
     /// A server is out by hand, or back; the sender is dropped when that holds.
-    Marked(Mark, Sender<()>),
+    ApplyMark(Mark, Sender<()>),
     /// What holds from now on, what is left of workloads that no more do, and who waits for it.
-    Retuned(Box<Terms>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
+    ApplySettings(Box<Terms>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
     /// Whom others' lists let drain; the sender is dropped when that holds.
-    Drained(Arc<Elsewhere>, Sender<()>),
+    ApplyPeerDrains(Arc<Elsewhere>, Sender<()>),
     /// The lease has begun or run out, or the list may not be used any more.
-    Look,
+    RecheckDeadlines,
     /// What the module has learnt is asked for.
-    Asked(Sender<Taught>),
+    ExportLearned(Sender<Taught>),
     /// The program ends: calls have their answers by then.
-    AnswerBy(Micros),
+    SetAnswerDeadline(Micros),
     /// That moment has come.
-    TimeUp,
+    AnswerDeadlinePassed,
 }
 
 /// How all else reaches the module.
-pub struct Desk<P: Protocol> {
-    notes: Sender<Note<P>>,
+pub struct DispatcherHandle<P: Protocol> {
+    notes: Sender<DispatcherMessage<P>>,
     pub clock: Clock,
     calls: Cell<u32>,
     /// API calls taken and not yet answered.
-    pub held: Gauge,
+    pub open_requests: Gauge,
     /// Whether the list names a server that may be sent to.
-    pub listed: Cell<bool>,
+    pub has_ready_endpoint: Cell<bool>,
 }
 
 /// Notes that may wait: socket code is held up when there are more.
@@ -143,31 +143,34 @@
 /// Notes taken in a row: guards against timers that wait for a queue which never empties.
 const MOST_AT_ONCE: usize = 32;
 
-impl<P: Protocol> Desk<P> {
-    /// `held` is where the calls taken and not yet answered are counted.
-    pub fn new(clock: Clock, held: Gauge) -> (Rc<Desk<P>>, Receiver<Note<P>>) {
+impl<P: Protocol> DispatcherHandle<P> {
+    /// `open_requests` is where the calls taken and not yet answered are counted.
+    pub fn new(
+        clock: Clock, open_requests: Gauge,
+    ) -> (Rc<DispatcherHandle<P>>, Receiver<DispatcherMessage<P>>) {
         let (notes, inbox) = bounded(MOST_NOTES);
-        let (calls, listed) = (Cell::new(0), Cell::new(false));
-        (Rc::new(Desk { notes, clock, calls, held, listed }), inbox)
+        let (calls, has_ready_endpoint) = (Cell::new(0), Cell::new(false));
+        (Rc::new(DispatcherHandle { notes, clock, calls, open_requests, has_ready_endpoint }), inbox)
     }
 
-    pub async fn tell(&self, note: Note<P>) {
+    pub async fn send(&self, note: DispatcherMessage<P>) {
         // The module's task ends last of all; what comes after it concerns nobody.
         let _ = self.notes.send(note).await;
     }
 
     /// The number of the next request.
-    pub fn number(&self) -> CallId {
+    pub fn next_request_id(&self) -> CallId {
         CallId(self.calls.replace(self.calls.get().wrapping_add(1)))
     }
 
     /// Takes a request under its number; its verdict comes from what this returns.
-    pub async fn take(
-        &self, call: CallId, ask: Ask, content: P::Content,
-    ) -> oneshot::Receiver<Verdict<P::Answer>> {
+    pub async fn submit(
+        &self, call: CallId, ask: RequestParams, content: P::Content,
+    ) -> oneshot::Receiver<RequestOutcome<P::Answer>> {
         let (verdict, answer) = oneshot();
-        self.held.up();
-        self.tell(Note::Taken(Taken { call, ask, content: Rc::new(content), verdict })).await;
+        self.open_requests.increment();
+        self.send(DispatcherMessage::NewRequest(Taken { call, ask, content: Rc::new(content), verdict }))
+            .await;
         answer
     }
 }
@@ -175,9 +178,9 @@
 struct Call<P: Protocol> {
     class: ClassId,
     content: Rc<P::Content>,
-    abandon: Micros,
-    most_hops: usize,
-    verdict: Option<oneshot::Sender<Verdict<P::Answer>>>,
+    deadline: Micros,
+    max_attempts: usize,
+    verdict: Option<oneshot::Sender<RequestOutcome<P::Answer>>>,
     hops: Vec<Hop>,
 }
 
@@ -185,14 +188,14 @@
     sent: Micros,
     went_out: bool,
     server: ServerId,
-    progress: Rc<Progress>,
+    progress: Rc<AttemptProgress>,
     kind: AttemptKind,
     running: Option<Task<()>>,
 }
 
 pub struct Dispatcher<P: Protocol> {
     protocol: Rc<P>,
-    desk: Rc<Desk<P>>,
+    desk: Rc<DispatcherHandle<P>>,
     tasks: Tasks,
     log: Logger,
     ask: Sender<()>,
@@ -223,7 +226,7 @@
 /// What goes into the making of a [`Dispatcher`].
 pub struct Parts<P: Protocol> {
     pub protocol: Rc<P>,
-    pub desk: Rc<Desk<P>>,
+    pub desk: Rc<DispatcherHandle<P>>,
     pub tasks: Tasks,
     pub log: Logger,
     /// Asks for a subscription to the list.
@@ -280,7 +283,7 @@
     }
 
     /// Runs until nobody is left to send a note.
-    pub async fn run(mut self, notes: Receiver<Note<P>>) {
+    pub async fn run(mut self, notes: Receiver<DispatcherMessage<P>>) {
         loop {
             let due = async { self.timers.next().await.map(Ok) };
             let note = async { notes.recv().await.ok().map(Err) };
@@ -308,7 +311,7 @@
         let now = || self.desk.clock.now();
         // Until another list has come, and not only until the deadline is set anew: that is done first.
         self.list_stale |= self.list_deadline.has_passed(now);
-        let held_back = self.list_stale || self.lease.refuses(now);
+        let held_back = self.list_stale || self.lease.forbids_sending(now);
         if held_back == self.held_back {
             return;
         }
@@ -320,45 +323,58 @@
         }
     }
 
-    fn hear(&mut self, note: Note<P>) {
+    fn hear(&mut self, note: DispatcherMessage<P>) {
         self.look();
         match note {
-            Note::Taken(Taken { call, ask, content, verdict }) => {
-                let Ask { workload, class, customer, repeat, abandon, most_hops, key } = ask;
+            DispatcherMessage::NewRequest(Taken { call, ask, content, verdict }) => {
+                let RequestParams { workload, class, customer, client_retry, deadline, max_attempts, key } =
+                    ask;
                 // One taken before the end was known may come here after it.
-                let abandon = abandon.min(self.answer_by);
-                let left = abandon - self.desk.clock.now();
+                let deadline = deadline.min(self.answer_by);
+                let left = deadline - self.desk.clock.now();
                 let known =
-                    Call { class, content, abandon, most_hops, verdict: Some(verdict), hops: Vec::new() };
+                    Call { class, content, deadline, max_attempts, verdict: Some(verdict), hops: Vec::new() };
                 self.calls.insert(call, known);
                 self.monitor.queued(call);
-                self.on(Event::Arrived(Arrival { call, workload, left, customer, repeat, key }));
+                self.on(Event::Arrived(Arrival {
+                    call,
+                    workload,
+                    left,
+                    customer,
+                    repeat: client_retry,
+                    key,
+                }));
             }
-            Note::Withdrawn(call) => {
+            DispatcherMessage::Withdrawn(call) => {
                 if self.calls.get_mut(&call).is_some_and(|known| known.verdict.take().is_some()) {
-                    self.desk.held.down();
+                    self.desk.open_requests.decrement();
                     self.call_off(call);
                     self.on(Event::Withdrawn { call });
                     self.clear(call);
                 }
             }
-            Note::Ended { call, hop, end: End { outcome, answer, told, waited } } => {
+            DispatcherMessage::AttemptEnded {
+                call,
+                hop,
+                end: AttemptEnd { outcome, answer, load_report, latency },
+            } => {
                 let running = self.calls.get_mut(&call).and_then(|known| known.hops.get_mut(hop.0 as usize));
                 // One cancelled a moment ago has been counted as that.
                 if let Some(kind) = running.and_then(|hop| hop.running.take().map(|_| hop.kind)) {
                     self.monitor.attempt_ended(call, hop, kind, outcome);
                     if let Some(answer) = answer {
-                        self.answer(call, Verdict::Succeeded(answer));
+                        self.answer(call, RequestOutcome::Served(answer));
                     }
-                    let report = self.weigh(told);
-                    self.ended(call, hop, outcome, (report, waited));
+                    let report = self.weigh(load_report);
+                    self.ended(call, hop, outcome, (report, latency));
                     self.settle();
                 }
             }
-            Note::Listed(kind, list, heard) => {
+            DispatcherMessage::ApplyList(kind, list, heard) => {
                 let clock = self.desk.clock;
-                let earliest = heard.complete_until.map(|until| clock.at(until));
-                let told = self.endpoints.take(&list, StartWindow { latest: clock.at(heard.at), earliest });
+                let earliest = heard.complete_until.map(|until| clock.micros_at(until));
+                let told =
+                    self.endpoints.take(&list, StartWindow { latest: clock.micros_at(heard.at), earliest });
                 let after = heard.at.elapsed().as_millis();
                 info!(
                     self.log,
@@ -370,24 +386,24 @@
                     self.look();
                 }
             }
-            Note::Asked(to) => {
+            DispatcherMessage::ExportLearned(to) => {
                 let named = |(id, judged)| (self.endpoints.name(id).to_string(), judged);
                 let servers = self.sidecar.judged().map(named).collect();
                 let _ = to.try_send(servers);
             }
-            Note::Look => {}
-            Note::AnswerBy(by) => {
+            DispatcherMessage::RecheckDeadlines => {}
+            DispatcherMessage::SetAnswerDeadline(by) => {
                 self.monitor.shutdown_begun(by);
                 self.answer_by = by;
-                self.calls.values_mut().for_each(|call| call.abandon = call.abandon.min(by));
+                self.calls.values_mut().for_each(|call| call.deadline = call.deadline.min(by));
                 let (desk, left) = (self.desk.clone(), duration(by - self.desk.clock.now()));
-                self.tasks.run(async move {
+                self.tasks.spawn_detached(async move {
                     Timer::after(left).await;
-                    desk.tell(Note::TimeUp).await;
+                    desk.send(DispatcherMessage::AnswerDeadlinePassed).await;
                 });
                 self.on(Event::AnswerBy(by));
             }
-            Note::TimeUp => {
+            DispatcherMessage::AnswerDeadlinePassed => {
                 // Hops that are out were sent with more time: the module hears now that it is over.
                 let open = self.calls.iter().filter(|(_, call)| call.verdict.is_some());
                 let open: Vec<CallId> = open.map(|(id, _)| *id).collect();
@@ -398,7 +414,7 @@
                 }
                 self.settle();
             }
-            Note::Retuned(terms, left, done) => {
+            DispatcherMessage::ApplySettings(terms, left, done) => {
                 self.left = left;
                 (self.most_hops, self.warm_within) = (terms.most_hops as usize, terms.warm_within);
                 self.on(Event::Retuned(&terms));
@@ -407,12 +423,12 @@
                 self.forbid();
                 drop(done);
             }
-            Note::Drained(elsewhere, done) => {
+            DispatcherMessage::ApplyPeerDrains(elsewhere, done) => {
                 let told = self.endpoints.drain_elsewhere(elsewhere);
                 self.listed(ListKind::Cached, told);
                 drop(done);
             }
-            Note::Marked(mark, done) => {
+            DispatcherMessage::ApplyMark(mark, done) => {
                 let told = self.endpoints.mark(&mark);
                 // Nothing was heard from discovery by this.
                 self.listed(ListKind::Cached, told);
@@ -425,7 +441,7 @@
         told.entries.iter().for_each(|listing| self.monitor.server_listed(listing));
         self.on(Event::Listed { kind, entries: &told.entries });
         told.retired.into_iter().for_each(|address| self.protocol.retire(address));
-        self.desk.listed.set(self.endpoints.any_ready());
+        self.desk.has_ready_endpoint.set(self.endpoints.any_ready());
     }
 
     fn on(&mut self, event: Event) {
@@ -441,11 +457,11 @@
     }
 
     /// A report that can't be read is counted, and said of at the first, second, fourth, eighth ... one.
-    fn weigh(&mut self, told: Told) -> Option<Report> {
+    fn weigh(&mut self, told: LoadReport) -> Option<Report> {
         match told {
-            Told::Nothing => None,
-            Told::Load(report) => Some(report),
-            Told::Odd => {
+            LoadReport::Absent => None,
+            LoadReport::Valid(report) => Some(report),
+            LoadReport::Malformed => {
                 self.odd += 1;
                 if self.odd.is_power_of_two() {
                     info!(self.log, "load report not read, {} so far", self.odd);
@@ -480,10 +496,10 @@
         }
     }
 
-    fn answer(&mut self, call: CallId, verdict: Verdict<P::Answer>) {
+    fn answer(&mut self, call: CallId, verdict: RequestOutcome<P::Answer>) {
         let Some(known) = self.calls.get_mut(&call) else { return };
         if let Some(client) = known.verdict.take() {
-            self.desk.held.down();
+            self.desk.open_requests.decrement();
             // A client that has gone says so by a note of its own.
             client.send(verdict);
             self.call_off(call);
@@ -510,7 +526,7 @@
     fn end_hops(&mut self, id: CallId, outcome: impl Fn(bool) -> Option<Outcome>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         for (hop, no) in call.hops.iter_mut().zip(0..) {
-            let Some(outcome) = outcome(hop.progress.written.get().is_some()) else { continue };
+            let Some(outcome) = outcome(hop.progress.fully_sent_at.get().is_some()) else { continue };
             if hop.running.take().is_some() {
                 self.monitor.attempt_ended(id, HopNo(no), hop.kind, outcome);
                 self.ends.push_back((id, HopNo(no), outcome));
@@ -528,11 +544,11 @@
                 }
                 Action::Dismiss { call, cool_down } => {
                     self.refused(call);
-                    self.answer(call, Verdict::Dismissed { cool_down });
+                    self.answer(call, RequestOutcome::Refused { cool_down });
                     self.clear(call);
                 }
                 Action::Fail { call } => {
-                    self.answer(call, Verdict::Errored);
+                    self.answer(call, RequestOutcome::Failed);
                     self.clear(call);
                 }
                 Action::Wake { after, token } => self.timers.set(self.desk.clock.now() + after, token),
@@ -582,7 +598,7 @@
 
     /// Ends the attempts that have not begun and that a condition holds for, by their call and place in it.
     fn end_waiting_attempts(&mut self, ends: impl Fn(&Self, &Call<P>, usize) -> bool) {
-        let waits = |hop: &Hop| hop.running.is_some() && !hop.progress.begun.get();
+        let waits = |hop: &Hop| hop.running.is_some() && !hop.progress.send_started.get();
         let forbidden: Vec<(CallId, usize)> = self
             .calls
             .iter()
@@ -599,8 +615,9 @@
     /// Whether what all have agreed on allows this hop of a call, whatever held when the call began.
     fn allowed(&self, call: &Call<P>, no: usize, server: ServerId, now: Micros) -> bool {
         // No other has begun; of those that wait for their connections it is the first.
-        let before =
-            |(at, hop): (usize, &Hop)| at != no && (hop.progress.begun.get() || at < no && hop.went_out);
+        let before = |(at, hop): (usize, &Hop)| {
+            at != no && (hop.progress.send_started.get() || at < no && hop.went_out)
+        };
         let first = !call.hops.iter().enumerate().any(before);
         let left = match self.left.get(&call.class) {
             None => true,
@@ -619,11 +636,11 @@
     fn send(&mut self, id: CallId, server: ServerId, give_up: Micros) {
         let now = self.desk.clock.now();
         let Some(call) = self.calls.get(&id) else { return };
-        let (no, left) = (HopNo(call.hops.len() as u32), call.abandon - now);
-        let sound = call.verdict.is_some() && left.0 > 0 && call.hops.len() < call.most_hops;
+        let (no, left) = (HopNo(call.hops.len() as u32), call.deadline - now);
+        let sound = call.verdict.is_some() && left.0 > 0 && call.hops.len() < call.max_attempts;
         let sound = sound && (!self.lease.on() || self.allowed(call, call.hops.len(), server, now));
         let address = self.endpoints.address(server).filter(|_| sound);
-        let progress = Rc::<Progress>::default();
+        let progress = Rc::<AttemptProgress>::default();
         let kind = kind_of_next(&call.hops);
         // Asked for last of all: what it allows is counted as started.
         let allowed = address.and_then(|address| {
@@ -632,11 +649,11 @@
         });
         let running = allowed.and_then(|(address, permit)| {
             let (desk, content) = (self.desk.clone(), call.content.clone());
-            let by = desk.clock.instant(now + give_up.min(left));
+            let by = desk.clock.instant_at(now + give_up.min(left));
             let hop = self.protocol.attempt(permit, content, address, by, progress.clone());
             self.tasks.spawn(async move {
                 let end = hop.await;
-                desk.tell(Note::Ended { call: id, hop: no, end }).await;
+                desk.send(DispatcherMessage::AttemptEnded { call: id, hop: no, end }).await;
             })
         });
         if running.is_none() {
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -140,11 +140,11 @@
         match (self.known.get(&server), window) {
             (Some(known), _) if known.entry.since_ms() == entry.since_ms() => known.started,
             (_, None) => listed,
-            (Some(known), Some(window)) => match window.bound(listed) {
+            (Some(known), Some(window)) => match window.plausible_start(listed) {
                 started if started.0 > 0 && started <= known.started => window.latest,
                 started => started,
             },
-            (None, Some(window)) => window.bound(listed),
+            (None, Some(window)) => window.plausible_start(listed),
         }
     }
 
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -1,5 +1,5 @@
 //! What the whole program knows of servers by name: the list as last told, and which are out by hand. No sockets, no clock.
-use crate::metrics::ServerCounts;
+use crate::metrics::EndpointCounts;
 use oakhollow::types::Micros;
 use oakhollow_terms::{Entry, List, Marks, Version};
 use std::collections::BTreeMap;
@@ -27,9 +27,9 @@
     version: Version,
     marks: Marks,
     /// The list was told by discovery, or discovery has failed to.
-    pub settled: bool,
+    pub list_settled: bool,
     /// When the list was last told, or said to be unchanged.
-    pub told: Option<Instant>,
+    pub last_heard: Option<Instant>,
     /// The watch of the list is open and has told something.
     pub watch_open: bool,
     /// Workers take callers in, and the program is not leaving.
@@ -37,25 +37,26 @@
     /// A majority's leases live, where instances agree on settings.
     pub sure: bool,
     /// The list was heard recently enough to be used.
-    pub fresh: bool,
+    pub list_fresh: bool,
 }
 
 /// The registry as the program's threads share it.
-pub type Shared = Arc<Mutex<EndpointRegistry>>;
+pub type SharedRegistry = Arc<Mutex<EndpointRegistry>>;
 
-pub fn lock(registry: &Shared) -> MutexGuard<'_, EndpointRegistry> {
+pub fn lock(registry: &SharedRegistry) -> MutexGuard<'_, EndpointRegistry> {
     registry.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl EndpointRegistry {
     pub fn new(known: &List, marks: Marks) -> EndpointRegistry {
-        let mut registry = EndpointRegistry { marks, sure: true, fresh: true, ..EndpointRegistry::default() };
-        registry.take(known);
+        let mut registry =
+            EndpointRegistry { marks, sure: true, list_fresh: true, ..EndpointRegistry::default() };
+        registry.apply(known);
         registry
     }
 
     /// Takes what the list tells.
-    pub fn take(&mut self, list: &List) {
+    pub fn apply(&mut self, list: &List) {
         self.version = list.index;
         if list.snapshot {
             self.entries.clear();
@@ -72,7 +73,7 @@
     /// Takes entries that others' lists tell, in between what the own one does. Gives them as changes of that.
     pub fn add(&mut self, endpoints: Vec<Entry>) -> List {
         let list = List { index: self.version, snapshot: false, endpoints };
-        self.take(&list);
+        self.apply(&list);
         list
     }
 
@@ -120,8 +121,8 @@
     }
 
     /// Servers by what they may be sent.
-    pub fn counts(&self) -> ServerCounts {
-        let mut counts = ServerCounts::default();
+    pub fn counts(&self) -> EndpointCounts {
+        let mut counts = EndpointCounts::default();
         for entry in self.entries.values() {
             let out = self.marks.out.contains(&entry.name);
             match (out, entry.ready()) {
@@ -138,8 +139,8 @@
         let mut usable = self.entries.values().filter(|entry| entry.ready());
         self.able
             && self.sure
-            && self.fresh
-            && self.settled
+            && self.list_fresh
+            && self.list_settled
             && usable.any(|entry| !self.marks.out.contains(&entry.name))
     }
 }
@@ -163,11 +164,11 @@
         assert_eq!(registry.mark("c", true, at(1)), Err(Refused::Unknown));
         assert!(registry.mark("a", true, at(1)).is_ok() && registry.mark("a", true, at(2)).is_ok());
         // Kept while the list leaves it out, and put back all the same.
-        registry.take(&list("b"));
+        registry.apply(&list("b"));
         assert!(registry.marks().out.contains("a"));
         assert_eq!(registry.mark("a", false, at(3)).map(|mark| mark.at), Ok(at(3)));
         assert!(registry.marks().out.is_empty());
-        registry.take(&list("a b"));
+        registry.apply(&list("a b"));
         // A call that is only repeated is no second cold start.
         assert_eq!(registry.mark("a", false, at(9)).map(|mark| mark.at), Ok(at(3)));
         assert_eq!(registry.mark("b", false, at(9)).map(|mark| mark.at), Ok(at(0)));
@@ -177,7 +178,7 @@
     fn it_serves_with_a_server_that_is_not_out_alone() {
         let mut registry = EndpointRegistry::new(&list("a"), Marks::default());
         assert!(!registry.serves());
-        (registry.able, registry.settled) = (true, true);
+        (registry.able, registry.list_settled) = (true, true);
         assert!(registry.serves());
         registry.mark("a", true, Micros(1)).expect("known");
         assert!(!registry.serves());
--- a/sidecar/src/eviction.rs
+++ b/sidecar/src/eviction.rs
@@ -3,15 +3,15 @@
 
 /// A connection with no request open.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Holder {
+pub struct IdleConnection {
     /// It has had an answer before.
-    pub known: bool,
+    pub answered_before: bool,
     /// A request has begun to come on it.
-    pub begun: bool,
+    pub request_started: bool,
     /// Since its last byte, or since it came.
-    pub silent: Duration,
+    pub silent_for: Duration,
     /// How many connections its address has.
-    pub like: usize,
+    pub same_source: usize,
 }
 
 /// How long one that has sent nothing yet is left alone, however many others wait.
@@ -21,24 +21,26 @@
 const PAUSES: Duration = Duration::from_millis(700);
 
 /// Who goes first. Of one row those go whose address has the most connections, and of these the longest silent.
-const ROWS: [fn(&Holder) -> bool; 4] = [
+const ROWS: [fn(&IdleConnection) -> bool; 4] = [
     // Never answered, and says nothing or has stopped half way.
-    |one| !one.known && one.silent >= if one.begun { PAUSES } else { YOUTH },
+    |one| !one.answered_before && one.silent_for >= if one.request_started { PAUSES } else { YOUTH },
     // Answered before, and nothing is asked on it.
-    |one| one.known && !one.begun,
+    |one| one.answered_before && !one.request_started,
     // Answered before, and has stopped half way.
-    |one| one.known && one.silent >= PAUSES,
+    |one| one.answered_before && one.silent_for >= PAUSES,
     // Still sending: only where nobody else is left.
-    |one| one.begun && one.silent >= YOUTH,
+    |one| one.request_started && one.silent_for >= YOUTH,
 ];
 
 /// The one that gives way, by its key. None where one that has just come will be due in a moment: guards against kept
 /// connections closed for a crowd that says nothing.
-pub fn first<K: Copy>(holders: impl Iterator<Item = (K, Holder)> + Clone) -> Option<K> {
-    let young = holders.clone().any(|(_, one)| !one.known && !one.begun && one.silent < YOUTH);
+pub fn next_to_evict<K: Copy>(holders: impl Iterator<Item = (K, IdleConnection)> + Clone) -> Option<K> {
+    let young = holders
+        .clone()
+        .any(|(_, one)| !one.answered_before && !one.request_started && one.silent_for < YOUTH);
     let ranked = holders.filter_map(|(key, one)| {
         let row = ROWS.iter().position(|row| row(&one))?;
-        Some((key, (std::cmp::Reverse(row), one.like, one.silent)))
+        Some((key, (std::cmp::Reverse(row), one.same_source, one.silent_for)))
     });
     let first = ranked.max_by_key(|(_, rank)| *rank);
     first.filter(|(_, (row, ..))| row.0 == 0 || !young).map(|(key, _)| key)
@@ -50,8 +52,12 @@
 
     #[test]
     fn silent_strangers_go_first_and_who_is_sending_last() {
-        let one =
-            |known, begun, silent, like| Holder { known, begun, silent: Duration::from_millis(silent), like };
+        let one = |answered_before, request_started, silent_ms, same_source| IdleConnection {
+            answered_before,
+            request_started,
+            silent_for: Duration::from_millis(silent_ms),
+            same_source,
+        };
         let order = [
             one(false, false, 150, 9),
             one(false, false, 900, 1),
@@ -62,14 +68,14 @@
             one(true, true, 300, 1),
             one(false, true, 200, 1),
         ];
-        let mut left: Vec<(usize, Holder)> = order.into_iter().enumerate().rev().collect();
+        let mut left: Vec<(usize, IdleConnection)> = order.into_iter().enumerate().rev().collect();
         for wanted in 0..order.len() {
-            assert_eq!(first(left.iter().copied()), Some(wanted));
+            assert_eq!(next_to_evict(left.iter().copied()), Some(wanted));
             left.retain(|(key, _)| *key != wanted);
         }
         // Who has only just come, or sent, is left alone; and who was answered goes after those who will be due.
         let young =
             [(0, one(false, false, 50, 9)), (1, one(false, true, 50, 9)), (2, one(true, false, 900, 1))];
-        assert_eq!(first(young.into_iter()), None);
+        assert_eq!(next_to_evict(young.into_iter()), None);
     }
 }
--- a/sidecar/src/generations.rs
+++ b/sidecar/src/generations.rs
@@ -5,9 +5,9 @@
 
 /// A workload's number, and that of its twin for calls whose body is not kept: nothing of those may be sent twice.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Numbers {
-    pub usual: WorkloadId,
-    pub long: WorkloadId,
+pub struct WorkloadIds {
+    pub buffered: WorkloadId,
+    pub streamed: WorkloadId,
 }
 
 /// What a call that began under a workload as it was may still do, where it allows what is now forbidden.
@@ -59,7 +59,7 @@
 impl Generations {
     /// Takes what holds from now on: the same terms with all workloads in them by number, and the numbers of those that
     /// are offered, in their order.
-    pub fn take(&mut self, terms: Terms) -> (Terms, Vec<Numbers>) {
+    pub fn take(&mut self, terms: Terms) -> (Terms, Vec<WorkloadIds>) {
         let mut number = |workload: Workload| {
             let known = self.0.iter().position(|other| *other == workload);
             WorkloadId(known.unwrap_or_else(|| {
@@ -67,15 +67,15 @@
                 self.0.len() - 1
             }))
         };
-        let numbers: Vec<Numbers> = terms
+        let numbers: Vec<WorkloadIds> = terms
             .workloads
             .iter()
-            .map(|workload| Numbers {
-                usual: number(workload.clone()),
-                long: number(Workload { kind: Kind::OnceOnly, ..workload.clone() }),
+            .map(|workload| WorkloadIds {
+                buffered: number(workload.clone()),
+                streamed: number(Workload { kind: Kind::OnceOnly, ..workload.clone() }),
             })
             .collect();
-        let offered = |at| numbers.iter().any(|one| one.usual.0 == at || one.long.0 == at);
+        let offered = |at| numbers.iter().any(|one| one.buffered.0 == at || one.streamed.0 == at);
         // What is not offered any more must not count among the dearest.
         let payoff = |at, workload: &Workload| if offered(at) { workload.payoff } else { 0.0 };
         let all = self.0.iter().enumerate();
@@ -131,12 +131,12 @@
         let (all, second) = generations.take(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
         assert_eq!(second[1], first[0]);
         // A call of the dropped one is still what it was, and counts for nothing.
-        let dropped = &all.workloads[first[1].usual.0];
+        let dropped = &all.workloads[first[1].buffered.0];
         assert_eq!((dropped.kind, dropped.payoff), (Kind::Repeatable, 0.0));
-        assert_eq!(all.workloads[second[0].usual.0].kind, Kind::OnceOnly);
-        assert!(second.iter().all(|one| all.workloads[one.long.0].kind == Kind::OnceOnly));
+        assert_eq!(all.workloads[second[0].buffered.0].kind, Kind::OnceOnly);
+        assert!(second.iter().all(|one| all.workloads[one.streamed.0].kind == Kind::OnceOnly));
         // Back again, it has the number it had.
         let (all, third) = generations.take(terms(&[("read_like", 9.0)]));
-        assert_eq!((third[0], all.workloads[third[0].usual.0].payoff), (first[1], 9.0));
+        assert_eq!((third[0], all.workloads[third[0].buffered.0].payoff), (first[1], 9.0));
     }
 }
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -1,12 +1,12 @@
 //! Two processes of one sidecar while one replaces the other. A local socket in the sidecar's folder carries one line from
 //! the old to the new, a snapshot, and then each side's marks, a line each; its end means that the other is gone.
-use crate::endpoint_registry::{lock, Mark, Shared as EndpointRegistry};
-use crate::limits::Bound;
+use crate::endpoint_registry::{lock, Mark, SharedRegistry};
+use crate::limits::SharedLimit;
 use crate::lines::{line, say, within};
 use crate::maintenance_store::MaintenanceStore;
 use crate::timers::Clock;
 use crate::uninterrupted::Uninterrupted;
-use crate::workers::{Order, Orders, Shared};
+use crate::workers::{CommandBroadcaster, Shared, WorkerCommand};
 use async_channel::{bounded, Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -108,10 +108,10 @@
 /// What the links of one process work on.
 pub struct Linking {
     pub peers: HandoverLinks,
-    pub registry: EndpointRegistry,
-    pub orders: Orders,
+    pub registry: SharedRegistry,
+    pub orders: CommandBroadcaster,
     pub store: Arc<MaintenanceStore>,
-    pub bounds: [Bound; 2],
+    pub bounds: [SharedLimit; 2],
     pub clock: Clock,
     pub log: Logger,
 }
@@ -186,7 +186,7 @@
                     // What it still has ends with each answer: guards against doing with half for seconds.
                     Ok(Line::Parting) => {
                         info!(self.log, "the other process takes nobody in any more");
-                        self.orders.tell(Order::Shared(Shared::Alone)).await;
+                        self.orders.send(WorkerCommand::SetSharing(Shared::Alone)).await;
                     }
                     Err(fault) => {
                         return warn!(self.log, "the other process said what makes no sense: {}", fault)
@@ -209,14 +209,14 @@
     /// What a worker's module has learnt; all of them see about the same.
     async fn taught(&self) -> Taught {
         let (to, learnt) = bounded(1);
-        self.orders.tell(Order::Asked(to)).await;
+        self.orders.send(WorkerCommand::ExportLearned(to)).await;
         within(WITHIN / 3, async { learnt.recv().await.ok() }).await.unwrap_or_default()
     }
 
     async fn share(&self, with: Shared) {
         info!(self.log, "shares with another process: {:?}", with);
         self.bounds.iter().for_each(|bound| bound.halve(with != Shared::Alone));
-        self.orders.tell(Order::Shared(with)).await;
+        self.orders.send(WorkerCommand::SetSharing(with)).await;
     }
 
     async fn mark(&self, mark: Mark, from: &Sender<Line>) {
@@ -232,7 +232,7 @@
             if mark.out { "out" } else { "back" }
         );
         self.peers.tell(&mark, Some(from));
-        self.orders.have_done(|done| Order::Marked(mark, done)).await;
+        self.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark, done)).await;
     }
 }
 
--- a/sidecar/src/http1/acceptor.rs
+++ b/sidecar/src/http1/acceptor.rs
@@ -140,7 +140,7 @@
         // One that has gone already has no address, and nothing to say.
         let Ok(peer) = stream.get_ref().peer_addr() else { return };
         let held = Connections::hold(&self.connections, peer.ip(), slot);
-        self.tasks.run(async move {
+        self.tasks.spawn_detached(async move {
             let closed = ClientConnection::new(&held, stream).serve().await;
             held.closed(closed);
         });
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -1,7 +1,7 @@
 //! What goes back to a caller, as bytes.
 use super::attempt::{chunk, Reply};
 use super::head::{Fault, Framing};
-use crate::dispatcher::Verdict;
+use crate::dispatcher::RequestOutcome;
 use oakhollow::types::Micros;
 use std::borrow::Cow;
 
@@ -77,16 +77,16 @@
     }
 }
 
-impl From<Verdict<Reply>> for Answer {
-    fn from(verdict: Verdict<Reply>) -> Answer {
+impl From<RequestOutcome<Reply>> for Answer {
+    fn from(verdict: RequestOutcome<Reply>) -> Answer {
         match verdict {
-            Verdict::Succeeded(answer) => Answer::Passed(answer),
-            Verdict::Dismissed { cool_down } => Answer::Worded {
+            RequestOutcome::Served(answer) => Answer::Passed(answer),
+            RequestOutcome::Refused { cool_down } => Answer::Worded {
                 status: 503,
                 text: "dismissed: trying again is harmless".into(),
                 retry_after: Some(cool_down).filter(|time| time.0 > 0),
             },
-            Verdict::Errored => Answer::plain(502, "errored"),
+            RequestOutcome::Failed => Answer::plain(502, "errored"),
         }
     }
 }
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -4,7 +4,7 @@
 use super::messages::{Assembler, Begun, Came, Message, Rest, Side};
 use super::pool::{Link, Pool};
 use super::Fence;
-use crate::dispatcher::{End, Progress, Told};
+use crate::dispatcher::{AttemptEnd, AttemptProgress, LoadReport};
 use crate::metrics::SystemCall;
 use crate::monitor::Monitor;
 use crate::reactor::{Async, EndOf, Timer};
@@ -220,9 +220,9 @@
 
 /// Makes an attempt, until `by` at most.
 pub async fn attempt(
-    pool: Rc<Pool>, content: Rc<Outgoing>, to: Target, (by, progress): (Instant, Rc<Progress>),
+    pool: Rc<Pool>, content: Rc<Outgoing>, to: Target, (by, progress): (Instant, Rc<AttemptProgress>),
     tells_load: bool,
-) -> End<Reply> {
+) -> AttemptEnd<Reply> {
     let exchange = async {
         let exchanged = exchange(&pool, &content, &to, by, &progress).await;
         exchanged.map_or_else(ended, |reply| judge(reply, tells_load))
@@ -234,15 +234,15 @@
         }
         Timer::at(by).await;
         // What was never written whole has not been begun.
-        ended(if progress.written.get().is_some() { Outcome::TimedOut } else { Outcome::NoConnection })
+        ended(if progress.fully_sent_at.get().is_some() { Outcome::TimedOut } else { Outcome::NoConnection })
     };
     let end = future::or(exchange, late).await;
-    let since = progress.written.get().filter(|_| content.upload.is_some());
-    End { waited: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
+    let since = progress.fully_sent_at.get().filter(|_| content.upload.is_some());
+    AttemptEnd { latency: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
 }
 
 async fn exchange(
-    pool: &Rc<Pool>, content: &Outgoing, target: &Target, by: Instant, progress: &Progress,
+    pool: &Rc<Pool>, content: &Outgoing, target: &Target, by: Instant, progress: &AttemptProgress,
 ) -> Result<Reply, Outcome> {
     let to = target.at;
     // What an attempt before this one has passed on is gone.
@@ -269,7 +269,7 @@
         left: Micros(left.as_micros() as u64),
         told,
     };
-    let permit = match target.monitor.send(&target.permit, look) {
+    let permit = match target.monitor.permit_send(&target.permit, look) {
         Ok(permit) => permit,
         // Guards against a first byte for a client whose end came in one turn with the connection, or with what its request
         // waited for: the withdrawal, which is on its way, ends this attempt.
@@ -279,7 +279,7 @@
             return Err(Outcome::NotSent)
         }
     };
-    progress.begun.set(true);
+    progress.send_started.set(true);
     let mut inbox = Assembler::new(Side::Answers);
     let broken = |error: std::io::Error| {
         target.monitor.system_error(SystemCall::Transfer, &error);
@@ -297,7 +297,7 @@
             Err(_) => return Err(Outcome::NoConnection),
         }
     }
-    progress.written.set(Some(Instant::now()));
+    progress.fully_sent_at.set(Some(Instant::now()));
     target.monitor.last_byte_written(&target.permit);
     // From here on it may have run, whatever breaks.
     let late = async {
@@ -388,17 +388,17 @@
 }
 
 /// A hop that brought no answer.
-fn ended(outcome: Outcome) -> End<Reply> {
-    End { outcome, answer: None, told: Told::Nothing, waited: None }
+fn ended(outcome: Outcome) -> AttemptEnd<Reply> {
+    AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, latency: None }
 }
 
-fn judge(answer: Reply, tells_load: bool) -> End<Reply> {
+fn judge(answer: Reply, tells_load: bool) -> AttemptEnd<Reply> {
     let not_started = |head: &Head| head.all("Not-Started").any(|value| value == b"1");
-    let told = if tells_load { load::report(&answer.head) } else { Told::Nothing };
+    let load_report = if tells_load { load::report(&answer.head) } else { LoadReport::Absent };
     let (outcome, answer) = match answer.head.status() {
         Ok(200) => (Outcome::Succeeded, Some(answer)),
         Ok(503 | 504) if not_started(&answer.head) => (Outcome::Full, None),
         _ => (Outcome::Errored, None),
     };
-    End { outcome, answer, told, waited: None }
+    AttemptEnd { outcome, answer, load_report, latency: None }
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -4,8 +4,8 @@
 use super::connections::{Closed, Connections, Held};
 use super::head::{Fault, Framing, Head, MOST_LONG};
 use super::messages::{Assembler, Begun, Came, Message, Rest, Side};
-use super::Note;
-use crate::dispatcher::{Ask, Verdict};
+use super::DispatcherMessage;
+use crate::dispatcher::{RequestOutcome, RequestParams};
 use crate::monitor::{Accepted, OpenRequest};
 use crate::reactor::{Async, Timer};
 use futures_lite::future;
@@ -243,7 +243,7 @@
         }
         let content = Outgoing::new(request, self.stream.end())?;
         let open = self.accept(&ask, identity);
-        let verdict = shared.desk.take(open.request(), ask, content).await;
+        let verdict = shared.desk.submit(open.request(), ask, content).await;
         let answered = async { (&verdict).await };
         let (stream, inbox) = (&self.stream, &mut self.inbox);
         // Read on for a while, so that what the kernel holds of the next request does not grow stale.
@@ -251,7 +251,7 @@
             while inbox.held() <= MOST_AHEAD && read(stream, inbox.end()).await.is_some() {}
             future::pending().await
         };
-        let verdict: Option<Verdict<_>> = future::or(answered, future::or(gone(stream), ahead)).await;
+        let verdict: Option<RequestOutcome<_>> = future::or(answered, future::or(gone(stream), ahead)).await;
         match verdict {
             Some(verdict) => Ok(Some(given(verdict, open))),
             None => {
@@ -269,7 +269,7 @@
         // To the module it is a request of which nothing may be sent twice, and its time begins with its last byte.
         (ask.workload, identity.effect) = (long, Effect::Unsafe);
         let longest = at_slowest(rest.length().unwrap_or(MOST_LONG));
-        ask.abandon = (ask.abandon + Micros(longest.as_micros() as u64)).min(shared.latest());
+        ask.deadline = (ask.deadline + Micros(longest.as_micros() as u64)).min(shared.latest());
         let _open =
             shared.open_id(&identity.id).ok_or(Fault { status: 409, why: "this Request-Id is open" })?;
         let (content, feed) = Outgoing::begun(&head, kept, &rest, left, self.stream.end())?;
@@ -277,7 +277,7 @@
             return Ok(None);
         }
         let open = self.accept(&ask, identity);
-        let verdict = shared.desk.take(open.request(), ask, content).await;
+        let verdict = shared.desk.submit(open.request(), ask, content).await;
         let answered = async { Ok((&verdict).await) };
         let pumped = pump(&self.stream, &mut rest, feed, came);
         let left = async { Ok(gone(&self.stream).await) };
@@ -294,23 +294,23 @@
             }
             // Accepted, and answered by the fault.
             Err(fault) => {
-                shared.desk.tell(Note::Withdrawn(open.request())).await;
+                shared.desk.send(DispatcherMessage::Withdrawn(open.request())).await;
                 Ok(Some(((fault.into(), Some((open, AnswerKind::Failed))), false)))
             }
         }
     }
 
     /// From now on an answer is owed.
-    fn accept(&self, ask: &Ask, identity: Identity) -> OpenRequest {
+    fn accept(&self, ask: &RequestParams, identity: Identity) -> OpenRequest {
         let Identity { class, effect, id } = identity;
-        let (request, deadline) = (self.shared.desk.number(), ask.abandon);
+        let (request, deadline) = (self.shared.desk.next_request_id(), ask.deadline);
         self.shared.monitor.accept(Accepted { request, request_id: id, class, effect, deadline })
     }
 
     /// The client has gone.
     async fn withdraw(&self, open: OpenRequest) {
         open.client_gone();
-        self.shared.desk.tell(Note::Withdrawn(open.request())).await;
+        self.shared.desk.send(DispatcherMessage::Withdrawn(open.request())).await;
         open.close(Some(CloseReason::ClientGone));
     }
 
@@ -345,7 +345,7 @@
 
     /// What the decisions need of a request, the time that its client gives it, its workload if its body is not kept, and what
     /// it is known by.
-    fn read_call(&self, head: &Head) -> Result<(Ask, Micros, WorkloadId, Identity), Fault> {
+    fn read_call(&self, head: &Head) -> Result<(RequestParams, Micros, WorkloadId, Identity), Fault> {
         let (names, came) = (self.shared.names(), self.shared.desk.clock.now());
         let (method, target, _) = head.request()?;
         let fault = |status, why| Fault { status, why };
@@ -379,16 +379,16 @@
         let left = told.filter(|&told| told < longest.0 / 1000).map_or(longest, Micros::millis);
         let customer = head.only("Tenant")?;
         let known = |name| names.customers.iter().position(|customer| customer == name);
-        let ask = Ask {
-            workload: names.numbers[workload].usual,
+        let ask = RequestParams {
+            workload: names.numbers[workload].buffered,
             class: names.classes[workload],
-            most_hops: names.most_hops,
+            max_attempts: names.most_hops,
             customer: CustomerId(customer.and_then(known).unwrap_or(0)),
-            repeat: head.only("Client-Retry")? == Some("1"),
-            abandon: (came + left).min(self.shared.latest()),
+            client_retry: head.only("Client-Retry")? == Some("1"),
+            deadline: (came + left).min(self.shared.latest()),
             key: if names.warm_keys { key(head.only("Request-Info")?) } else { None },
         };
-        Ok((ask, left, names.numbers[workload].long, identity))
+        Ok((ask, left, names.numbers[workload].streamed, identity))
     }
 
     /// Ends our sending, and waits a little for the caller to end its own: a close with bytes unread would reset
@@ -421,11 +421,11 @@
 }
 
 /// A verdict as an answer, owed to that request.
-fn given(verdict: Verdict<Reply>, open: OpenRequest) -> AnswerOwed {
+fn given(verdict: RequestOutcome<Reply>, open: OpenRequest) -> AnswerOwed {
     let kind = match &verdict {
-        Verdict::Succeeded(_) => AnswerKind::Served,
-        Verdict::Dismissed { .. } => AnswerKind::Refused,
-        Verdict::Errored => AnswerKind::Failed,
+        RequestOutcome::Served(_) => AnswerKind::Served,
+        RequestOutcome::Refused { .. } => AnswerKind::Refused,
+        RequestOutcome::Failed => AnswerKind::Failed,
     };
     (verdict.into(), Some((open, kind)))
 }
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -1,8 +1,8 @@
 //! What the connections of clients share: how many there may be, which have no request open and may be closed, the ids of open
 //! requests, and whether the process still takes requests.
-use super::{Desk, Names};
-use crate::eviction::{self, Holder};
-use crate::limits::{Gauge, Share, Slot};
+use super::{DispatcherHandle, Names};
+use crate::eviction::{self, IdleConnection};
+use crate::limits::{Gauge, LimitShare, Slot};
 use crate::monitor::Monitor;
 use crate::oneshot;
 use async_channel::{bounded, Receiver, Sender};
@@ -76,7 +76,7 @@
         }
         drop(sources);
         drop(self.slot.take());
-        self.shared.connections.down();
+        self.shared.connections.decrement();
         self.shared.stir();
     }
 }
@@ -118,12 +118,12 @@
 
 /// What the connections of callers share.
 pub struct Connections {
-    pub desk: Rc<Desk>,
+    pub desk: Rc<DispatcherHandle>,
     names: RefCell<Rc<Names>>,
     /// What is told all that happens.
     pub monitor: Rc<Monitor>,
     /// Slots for connections, and how many connections there are.
-    open: Rc<Share>,
+    open: Rc<LimitShare>,
     connections: Gauge,
     stays: Cell<StayId>,
     idle: RefCell<BTreeMap<StayId, Stay>>,
@@ -142,7 +142,8 @@
 
 impl Connections {
     pub fn new(
-        desk: Rc<Desk>, names: Names, monitor: Rc<Monitor>, open: (Rc<Share>, Gauge), ids: Arc<Ids>,
+        desk: Rc<DispatcherHandle>, names: Names, monitor: Rc<Monitor>, open: (Rc<LimitShare>, Gauge),
+        ids: Arc<Ids>,
     ) -> Rc<Connections> {
         let (open, connections) = open;
         Rc::new(Connections {
@@ -166,7 +167,7 @@
 
     /// Holds one more connection; given up when what this returns is dropped.
     pub fn hold(shared: &Rc<Connections>, source: IpAddr, slot: Slot) -> Held {
-        shared.connections.up();
+        shared.connections.increment();
         *shared.sources.borrow_mut().entry(source).or_default() += 1;
         Held { shared: shared.clone(), source, slot: Some(slot) }
     }
@@ -179,7 +180,7 @@
     /// A slot for one more. Where there is none, one connection with no request open is closed, and others are closed with
     /// their next answer until there is.
     pub fn slot(&self) -> Option<Slot> {
-        let slot = self.open.take();
+        let slot = self.open.try_acquire();
         self.crowded.set(slot.is_none());
         if slot.is_none() {
             self.make_room();
@@ -189,7 +190,7 @@
 
     /// A slot for one that is here already and can't be sent away.
     pub fn slot_anyway(&self) -> Slot {
-        self.open.take_anyway()
+        self.open.acquire_over_limit()
     }
 
     /// Waits until there may be a slot.
@@ -213,7 +214,7 @@
 
     /// What `/ready` says.
     pub fn ready(&self) -> bool {
-        self.able.get() && self.desk.listed.get()
+        self.able.get() && self.desk.has_ready_endpoint.get()
     }
 
     /// Whether a connection may be kept after an answer.
@@ -249,20 +250,20 @@
     /// against one source, or many that say nothing, taking what the usual callers need.
     pub fn make_room(&self) {
         let (mut idle, sources) = (self.idle.borrow_mut(), self.sources.borrow());
-        let holder = |stay: &Stay| Holder {
-            known: stay.known,
-            begun: stay.begun,
-            silent: stay.since.elapsed(),
-            like: sources.get(&stay.source).copied().unwrap_or(0),
+        let holder = |stay: &Stay| IdleConnection {
+            answered_before: stay.known,
+            request_started: stay.begun,
+            silent_for: stay.since.elapsed(),
+            same_source: sources.get(&stay.source).copied().unwrap_or(0),
         };
-        let first = eviction::first(idle.iter().map(|(id, stay)| (*id, holder(stay))));
+        let first = eviction::next_to_evict(idle.iter().map(|(id, stay)| (*id, holder(stay))));
         drop(first.and_then(|id| idle.remove(&id)));
     }
 
     /// Closes idle connections that another process of this sidecar is short of.
     pub fn give_way(&self) {
         let idle = self.idle.borrow().len();
-        (0..idle).take_while(|_| self.open.over()).for_each(|_| self.make_room());
+        (0..idle).take_while(|_| self.open.exceeds_half()).for_each(|_| self.make_room());
     }
 
     /// Has room looked for again, where others wait for it.
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -1,7 +1,7 @@
 //! What a server tells of its load with an answer. The platform's protocol has no header for it; this one is ours:
 //! `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, the names being those of `report.columns`.
 use super::head::Head;
-use crate::dispatcher::Told;
+use crate::dispatcher::LoadReport;
 use oakhollow::types::Report;
 use oakhollow_terms::REPORT_VALUES;
 
@@ -10,11 +10,11 @@
 const MOST_FIGURES: usize = 8;
 
 /// Reads an answer's report. One with anything odd in it tells nothing: half a report is worse than none.
-pub fn report(head: &Head) -> Told {
+pub fn report(head: &Head) -> LoadReport {
     match head.only(LOAD) {
-        Ok(None) => Told::Nothing,
-        Ok(Some(text)) => read(text).map_or(Told::Odd, Told::Load),
-        Err(_) => Told::Odd,
+        Ok(None) => LoadReport::Absent,
+        Ok(Some(text)) => read(text).map_or(LoadReport::Malformed, LoadReport::Valid),
+        Err(_) => LoadReport::Malformed,
     }
 }
 
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -11,8 +11,8 @@
 pub mod pool;
 pub mod watch;
 
-use crate::dispatcher::{End, Progress, Protocol};
-use crate::generations::{ClassId, Numbers};
+use crate::dispatcher::{AttemptEnd, AttemptProgress, Protocol};
+use crate::generations::{ClassId, WorkloadIds};
 use crate::lease::Lease;
 use crate::list_deadline::ListDeadline;
 use crate::monitor::Monitor;
@@ -46,7 +46,7 @@
 impl Fence {
     /// Whether the lease lets an attempt be sent.
     pub fn lease_valid(&self) -> bool {
-        !self.lease.refuses(|| self.clock.now())
+        !self.lease.forbids_sending(|| self.clock.now())
     }
 
     /// Whether the list that the attempt's endpoint was chosen by may still be used.
@@ -63,7 +63,7 @@
     /// What requests of them do at a server, in the same order.
     pub effects: Vec<Effect>,
     /// Their numbers, in the same order.
-    pub numbers: Vec<Numbers>,
+    pub numbers: Vec<WorkloadIds>,
     pub classes: Vec<ClassId>,
     pub customers: Vec<String>,
     /// Whether a request's key is of use.
@@ -77,8 +77,8 @@
 
     fn attempt(
         &self, permit: AttemptPermit, content: Rc<attempt::Outgoing>, to: SocketAddr, by: Instant,
-        progress: Rc<Progress>,
-    ) -> impl Future<Output = End<attempt::Reply>> + 'static {
+        progress: Rc<AttemptProgress>,
+    ) -> impl Future<Output = AttemptEnd<attempt::Reply>> + 'static {
         // Taken here, not when the hop first runs: what retires the address between the two is meant for it.
         let to = attempt::Target {
             at: to,
@@ -95,6 +95,6 @@
     }
 }
 
-pub type Desk = crate::dispatcher::Desk<Http1>;
-pub type Note = crate::dispatcher::Note<Http1>;
+pub type DispatcherHandle = crate::dispatcher::DispatcherHandle<Http1>;
+pub type DispatcherMessage = crate::dispatcher::DispatcherMessage<Http1>;
 pub type Dispatcher = crate::dispatcher::Dispatcher<Http1>;
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: opened when none is free, kept while idle, bounded all together. One carries one
 //! request at a time.
 use super::attempt::write;
-use crate::limits::{Share, Slot};
+use crate::limits::{LimitShare, Slot};
 use crate::reactor::{Async, Timer};
 use crate::system_errors::is_our_shortage;
 use crate::tasks::Tasks;
@@ -144,7 +144,7 @@
     /// The idle ones by how long they have been so.
     ages: RefCell<BTreeMap<LinkId, SocketAddr>>,
     /// Connections that are open or on their way.
-    open: Rc<Share>,
+    open: Rc<LimitShare>,
     parked: Cell<LinkId>,
     /// A task sweeps it.
     watched: Cell<bool>,
@@ -158,7 +158,7 @@
 impl Pool {
     /// As many connections as `open` has places; `idle_close` is when the servers close one that has stood idle.
     pub fn new(
-        tasks: Tasks, open: Rc<Share>, (connect_within, idle_close): (Micros, Micros), log: Logger,
+        tasks: Tasks, open: Rc<LimitShare>, (connect_within, idle_close): (Micros, Micros), log: Logger,
     ) -> Rc<Pool> {
         Rc::new_cyclic(|me| Pool {
             me: me.clone(),
@@ -254,11 +254,11 @@
         &self, to: SocketAddr, wanted: Rc<Cell<bool>>,
     ) -> std::result::Result<Rc<Link>, ConnectFailure> {
         // Before the first wait, so that connections on their way keep to the bound too.
-        let slot = match self.open.take() {
+        let slot = match self.open.try_acquire() {
             Some(slot) => slot,
             None => {
                 drop(self.take_oldest());
-                self.open.take().ok_or(ConnectFailure::by(Outcome::NotSent, None))?
+                self.open.try_acquire().ok_or(ConnectFailure::by(Outcome::NotSent, None))?
             }
         };
         let connected = async { Some(Async::<TcpStream>::connect(to).await) };
@@ -294,7 +294,7 @@
 
     fn be_watched(&self) {
         if !self.watched.replace(true) {
-            self.tasks.run(watch(self.me.clone()));
+            self.tasks.spawn_detached(watch(self.me.clone()));
         }
     }
 
@@ -356,7 +356,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::limits::Bound;
+    use crate::limits::SharedLimit;
     use crate::reactor::block_on;
     use async_executor::LocalExecutor;
     use slog::{o, Discard};
@@ -368,8 +368,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let to = listener.local_addr().expect("bound");
         let executor = Rc::new(LocalExecutor::new());
-        let (open, times) = (Share::of(Bound::new(8, 1)), (Micros::millis(1_000), Micros::millis(60_000)));
-        let pool = Pool::new(Tasks::of(&executor), open, times, Logger::root(Discard, o!()));
+        let (open, times) =
+            (LimitShare::new(SharedLimit::new(8, 1)), (Micros::millis(1_000), Micros::millis(60_000)));
+        let pool = Pool::new(Tasks::new(&executor), open, times, Logger::root(Discard, o!()));
         let connect =
             || block_on(pool.connect(to, pool.wanted(to))).expect("a reactor").ok().expect("connected");
         let parked = |link: &Rc<Link>| {
--- a/sidecar/src/http1/watch/call.rs
+++ b/sidecar/src/http1/watch/call.rs
@@ -2,7 +2,7 @@
 use super::progress::{LineArrival, Progress, Stage};
 use crate::http1::chunks::Chunks;
 use crate::http1::head::{Fault, Framing, Head};
-use crate::metrics::ListCallOutcome;
+use crate::metrics::ListRequestOutcome;
 use crate::uninterrupted::Uninterrupted;
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Async;
@@ -62,12 +62,12 @@
 
 impl CallFailure {
     /// As what it is counted.
-    pub fn outcome(&self) -> ListCallOutcome {
+    pub fn outcome(&self) -> ListRequestOutcome {
         match self {
-            CallFailure::Unreachable(_) => ListCallOutcome::Unreachable,
-            CallFailure::Rejected(_) => ListCallOutcome::Rejected,
-            CallFailure::Closed(_) | CallFailure::Broken(_) => ListCallOutcome::Broken,
-            CallFailure::Malformed(_) => ListCallOutcome::Malformed,
+            CallFailure::Unreachable(_) => ListRequestOutcome::Unreachable,
+            CallFailure::Rejected(_) => ListRequestOutcome::Rejected,
+            CallFailure::Closed(_) | CallFailure::Broken(_) => ListRequestOutcome::Broken,
+            CallFailure::Malformed(_) => ListRequestOutcome::Malformed,
         }
     }
 }
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -4,14 +4,14 @@
 pub mod pacing;
 mod progress;
 
-use crate::accord::Accord;
-use crate::endpoint_registry::{lock, Shared};
+use crate::accord::AccordHandle;
+use crate::endpoint_registry::{lock, SharedRegistry};
 use crate::list_deadline::ListDeadline;
 use crate::list_freshness::ListFreshness;
-use crate::metrics::{ListCallOutcome, Metrics};
-use crate::start_time::Heard;
+use crate::metrics::{ListRequestOutcome, Metrics};
+use crate::start_time::ListArrival;
 use crate::timers::Clock;
-use crate::workers::{Order, Orders};
+use crate::workers::{CommandBroadcaster, WorkerCommand};
 use async_channel::Receiver;
 use async_io::Timer;
 use call::{CallEvent, CallFailure, ListCall, Request};
@@ -49,11 +49,11 @@
     /// The version of the list that is known at first.
     pub known: Version,
     /// All workers.
-    pub orders: Orders,
+    pub orders: CommandBroadcaster,
     /// What the program knows by name.
-    pub registry: Shared,
+    pub registry: SharedRegistry,
     /// The other instances, where instances agree.
-    pub accord: Option<Accord>,
+    pub accord: Option<AccordHandle>,
     /// One for each time that the module asks.
     pub asks: Receiver<()>,
     /// One for each time that the file was read again.
@@ -168,18 +168,18 @@
             return;
         }
         self.is_stale = true;
-        self.parts.metrics.list_became_stale();
-        lock(&self.parts.registry).fresh = false;
+        self.parts.metrics.count_stale_list();
+        lock(&self.parts.registry).list_fresh = false;
         warn!(
             self.parts.log,
             "list not heard in time, nothing is sent by it any more: version {}", self.told.0
         );
-        self.parts.orders.tell(Order::Look).await;
+        self.parts.orders.send(WorkerCommand::RecheckDeadlines).await;
     }
 
     fn became_fresh(&mut self) {
         if std::mem::take(&mut self.is_stale) {
-            lock(&self.parts.registry).fresh = true;
+            lock(&self.parts.registry).list_fresh = true;
             info!(self.parts.log, "list heard again, it is used: version {}", self.told.0);
         }
     }
@@ -207,7 +207,7 @@
     fn next_due(&self) -> Option<Instant> {
         let patience = self.calls.last().map(|newest| self.patience_ends(newest));
         let clock = self.parts.clock;
-        let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant(until));
+        let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant_at(until));
         patience.into_iter().chain(self.retry_at).chain(stale).min()
     }
 
@@ -289,7 +289,7 @@
             let dropped =
                 usize::from(self.calls[0].progress().last_sign() > self.calls[1].progress().last_sign());
             self.calls.remove(dropped);
-            self.parts.metrics.end_list_call(ListCallOutcome::Cancelled);
+            self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
         }
         self.open_call();
     }
@@ -314,19 +314,19 @@
 
     /// When the call in that place was begun.
     fn begun(&self, at: usize) -> Micros {
-        self.parts.clock.at(self.calls[at].progress().begun())
+        self.parts.clock.micros_at(self.calls[at].progress().begun())
     }
 
     /// The call has told a whole line: it is the one that is followed.
     fn line_told(&mut self, at: usize, arrival: LineArrival) {
-        self.freshness.heard(self.parts.clock.at(arrival.first_byte_at));
+        self.freshness.heard(self.parts.clock.micros_at(arrival.first_byte_at));
         let mut call = self.calls.swap_remove(at);
         for slower in self.calls.drain(..) {
-            self.parts.metrics.end_list_call(ListCallOutcome::Cancelled);
+            self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
             info!(self.parts.log, "call for the list cancelled, another was faster: {}", slower.progress());
         }
         if !call.has_told {
-            self.parts.metrics.end_list_call(ListCallOutcome::Told);
+            self.parts.metrics.count_list_request(ListRequestOutcome::LineReceived);
         }
         (call.has_told, call.patience) = (true, SILENCE);
         self.calls.push(call);
@@ -363,8 +363,8 @@
         // What was asked while a watch was under way has had its answer. Before the module hears: guards
         // against losing the ask with which it answers this.
         while self.parts.asks.try_recv().is_ok() {}
-        let failed = Order::Listed(ListKind::Failed, Arc::default(), Heard::first());
-        self.parts.orders.tell(failed).await;
+        let failed = WorkerCommand::ApplyList(ListKind::Failed, Arc::default(), ListArrival::now());
+        self.parts.orders.send(failed).await;
         self.fails().await;
     }
 
@@ -381,7 +381,7 @@
             _ => {}
         }
         if !call.has_told {
-            self.parts.metrics.end_list_call(failure.outcome());
+            self.parts.metrics.count_list_request(failure.outcome());
         }
     }
 
@@ -391,15 +391,15 @@
         let mut registry = lock(&self.parts.registry);
         registry.watch_open = open;
         if open {
-            registry.told = self.up_to_date;
+            registry.last_heard = self.up_to_date;
         }
     }
 
     /// Discovery has been called, and has told nothing.
     async fn fails(&self) {
-        lock(&self.parts.registry).settled = true;
+        lock(&self.parts.registry).list_settled = true;
         if let Some(accord) = &self.parts.accord {
-            accord.list_fails().await;
+            accord.list_unavailable().await;
         }
     }
 
@@ -410,7 +410,7 @@
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
                 if let Some(accord) = &self.parts.accord {
-                    accord.listed(Arc::new(unchanged())).await;
+                    accord.apply_list(Arc::new(unchanged())).await;
                 }
                 return Ok(());
             }
@@ -424,8 +424,8 @@
         })?;
         {
             let mut registry = lock(&self.parts.registry);
-            registry.take(&list);
-            registry.settled = true;
+            registry.apply(&list);
+            registry.list_settled = true;
         }
         let kind = if list.snapshot { ListKind::Whole } else { ListKind::Changes };
         let entries = list.endpoints.len();
@@ -434,16 +434,16 @@
             "list heard: version {}, {:?}, {} entries, {}", list.index.0, kind, entries, arrival
         );
         let (index, list) = (list.index, Arc::new(list));
-        let heard = Heard { at: Instant::now(), complete_until: self.up_to_date };
+        let heard = ListArrival { at: Instant::now(), complete_until: self.up_to_date };
         let before = match &self.parts.accord {
-            Some(accord) => accord.listed_before(&list).await,
+            Some(accord) => accord.apply_list_before_workers(&list).await,
             None => false,
         };
         // Workers look at it when they hear of the list, not before: they were told that it had passed.
         self.parts.deadline.set(None);
-        self.parts.orders.tell(Order::Listed(kind, list.clone(), heard)).await;
+        self.parts.orders.send(WorkerCommand::ApplyList(kind, list.clone(), heard)).await;
         if let Some(accord) = self.parts.accord.as_ref().filter(|_| !before) {
-            accord.listed(list).await;
+            accord.apply_list(list).await;
         }
         let after = heard.at.elapsed().as_millis();
         info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, after);
@@ -479,15 +479,15 @@
     use std::pin::pin;
 
     fn watch(
-        at: SocketAddr, workers: Vec<async_channel::Sender<Order>>, asks: Receiver<()>,
+        at: SocketAddr, workers: Vec<async_channel::Sender<WorkerCommand>>, asks: Receiver<()>,
         reloads: Receiver<Reload>,
     ) -> Watch {
-        let registry: Shared =
+        let registry: SharedRegistry =
             Arc::new(std::sync::Mutex::new(EndpointRegistry::new(&List::default(), Marks::default())));
         Watch::new(Parts {
             discovery: at,
             known: Version(41),
-            orders: Orders::of(workers),
+            orders: CommandBroadcaster::new(workers),
             registry,
             accord: None,
             asks,
@@ -510,9 +510,10 @@
         let ((sender, first), (last, others)) = (bounded(1), bounded(1));
         let mut watch = pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], asks, moves).run());
         // Another worker's queue is full, so that the end is told to the first, who asks, and not yet to all.
-        last.try_send(Order::Look).expect("room");
-        let mut fails = |queue: &Receiver<Order>| {
-            let told = async { matches!(queue.recv().await, Ok(Order::Listed(ListKind::Failed, ..))) };
+        last.try_send(WorkerCommand::RecheckDeadlines).expect("room");
+        let mut fails = |queue: &Receiver<WorkerCommand>| {
+            let told =
+                async { matches!(queue.recv().await, Ok(WorkerCommand::ApplyList(ListKind::Failed, ..))) };
             let over = async {
                 (&mut watch).await;
                 false
@@ -526,7 +527,7 @@
         ask.try_send(()).expect("room");
         assert!(fails(&first));
         ask.try_send(()).expect("room");
-        assert!(matches!(others.try_recv(), Ok(Order::Look)));
+        assert!(matches!(others.try_recv(), Ok(WorkerCommand::RecheckDeadlines)));
         assert!(fails(&others) && fails(&first));
     }
 
@@ -539,12 +540,12 @@
         let line = br#"{"index":42,"snapshot":false,"endpoints":[]}"#;
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         // The worker's queue is full, so that telling it waits, and meanwhile the watch is moved.
-        sender.try_send(Order::Look).expect("room");
+        sender.try_send(WorkerCommand::RecheckDeadlines).expect("room");
         let given_up = future::block_on(future::poll_once(watch.tell(line, true, arrival)));
         assert!(given_up.is_none() && watch.told == Version(41), "{:?}", watch.told);
         orders.try_recv().expect("the one before");
         assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == Version(42));
-        assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Changes, ..))));
+        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Changes, ..))));
     }
 
     #[test]
@@ -560,6 +561,6 @@
         // A whole list holds whatever its number.
         let whole = br#"{"index":40,"snapshot":true,"endpoints":[]}"#;
         assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == Version(40));
-        assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Whole, ..))));
+        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Whole, ..))));
     }
 }
--- a/sidecar/src/lease.rs
+++ b/sidecar/src/lease.rs
@@ -42,7 +42,7 @@
     }
 
     /// Nothing at all may be sent on.
-    pub fn refuses(&self, now: impl FnOnce() -> Micros) -> bool {
+    pub fn forbids_sending(&self, now: impl FnOnce() -> Micros) -> bool {
         self.lapsed(now) == Some(Unsure::Refuse)
     }
 }
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -1,18 +1,18 @@
 //! The program's life from start to exit, as named phases of one object.
-use crate::accord::{self, Accord};
+use crate::accord::{self, AccordHandle};
 use crate::console::{self, Console};
-use crate::endpoint_registry::{lock, EndpointRegistry, Shared};
+use crate::endpoint_registry::{lock, EndpointRegistry, SharedRegistry};
 use crate::handover::{self, HandoverLinks, Linking, Predecessor};
 use crate::http1::watch::{self, Reload, Watch};
 use crate::lease::Lease;
-use crate::limits::Bound;
+use crate::limits::SharedLimit;
 use crate::list_deadline::ListDeadline;
 use crate::listeners::{bind, descriptors, passed_on};
 use crate::maintenance_store::MaintenanceStore;
 use crate::metrics::Metrics;
 use crate::tasks::Tasks;
 use crate::timers::{duration, Clock};
-use crate::workers::{carry, panic_kept, Crew, Kit, Lost, Order, Orders};
+use crate::workers::{carry, panic_kept, CommandBroadcaster, Kit, WorkerCommand, WorkerFailure, WorkerPool};
 use async_channel::{bounded, Sender};
 use async_executor::LocalExecutor;
 use async_io::{block_on, Timer};
@@ -111,8 +111,8 @@
     since: Instant,
     log: Logger,
     tasks: Tasks,
-    crew: Crew,
-    orders: Orders,
+    crew: WorkerPool,
+    orders: CommandBroadcaster,
     clock: Clock,
     /// The longest that any API call may take.
     longest: Duration,
@@ -120,13 +120,13 @@
     grace: Micros,
     /// What the watch of the list is told once the file was read again.
     reloads: Sender<Reload>,
-    lost: Option<Lost>,
+    lost: Option<WorkerFailure>,
     /// The keys of the file that holds.
     shape: Shape,
-    registry: Shared,
+    registry: SharedRegistry,
     peers: HandoverLinks,
     /// How instances agree on settings, where they do.
-    accord: Option<Accord>,
+    accord: Option<AccordHandle>,
     /// Another process serves meanwhile.
     takes_over: bool,
     /// Another process serves from now on.
@@ -164,7 +164,7 @@
     log: Logger, words: impl Stream<Item = Word>,
 ) -> std::result::Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
-    let tasks = Tasks::of(&executor);
+    let tasks = Tasks::new(&executor);
     block_on(executor.run(async {
         let (address, mut start) = (start.listen, start);
         let (listeners, passed) = match passed_on(operator.workers) {
@@ -253,9 +253,9 @@
         };
         let taught = before.as_ref().map(|before| before.rest.taught.clone()).unwrap_or_default();
         let (peers, takes_over) = (HandoverLinks::default(), before.is_some());
-        let registry: Shared = Arc::new(Mutex::new(EndpointRegistry::new(&known, marks.clone())));
+        let registry: SharedRegistry = Arc::new(Mutex::new(EndpointRegistry::new(&known, marks.clone())));
         let known = Arc::new(known);
-        let bounds = [Bound::new(most, workers), Bound::new(most, workers)];
+        let bounds = [SharedLimit::new(most, workers), SharedLimit::new(most, workers)];
         let metrics = Arc::new(Metrics::new());
         let kit = Kit {
             place,
@@ -277,14 +277,14 @@
             beside: takes_over,
         };
         let listeners = Arc::new(Mutex::new(listeners));
-        let crew = Crew::hire(workers, move |hand| {
+        let crew = WorkerPool::start(workers, move |hand| {
             // Each worker takes one; none has been there before.
             let listener = listeners.lock().ok().and_then(|mut listeners| listeners.pop());
             carry(kit.clone(), hand, listener.ok_or(ErrorKind::AddrNotAvailable)?)
         })
         .map_err(failed)?;
         let most_line = (limits.memory_mb * 1024.0 * 1024.0 * LINE_PART) as usize;
-        let orders = crew.orders();
+        let orders = crew.commands();
         let mut agreed = None;
         if let Some((operated, start)) = agrees {
             lock(&registry).sure = false;
@@ -292,7 +292,7 @@
             let (store, peers) = (store.clone(), peers.clone());
             let parts = accord::Parts { operated, lease, orders, registry, store, peers, clock, log };
             let (accord, agreeing) = accord::begin(&start, known, parts)?;
-            tasks.run(agreeing);
+            tasks.spawn_detached(agreeing);
             agreed = Some(accord);
         }
         if let Some(at) = start.console {
@@ -306,7 +306,7 @@
         if let Some(store) = store.filter(|_| passed) {
             let (peers, registry, orders) = (peers.clone(), registry.clone(), orders.clone());
             let linking = Linking { peers, registry, orders, store, bounds, clock, log: log.clone() };
-            tasks.run(linking.run(before));
+            tasks.spawn_detached(linking.run(before));
         }
         let watch = Watch::new(watch::Parts {
             discovery: start.discovery,
@@ -326,7 +326,7 @@
             most_line,
             log: log.clone(),
         });
-        tasks.run(watch.run());
+        tasks.spawn_detached(watch.run());
         Ok(Program {
             phase: Phase::Starting,
             since: Instant::now(),
@@ -368,7 +368,7 @@
                     Phase::Starting if self.takes_over => {
                         let knows = || {
                             let registry = lock(&self.registry);
-                            registry.settled && registry.sure
+                            registry.list_settled && registry.sure
                         };
                         while !knows() && self.since.elapsed() < SETTLES {
                             Timer::after(LOOK).await;
@@ -397,10 +397,10 @@
                 }
             };
             let doomed = async {
-                self.tasks.doomed().await;
-                Lost(format!("the program's own thread: {}", panic_kept()))
+                self.tasks.panicked().await;
+                WorkerFailure(format!("the program's own thread: {}", panic_kept()))
             };
-            let died = async { Err(future::or(doomed, self.crew.lost()).await) };
+            let died = async { Err(future::or(doomed, self.crew.failure()).await) };
             let event = match future::or(died, async { Ok(usual.await) }).await {
                 Ok(event) => event,
                 Err(lost) => {
@@ -410,7 +410,7 @@
             };
             self.step(event, &reread).await;
         }
-        self.lost.take().map_or(Ok(()), |Lost(why)| Err(why))
+        self.lost.take().map_or(Ok(()), |WorkerFailure(why)| Err(why))
     }
 
     async fn step(&mut self, event: Event, reread: &impl Fn(&Shape) -> std::result::Result<Start, String>) {
@@ -418,7 +418,7 @@
         let Some(&(_, _, phase, action)) = row else { return };
         match action {
             Action::Open => {
-                self.orders.have_done(Order::Open).await;
+                self.orders.send_and_wait(WorkerCommand::StartAccepting).await;
                 lock(&self.registry).able = true;
             }
             Action::SayNo => {
@@ -426,9 +426,15 @@
                 let by = self.clock.now() + (self.grace - MARGIN);
                 self.parts = self.peers.any();
                 self.peers.part();
-                self.orders.tell(if self.parts { Order::Part(by) } else { Order::SayNo(by) }).await
+                self.orders
+                    .send(if self.parts {
+                        WorkerCommand::Handover(by)
+                    } else {
+                        WorkerCommand::ReportNotReady(by)
+                    })
+                    .await
             }
-            Action::Shut => self.orders.have_done(Order::Shut).await,
+            Action::Shut => self.orders.send_and_wait(WorkerCommand::StopAccepting).await,
             Action::Reread => match reread(&self.shape) {
                 Ok(start) => {
                     if let Some(accord) = &self.accord {
@@ -447,7 +453,7 @@
                     // Where instances agree, the settings hold once that is settled.
                     if self.accord.is_none() {
                         let place = Arc::new(start.place);
-                        self.orders.have_done(|done| Order::Retuned(place, done)).await;
+                        self.orders.send_and_wait(|done| WorkerCommand::ApplySettings(place, done)).await;
                     }
                     info!(self.log, "file read again, the list is watched at {}", start.discovery);
                     let _ = self
--- a/sidecar/src/limits.rs
+++ b/sidecar/src/limits.rs
@@ -14,18 +14,18 @@
         self.0.load(Ordering::Acquire)
     }
 
-    pub fn up(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::AcqRel);
     }
 
-    pub fn down(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// The bound, before it is handed to workers.
 #[derive(Clone, Debug)]
-pub struct Bound {
+pub struct SharedLimit {
     floor: usize,
     common: Arc<AtomicIsize>,
     /// What one sharer may hold while another process has half of the bound.
@@ -33,16 +33,16 @@
     halved: Arc<AtomicBool>,
 }
 
-impl Bound {
+impl SharedLimit {
     /// Half of `most` goes to the floors of `sharers`, all of it if there is only one.
-    pub fn new(most: usize, sharers: usize) -> Bound {
+    pub fn new(most: usize, sharers: usize) -> SharedLimit {
         let floor = if sharers == 1 { most } else { most / 2 / sharers };
         let common = Arc::new(AtomicIsize::new((most - floor * sharers) as isize));
-        Bound { floor, common, half: (most / 2 / sharers).max(1), halved: Arc::default() }
+        SharedLimit { floor, common, half: (most / 2 / sharers).max(1), halved: Arc::default() }
     }
 }
 
-impl Bound {
+impl SharedLimit {
     /// Another process has half of it, until told otherwise.
     pub fn halve(&self, halved: bool) {
         self.halved.store(halved, Ordering::Release);
@@ -51,14 +51,14 @@
 
 /// One worker's part of a bound.
 #[derive(Debug)]
-pub struct Share {
-    bound: Bound,
+pub struct LimitShare {
+    bound: SharedLimit,
     held: Cell<usize>,
 }
 
-impl Share {
-    pub fn of(bound: Bound) -> Rc<Share> {
-        Rc::new(Share { bound, held: Cell::new(0) })
+impl LimitShare {
+    pub fn new(bound: SharedLimit) -> Rc<LimitShare> {
+        Rc::new(LimitShare { bound, held: Cell::new(0) })
     }
 
     pub fn held(&self) -> usize {
@@ -66,12 +66,12 @@
     }
 
     /// Whether another process is short of what is held here.
-    pub fn over(&self) -> bool {
+    pub fn exceeds_half(&self) -> bool {
         self.bound.halved.load(Ordering::Acquire) && self.held.get() > self.bound.half
     }
 
     /// One slot, if there is any; given up when it is dropped.
-    pub fn take(self: &Rc<Share>) -> Option<Slot> {
+    pub fn try_acquire(self: &Rc<LimitShare>) -> Option<Slot> {
         if self.bound.halved.load(Ordering::Acquire) && self.held.get() >= self.bound.half {
             return None;
         }
@@ -85,14 +85,14 @@
     }
 
     /// One slot whether there is any or not: for what is here already and can't be sent away.
-    pub fn take_anyway(self: &Rc<Share>) -> Slot {
+    pub fn acquire_over_limit(self: &Rc<LimitShare>) -> Slot {
         if self.held.get() >= self.bound.floor {
             self.bound.common.fetch_sub(1, Ordering::AcqRel);
         }
         self.slot()
     }
 
-    fn slot(self: &Rc<Share>) -> Slot {
+    fn slot(self: &Rc<LimitShare>) -> Slot {
         self.held.set(self.held.get() + 1);
         Slot(self.clone())
     }
@@ -100,7 +100,7 @@
 
 /// One of what a bound allows.
 #[derive(Debug)]
-pub struct Slot(Rc<Share>);
+pub struct Slot(Rc<LimitShare>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
@@ -118,47 +118,47 @@
 
     #[test]
     fn one_may_take_all_but_the_others_floors() {
-        let bound = Bound::new(40, 4);
-        let shares: Vec<_> = (0..4).map(|_| Share::of(bound.clone())).collect();
-        let greedy: Vec<Slot> = std::iter::from_fn(|| shares[0].take()).collect();
+        let bound = SharedLimit::new(40, 4);
+        let shares: Vec<_> = (0..4).map(|_| LimitShare::new(bound.clone())).collect();
+        let greedy: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
         assert_eq!(greedy.len(), 25);
         let others: Vec<Slot> =
-            shares[1..].iter().flat_map(|share| std::iter::from_fn(|| share.take())).collect();
+            shares[1..].iter().flat_map(|share| std::iter::from_fn(|| share.try_acquire())).collect();
         assert_eq!(others.len(), 15);
         // What is given back by whoever holds more than its floor is anybody's.
         drop(greedy);
-        let rest: Vec<Slot> = std::iter::from_fn(|| shares[1].take()).collect();
+        let rest: Vec<Slot> = std::iter::from_fn(|| shares[1].try_acquire()).collect();
         assert_eq!(rest.len(), 20);
     }
 
     #[test]
     fn half_of_it_is_another_processes_while_that_lives() {
-        let bound = Bound::new(8, 1);
-        let share = Share::of(bound.clone());
-        let mut held: Vec<Slot> = (0..6).filter_map(|_| share.take()).collect();
+        let bound = SharedLimit::new(8, 1);
+        let share = LimitShare::new(bound.clone());
+        let mut held: Vec<Slot> = (0..6).filter_map(|_| share.try_acquire()).collect();
         bound.halve(true);
-        assert!(share.over() && share.take().is_none());
+        assert!(share.exceeds_half() && share.try_acquire().is_none());
         held.truncate(3);
-        held.extend(share.take());
-        assert!(!share.over() && held.len() == 4 && share.take().is_none());
+        held.extend(share.try_acquire());
+        assert!(!share.exceeds_half() && held.len() == 4 && share.try_acquire().is_none());
         bound.halve(false);
-        held.extend(std::iter::from_fn(|| share.take()));
+        held.extend(std::iter::from_fn(|| share.try_acquire()));
         assert_eq!(held.len(), 8);
     }
 
     #[test]
     fn what_is_taken_anyway_is_given_back_before_others_take() {
-        let bound = Bound::new(8, 2);
-        let (one, other) = (Share::of(bound.clone()), Share::of(bound));
-        let mut held: Vec<Slot> = std::iter::from_fn(|| one.take()).collect();
-        held.push(one.take_anyway());
+        let bound = SharedLimit::new(8, 2);
+        let (one, other) = (LimitShare::new(bound.clone()), LimitShare::new(bound));
+        let mut held: Vec<Slot> = std::iter::from_fn(|| one.try_acquire()).collect();
+        held.push(one.acquire_over_limit());
         assert_eq!((held.len(), one.held()), (7, 7));
-        let floor: Vec<Slot> = std::iter::from_fn(|| other.take()).collect();
+        let floor: Vec<Slot> = std::iter::from_fn(|| other.try_acquire()).collect();
         assert_eq!(floor.len(), 2);
         held.pop();
-        assert!(other.take().is_none());
+        assert!(other.try_acquire().is_none());
         held.pop();
-        assert!(other.take().is_some());
+        assert!(other.try_acquire().is_some());
         drop(held);
         assert_eq!(one.held(), 0);
     }
--- a/sidecar/src/logging.rs
+++ b/sidecar/src/logging.rs
@@ -11,11 +11,11 @@
 
 /// Lines of that level and above, on standard error.
 pub fn to_stderr(name: &str, level: Level) -> (Logger, FlushGuard) {
-    to(std::io::stderr(), name, level)
+    to_writer(std::io::stderr(), name, level)
 }
 
 /// Lines of that level and above.
-pub fn to(writer: impl Write + Send + 'static, name: &str, level: Level) -> (Logger, FlushGuard) {
+pub fn to_writer(writer: impl Write + Send + 'static, name: &str, level: Level) -> (Logger, FlushGuard) {
     let plain = slog_term::PlainSyncDecorator::new(writer);
     // A line that can't be written, or queued, is lost and nothing more.
     let lines = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -79,7 +79,7 @@
     if let Some(plan) = operator.plan() {
         planned::doubts(&plan).iter().for_each(|doubt| warn!(log, "the plan does not hold {}", doubt));
     }
-    workers::keep_panics();
+    workers::capture_panics();
     run(start, operator, read, log, words)
 }
 
--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -102,9 +102,9 @@
 
 /// How a call for the list ended, or that it has told a first line.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ListCallOutcome {
+pub enum ListRequestOutcome {
     /// It has told a line.
-    Told,
+    LineReceived,
     /// Its connection did not come up.
     Unreachable,
     /// It was answered with another status than 200.
@@ -117,24 +117,24 @@
     Cancelled,
 }
 
-impl ListCallOutcome {
-    const ALL: [ListCallOutcome; 6] = [
-        ListCallOutcome::Told,
-        ListCallOutcome::Unreachable,
-        ListCallOutcome::Rejected,
-        ListCallOutcome::Broken,
-        ListCallOutcome::Malformed,
-        ListCallOutcome::Cancelled,
+impl ListRequestOutcome {
+    const ALL: [ListRequestOutcome; 6] = [
+        ListRequestOutcome::LineReceived,
+        ListRequestOutcome::Unreachable,
+        ListRequestOutcome::Rejected,
+        ListRequestOutcome::Broken,
+        ListRequestOutcome::Malformed,
+        ListRequestOutcome::Cancelled,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            ListCallOutcome::Told => "told",
-            ListCallOutcome::Unreachable => "unreachable",
-            ListCallOutcome::Rejected => "rejected",
-            ListCallOutcome::Broken => "broken",
-            ListCallOutcome::Malformed => "malformed",
-            ListCallOutcome::Cancelled => "cancelled",
+            ListRequestOutcome::LineReceived => "told",
+            ListRequestOutcome::Unreachable => "unreachable",
+            ListRequestOutcome::Rejected => "rejected",
+            ListRequestOutcome::Broken => "broken",
+            ListRequestOutcome::Malformed => "malformed",
+            ListRequestOutcome::Cancelled => "cancelled",
         }
     }
 }
@@ -162,13 +162,13 @@
 
 /// What is set when it is asked for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Gauges {
+pub struct GaugeValues {
     /// Requests taken and not yet answered.
     pub requests: usize,
     /// Connections of clients.
     pub connections: usize,
     /// Servers that may be sent to, that drain by the list, and that are out by hand.
-    pub servers: ServerCounts,
+    pub endpoints: EndpointCounts,
     /// How long ago the list was last told, or said to be unchanged; none if never.
     pub list_age: Option<Micros>,
     /// The watch of the list has told something and is open.
@@ -177,7 +177,7 @@
 
 /// Servers by what they may be sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct ServerCounts {
+pub struct EndpointCounts {
     /// They may be sent to.
     pub ready: usize,
     /// They drain, as the list has it.
@@ -215,7 +215,7 @@
 
     fn build() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
-        let by_list_call: Vec<&str> = ListCallOutcome::ALL.iter().map(|outcome| outcome.name()).collect();
+        let by_list_call: Vec<&str> = ListRequestOutcome::ALL.iter().map(|outcome| outcome.name()).collect();
         let by_rule: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
         let by_close: Vec<&str> = CloseReason::ALL.iter().map(|reason| reason.name()).collect();
         let by_denial: Vec<&str> = Denial::ALL.iter().map(|denial| denial.name()).collect();
@@ -305,38 +305,38 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, reason: RefusalReason) {
+    pub fn count_refusal(&self, reason: RefusalReason) {
         self.refusals[reason as usize].inc();
     }
 
     /// Counts an attempt by its end.
-    pub fn end_attempt(&self, kind: AttemptKind, outcome: Outcome) {
+    pub fn count_attempt(&self, kind: AttemptKind, outcome: Outcome) {
         let at = OUTCOMES.iter().position(|one| *one == outcome).unwrap_or_default();
         self.attempts[kind as usize * OUTCOMES.len() + at].inc();
     }
 
     /// Counts an attempt that was not allowed.
-    pub fn deny(&self, denial: Denial) {
+    pub fn count_denial(&self, denial: Denial) {
         self.denials[denial as usize].inc();
     }
 
     /// Counts a client's connection that was closed.
-    pub fn close(&self, reason: CloseReason) {
+    pub fn count_closed_connection(&self, reason: CloseReason) {
         self.closes[reason as usize].inc();
     }
 
     /// Counts a broken rule.
-    pub fn violate(&self, rule: Rule) {
+    pub fn count_violation(&self, rule: Rule) {
         self.violations[rule as usize].inc();
     }
 
     /// Counts a call for the list.
-    pub fn end_list_call(&self, outcome: ListCallOutcome) {
+    pub fn count_list_request(&self, outcome: ListRequestOutcome) {
         self.list_calls[outcome as usize].inc();
     }
 
     /// Counts that the list may not be used any more.
-    pub fn list_became_stale(&self) {
+    pub fn count_stale_list(&self) {
         self.list_stale.inc();
     }
 
@@ -346,28 +346,31 @@
     }
 
     /// Counts a system call that failed.
-    pub fn fail(&self, call: SystemCall, error: &Error) {
+    pub fn count_system_error(&self, call: SystemCall, error: &Error) {
         let errno = error.raw_os_error().map_or("none".to_string(), |errno| errno.to_string());
         self.system_errors.with_label_values(&[call.name(), &errno]).inc();
     }
 
     /// Notes how long a request took.
-    pub fn took(&self, length: Micros) {
+    pub fn observe_latency(&self, length: Micros) {
         self.latency.observe(length.secs());
     }
 
     /// Notes how much of the budget of attempts beyond requests' first is used.
-    pub fn spend(&self, used: usize) {
+    pub fn set_retry_budget_used(&self, used: usize) {
         self.budget_used.set(used as i64);
     }
 
     /// All of it, as text.
-    pub fn text(&self, gauges: Gauges) -> String {
-        let Gauges { requests, connections, servers, list_age, watch_open } = gauges;
+    pub fn render(&self, gauges: GaugeValues) -> String {
+        let GaugeValues { requests, connections, endpoints, list_age, watch_open } = gauges;
         self.open_requests.set(requests as i64);
         self.connections.set(connections as i64);
-        let states =
-            [("ready", servers.ready), ("draining", servers.draining), ("maintenance", servers.maintenance)];
+        let states = [
+            ("ready", endpoints.ready),
+            ("draining", endpoints.draining),
+            ("maintenance", endpoints.maintenance),
+        ];
         for (state, count) in states {
             self.servers.with_label_values(&[state]).set(count as i64);
         }
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -100,13 +100,13 @@
             );
         }
         if kind != AttemptKind::First {
-            self.metrics.spend(self.guard.borrow().retry_budget_used());
+            self.metrics.set_retry_budget_used(self.guard.borrow().retry_budget_used());
         }
-        allowed.inspect_err(|denial| self.metrics.deny(*denial))
+        allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
     /// Whether its first byte may be written, by what is known now.
-    pub fn send(&self, permit: &AttemptPermit, look: LastLook) -> Result<SendPermit, Denial> {
+    pub fn permit_send(&self, permit: &AttemptPermit, look: LastLook) -> Result<SendPermit, Denial> {
         let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, look);
         self.tell_violations();
         if self.verbose {
@@ -119,7 +119,7 @@
                 allowed.as_ref().err()
             );
         }
-        allowed.inspect_err(|denial| self.metrics.deny(*denial))
+        allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
     /// Its last byte was written.
@@ -129,13 +129,13 @@
 
     /// An attempt has ended.
     pub fn attempt_ended(&self, request: CallId, attempt: HopNo, kind: AttemptKind, outcome: Outcome) {
-        self.metrics.end_attempt(kind, outcome);
+        self.metrics.count_attempt(kind, outcome);
         self.observe(Event::AttemptEnded { request, attempt, outcome });
     }
 
     /// A request was refused.
     pub fn refused(&self, request: CallId, reason: RefusalReason) {
-        self.metrics.refuse(reason);
+        self.metrics.count_refusal(reason);
         if self.verbose {
             debug!(self.log, "request {}: refused: {:?}", request.0, reason);
         }
@@ -143,7 +143,7 @@
 
     /// A client's connection is closed.
     pub fn connection_closed(&self, reason: CloseReason) {
-        self.metrics.close(reason);
+        self.metrics.count_closed_connection(reason);
         if self.verbose {
             debug!(self.log, "connection closed: {}", reason.name());
         }
@@ -165,7 +165,7 @@
 
     /// A system call failed.
     pub fn system_error(&self, call: SystemCall, error: &std::io::Error) {
-        self.metrics.fail(call, error);
+        self.metrics.count_system_error(call, error);
     }
 
     fn observe(&self, event: Event) {
@@ -182,7 +182,7 @@
         }
         let found = self.guard.borrow_mut().take_violations();
         for violation in found {
-            self.metrics.violate(violation.rule);
+            self.metrics.count_violation(violation.rule);
             if self.has_line(violation.at) {
                 error!(self.log, "rule broken: {}", violation);
             }
@@ -242,7 +242,7 @@
     pub fn answer_begun(&self, kind: AnswerKind) {
         let monitor = &self.monitor;
         self.answered.set(Some(kind));
-        monitor.metrics.took(monitor.clock.now() - self.since);
+        monitor.metrics.observe_latency(monitor.clock.now() - self.since);
         monitor.observe(Event::AnswerBegun { request: self.request, kind });
     }
 
--- a/sidecar/src/start_time.rs
+++ b/sidecar/src/start_time.rs
@@ -8,7 +8,7 @@
 
 /// When a list was heard, by the monotonic clock.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Heard {
+pub struct ListArrival {
     /// When it came.
     pub at: Instant,
     /// Until when what was heard before it is known to have been up to date: a server that is new on this list started
@@ -16,10 +16,10 @@
     pub complete_until: Option<Instant>,
 }
 
-impl Heard {
+impl ListArrival {
     /// Heard now, with nothing known of what was so before.
-    pub fn first() -> Heard {
-        Heard { at: Instant::now(), complete_until: None }
+    pub fn now() -> ListArrival {
+        ListArrival { at: Instant::now(), complete_until: None }
     }
 }
 
@@ -35,7 +35,7 @@
 impl StartWindow {
     /// When a server started whose list says `listed`, which is 0 for long ago. A time that can't be true counts as the
     /// moment at which it was heard: guards against sending a cold server what a warm one bears.
-    pub fn bound(&self, listed: Micros) -> Micros {
+    pub fn plausible_start(&self, listed: Micros) -> Micros {
         let too_early = self.earliest.is_some_and(|earliest| listed + LATENESS < earliest);
         if listed.0 > 0 && (too_early || listed > self.latest) {
             return self.latest;
--- a/sidecar/src/tasks.rs
+++ b/sidecar/src/tasks.rs
@@ -16,7 +16,7 @@
 }
 
 impl Tasks {
-    pub fn of(executor: &Rc<LocalExecutor<'static>>) -> Tasks {
+    pub fn new(executor: &Rc<LocalExecutor<'static>>) -> Tasks {
         let (doom, doomed) = oneshot();
         Tasks {
             executor: Rc::downgrade(executor),
@@ -37,14 +37,14 @@
         self.executor.upgrade().map(|executor| executor.spawn(watched))
     }
 
-    pub fn run(&self, future: impl Future<Output = ()> + 'static) {
+    pub fn spawn_detached(&self, future: impl Future<Output = ()> + 'static) {
         if let Some(task) = self.spawn(future) {
             task.detach();
         }
     }
 
     /// Ends when a task has panicked. Guards against a thread that goes on half alive.
-    pub async fn doomed(&self) {
+    pub async fn panicked(&self) {
         (&*self.doomed).await;
     }
 }
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -31,13 +31,13 @@
     }
 
     /// What this clock says at that moment.
-    pub fn at(&self, moment: Instant) -> Micros {
+    pub fn micros_at(&self, moment: Instant) -> Micros {
         let since = moment.saturating_duration_since(self.started).as_micros() as u64;
         let before = self.started.saturating_duration_since(moment).as_micros() as u64;
         self.unix + Micros(since) - Micros(before)
     }
 
-    pub fn instant(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Micros) -> Instant {
         let since = duration(at - self.unix);
         self.started.checked_add(since).unwrap_or_else(|| self.started + Duration::from_secs(1 << 30))
     }
@@ -86,7 +86,7 @@
         let Some(mut first) = self.due.first_entry() else { return Poll::Pending };
         let begins = Micros(*first.key() * 1000);
         if begins > now {
-            let at = self.clock.instant(begins);
+            let at = self.clock.instant_at(begins);
             return self.ring_at(at, context);
         }
         let millisecond = first.get_mut();
@@ -103,7 +103,7 @@
             return self.poll_next(context);
         }
         let Some(at) = next else { return Poll::Pending };
-        let at = self.clock.instant(at);
+        let at = self.clock.instant_at(at);
         self.ring_at(at, context)
     }
 }
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -4,18 +4,18 @@
 use crate::dispatcher::Parts;
 use crate::endpoint_list::Elsewhere;
 use crate::endpoint_registry::Mark;
-use crate::generations::{ClassId, Classes, Generations, Left, Numbers};
+use crate::generations::{ClassId, Classes, Generations, Left, WorkloadIds};
 use crate::http1::acceptor::Acceptor;
 use crate::http1::connections::{Connections, Ids};
 use crate::http1::pool::Pool;
-use crate::http1::{Desk, Dispatcher, Fence, Http1, Names, Note};
+use crate::http1::{Dispatcher, DispatcherHandle, DispatcherMessage, Fence, Http1, Names};
 use crate::lease::Lease;
-use crate::limits::{Bound, Gauge, Share};
+use crate::limits::{Gauge, LimitShare, SharedLimit};
 use crate::list_deadline::ListDeadline;
 use crate::metrics::Metrics;
 use crate::monitor::{self, Monitor};
 use crate::reactor::{self, Async};
-use crate::start_time::Heard;
+use crate::start_time::ListArrival;
 use crate::tasks::Tasks;
 use crate::timers::Clock;
 use async_channel::{bounded, Receiver, Sender};
@@ -38,28 +38,28 @@
 
 /// What the program tells its workers.
 #[derive(Clone)]
-pub enum Order {
-    Listed(ListKind, Arc<List>, Heard),
+pub enum WorkerCommand {
+    ApplyList(ListKind, Arc<List>, ListArrival),
     /// Its sender is dropped when that holds.
-    Marked(Mark, Sender<()>),
+    ApplyMark(Mark, Sender<()>),
     /// Take callers in. Its sender is dropped when that holds.
-    Open(Sender<()>),
+    StartAccepting(Sender<()>),
     /// What the modules have learnt is asked for.
-    Asked(Sender<Taught>),
+    ExportLearned(Sender<Taught>),
     /// Settings that hold from now on. Its sender is dropped when they do.
-    Retuned(Arc<Place>, Sender<()>),
+    ApplySettings(Arc<Place>, Sender<()>),
     /// Whom others' lists let drain. Its sender is dropped when that holds.
-    Drained(Arc<Elsewhere>, Sender<()>),
+    ApplyPeerDrains(Arc<Elsewhere>, Sender<()>),
     /// The lease has begun or run out, or the list may not be used any more.
-    Look,
+    RecheckDeadlines,
     /// What is shared out with another process of this sidecar.
-    Shared(Shared),
+    SetSharing(Shared),
     /// Take nobody in any more, and end each connection with its next answer, due by then.
-    Part(Micros),
+    Handover(Micros),
     /// `/ready` says no; calls that come from now on have their answers by then.
-    SayNo(Micros),
+    ReportNotReady(Micros),
     /// Take nobody in any more. Its sender is dropped when that holds.
-    Shut(Sender<()>),
+    StopAccepting(Sender<()>),
 }
 
 /// Whether another process of this sidecar lives beside this one.
@@ -73,23 +73,23 @@
 /// The way to all workers, each with a queue of its own: guards against one that is busy for a moment keeping the others
 /// from a drain.
 #[derive(Clone)]
-pub struct Orders(Vec<Sender<Order>>);
+pub struct CommandBroadcaster(Vec<Sender<WorkerCommand>>);
 
-impl Orders {
+impl CommandBroadcaster {
     #[cfg(test)]
-    pub fn of(workers: Vec<Sender<Order>>) -> Orders {
-        Orders(workers)
+    pub fn new(workers: Vec<Sender<WorkerCommand>>) -> CommandBroadcaster {
+        CommandBroadcaster(workers)
     }
 
     /// Tells an order and waits until the last worker has carried it out, or has ended.
-    pub async fn have_done(&self, order: impl FnOnce(Sender<()>) -> Order) {
+    pub async fn send_and_wait(&self, order: impl FnOnce(Sender<()>) -> WorkerCommand) {
         let (done, all) = bounded(1);
-        self.tell(order(done)).await;
+        self.send(order(done)).await;
         let _ = all.recv().await;
     }
 
     /// Waits for those whose queue is full. One that has ended is told of elsewhere.
-    pub async fn tell(&self, order: Order) {
+    pub async fn send(&self, order: WorkerCommand) {
         for worker in &self.0 {
             let _ = worker.send(order.clone()).await;
         }
@@ -104,25 +104,25 @@
 }
 
 /// A worker that has ended unasked.
-pub struct Lost(pub String);
+pub struct WorkerFailure(pub String);
 
 /// What a worker is started with.
-pub struct Hand {
+pub struct WorkerContext {
     pub number: usize,
-    pub orders: Receiver<Order>,
+    pub commands: Receiver<WorkerCommand>,
     pub gauges: Gauges,
 }
 
 struct Worker {
-    orders: Sender<Order>,
+    orders: Sender<WorkerCommand>,
     gauges: Gauges,
     thread: Option<JoinHandle<()>>,
 }
 
 /// All workers of the program. Dropping it ends them.
-pub struct Crew {
+pub struct WorkerPool {
     workers: Vec<Worker>,
-    lost: Receiver<Lost>,
+    lost: Receiver<WorkerFailure>,
 }
 
 thread_local! {
@@ -130,24 +130,24 @@
 }
 
 /// Has panics kept for the one line in which the program says why it ends, instead of written out at once.
-pub fn keep_panics() {
+pub fn capture_panics() {
     std::panic::set_hook(Box::new(|panic| {
         let text = panic.to_string().replace('\n', " ");
         PANIC.with_borrow_mut(|kept| *kept = Some(text));
     }));
 }
 
-impl Crew {
+impl WorkerPool {
     /// Starts `count` workers; `work` is the whole life of one. A worker that ends with a fault, or panics, is told by
-    /// [`Crew::lost`].
-    pub fn hire(
-        count: usize, work: impl Fn(Hand) -> std::io::Result<()> + Clone + Send + 'static,
-    ) -> std::io::Result<Crew> {
+    /// [`WorkerPool::failure`].
+    pub fn start(
+        count: usize, work: impl Fn(WorkerContext) -> std::io::Result<()> + Clone + Send + 'static,
+    ) -> std::io::Result<WorkerPool> {
         let (tell, lost) = bounded(count);
         let mut workers = Vec::new();
         for number in 0..count {
-            let ((sender, orders), gauges) = (bounded(MOST_ORDERS), Gauges::default());
-            let hand = Hand { number, orders, gauges: gauges.clone() };
+            let ((sender, commands), gauges) = (bounded(MOST_ORDERS), Gauges::default());
+            let hand = WorkerContext { number, commands, gauges: gauges.clone() };
             let (work, tell) = (work.clone(), tell.clone());
             let life = move || {
                 let why = match catch_unwind(AssertUnwindSafe(|| work(hand))) {
@@ -155,20 +155,20 @@
                     Ok(Err(fault)) => fault.to_string(),
                     Err(_) => panic_kept(),
                 };
-                let _ = tell.try_send(Lost(format!("worker {number} ended: {why}")));
+                let _ = tell.try_send(WorkerFailure(format!("worker {number} ended: {why}")));
             };
             let thread = Builder::new().name(format!("worker {number}")).spawn(life)?;
             workers.push(Worker { orders: sender, gauges, thread: Some(thread) });
         }
-        Ok(Crew { workers, lost })
+        Ok(WorkerPool { workers, lost })
     }
 
-    pub fn orders(&self) -> Orders {
-        Orders(self.workers.iter().map(|worker| worker.orders.clone()).collect())
+    pub fn commands(&self) -> CommandBroadcaster {
+        CommandBroadcaster(self.workers.iter().map(|worker| worker.orders.clone()).collect())
     }
 
-    pub async fn lost(&self) -> Lost {
-        self.lost.recv().await.unwrap_or_else(|_| Lost("all workers ended".into()))
+    pub async fn failure(&self) -> WorkerFailure {
+        self.lost.recv().await.unwrap_or_else(|_| WorkerFailure("all workers ended".into()))
     }
 
     pub fn calls(&self) -> usize {
@@ -185,7 +185,7 @@
     }
 }
 
-impl Drop for Crew {
+impl Drop for WorkerPool {
     fn drop(&mut self) {
         self.workers.iter().for_each(|worker| _ = worker.orders.close());
         for worker in &mut self.workers {
@@ -206,8 +206,8 @@
     /// What another process learnt in this one's place, for each worker.
     pub taught: Taught,
     pub workers: usize,
-    pub callers: Bound,
-    pub links: Bound,
+    pub callers: SharedLimit,
+    pub links: SharedLimit,
     pub clock: Clock,
     pub log: Logger,
     pub lease: Lease,
@@ -224,18 +224,18 @@
 }
 
 /// The whole life of a worker that carries calls.
-pub fn carry(kit: Kit, hand: Hand, listener: TcpListener) -> std::io::Result<()> {
-    on_this_thread(|tasks| obey(kit, hand, listener, tasks))
+pub fn carry(kit: Kit, hand: WorkerContext, listener: TcpListener) -> std::io::Result<()> {
+    run_on_this_thread(|tasks| obey(kit, hand, listener, tasks))
 }
 
 /// Runs a worker's life with an executor of its own; ends when that does, or when any of its tasks panics.
-pub fn on_this_thread<F: Future<Output = std::io::Result<()>>>(
+pub fn run_on_this_thread<F: Future<Output = std::io::Result<()>>>(
     life: impl FnOnce(Tasks) -> F,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let tasks = Tasks::of(&executor);
+    let tasks = Tasks::new(&executor);
     let doomed = async {
-        tasks.doomed().await;
+        tasks.panicked().await;
         Err(std::io::Error::other(panic_kept()))
     };
     reactor::block_on(executor.run(future::or(doomed, life(tasks.clone()))))?
@@ -289,13 +289,13 @@
 }
 
 /// What requests call things by.
-fn names_of(place: &mut Place, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> Names {
+fn names_of(place: &mut Place, numbers: Vec<WorkloadIds>, classes: Vec<ClassId>) -> Names {
     let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
     Names {
         class_names,
         effects: numbers
             .iter()
-            .map(|number| monitor::effect(place.terms.workloads[number.usual.0].kind))
+            .map(|number| monitor::effect(place.terms.workloads[number.buffered.0].kind))
             .collect(),
         workloads: std::mem::take(&mut place.workloads),
         numbers,
@@ -306,18 +306,18 @@
     }
 }
 
-async fn obey(kit: Kit, hand: Hand, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
-    let Hand { number, orders, gauges } = hand;
+async fn obey(kit: Kit, hand: WorkerContext, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
+    let WorkerContext { number, commands, gauges } = hand;
     let mut place = placed(kit.place, number, kit.workers);
     let (mut generations, mut classes) = (Generations::default(), Classes::default());
     let (named, mut left) = classes_of(&mut classes, &place);
     let numbers;
     (place.terms, numbers) = generations.take(place.terms);
     let log = if kit.workers > 1 { kit.log.new(o!("worker" => number)) } else { kit.log };
-    let (desk, notes) = Desk::new(kit.clock, gauges.calls);
+    let (desk, notes) = DispatcherHandle::new(kit.clock, gauges.calls);
     let limits = monitor::limits(&place.terms, place.drain_grace);
     let monitor = Monitor::new(limits, kit.metrics, kit.clock, log.clone());
-    let links = Share::of(kit.links);
+    let links = LimitShare::new(kit.links);
     let pool = Pool::new(tasks.clone(), links, (place.connect_within, place.idle_close), log.clone());
     // One watch feeds all: the first asks for all of them, and they hear the same.
     let ask = if number == 0 { kit.ask } else { bounded(1).0 };
@@ -348,28 +348,32 @@
         none_beyond(&mut place.terms);
     }
     let dispatcher = Dispatcher::new(&place, seed, (&kit.known, kit.marks), parts);
-    tasks.run(dispatcher.run(notes));
+    tasks.spawn_detached(dispatcher.run(notes));
     let names = names_of(&mut place, numbers, named);
     let mut with = if kit.beside { Shared::WithPredecessor } else { Shared::Alone };
-    let callers = (Share::of(kit.callers), gauges.connections);
+    let callers = (LimitShare::new(kit.callers), gauges.connections);
     let connections = Connections::new(desk.clone(), names, monitor.clone(), callers, kit.ids);
     let acceptor = Acceptor::new(connections.clone(), tasks.clone(), log);
     let mut listener = Some(Rc::new(Async::listening(listener)?));
     let mut accepting = None;
-    while let Ok(order) = orders.recv().await {
+    while let Ok(order) = commands.recv().await {
         match order {
-            Order::Listed(kind, list, heard) => desk.tell(Note::Listed(kind, list, heard)).await,
-            Order::Marked(mark, done) => desk.tell(Note::Marked(mark, done)).await,
-            Order::Open(done) => {
+            WorkerCommand::ApplyList(kind, list, heard) => {
+                desk.send(DispatcherMessage::ApplyList(kind, list, heard)).await
+            }
+            WorkerCommand::ApplyMark(mark, done) => desk.send(DispatcherMessage::ApplyMark(mark, done)).await,
+            WorkerCommand::StartAccepting(done) => {
                 let accept_all = listener.clone().map(|listener| acceptor.clone().accept_all(listener));
                 accepting = accept_all.and_then(|taking| tasks.spawn(taking));
                 connections.set_able(true);
                 drop(done);
             }
-            Order::Asked(to) => desk.tell(Note::Asked(to)).await,
-            Order::Drained(elsewhere, done) => desk.tell(Note::Drained(elsewhere, done)).await,
-            Order::Look => desk.tell(Note::Look).await,
-            Order::Retuned(place, done) => {
+            WorkerCommand::ExportLearned(to) => desk.send(DispatcherMessage::ExportLearned(to)).await,
+            WorkerCommand::ApplyPeerDrains(elsewhere, done) => {
+                desk.send(DispatcherMessage::ApplyPeerDrains(elsewhere, done)).await
+            }
+            WorkerCommand::RecheckDeadlines => desk.send(DispatcherMessage::RecheckDeadlines).await,
+            WorkerCommand::ApplySettings(place, done) => {
                 let mut place = placed(Place::clone(&place), number, kit.workers);
                 let (numbers, named);
                 (named, left) = classes_of(&mut classes, &place);
@@ -380,16 +384,16 @@
                 terms = place.terms;
                 // The module first: a call that comes by the new names must find its number there.
                 let terms = Box::new(shared(terms.clone(), with));
-                desk.tell(Note::Retuned(terms, left.clone(), Some(done))).await;
+                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), Some(done))).await;
                 connections.rename(names);
             }
-            Order::Shared(now) => {
+            WorkerCommand::SetSharing(now) => {
                 with = now;
                 let terms = Box::new(shared(terms.clone(), with));
-                desk.tell(Note::Retuned(terms, left.clone(), None)).await;
+                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), None)).await;
                 connections.give_way();
             }
-            Order::Part(by) => {
+            WorkerCommand::Handover(by) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
@@ -397,19 +401,19 @@
                 if with != Shared::Alone && terms.beyond_first.is_some() {
                     let mut last = shared(terms.clone(), with);
                     none_beyond(&mut last);
-                    desk.tell(Note::Retuned(Box::new(last), left.clone(), None)).await;
+                    desk.send(DispatcherMessage::ApplySettings(Box::new(last), left.clone(), None)).await;
                 }
                 connections.part();
                 connections.answer_by(by);
-                desk.tell(Note::AnswerBy(by)).await;
+                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
             }
-            Order::SayNo(by) => {
+            WorkerCommand::ReportNotReady(by) => {
                 connections.set_able(false);
                 // Guards against a kill that finds an API call without its answer, also one taken before.
                 connections.answer_by(by);
-                desk.tell(Note::AnswerBy(by)).await;
+                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
             }
-            Order::Shut(done) => {
+            WorkerCommand::StopAccepting(done) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
--- a/sidecar/tests/crew.rs
+++ b/sidecar/tests/crew.rs
@@ -3,31 +3,33 @@
 use async_io::{block_on, Timer};
 use futures_lite::future;
 use oakhollow_sidecar::reactor;
-use oakhollow_sidecar::workers::{keep_panics, on_this_thread, Crew, Hand, Lost};
+use oakhollow_sidecar::workers::{
+    capture_panics, run_on_this_thread, WorkerContext, WorkerFailure, WorkerPool,
+};
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
 /// A worker that only waits for its end.
-fn idle(hand: &Hand) -> std::io::Result<()> {
-    reactor::block_on(async { while hand.orders.recv().await.is_ok() {} })
+fn idle(hand: &WorkerContext) -> std::io::Result<()> {
+    reactor::block_on(async { while hand.commands.recv().await.is_ok() {} })
 }
 
-fn lost_of(crew: &Crew) -> Option<String> {
-    let told = async { Some(crew.lost().await) };
+fn lost_of(crew: &WorkerPool) -> Option<String> {
+    let told = async { Some(crew.failure().await) };
     let late = async {
         Timer::after(Duration::from_secs(10)).await;
         None
     };
-    block_on(future::or(told, late)).map(|Lost(why)| why)
+    block_on(future::or(told, late)).map(|WorkerFailure(why)| why)
 }
 
 #[test]
 fn one_that_panics_is_told_in_one_line_and_the_others_end() {
-    keep_panics();
+    capture_panics();
     let begun = Instant::now();
-    let crew = Crew::hire(3, |hand| match hand.number {
-        1 => on_this_thread(|tasks| {
-            tasks.run(async { panic!("on\npurpose") });
+    let crew = WorkerPool::start(3, |hand| match hand.number {
+        1 => run_on_this_thread(|tasks| {
+            tasks.spawn_detached(async { panic!("on\npurpose") });
             future::pending()
         }),
         _ => idle(&hand),
@@ -42,7 +44,7 @@
 
 #[test]
 fn one_that_fails_is_told() {
-    let crew = Crew::hire(2, |hand| match hand.number {
+    let crew = WorkerPool::start(2, |hand| match hand.number {
         0 => Err(ErrorKind::AddrNotAvailable.into()),
         _ => idle(&hand),
     });
--- a/sidecar/tests/logging.rs
+++ b/sidecar/tests/logging.rs
@@ -24,7 +24,7 @@
 #[test]
 fn the_last_lines_are_written_though_another_thread_has_a_logger() {
     let written = Slow::default();
-    let (log, flush) = logging::to(written.clone(), "n0", slog::Level::Info);
+    let (log, flush) = logging::to_writer(written.clone(), "n0", slog::Level::Info);
     let _others = log.clone();
     (0..5).for_each(|number| info!(log, "line {}", number));
     drop((log, flush));
@@ -48,7 +48,7 @@
 #[test]
 fn a_reader_that_reads_nothing_holds_up_no_end() {
     let (word, waits) = channel();
-    let (log, flush) = logging::to(Stuck(Mutex::new(waits)), "n0", slog::Level::Info);
+    let (log, flush) = logging::to_writer(Stuck(Mutex::new(waits)), "n0", slog::Level::Info);
     (0..1_000).for_each(|number| info!(log, "line {}", number));
     let begun = Instant::now();
     drop(flush);
--- a/sidecar/tests/metrics.rs
+++ b/sidecar/tests/metrics.rs
@@ -2,13 +2,13 @@
 use oakhollow::types::{Micros, Outcome};
 use oakhollow_guard::{CloseReason, Denial, Rule};
 use oakhollow_sidecar::metrics::{
-    AttemptKind, Gauges, ListCallOutcome, Metrics, RefusalReason, ServerCounts, SystemCall,
+    AttemptKind, EndpointCounts, GaugeValues, ListRequestOutcome, Metrics, RefusalReason, SystemCall,
 };
 
 #[test]
 fn every_rule_and_reason_has_a_line_from_the_start_and_counts() {
     let metrics = Metrics::new();
-    let text = metrics.text(Gauges::default());
+    let text = metrics.render(GaugeValues::default());
     for rule in Rule::ALL {
         assert!(
             text.contains(&format!("oakhollow_violations_total{{rule=\"{}\"}} 0\n", rule.name())),
@@ -21,23 +21,23 @@
     }
     assert!(text.contains("oakhollow_list_age_milliseconds -1\n"), "{text}");
 
-    metrics.violate(Rule::RetryBudget);
-    metrics.close(CloseReason::Evicted);
-    metrics.refuse(RefusalReason::NoLease);
-    metrics.refuse(RefusalReason::ListStale);
-    metrics.deny(Denial::OutOfTime);
-    metrics.deny(Denial::ListStale);
-    metrics.end_list_call(ListCallOutcome::Rejected);
-    metrics.list_became_stale();
-    metrics.end_attempt(AttemptKind::Hedge, Outcome::Broken);
-    metrics.fail(SystemCall::Accept, &std::io::Error::from_raw_os_error(24));
+    metrics.count_violation(Rule::RetryBudget);
+    metrics.count_closed_connection(CloseReason::Evicted);
+    metrics.count_refusal(RefusalReason::NoLease);
+    metrics.count_refusal(RefusalReason::ListStale);
+    metrics.count_denial(Denial::OutOfTime);
+    metrics.count_denial(Denial::ListStale);
+    metrics.count_list_request(ListRequestOutcome::Rejected);
+    metrics.count_stale_list();
+    metrics.count_attempt(AttemptKind::Hedge, Outcome::Broken);
+    metrics.count_system_error(SystemCall::Accept, &std::io::Error::from_raw_os_error(24));
     metrics.requests("view", "served").inc();
-    metrics.took(Micros::millis(30));
-    metrics.spend(3);
-    let text = metrics.text(Gauges {
+    metrics.observe_latency(Micros::millis(30));
+    metrics.set_retry_budget_used(3);
+    let text = metrics.render(GaugeValues {
         requests: 2,
         connections: 5,
-        servers: ServerCounts { ready: 7, draining: 1, maintenance: 1 },
+        endpoints: EndpointCounts { ready: 7, draining: 1, maintenance: 1 },
         list_age: Some(Micros::millis(1_200)),
         watch_open: true,
     });
--- a/sidecar/tests/start_time.rs
+++ b/sidecar/tests/start_time.rs
@@ -13,19 +13,19 @@
 fn a_start_that_may_be_true_is_believed() {
     let a_while_ago = NOW - Micros::millis(900);
     for window in [window(None), window(Some(500)), window(Some(1_500))] {
-        assert_eq!(window.bound(a_while_ago), a_while_ago);
-        assert_eq!(window.bound(NOW), NOW);
+        assert_eq!(window.plausible_start(a_while_ago), a_while_ago);
+        assert_eq!(window.plausible_start(NOW), NOW);
         // Long ago.
-        assert_eq!(window.bound(Micros(0)), Micros(0));
+        assert_eq!(window.plausible_start(Micros(0)), Micros(0));
     }
-    assert_eq!(window(None).bound(NOW - HOUR), NOW - HOUR);
+    assert_eq!(window(None).plausible_start(NOW - HOUR), NOW - HOUR);
 }
 
 #[test]
 fn a_start_that_cannot_be_true_counts_as_now() {
-    assert_eq!(window(None).bound(NOW + HOUR), NOW);
-    assert_eq!(window(Some(500)).bound(NOW + Micros(1)), NOW);
+    assert_eq!(window(None).plausible_start(NOW + HOUR), NOW);
+    assert_eq!(window(Some(500)).plausible_start(NOW + Micros(1)), NOW);
     // New on a list that was up to date half a second ago, and 2 s may be lost on the way.
-    assert_eq!(window(Some(500)).bound(NOW - Micros::millis(2_501)), NOW);
-    assert_eq!(window(Some(500)).bound(NOW - HOUR), NOW);
+    assert_eq!(window(Some(500)).plausible_start(NOW - Micros::millis(2_501)), NOW);
+    assert_eq!(window(Some(500)).plausible_start(NOW - HOUR), NOW);
 }
