--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -4,8 +4,8 @@
 use crate::endpoint_registry::{lock, Mark, Refused, Shared};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
-use crate::http1::head::{Fault, Head};
-use crate::http1::messages::{Assembler, Came, Side};
+use crate::http1::head::{Head, HttpError};
+use crate::http1::messages::{Incoming, MessageKind, MessageParser};
 use crate::maintenance_store::{Kept, MaintenanceStore};
 use crate::metrics::{Gauges, Metrics};
 use crate::reactor::{Async, Timer};
@@ -65,8 +65,8 @@
     Mark { name: &'a str, out: bool },
 }
 
-fn read_call<'a>(method: &str, path: &'a str) -> Result<Call<'a>, Fault> {
-    let none = Fault { status: 404, why: "there is no such call" };
+fn read_call<'a>(method: &str, path: &'a str) -> Result<Call<'a>, HttpError> {
+    let none = HttpError { status: 404, message: "there is no such call" };
     let (call, wanted) = match path.strip_prefix(SERVERS).and_then(|rest| rest.rsplit_once('/')) {
         Some((name, word @ ("maint" | "ready"))) if !name.is_empty() => {
             (Call::Mark { name, out: word == "maint" }, "PUT")
@@ -77,7 +77,7 @@
         _ => return Err(none),
     };
     let fits = method == wanted || (method == "HEAD" && wanted == "GET");
-    fits.then_some(call).ok_or(Fault { status: 405, why: "this call has another method" })
+    fits.then_some(call).ok_or(HttpError { status: 405, message: "this call has another method" })
 }
 
 /// A name as a path has it, with `%41` and the like.
@@ -130,7 +130,7 @@
     }
 
     async fn answer_all(self: Rc<Self>, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
-        let (console, listener) = (self, Async::listening(listener)?);
+        let (console, listener) = (self, Async::from_listener(listener)?);
         let mut callers: VecDeque<Task<()>> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -159,26 +159,24 @@
                 let _ = stream.get_ref().shutdown(Shutdown::Write);
                 // Guards against a reset that eats the answer where more came than was read.
                 let mut rest = Vec::new();
-                while stream.read_behind(&mut rest).await.is_ok_and(|count| count > 0) && rest.len() < 1 << 16
-                {
-                }
+                while stream.read_buf(&mut rest).await.is_ok_and(|count| count > 0) && rest.len() < 1 << 16 {}
             }
         };
         future::or(served, late).await;
     }
 
-    async fn answer(&self, head: &Head) -> Result<Answer, Fault> {
-        let (method, target, _) = head.request()?;
+    async fn answer(&self, head: &Head) -> Result<Answer, HttpError> {
+        let (method, target, _) = head.request_line()?;
         match read_call(method, target.split('?').next().unwrap_or_default())? {
             Call::Health if lock(&self.registry).serves() => Ok(Answer::plain(200, "serving")),
             Call::Health => Ok(Answer::plain(503, "not serving")),
             Call::Accord => match &self.accord {
                 Some(accord) => Ok(Answer::plain(200, accord.status().await)),
-                None => Err(Fault { status: 404, why: "instances agree on nothing here" }),
+                None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
             },
             Call::Metrics => Ok(Answer::plain(200, self.metrics.text(self.gauges()))),
             Call::Mark { name, out } => {
-                let name = plain(name).ok_or(Fault { status: 400, why: "the name is malformed" })?;
+                let name = plain(name).ok_or(HttpError { status: 400, message: "the name is malformed" })?;
                 self.mark(&name, out).await
             }
         }
@@ -195,7 +193,7 @@
         }
     }
 
-    async fn mark(&self, name: &str, out: bool) -> Result<Answer, Fault> {
+    async fn mark(&self, name: &str, out: bool) -> Result<Answer, HttpError> {
         let (marked, kept) = {
             let mut registry = lock(&self.registry);
             let marked = registry.mark(name, out, self.clock.now());
@@ -204,8 +202,8 @@
             (marked, store.map(|store| store.submit(registry.marks().clone(), &self.log)))
         };
         let mark = marked.map_err(|refused| match refused {
-            Refused::Unknown => Fault { status: 404, why: "nobody has this name" },
-            Refused::TooMany => Fault { status: 507, why: "too many are out by hand" },
+            Refused::Unknown => HttpError { status: 404, message: "nobody has this name" },
+            Refused::TooMany => HttpError { status: 507, message: "too many are out by hand" },
         })?;
         let mark = &mark;
         let Mark { name, out, .. } = mark;
@@ -228,10 +226,13 @@
         let (applied, kept) = future::zip(in_time(applied), in_time(kept)).await;
         // It holds in a moment all the same, and may be said again.
         if !applied {
-            return Err(Fault { status: 504, why: "not applied everywhere yet" });
+            return Err(HttpError { status: 504, message: "not applied everywhere yet" });
         }
         if !kept {
-            return Err(Fault { status: 507, why: "applied, but not kept yet: a restart may undo it" });
+            return Err(HttpError {
+                status: 507,
+                message: "applied, but not kept yet: a restart may undo it",
+            });
         }
         Ok(Answer::plain(200, if *out { "out of use" } else { "in use" }))
     }
@@ -246,16 +247,16 @@
     future::or(done, late).await
 }
 
-async fn read(stream: &Async<TcpStream>) -> Option<Result<Head, Fault>> {
-    let mut inbox = Assembler::new(Side::Requests);
+async fn read(stream: &Async<TcpStream>) -> Option<Result<Head, HttpError>> {
+    let mut inbox = MessageParser::new(MessageKind::Request);
     loop {
-        match inbox.take() {
-            Ok(Some(Came::Whole(request))) => return Some(Ok(request.head)),
-            Ok(Some(Came::Begun(request))) => return Some(Ok(request.head)),
+        match inbox.next_message() {
+            Ok(Some(Incoming::Complete(request))) => return Some(Ok(request.head)),
+            Ok(Some(Incoming::Partial(request))) => return Some(Ok(request.head)),
             Ok(None) => {}
             Err(fault) => return Some(Err(fault)),
         }
-        stream.read_behind(inbox.end()).await.ok().filter(|count| *count > 0)?;
+        stream.read_buf(inbox.buffer()).await.ok().filter(|count| *count > 0)?;
     }
 }
 
--- a/sidecar/src/http1/acceptor.rs
+++ b/sidecar/src/http1/acceptor.rs
@@ -115,12 +115,12 @@
     }
 
     /// Takes in what the kernel has accepted already: those clients may have written their requests.
-    pub fn take_rest(self: &Rc<Self>, listener: &Async<TcpListener>) {
+    pub fn accept_backlog(self: &Rc<Self>, listener: &Async<TcpListener>) {
         let mut failures = 0;
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
-                    if let Ok(stream) = Async::connected(stream) {
+                    if let Ok(stream) = Async::from_stream(stream) {
                         self.take_in(stream, self.connections.slot_anyway());
                     }
                 }
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -1,6 +1,6 @@
 //! What goes back to a caller, as bytes.
 use super::attempt::{chunk, Reply};
-use super::head::{Fault, Framing};
+use super::head::{Framing, HttpError};
 use crate::dispatcher::Verdict;
 use oakhollow::types::Micros;
 use std::borrow::Cow;
@@ -71,9 +71,9 @@
     }
 }
 
-impl From<Fault> for Answer {
-    fn from(Fault { status, why }: Fault) -> Answer {
-        Answer::plain(status, why)
+impl From<HttpError> for Answer {
+    fn from(HttpError { status, message }: HttpError) -> Answer {
+        Answer::plain(status, message)
     }
 }
 
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: a request to a server, and what comes back, as the outcome that the protocol gives it.
-use super::head::{Fault, Head};
+use super::head::{Head, HttpError};
 use super::load;
-use super::messages::{Assembler, Begun, Came, Message, Rest, Side};
+use super::messages::{Incoming, Message, MessageKind, MessageParser, PartialMessage, Rest};
 use super::pool::{Link, Pool};
 use super::Fence;
 use crate::dispatcher::{End, Progress, Told};
@@ -73,7 +73,7 @@
 }
 
 impl Outgoing {
-    pub fn new(request: Message, gone: EndOf) -> Result<Outgoing, Fault> {
+    pub fn new(request: Message, gone: EndOf) -> Result<Outgoing, HttpError> {
         let Message { head, body, .. } = request;
         let (mut front, method) = Outgoing::front(&head)?;
         if !body.is_empty() || method != "GET" {
@@ -85,7 +85,7 @@
     /// A request of which only the first part has come.
     pub fn begun(
         head: &Head, kept: Vec<u8>, rest: &Rest, left: Micros, gone: EndOf,
-    ) -> Result<(Outgoing, Feed), Fault> {
+    ) -> Result<(Outgoing, Feed), HttpError> {
         let (mut front, _) = Outgoing::front(head)?;
         match rest.length() {
             Some(length) => front.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes()),
@@ -99,8 +99,8 @@
         Ok((Outgoing { front, body, gone, upload }, Feed { parts: Some(sender), whole }))
     }
 
-    fn front(head: &Head) -> Result<(Vec<u8>, &str), Fault> {
-        let (method, target, _) = head.request()?;
+    fn front(head: &Head) -> Result<(Vec<u8>, &str), HttpError> {
+        let (method, target, _) = head.request_line()?;
         let mut front = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
         head.pass_on(TIMEOUT, &mut front);
         Ok((front, method))
@@ -185,7 +185,7 @@
             if !body.is_empty() || self.rest.whole() {
                 return Some(body);
             }
-            let read = async { self.link.read_behind(self.rest.end()).await.ok() };
+            let read = async { self.link.read_buf(self.rest.buffer()).await.ok() };
             let idle = async {
                 Timer::after(IDLE).await;
                 None
@@ -221,11 +221,11 @@
 /// Makes an attempt, until `by` at most.
 pub async fn attempt(
     pool: Rc<Pool>, content: Rc<Outgoing>, to: Target, (by, progress): (Instant, Rc<Progress>),
-    tells_load: bool,
+    reads_load_reports: bool,
 ) -> End<Reply> {
     let exchange = async {
         let exchanged = exchange(&pool, &content, &to, by, &progress).await;
-        exchanged.map_or_else(ended, |reply| judge(reply, tells_load))
+        exchanged.map_or_else(ended, |reply| judge(reply, reads_load_reports))
     };
     let late = async {
         // A request's time runs from its last byte, which this attempt passes on.
@@ -280,7 +280,7 @@
         }
     };
     progress.begun.set(true);
-    let mut inbox = Assembler::new(Side::Answers);
+    let mut inbox = MessageParser::new(MessageKind::Answer);
     let broken = |error: std::io::Error| {
         target.monitor.system_error(SystemCall::Transfer, &error);
         Outcome::NoConnection
@@ -332,15 +332,15 @@
     Ok(())
 }
 
-fn reply(came: Came, pool: &Rc<Pool>, from: SocketAddr, link: Rc<Link>, lasts: bool) -> Reply {
+fn reply(came: Incoming, pool: &Rc<Pool>, from: SocketAddr, link: Rc<Link>, lasts: bool) -> Reply {
     match came {
-        Came::Whole(Message { head, body, lasts: asked }) => {
+        Incoming::Complete(Message { head, body, lasts: asked }) => {
             if asked && lasts {
                 pool.park(from, link);
             }
             Reply { head, body, rest: None }
         }
-        Came::Begun(Begun { head, kept, rest }) => {
+        Incoming::Partial(PartialMessage { head, kept, rest }) => {
             let rest = Some(Download { rest, link, pool: pool.clone(), from });
             Reply { head, body: kept, rest }
         }
@@ -349,7 +349,9 @@
 
 /// Reads one answer, or the beginning of a long one. What can't be read has run all the same; only an end that the
 /// server made is a break.
-async fn read(link: &Link, inbox: &mut Assembler, late: impl Future<Output = ()>) -> Result<Came, Outcome> {
+async fn read(
+    link: &Link, inbox: &mut MessageParser, late: impl Future<Output = ()>,
+) -> Result<Incoming, Outcome> {
     let late = async {
         late.await;
         Err(Outcome::TimedOut)
@@ -357,7 +359,7 @@
     let read = async {
         let mut begun = None;
         loop {
-            let read = async { Some(link.read_behind(inbox.end()).await) };
+            let read = async { Some(link.read_buf(inbox.buffer()).await) };
             let idle = async {
                 match begun {
                     Some(_) => _ = Timer::after(STALLED).await,
@@ -368,9 +370,9 @@
             // Guards against waiting out the call's time for the end of an answer that has none.
             let count = future::or(read, idle).await.ok_or(Outcome::Errored)?.map_err(|_| Outcome::Broken)?;
             if count == 0 {
-                return inbox.ended().map(Came::Whole).ok_or(Outcome::Broken);
+                return inbox.ended().map(Incoming::Complete).ok_or(Outcome::Broken);
             }
-            if let Some(came) = inbox.take().map_err(|_| Outcome::Errored)? {
+            if let Some(came) = inbox.next_message().map_err(|_| Outcome::Errored)? {
                 return Ok(came);
             }
             let since = *begun.get_or_insert_with(Instant::now);
@@ -380,7 +382,7 @@
                 None => false,
             };
             if let Some(begun) = enough.then(|| inbox.begin()).flatten() {
-                return Ok(Came::Begun(begun));
+                return Ok(Incoming::Partial(begun));
             }
         }
     };
@@ -392,9 +394,9 @@
     End { outcome, answer: None, told: Told::Nothing, waited: None }
 }
 
-fn judge(answer: Reply, tells_load: bool) -> End<Reply> {
+fn judge(answer: Reply, reads_load_reports: bool) -> End<Reply> {
     let not_started = |head: &Head| head.all("Not-Started").any(|value| value == b"1");
-    let told = if tells_load { load::report(&answer.head) } else { Told::Nothing };
+    let told = if reads_load_reports { load::report(&answer.head) } else { Told::Nothing };
     let (outcome, answer) = match answer.head.status() {
         Ok(200) => (Outcome::Succeeded, Some(answer)),
         Ok(503 | 504) if not_started(&answer.head) => (Outcome::Full, None),
--- a/sidecar/src/http1/chunks.rs
+++ b/sidecar/src/http1/chunks.rs
@@ -1,5 +1,5 @@
 //! Chunked bodies out of bytes, and nothing else.
-use super::head::{bad, find, Fault, MOST_LONG};
+use super::head::{bad, find, HttpError, MOST_LONG};
 
 const MOST_CHUNK_LINE: usize = 256;
 const MOST_TRAILER: usize = 4 * 1024;
@@ -24,7 +24,7 @@
 impl Chunks {
     /// Moves what it can from the front of `bytes` into `body`, until that holds `most`; says how many bytes are done
     /// with.
-    pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>, most: usize) -> Result<usize, Fault> {
+    pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>, most: usize) -> Result<usize, HttpError> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
@@ -56,7 +56,7 @@
                     0 => Chunk::Trailer,
                     // Guards against waiting for what is never passed on.
                     size if size > MOST_LONG => {
-                        return Err(Fault { status: 413, why: "the body is too long" })
+                        return Err(HttpError { status: 413, message: "the body is too long" })
                     }
                     size => Chunk::Data(size),
                 },
@@ -78,7 +78,7 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, Fault> {
+fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let digits = line.split(|&byte| byte == b';').next().unwrap_or_default().trim_ascii_end();
     let hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| hex);
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -2,8 +2,8 @@
 use super::answers::Answer;
 use super::attempt::{self, Feed, Outgoing, Reply, LAST_CHUNK, TIMEOUT};
 use super::connections::{Closed, Connections, Held};
-use super::head::{Fault, Framing, Head, MOST_LONG};
-use super::messages::{Assembler, Begun, Came, Message, Rest, Side};
+use super::head::{Framing, Head, HttpError, MOST_LONG};
+use super::messages::{Incoming, Message, MessageKind, MessageParser, PartialMessage, Rest};
 use super::Note;
 use crate::dispatcher::{Ask, Verdict};
 use crate::monitor::{Accepted, OpenRequest};
@@ -36,7 +36,7 @@
     held: &'a Held,
     shared: &'a Connections,
     stream: Async<TcpStream>,
-    inbox: Assembler,
+    inbox: MessageParser,
     /// Nothing has been answered on it yet.
     fresh: bool,
     /// Rings when the time for a request is over.
@@ -45,8 +45,8 @@
 
 enum Next {
     Request(Message),
-    Begun(Begun),
-    Fault(Fault),
+    Partial(PartialMessage),
+    HttpError(HttpError),
     Closed(CloseReason),
 }
 
@@ -76,7 +76,7 @@
 
 impl Due {
     /// Whoever sends what can't be taken is parted with: guards against hundreds of such requests at once.
-    fn fault(fault: Fault) -> Due {
+    fn fault(fault: HttpError) -> Due {
         Due { answer: fault.into(), lasts: false, old: false, owed: None }
     }
 }
@@ -88,7 +88,7 @@
             held,
             shared: &held.shared,
             stream,
-            inbox: Assembler::new(Side::Requests),
+            inbox: MessageParser::new(MessageKind::Request),
             fresh: true,
             late: Timer::never(),
         }
@@ -100,7 +100,7 @@
             let due = match self.next().await {
                 // Between requests nothing can be lost; lingering would keep out those who wait to be taken in.
                 Next::Closed(reason) => return Closed::by(reason),
-                Next::Fault(fault) => Due::fault(fault),
+                Next::HttpError(fault) => Due::fault(fault),
                 Next::Request(request) => {
                     let (lasts, old) = (request.lasts, request.head.old());
                     match self.answer(request).await {
@@ -109,7 +109,7 @@
                         Err(fault) => Due::fault(fault),
                     }
                 }
-                Next::Begun(begun) => {
+                Next::Partial(begun) => {
                     let (lasts, old) = (begun.head.lasts(), begun.head.old());
                     match self.carry(begun).await {
                         Ok(Some(((answer, owed), whole))) => Due { answer, lasts: lasts && whole, old, owed },
@@ -152,11 +152,11 @@
         let shared = self.shared;
         let mut stay = Some(shared.stay(self.held.source, !self.fresh));
         loop {
-            match self.inbox.take() {
-                Ok(Some(Came::Whole(request))) => return Next::Request(request),
-                Ok(Some(Came::Begun(begun))) => return Next::Begun(begun),
+            match self.inbox.next_message() {
+                Ok(Some(Incoming::Complete(request))) => return Next::Request(request),
+                Ok(Some(Incoming::Partial(begun))) => return Next::Partial(begun),
                 Ok(None) => {}
-                Err(fault) => return Next::Fault(fault),
+                Err(fault) => return Next::HttpError(fault),
             }
             if self.inbox.waits_for_leave() && !std::mem::replace(&mut leave_given, true) {
                 let leave = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -165,7 +165,7 @@
                 }
             }
             let begun = self.inbox.held() > 0;
-            let read = async { Some(read(&self.stream, self.inbox.end()).await) };
+            let read = async { Some(read(&self.stream, self.inbox.buffer()).await) };
             let ended = async {
                 self.late.set_at(until);
                 let late = async {
@@ -210,7 +210,7 @@
                     }
                 }
                 None if stay.is_some() && begun => {
-                    return Next::Fault(Fault { status: 408, why: "the request came too slowly" })
+                    return Next::HttpError(HttpError { status: 408, message: "the request came too slowly" })
                 }
                 None => return Next::Closed(self.why_nothing_came(stay.is_none())),
             }
@@ -228,15 +228,16 @@
     }
 
     /// The answer to a request; none if the client left before it.
-    async fn answer(&mut self, request: Message) -> Result<Answered, Fault> {
+    async fn answer(&mut self, request: Message) -> Result<Answered, HttpError> {
         if asks_if_ready(&request) {
             return Ok(Some((Answer::ready(self.shared.ready()), None)));
         }
         let (ask, _, _, identity) = self.read_call(&request.head)?;
         // Guards against a stranger's request under the id of one that is open: servers tell the two apart by nothing.
         let shared = self.shared;
-        let _open =
-            shared.open_id(&identity.id).ok_or(Fault { status: 409, why: "this Request-Id is open" })?;
+        let _open = shared
+            .open_id(&identity.id)
+            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
         // Guards against an attempt for one that left before its request was read: it may have waited to be taken in.
         if self.stream.has_ended() {
             return Ok(None);
@@ -248,7 +249,7 @@
         let (stream, inbox) = (&self.stream, &mut self.inbox);
         // Read on for a while, so that what the kernel holds of the next request does not grow stale.
         let ahead = async {
-            while inbox.held() <= MOST_AHEAD && read(stream, inbox.end()).await.is_some() {}
+            while inbox.held() <= MOST_AHEAD && read(stream, inbox.buffer()).await.is_some() {}
             future::pending().await
         };
         let verdict: Option<Verdict<_>> = future::or(answered, future::or(gone(stream), ahead)).await;
@@ -262,16 +263,17 @@
     }
 
     /// The answer to a request whose body is passed on as it comes, and whether all of it has come.
-    async fn carry(&mut self, begun: Begun) -> Result<Option<(AnswerOwed, bool)>, Fault> {
-        let Begun { head, kept, mut rest } = begun;
+    async fn carry(&mut self, begun: PartialMessage) -> Result<Option<(AnswerOwed, bool)>, HttpError> {
+        let PartialMessage { head, kept, mut rest } = begun;
         let (mut ask, left, long, mut identity) = self.read_call(&head)?;
         let (shared, came) = (self.shared, kept.len());
         // To the module it is a request of which nothing may be sent twice, and its time begins with its last byte.
         (ask.workload, identity.effect) = (long, Effect::Unsafe);
         let longest = at_slowest(rest.length().unwrap_or(MOST_LONG));
-        ask.abandon = (ask.abandon + Micros(longest.as_micros() as u64)).min(shared.latest());
-        let _open =
-            shared.open_id(&identity.id).ok_or(Fault { status: 409, why: "this Request-Id is open" })?;
+        ask.abandon = (ask.abandon + Micros(longest.as_micros() as u64)).min(shared.answer_deadline());
+        let _open = shared
+            .open_id(&identity.id)
+            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
         let (content, feed) = Outgoing::begun(&head, kept, &rest, left, self.stream.end())?;
         if self.stream.has_ended() {
             return Ok(None);
@@ -345,10 +347,10 @@
 
     /// What the decisions need of a request, the time that its client gives it, its workload if its body is not kept, and what
     /// it is known by.
-    fn read_call(&self, head: &Head) -> Result<(Ask, Micros, WorkloadId, Identity), Fault> {
-        let (names, came) = (self.shared.names(), self.shared.desk.clock.now());
-        let (method, target, _) = head.request()?;
-        let fault = |status, why| Fault { status, why };
+    fn read_call(&self, head: &Head) -> Result<(Ask, Micros, WorkloadId, Identity), HttpError> {
+        let (names, came) = (self.shared.request_settings(), self.shared.desk.clock.now());
+        let (method, target, _) = head.request_line()?;
+        let fault = |status, message| HttpError { status, message };
         if !matches!(method, "GET" | "POST") {
             return Err(fault(405, "only GET and POST are spoken"));
         }
@@ -378,17 +380,17 @@
         // Compared in its own unit: guards against a time so long that it wraps to a short one in microseconds.
         let left = told.filter(|&told| told < longest.0 / 1000).map_or(longest, Micros::millis);
         let customer = head.only("Tenant")?;
-        let known = |name| names.customers.iter().position(|customer| customer == name);
+        let known = |name| names.tenants.iter().position(|customer| customer == name);
         let ask = Ask {
-            workload: names.numbers[workload].usual,
+            workload: names.workload_ids[workload].usual,
             class: names.classes[workload],
-            most_hops: names.most_hops,
+            most_hops: names.max_attempts,
             customer: CustomerId(customer.and_then(known).unwrap_or(0)),
             repeat: head.only("Client-Retry")? == Some("1"),
-            abandon: (came + left).min(self.shared.latest()),
-            key: if names.warm_keys { key(head.only("Request-Info")?) } else { None },
+            abandon: (came + left).min(self.shared.answer_deadline()),
+            key: if names.uses_affinity_keys { key(head.only("Request-Info")?) } else { None },
         };
-        Ok((ask, left, names.numbers[workload].long, identity))
+        Ok((ask, left, names.workload_ids[workload].long, identity))
     }
 
     /// Ends our sending, and waits a little for the caller to end its own: a close with bytes unread would reset
@@ -445,7 +447,7 @@
 /// Reads the rest of a request and hands it on, and what is sent ahead of the next for a while.
 async fn pump<T>(
     stream: &Async<TcpStream>, rest: &mut Rest, mut feed: Feed, mut came: usize,
-) -> Result<Option<T>, Fault> {
+) -> Result<Option<T>, HttpError> {
     // Only the time in which the caller could have sent counts against it.
     let mut waited = Duration::ZERO;
     loop {
@@ -461,7 +463,7 @@
         }
         let begun = Instant::now();
         let allowed = (WITHIN + at_slowest(came)).saturating_sub(waited);
-        let read = async { Some(read(stream, rest.end()).await) };
+        let read = async { Some(read(stream, rest.buffer()).await) };
         let late = async {
             Timer::after(allowed).await;
             None
@@ -470,20 +472,20 @@
             Some(Some(_)) => waited += begun.elapsed(),
             // Gone, which is seen elsewhere.
             Some(None) => return future::pending().await,
-            None => return Err(Fault { status: 408, why: "the request came too slowly" }),
+            None => return Err(HttpError { status: 408, message: "the request came too slowly" }),
         }
     }
     feed.finish();
-    while rest.behind().len() <= MOST_AHEAD && read(stream, rest.end()).await.is_some() {}
+    while rest.behind().len() <= MOST_AHEAD && read(stream, rest.buffer()).await.is_some() {}
     future::pending().await
 }
 
 async fn read(stream: &Async<TcpStream>, into: &mut Vec<u8>) -> Option<usize> {
-    stream.read_behind(into).await.ok().filter(|count| *count > 0)
+    stream.read_buf(into).await.ok().filter(|count| *count > 0)
 }
 
 fn asks_if_ready(request: &Message) -> bool {
-    let asked = request.head.request();
+    let asked = request.head.request_line();
     asked.is_ok_and(|(method, target, _)| method == "GET" && target.split('?').next() == Some("/ready"))
 }
 
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -1,6 +1,6 @@
 //! What the connections of clients share: how many there may be, which have no request open and may be closed, the ids of open
 //! requests, and whether the process still takes requests.
-use super::{Desk, Names};
+use super::{Desk, RequestSettings};
 use crate::eviction::{self, Holder};
 use crate::limits::{Gauge, Share, Slot};
 use crate::monitor::Monitor;
@@ -95,31 +95,31 @@
 
 /// The ids of all open requests, of all workers: parted, so that workers seldom meet.
 #[derive(Default)]
-pub struct Ids {
+pub struct OpenRequestIds {
     parts: [Mutex<HashSet<Box<str>>>; 16],
     hash: RandomState,
 }
 
-impl Ids {
-    fn part(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
+impl OpenRequestIds {
+    fn shard(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
         let part = &self.parts[self.hash.hash_one(id) as usize % self.parts.len()];
         part.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// False if it is open already.
     fn open(&self, id: &str) -> bool {
-        self.part(id).insert(id.into())
+        self.shard(id).insert(id.into())
     }
 
     fn shut(&self, id: &str) {
-        self.part(id).remove(id);
+        self.shard(id).remove(id);
     }
 }
 
 /// What the connections of callers share.
 pub struct Connections {
     pub desk: Rc<Desk>,
-    names: RefCell<Rc<Names>>,
+    request_settings: RefCell<Rc<RequestSettings>>,
     /// What is told all that happens.
     pub monitor: Rc<Monitor>,
     /// Slots for connections, and how many connections there are.
@@ -129,7 +129,7 @@
     idle: RefCell<BTreeMap<StayId, Stay>>,
     /// How many connections each address has.
     sources: RefCell<HashMap<IpAddr, usize>>,
-    ids: Arc<Ids>,
+    ids: Arc<OpenRequestIds>,
     stirred: (Sender<()>, Receiver<()>),
     /// Others wait to be taken in.
     crowded: Cell<bool>,
@@ -137,17 +137,18 @@
     closing: Cell<bool>,
     /// Each answer ends its connection: whoever has another call takes it to our successor.
     parting: Cell<bool>,
-    answer_by: Cell<Micros>,
+    answer_deadline: Cell<Micros>,
 }
 
 impl Connections {
     pub fn new(
-        desk: Rc<Desk>, names: Names, monitor: Rc<Monitor>, open: (Rc<Share>, Gauge), ids: Arc<Ids>,
+        desk: Rc<Desk>, request_settings: RequestSettings, monitor: Rc<Monitor>, open: (Rc<Share>, Gauge),
+        ids: Arc<OpenRequestIds>,
     ) -> Rc<Connections> {
         let (open, connections) = open;
         Rc::new(Connections {
             desk,
-            names: RefCell::new(Rc::new(names)),
+            request_settings: RefCell::new(Rc::new(request_settings)),
             monitor,
             open,
             connections,
@@ -160,7 +161,7 @@
             able: Cell::new(false),
             closing: Cell::new(false),
             parting: Cell::new(false),
-            answer_by: Cell::new(Micros::NEVER),
+            answer_deadline: Cell::new(Micros::NEVER),
         })
     }
 
@@ -198,16 +199,16 @@
     }
 
     /// What requests call things by, from now on.
-    pub fn rename(&self, names: Names) {
-        self.names.replace(Rc::new(names));
+    pub fn set_request_settings(&self, request_settings: RequestSettings) {
+        self.request_settings.replace(Rc::new(request_settings));
     }
 
-    pub fn names(&self) -> Rc<Names> {
-        self.names.borrow().clone()
+    pub fn request_settings(&self) -> Rc<RequestSettings> {
+        self.request_settings.borrow().clone()
     }
 
     /// Whether this phase wants callers at all.
-    pub fn set_able(&self, able: bool) {
+    pub fn set_serving(&self, able: bool) {
         self.able.set(able);
     }
 
@@ -222,16 +223,16 @@
     }
 
     /// No API call that comes from now on may take longer than until then.
-    pub fn answer_by(&self, then: Micros) {
-        self.answer_by.set(then);
+    pub fn set_answer_deadline(&self, then: Micros) {
+        self.answer_deadline.set(then);
     }
 
-    pub fn latest(&self) -> Micros {
-        self.answer_by.get()
+    pub fn answer_deadline(&self) -> Micros {
+        self.answer_deadline.get()
     }
 
     /// From now on each answer ends its connection.
-    pub fn part(&self) {
+    pub fn close_after_answers(&self) {
         self.parting.set(true);
     }
 
@@ -260,7 +261,7 @@
     }
 
     /// Closes idle connections that another process of this sidecar is short of.
-    pub fn give_way(&self) {
+    pub fn close_excess_idle(&self) {
         let idle = self.idle.borrow().len();
         (0..idle).take_while(|_| self.open.over()).for_each(|_| self.make_room());
     }
--- a/sidecar/src/http1/head.rs
+++ b/sidecar/src/http1/head.rs
@@ -1,5 +1,5 @@
 //! The head of an HTTP/1.1 message out of bytes, and nothing else: no socket, no clock. Strict, since two readers
-//! that take a message differently let one hide in another: a message of doubtful framing is a [`Fault`].
+//! that take a message differently let one hide in another: a message of doubtful framing is an [`HttpError`].
 use std::ops::Range;
 
 pub const MOST_HEAD: usize = 16 * 1024;
@@ -13,13 +13,13 @@
 
 /// What is wrong with a message, as the status that says so to whoever sent it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Fault {
+pub struct HttpError {
     pub status: u16,
-    pub why: &'static str,
+    pub message: &'static str,
 }
 
-pub const fn bad(why: &'static str) -> Fault {
-    Fault { status: 400, why }
+pub const fn bad(message: &'static str) -> HttpError {
+    HttpError { status: 400, message }
 }
 
 /// The start line and the header lines, kept as the bytes that came.
@@ -54,10 +54,14 @@
 
 impl Head {
     /// Reads a head from the front of `bytes`; says how many bytes it took, or that there are too few yet.
-    pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, Fault> {
+    pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, HttpError> {
         let Some(end) = find(&bytes[..bytes.len().min(MOST_HEAD)], b"\r\n\r\n") else {
             let long = bytes.len() >= MOST_HEAD;
-            return if long { Err(Fault { status: 431, why: "the head is too long" }) } else { Ok(None) };
+            return if long {
+                Err(HttpError { status: 431, message: "the head is too long" })
+            } else {
+                Ok(None)
+            };
         };
         let taken = end + 4;
         let (mut at, mut start, mut lines) = (0, None, Vec::with_capacity(USUAL_LINES));
@@ -83,7 +87,7 @@
             let value = value..value + rest.trim_ascii().len();
             lines.push(Line { name: line.start..line.start + colon, value, whole: line.start..at });
             if lines.len() > MOST_LINES {
-                return Err(Fault { status: 431, why: "too many headers" });
+                return Err(HttpError { status: 431, message: "too many headers" });
             }
         }
         let start = start.ok_or(bad("no start line"))?;
@@ -103,7 +107,7 @@
     }
 
     /// The value of a header that may stand only once.
-    pub fn only(&self, name: &str) -> Result<Option<&str>, Fault> {
+    pub fn only(&self, name: &str) -> Result<Option<&str>, HttpError> {
         let mut all = self.lines.iter().filter(|line| self.named(line, name));
         let (first, second) = (all.next(), all.next());
         if second.is_some() {
@@ -120,7 +124,7 @@
     }
 
     /// Method, target and version of a request.
-    pub fn request(&self) -> Result<(&str, &str, &str), Fault> {
+    pub fn request_line(&self) -> Result<(&str, &str, &str), HttpError> {
         let line =
             std::str::from_utf8(self.text(&self.start)).map_err(|_| bad("the start line is no text"))?;
         let parts: Vec<&str> = line.split(' ').collect();
@@ -131,14 +135,14 @@
         match version {
             "HTTP/1.1" | "HTTP/1.0" => Ok((method, target, version)),
             _ if version.starts_with("HTTP/") => {
-                Err(Fault { status: 505, why: "this version is not spoken" })
+                Err(HttpError { status: 505, message: "this version is not spoken" })
             }
             _ => Err(bad("the request line is malformed")),
         }
     }
 
     /// Status of an answer.
-    pub fn status(&self) -> Result<u16, Fault> {
+    pub fn status(&self) -> Result<u16, HttpError> {
         let line = self.text(&self.start);
         let known = line.starts_with(b"HTTP/1.1 ") || line.starts_with(b"HTTP/1.0 ");
         let whole = line.len() == 12 || line.get(12) == Some(&b' ');
@@ -158,7 +162,7 @@
         !self.lists("Connection", "close") && !self.old()
     }
 
-    fn length(&self) -> Result<Option<usize>, Fault> {
+    fn length(&self) -> Result<Option<usize>, HttpError> {
         // Said twice alike it is one length; anything else is two messages to two readers.
         let mut told = self.all("Content-Length").flat_map(|value| value.split(|&byte| byte == b','));
         let Some(first) = told.next().map(<[u8]>::trim_ascii) else { return Ok(None) };
@@ -173,28 +177,28 @@
     }
 
     /// How the end of the body is told; `none` is what holds where no header says it.
-    fn framing(&self, none: Framing) -> Result<Framing, Fault> {
+    fn framing(&self, none: Framing) -> Result<Framing, HttpError> {
         let coded = self.all("Transfer-Encoding").next().is_some();
         match (self.length()?, coded) {
             (Some(_), true) => Err(bad("both Content-Length and Transfer-Encoding")),
             (_, true) if self.old() => Err(bad("Transfer-Encoding in HTTP/1.0")),
             (_, true) => match self.only("Transfer-Encoding")? {
                 Some(coding) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-                _ => Err(Fault { status: 501, why: "this transfer coding is not spoken" }),
+                _ => Err(HttpError { status: 501, message: "this transfer coding is not spoken" }),
             },
             (Some(length), _) if length > MOST_LONG => {
-                Err(Fault { status: 413, why: "the body is too long" })
+                Err(HttpError { status: 413, message: "the body is too long" })
             }
             (Some(length), _) => Ok(Framing::Length(length)),
             (None, _) => Ok(none),
         }
     }
 
-    pub fn request_framing(&self) -> Result<Framing, Fault> {
+    pub fn request_framing(&self) -> Result<Framing, HttpError> {
         self.framing(Framing::Length(0))
     }
 
-    pub fn answer_framing(&self) -> Result<Framing, Fault> {
+    pub fn answer_framing(&self) -> Result<Framing, HttpError> {
         let framing = self.framing(Framing::UntilClose)?;
         let bare = matches!(self.status()?, 100..=199 | 204 | 304);
         Ok(if bare { Framing::Length(0) } else { framing })
--- a/sidecar/src/http1/messages.rs
+++ b/sidecar/src/http1/messages.rs
@@ -1,16 +1,16 @@
 //! Whole messages put together from bytes as they come, without a socket.
 //!
 //! ```
-//! use oakhollow_sidecar::http1::messages::{Assembler, Came, Side};
-//! let mut inbox = Assembler::new(Side::Answers);
+//! use oakhollow_sidecar::http1::messages::{MessageParser, Incoming, MessageKind};
+//! let mut inbox = MessageParser::new(MessageKind::Answer);
 //! inbox.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\noak\r\n6\r\nhol");
-//! assert!(inbox.take().unwrap().is_none());
+//! assert!(inbox.next_message().unwrap().is_none());
 //! inbox.push(b"low\r\n0\r\n\r\n");
-//! let Some(Came::Whole(answer)) = inbox.take().unwrap() else { panic!() };
+//! let Some(Incoming::Complete(answer)) = inbox.next_message().unwrap() else { panic!() };
 //! assert_eq!(answer.body, b"oakhollow");
 //! ```
 use super::chunks::Chunks;
-use super::head::{bad, find, token, Fault, Framing, Head, MOST_BODY, MOST_HEAD, MOST_LONG};
+use super::head::{bad, find, token, Framing, Head, HttpError, MOST_BODY, MOST_HEAD, MOST_LONG};
 
 /// Interim answers that are skipped ahead of one answer.
 const MOST_INTERIM: usize = 16;
@@ -26,7 +26,7 @@
 
 /// A message whose body is longer than what is kept, or slow: what has come of it, and the reader of the rest.
 #[derive(Debug)]
-pub struct Begun {
+pub struct PartialMessage {
     pub head: Head,
     pub kept: Vec<u8>,
     pub rest: Rest,
@@ -34,9 +34,9 @@
 
 /// What has come.
 #[derive(Debug)]
-pub enum Came {
-    Whole(Message),
-    Begun(Begun),
+pub enum Incoming {
+    Complete(Message),
+    Partial(PartialMessage),
 }
 
 /// Reads the rest of a body as it comes.
@@ -60,12 +60,12 @@
     }
 
     /// Where what comes is put.
-    pub fn end(&mut self) -> &mut Vec<u8> {
+    pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
     /// Moves what has come of the body into `body`.
-    pub fn feed(&mut self, body: &mut Vec<u8>) -> Result<(), Fault> {
+    pub fn feed(&mut self, body: &mut Vec<u8>) -> Result<(), HttpError> {
         let before = body.len();
         let done = match self.framing {
             Framing::Length(length) => (length - self.taken).min(self.bytes.len()),
@@ -78,7 +78,7 @@
         self.bytes.drain(..done);
         self.taken += body.len() - before;
         if self.taken > MOST_LONG {
-            return Err(Fault { status: 413, why: "the body is too long" });
+            return Err(HttpError { status: 413, message: "the body is too long" });
         }
         self.whole |= match self.framing {
             Framing::Length(length) => self.taken == length,
@@ -109,15 +109,15 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Side {
-    Requests,
-    Answers,
+pub enum MessageKind {
+    Request,
+    Answer,
 }
 
 /// Puts whole messages together from bytes as they come.
 #[derive(Debug)]
-pub struct Assembler {
-    side: Side,
+pub struct MessageParser {
+    side: MessageKind,
     bytes: Vec<u8>,
     /// How many of them have been looked through for the end of a head.
     searched: usize,
@@ -134,9 +134,9 @@
     body: Vec<u8>,
 }
 
-impl Assembler {
-    pub fn new(side: Side) -> Assembler {
-        Assembler { side, bytes: Vec::new(), searched: 0, interim: 0, part: None }
+impl MessageParser {
+    pub fn new(side: MessageKind) -> MessageParser {
+        MessageParser { side, bytes: Vec::new(), searched: 0, interim: 0, part: None }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -144,7 +144,7 @@
     }
 
     /// Where what comes is put, behind what is there.
-    pub fn end(&mut self) -> &mut Vec<u8> {
+    pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
@@ -166,13 +166,13 @@
 
     /// Whether a whole head is there, or what can be none. Looks at each byte once: guards against heads that come
     /// in drips; and at the first ones at once: noise may never hold what ends a head.
-    fn head_ends(&mut self) -> Result<bool, Fault> {
+    fn head_ends(&mut self) -> Result<bool, HttpError> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.bytes.len();
         let start = &self.bytes[..self.bytes.len().min(7)];
         let known = match self.side {
-            Side::Answers => b"HTTP/1.".starts_with(start),
-            Side::Requests => start
+            MessageKind::Answer => b"HTTP/1.".starts_with(start),
+            MessageKind::Request => start
                 .split(|&byte| byte == b' ')
                 .next()
                 .is_some_and(|word| word.iter().all(|&byte| token(byte))),
@@ -184,9 +184,9 @@
     }
 
     /// The next whole message, if it is all there, or one begun if more of it has come than is kept.
-    pub fn take(&mut self) -> Result<Option<Came>, Fault> {
+    pub fn next_message(&mut self) -> Result<Option<Incoming>, HttpError> {
         while self.part.is_none() {
-            if self.side == Side::Requests {
+            if self.side == MessageKind::Request {
                 // A line's end or two before a request is what some clients leave after the last body.
                 let blank = self.bytes.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
                 self.bytes.drain(..blank);
@@ -198,14 +198,16 @@
             self.bytes.drain(..taken);
             self.searched = 0;
             let framing = match self.side {
-                Side::Requests => head.request().and_then(|_| head.request_framing())?,
-                Side::Answers => head.answer_framing()?,
+                MessageKind::Request => head.request_line().and_then(|_| head.request_framing())?,
+                MessageKind::Answer => head.answer_framing()?,
             };
             // An interim answer is no answer, and leave to speak another protocol was never asked for.
             match self.side {
-                Side::Answers if head.status()? == 101 => return Err(bad("another protocol")),
-                Side::Answers if head.status()? < 200 && self.interim < MOST_INTERIM => self.interim += 1,
-                Side::Answers if head.status()? < 200 => return Err(bad("too many interim answers")),
+                MessageKind::Answer if head.status()? == 101 => return Err(bad("another protocol")),
+                MessageKind::Answer if head.status()? < 200 && self.interim < MOST_INTERIM => {
+                    self.interim += 1
+                }
+                MessageKind::Answer if head.status()? < 200 => return Err(bad("too many interim answers")),
                 _ => self.part = Some(Part { head, framing, chunks: Chunks::default(), body: Vec::new() }),
             }
         }
@@ -227,10 +229,10 @@
             }
         };
         if whole {
-            return Ok(self.give(true).map(Came::Whole));
+            return Ok(self.give(true).map(Incoming::Complete));
         }
         let long = part.body.len() > MOST_BODY;
-        Ok(if long { self.begin().map(Came::Begun) } else { None })
+        Ok(if long { self.begin().map(Incoming::Partial) } else { None })
     }
 
     /// How much of a body has come that is known to be longer than what is kept (true), or of which nobody said how
@@ -244,12 +246,12 @@
     }
 
     /// Gives out what is under way, with all that came behind.
-    pub fn begin(&mut self) -> Option<Begun> {
+    pub fn begin(&mut self) -> Option<PartialMessage> {
         let Part { head, framing, chunks, body } = self.part.take()?;
         (self.interim, self.searched) = (0, 0);
         let bytes = std::mem::take(&mut self.bytes);
         let rest = Rest { framing, chunks, taken: body.len(), bytes, whole: false };
-        Some(Begun { head, kept: body, rest })
+        Some(PartialMessage { head, kept: body, rest })
     }
 
     /// The other side has ended its sending: an answer whose end was to be told so is whole now.
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -28,7 +28,7 @@
 pub struct Http1 {
     pub pool: Rc<pool::Pool>,
     /// Whether servers tell their load with answers.
-    pub tells_load: bool,
+    pub reads_load_reports: bool,
     pub fence: Fence,
     pub monitor: Rc<Monitor>,
 }
@@ -56,19 +56,19 @@
 }
 
 /// What requests call things by.
-pub struct Names {
+pub struct RequestSettings {
     pub workloads: Vec<Named>,
     /// Their names, in the same order, as metrics have them.
     pub class_names: Vec<Rc<str>>,
     /// What requests of them do at a server, in the same order.
     pub effects: Vec<Effect>,
     /// Their numbers, in the same order.
-    pub numbers: Vec<Numbers>,
+    pub workload_ids: Vec<Numbers>,
     pub classes: Vec<ClassId>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     /// Whether a request's key is of use.
-    pub warm_keys: bool,
-    pub most_hops: usize,
+    pub uses_affinity_keys: bool,
+    pub max_attempts: usize,
 }
 
 impl Protocol for Http1 {
@@ -87,7 +87,7 @@
             monitor: self.monitor.clone(),
             permit,
         };
-        attempt::attempt(self.pool.clone(), content, to, (by, progress), self.tells_load)
+        attempt::attempt(self.pool.clone(), content, to, (by, progress), self.reads_load_reports)
     }
 
     fn retire(&self, at: SocketAddr) {
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -47,9 +47,9 @@
         write(&self.stream, bytes).await
     }
 
-    /// As [`Async::read_behind`].
-    pub async fn read_behind(&self, into: &mut Vec<u8>) -> Result<usize> {
-        self.stream.read_behind(into).await
+    /// As [`Async::read_buf`].
+    pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
+        self.stream.read_buf(into).await
     }
 
     /// What has come between requests, where anything but nothing means the end; also what the thread has not been told of.
@@ -176,7 +176,7 @@
     }
 
     /// The same figures, from now on.
-    pub fn retune(&self, connect_within: Micros, idle_close: Micros) {
+    pub fn set_timeouts(&self, connect_within: Micros, idle_close: Micros) {
         self.connect_within.set(connect_within);
         self.keep.set(keep(idle_close));
     }
--- a/sidecar/src/http1/watch/call.rs
+++ b/sidecar/src/http1/watch/call.rs
@@ -1,7 +1,7 @@
 //! One call for the list of endpoints: its connection, its request and the lines of its answer.
 use super::progress::{LineArrival, Progress, Stage};
 use crate::http1::chunks::Chunks;
-use crate::http1::head::{Fault, Framing, Head};
+use crate::http1::head::{Framing, Head, HttpError};
 use crate::metrics::ListCallOutcome;
 use crate::uninterrupted::Uninterrupted;
 use async_channel::{bounded, Receiver, Sender};
@@ -31,7 +31,7 @@
     /// What changed after this version is asked for, or the whole list.
     pub from: Version,
     /// The longest line that is taken, in bytes.
-    pub most_line: usize,
+    pub max_line_bytes: usize,
 }
 
 /// What a call brings.
@@ -83,9 +83,9 @@
     }
 }
 
-impl From<Fault> for CallFailure {
-    fn from(fault: Fault) -> CallFailure {
-        CallFailure::Malformed(fault.why.into())
+impl From<HttpError> for CallFailure {
+    fn from(fault: HttpError) -> CallFailure {
+        CallFailure::Malformed(fault.message.into())
     }
 }
 
@@ -180,7 +180,7 @@
             }
             self.note(|progress| progress.received(count, Instant::now()));
             let had_head = answer.framing.is_some();
-            answer.take(&buffer[..count], self.request.most_line)?;
+            answer.take(&buffer[..count], self.request.max_line_bytes)?;
             if answer.framing.is_some() && !had_head {
                 self.note(|progress| progress.reach(Stage::FirstLine));
                 self.tell(CallEvent::Answered).await;
@@ -192,7 +192,7 @@
             if answer.chunks.done() {
                 return Err(CallFailure::Closed("ended the watch"));
             }
-            if answer.body.len() >= self.request.most_line {
+            if answer.body.len() >= self.request.max_line_bytes {
                 return Err(CallFailure::Malformed("a line without an end".into()));
             }
         }
@@ -213,7 +213,7 @@
 }
 
 impl Answer {
-    fn take(&mut self, bytes: &[u8], most_line: usize) -> Result<(), CallFailure> {
+    fn take(&mut self, bytes: &[u8], max_line_bytes: usize) -> Result<(), CallFailure> {
         self.raw.extend_from_slice(bytes);
         // An interim answer may come in one piece with what follows it.
         while self.framing.is_none() {
@@ -228,7 +228,7 @@
         match self.framing {
             None => {}
             Some(Framing::Chunked) => {
-                let fed = self.chunks.feed(&self.raw, &mut self.body, most_line)?;
+                let fed = self.chunks.feed(&self.raw, &mut self.body, max_line_bytes)?;
                 self.raw.drain(..fed);
             }
             Some(_) => self.body.append(&mut self.raw),
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -55,7 +55,7 @@
     /// The other instances, where instances agree.
     pub accord: Option<Accord>,
     /// One for each time that the module asks.
-    pub asks: Receiver<()>,
+    pub subscriptions: Receiver<()>,
     /// One for each time that the file was read again.
     pub reloads: Receiver<Reload>,
     /// Until when workers may use the list.
@@ -71,7 +71,7 @@
     /// By which its calls are spread.
     pub seed: u64,
     /// The longest line that is taken, in bytes.
-    pub most_line: usize,
+    pub max_line_bytes: usize,
     /// Where lines go that say what happens.
     pub log: Logger,
 }
@@ -186,8 +186,8 @@
 
     async fn next(&mut self) -> Event {
         let due = self.next_due();
-        let (asks, reloads) = (&self.parts.asks, &self.parts.reloads);
-        let asked = async { asks.recv().await.map_or(Event::Over, |()| Event::Asked) };
+        let (subscriptions, reloads) = (&self.parts.subscriptions, &self.parts.reloads);
+        let asked = async { subscriptions.recv().await.map_or(Event::Over, |()| Event::Asked) };
         let reloaded = async { reloads.recv().await.map_or(Event::Over, Event::Reloaded) };
         let mut calls = self.calls.iter_mut();
         let (older, newer) = (calls.next(), calls.next());
@@ -261,7 +261,8 @@
     fn open_call(&mut self) {
         let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.draw());
         info!(self.parts.log, "list asked for at {} from version {}", self.discovery, self.told.0);
-        let request = Request { discovery: self.discovery, from: self.told, most_line: self.parts.most_line };
+        let request =
+            Request { discovery: self.discovery, from: self.told, max_line_bytes: self.parts.max_line_bytes };
         (self.retry_at, self.not_before) = (None, None);
         self.calls.push(ListCall::begin(request, LEAST_SILENCE + lot));
     }
@@ -362,7 +363,7 @@
         info!(self.parts.log, "watch of the list ended: {}: {}", failure, progress);
         // What was asked while a watch was under way has had its answer. Before the module hears: guards
         // against losing the ask with which it answers this.
-        while self.parts.asks.try_recv().is_ok() {}
+        while self.parts.subscriptions.try_recv().is_ok() {}
         let failed = Order::Listed(ListKind::Failed, Arc::default(), Heard::first());
         self.parts.orders.tell(failed).await;
         self.fails().await;
@@ -479,7 +480,7 @@
     use std::pin::pin;
 
     fn watch(
-        at: SocketAddr, workers: Vec<async_channel::Sender<Order>>, asks: Receiver<()>,
+        at: SocketAddr, workers: Vec<async_channel::Sender<Order>>, subscriptions: Receiver<()>,
         reloads: Receiver<Reload>,
     ) -> Watch {
         let registry: Shared =
@@ -490,7 +491,7 @@
             orders: Orders::of(workers),
             registry,
             accord: None,
-            asks,
+            subscriptions,
             reloads,
             deadline: ListDeadline::none(),
             drain_grace: Micros(0),
@@ -498,7 +499,7 @@
             clock: Clock::start(),
             metrics: Arc::default(),
             seed: 1,
-            most_line: 1 << 20,
+            max_line_bytes: 1 << 20,
             log: Logger::root(Discard, o!()),
         })
     }
@@ -506,9 +507,10 @@
     #[test]
     fn what_the_module_asks_while_the_end_of_a_watch_is_told_is_not_lost() {
         let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|one| one.local_addr());
-        let ((ask, asks), (_moves, moves)) = (bounded(1), bounded(1));
+        let ((ask, subscriptions), (_moves, moves)) = (bounded(1), bounded(1));
         let ((sender, first), (last, others)) = (bounded(1), bounded(1));
-        let mut watch = pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], asks, moves).run());
+        let mut watch =
+            pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], subscriptions, moves).run());
         // Another worker's queue is full, so that the end is told to the first, who asks, and not yet to all.
         last.try_send(Order::Look).expect("room");
         let mut fails = |queue: &Receiver<Order>| {
@@ -533,9 +535,9 @@
     #[test]
     fn a_change_that_was_given_up_while_it_was_told_is_asked_for_again() {
         let (sender, orders) = bounded(1);
-        let (asks, moves) = (bounded(1).1, bounded(1).1);
+        let (subscriptions, moves) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender.clone()], asks, moves);
+        let mut watch = watch(at, vec![sender.clone()], subscriptions, moves);
         let line = br#"{"index":42,"snapshot":false,"endpoints":[]}"#;
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         // The worker's queue is full, so that telling it waits, and meanwhile the watch is moved.
@@ -550,9 +552,9 @@
     #[test]
     fn changes_that_end_before_the_version_asked_from_are_followed_by_a_call_for_the_whole_list() {
         let (sender, orders) = bounded(1);
-        let (asks, reloads) = (bounded(1).1, bounded(1).1);
+        let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender], asks, reloads);
+        let mut watch = watch(at, vec![sender], subscriptions, reloads);
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         let lower = br#"{"index":40,"snapshot":false,"endpoints":[]}"#;
         assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == Version(0));
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -314,7 +314,7 @@
             orders: orders.clone(),
             registry: registry.clone(),
             accord: agreed.clone(),
-            asks,
+            subscriptions: asks,
             reloads,
             deadline,
             drain_grace,
@@ -323,7 +323,7 @@
             metrics,
             // Guards against calls that are spread as something else is that this seed draws.
             seed: !start.seed,
-            most_line,
+            max_line_bytes: most_line,
             log: log.clone(),
         });
         tasks.run(watch.run());
--- a/sidecar/src/reactor/socket.rs
+++ b/sidecar/src/reactor/socket.rs
@@ -65,7 +65,7 @@
 }
 
 impl Async<TcpListener> {
-    pub fn listening(listener: TcpListener) -> Result<Async<TcpListener>> {
+    pub fn from_listener(listener: TcpListener) -> Result<Async<TcpListener>> {
         listener.set_nonblocking(true)?;
         Async::registered(listener, false, true)
     }
@@ -73,12 +73,12 @@
     pub async fn accept(&self) -> Result<(Async<TcpStream>, SocketAddr)> {
         let (stream, peer) =
             poll_fn(|context| self.source.reads.poll(context, || self.inner.accept())).await?;
-        Ok((Async::connected(stream)?, peer))
+        Ok((Async::from_stream(stream)?, peer))
     }
 }
 
 impl Async<TcpStream> {
-    pub fn connected(stream: TcpStream) -> Result<Async<TcpStream>> {
+    pub fn from_stream(stream: TcpStream) -> Result<Async<TcpStream>> {
         stream.set_nonblocking(true)?;
         Async::registered(stream, true, false)
     }
@@ -103,7 +103,7 @@
 
     /// Reads what there is, up to the size of the thread's one buffer, behind what `into` holds. Nothing is the end. Guards
     /// against a buffer in each of thousands of tasks, cleared and copied with them.
-    pub async fn read_behind(&self, into: &mut Vec<u8>) -> Result<usize> {
+    pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
         poll_fn(|context| {
             BUFFER.with_borrow_mut(|buffer| {
                 let read = pin!(self).as_mut().poll_read(context, buffer);
--- a/sidecar/src/reactor/tests.rs
+++ b/sidecar/src/reactor/tests.rs
@@ -9,7 +9,7 @@
 fn pair() -> (Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let one = TcpStream::connect(listener.local_addr().expect("bound")).expect("connects");
-    (Async::connected(listener.accept().expect("accepted").0).expect("registered"), one)
+    (Async::from_stream(listener.accept().expect("accepted").0).expect("registered"), one)
 }
 
 #[test]
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -6,9 +6,9 @@
 use crate::endpoint_registry::Mark;
 use crate::generations::{ClassId, Classes, Generations, Left, Numbers};
 use crate::http1::acceptor::Acceptor;
-use crate::http1::connections::{Connections, Ids};
+use crate::http1::connections::{Connections, OpenRequestIds};
 use crate::http1::pool::Pool;
-use crate::http1::{Desk, Dispatcher, Fence, Http1, Names, Note};
+use crate::http1::{Desk, Dispatcher, Fence, Http1, Note, RequestSettings};
 use crate::lease::Lease;
 use crate::limits::{Bound, Gauge, Share};
 use crate::list_deadline::ListDeadline;
@@ -216,7 +216,7 @@
     pub metrics: Arc<Metrics>,
     /// Asks for a subscription to the list.
     pub ask: Sender<()>,
-    pub ids: Arc<Ids>,
+    pub ids: Arc<OpenRequestIds>,
     /// The listener is the platform's: what waits in its queue is for whoever comes next.
     pub passed: bool,
     /// Another process of this sidecar has told its snapshot and goes on beside this one.
@@ -289,20 +289,20 @@
 }
 
 /// What requests call things by.
-fn names_of(place: &mut Place, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> Names {
+fn names_of(place: &mut Place, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> RequestSettings {
     let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
-    Names {
+    RequestSettings {
         class_names,
         effects: numbers
             .iter()
             .map(|number| monitor::effect(place.terms.workloads[number.usual.0].kind))
             .collect(),
         workloads: std::mem::take(&mut place.workloads),
-        numbers,
+        workload_ids: numbers,
         classes,
-        customers: std::mem::take(&mut place.customers),
-        warm_keys: place.terms.warm_keys,
-        most_hops: place.terms.most_hops as usize,
+        tenants: std::mem::take(&mut place.customers),
+        uses_affinity_keys: place.terms.warm_keys,
+        max_attempts: place.terms.most_hops as usize,
     }
 }
 
@@ -324,7 +324,7 @@
     let parts = Parts {
         protocol: Rc::new(Http1 {
             pool: pool.clone(),
-            tells_load: place.terms.tells_load,
+            reads_load_reports: place.terms.tells_load,
             fence: Fence {
                 lease: kit.lease.clone(),
                 list_deadline: kit.list_deadline.clone(),
@@ -354,7 +354,7 @@
     let callers = (Share::of(kit.callers), gauges.connections);
     let connections = Connections::new(desk.clone(), names, monitor.clone(), callers, kit.ids);
     let acceptor = Acceptor::new(connections.clone(), tasks.clone(), log);
-    let mut listener = Some(Rc::new(Async::listening(listener)?));
+    let mut listener = Some(Rc::new(Async::from_listener(listener)?));
     let mut accepting = None;
     while let Ok(order) = orders.recv().await {
         match order {
@@ -363,7 +363,7 @@
             Order::Open(done) => {
                 let accept_all = listener.clone().map(|listener| acceptor.clone().accept_all(listener));
                 accepting = accept_all.and_then(|taking| tasks.spawn(taking));
-                connections.set_able(true);
+                connections.set_serving(true);
                 drop(done);
             }
             Order::Asked(to) => desk.tell(Note::Asked(to)).await,
@@ -374,20 +374,20 @@
                 let (numbers, named);
                 (named, left) = classes_of(&mut classes, &place);
                 (place.terms, numbers) = generations.take(place.terms);
-                pool.retune(place.connect_within, place.idle_close);
+                pool.set_timeouts(place.connect_within, place.idle_close);
                 monitor.set_limits(monitor::limits(&place.terms, place.drain_grace));
                 let names = names_of(&mut place, numbers, named);
                 terms = place.terms;
                 // The module first: a call that comes by the new names must find its number there.
                 let terms = Box::new(shared(terms.clone(), with));
                 desk.tell(Note::Retuned(terms, left.clone(), Some(done))).await;
-                connections.rename(names);
+                connections.set_request_settings(names);
             }
             Order::Shared(now) => {
                 with = now;
                 let terms = Box::new(shared(terms.clone(), with));
                 desk.tell(Note::Retuned(terms, left.clone(), None)).await;
-                connections.give_way();
+                connections.close_excess_idle();
             }
             Order::Part(by) => {
                 if let Some(accepting) = accepting.take() {
@@ -399,14 +399,14 @@
                     none_beyond(&mut last);
                     desk.tell(Note::Retuned(Box::new(last), left.clone(), None)).await;
                 }
-                connections.part();
-                connections.answer_by(by);
+                connections.close_after_answers();
+                connections.set_answer_deadline(by);
                 desk.tell(Note::AnswerBy(by)).await;
             }
             Order::SayNo(by) => {
-                connections.set_able(false);
+                connections.set_serving(false);
                 // Guards against a kill that finds an API call without its answer, also one taken before.
-                connections.answer_by(by);
+                connections.set_answer_deadline(by);
                 desk.tell(Note::AnswerBy(by)).await;
             }
             Order::Shut(done) => {
@@ -416,7 +416,7 @@
                 connections.close();
                 // Dropped at once after: a listener left open would go on accepting for nobody.
                 if let Some(listener) = listener.take().filter(|_| !kit.passed) {
-                    acceptor.take_rest(&listener);
+                    acceptor.accept_backlog(&listener);
                 }
                 drop(done);
             }
--- a/sidecar/tests/leavers/server.rs
+++ b/sidecar/tests/leavers/server.rs
@@ -101,7 +101,7 @@
         rustix::net::listen(&listener, 128).expect("a usual queue");
         drop(door);
     }
-    let listener = Async::listening(listener).expect("a listener");
+    let listener = Async::from_listener(listener).expect("a listener");
     while let Ok((stream, _)) = listener.accept().await {
         let (told, ledger) = (told.clone(), ledger.clone());
         executor.spawn(async move { _ = serve(stream, &told, &ledger).await }).detach();
@@ -111,7 +111,7 @@
 async fn serve(stream: Async<TcpStream>, told: &Told, ledger: &Ledger) -> Option<()> {
     stream.get_ref().set_nodelay(true).ok()?;
     let read = |mut held: Vec<u8>| async {
-        stream.read_behind(&mut held).await.ok().filter(|count| *count > 0)?;
+        stream.read_buf(&mut held).await.ok().filter(|count| *count > 0)?;
         Some(held)
     };
     loop {
