--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -164,7 +164,7 @@
             }
             In::Finished { who, xid, r#try, wait_time_s, complete, outcome, telemetry } => {
                 let (call, hop, elapsed) = (CallId(xid), HopNo(r#try), micros(wait_time_s));
-                let (call_over, load) = (complete, telemetry.map(LoadReport::from));
+                let (call_over, load) = (complete, telemetry.map(ServerLoad::from));
                 let ending = HopResult { call, hop, outcome: outcome.into(), elapsed, call_over, load };
                 self.tell(who, Event::HopEnded(ending))?;
             }
--- a/src/records.rs
+++ b/src/records.rs
@@ -265,7 +265,7 @@
 
     /// How much longer a call takes at a server than at an idle one, by what it reports: the calls it holds for
     /// each that it works on.
-    pub fn slowdown(&mut self, report: &LoadReport) -> Option<f64> {
+    pub fn slowdown(&mut self, report: &ServerLoad) -> Option<f64> {
         let held = report.open_calls?;
         let at_work = match (report.queued_calls, report.cpu_utilization) {
             (Some(waiting), _) => held - waiting,
--- a/src/types.rs
+++ b/src/types.rs
@@ -216,7 +216,7 @@
 
 /// What a server tells of its load with an answer: late, and a little noisy.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
-pub struct LoadReport {
+pub struct ServerLoad {
     /// API calls that it holds, those that wait included.
     pub open_calls: Option<f64>,
     /// API calls that wait.
@@ -225,7 +225,7 @@
     pub cpu_utilization: Option<f64>,
 }
 
-impl LoadReport {
+impl ServerLoad {
     /// Past this a figure is a fault and not a load.
     const MOST: f64 = 1e6;
 
@@ -244,7 +244,7 @@
     /// From the send until now.
     pub elapsed: Micros,
     pub call_over: bool,
-    pub load: Option<LoadReport>,
+    pub load: Option<ServerLoad>,
 }
 
 /// `Heard` is what another sidecar found of a server's strain.
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -38,11 +38,11 @@
 }
 
 /// `load=HELD:WAITING`.
-fn report(text: &str) -> LoadReport {
+fn report(text: &str) -> ServerLoad {
     let (open_calls, queued_calls) =
         text.strip_prefix("load=").and_then(|load| load.split_once(':')).expect("load=HELD:WAITING");
-    let figure = |text: &str| text.parse().ok().and_then(LoadReport::plausible);
-    LoadReport { open_calls: figure(open_calls), queued_calls: figure(queued_calls), cpu_utilization: None }
+    let figure = |text: &str| text.parse().ok().and_then(ServerLoad::plausible);
+    ServerLoad { open_calls: figure(open_calls), queued_calls: figure(queued_calls), cpu_utilization: None }
 }
 
 /// `FEW:SHARE:WINDOW`, or no.
@@ -208,7 +208,7 @@
         }));
     }
 
-    fn ends(&mut self, which: &str, outcome: &str, elapsed: Micros, report: Option<LoadReport>) {
+    fn ends(&mut self, which: &str, outcome: &str, elapsed: Micros, report: Option<ServerLoad>) {
         let (call, hop) = hop(which);
         let outcome = match outcome {
             "succeeded" => Outcome::Succeeded,
