--- a/guard/src/event.rs
+++ b/guard/src/event.rs
@@ -1,6 +1,6 @@
 //! What the guard is told, and the reasons for it.
 use crate::server::Location;
-use oakhollow::types::{CallId, Group, HopNo, Micros, Outcome, ServerId, Standing};
+use oakhollow::types::{CallId, DedupScope, HopNo, Micros, Outcome, ServerId, ServerStatus};
 use std::fmt::{Display, Formatter, Result};
 use std::rc::Rc;
 
@@ -12,9 +12,9 @@
     /// Servers of one group tell a repeat by its key, for that long.
     Keyed {
         /// How long they remember it.
-        retention: Micros,
+        window: Micros,
         /// Which servers share it.
-        group: Group,
+        scope: DedupScope,
     },
     /// Unsafe to repeat.
     Unsafe,
@@ -155,7 +155,7 @@
         /// The server.
         server: ServerId,
         /// Whether it takes new requests.
-        standing: Standing,
+        status: ServerStatus,
         /// Where it stands.
         location: Location,
     },
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -100,7 +100,7 @@
             }
             Event::AnswerBegun { request, kind } => self.answer(now, request, kind),
             Event::Closed { request, reason } => self.close(now, request, reason),
-            Event::ServerListed { server, standing, location } => {
+            Event::ServerListed { server, status: standing, location } => {
                 let known = self.servers.entry(server);
                 known
                     .and_modify(|server| server.list(standing, location, now))
@@ -256,7 +256,7 @@
     match request.effect {
         RepeatSafety::Safe => None,
         RepeatSafety::Unsafe => unproven().next().map(|_| Rule::ProvenBeforeRepeat),
-        RepeatSafety::Keyed { retention: memory, group } => {
+        RepeatSafety::Keyed { window: memory, scope: group } => {
             let shares = |attempt: &Attempt| match (attempt.location, location) {
                 (Some(one), Some(other)) => one.shares(other, group),
                 _ => false,
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,7 +1,7 @@
 //! A sidecar of the rig's own, which agrees as all others do and forwards calls in the plainest way, honestly or with one fault
 //! of choice: whoever judges scenes must catch each of those.
 use crate::stand::{each, header, read_head};
-use oakhollow::types::{Kind, Micros};
+use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{
     lease_duration, Action, Document, Fact, InstanceId, ListUpdate, Member, Message, Validator, Version,
 };
@@ -73,7 +73,8 @@
 
 fn offered(own: &LocalSettings, texts: &[&str]) -> Result<Offered, String> {
     let place = own.merge(texts)?;
-    let kinds = place.decision.workloads.iter().map(|workload| workload.kind == Kind::Repeatable);
+    let kinds =
+        place.balancer.workloads.iter().map(|workload| workload.idempotency == Idempotency::Idempotent);
     Ok(place.workloads.into_iter().map(|named| named.name).zip(kinds).collect())
 }
 
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -1,18 +1,18 @@
 //! Two processes of one sidecar while one replaces the other. A local socket in the sidecar's folder carries one line from
 //! the old to the new, a snapshot, and then each side's marks, a line each; its end means that the other is gone.
-use crate::endpoint_registry::{lock, Mark, Shared as EndpointRegistry};
-use crate::limits::Bound;
+use crate::endpoint_registry::{lock, Mark, SharedRegistry};
+use crate::limits::SharedLimit;
 use crate::lines::{line, say, within};
 use crate::maintenance_store::MaintenanceStore;
 use crate::timers::Clock;
 use crate::uninterrupted::Uninterrupted;
-use crate::workers::{Order, Orders, Shared};
+use crate::workers::{CommandBroadcaster, Shared, WorkerCommand};
 use async_channel::{bounded, Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use futures_lite::io::{self, BufReader, ReadHalf, WriteHalf};
 use oakhollow_terms::{
-    read_json, DiscoveryList, HandoverMessage, HandoverState, LearntServers, MaintenanceChange,
+    read_json, DiscoveryList, HandoverMessage, HandoverState, LearnedHealth, MaintenanceChange,
     MaintenanceMarks,
 };
 use slog::{info, warn, Logger};
@@ -118,10 +118,10 @@
 /// What the links of one process work on.
 pub struct Linking {
     pub peers: HandoverLinks,
-    pub registry: EndpointRegistry,
-    pub orders: Orders,
+    pub registry: SharedRegistry,
+    pub orders: CommandBroadcaster,
     pub store: Arc<MaintenanceStore>,
-    pub bounds: [Bound; 2],
+    pub bounds: [SharedLimit; 2],
     pub clock: Clock,
     pub log: Logger,
 }
@@ -163,7 +163,7 @@
             let (reads, mut writes) = io::split(Uninterrupted(stream));
             let taught = self.taught().await;
             let (marks, list, link) = self.snapshot();
-            let snapshot = self.store.word(&marks, HandoverState { list: Some(list), learnt: taught });
+            let snapshot = self.store.word(&marks, HandoverState { list: Some(list), learned: taught });
             if say(&mut writes, &snapshot).await {
                 self.link(BufReader::new(reads), writes, link, Shared::WithSuccessor).await;
             } else {
@@ -200,7 +200,7 @@
                     // What it still has ends with each answer: guards against doing with half for seconds.
                     Ok(HandoverMessage::StoppedAccepting) => {
                         info!(self.log, "the other process takes nobody in any more");
-                        self.orders.tell(Order::Shared(Shared::Alone)).await;
+                        self.orders.send(WorkerCommand::SetSharing(Shared::Alone)).await;
                     }
                     Err(fault) => {
                         return warn!(self.log, "the other process said what makes no sense: {}", fault)
@@ -221,16 +221,16 @@
     }
 
     /// What a worker's module has learnt; all of them see about the same.
-    async fn taught(&self) -> LearntServers {
+    async fn taught(&self) -> LearnedHealth {
         let (to, learnt) = bounded(1);
-        self.orders.tell(Order::Asked(to)).await;
+        self.orders.send(WorkerCommand::ExportLearned(to)).await;
         within(WITHIN / 3, async { learnt.recv().await.ok() }).await.unwrap_or_default()
     }
 
     async fn share(&self, with: Shared) {
         info!(self.log, "shares with another process: {:?}", with);
         self.bounds.iter().for_each(|bound| bound.halve(with != Shared::Alone));
-        self.orders.tell(Order::Shared(with)).await;
+        self.orders.send(WorkerCommand::SetSharing(with)).await;
     }
 
     async fn mark(&self, mark: Mark, from: &Sender<HandoverMessage>) {
@@ -246,7 +246,7 @@
             if mark.out { "out" } else { "back" }
         );
         self.peers.tell(&mark, Some(from));
-        self.orders.have_done(|done| Order::Marked(mark, done)).await;
+        self.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark, done)).await;
     }
 }
 
--- a/sidecar/src/http1/acceptor.rs
+++ b/sidecar/src/http1/acceptor.rs
@@ -115,12 +115,12 @@
     }
 
     /// Takes in what the kernel has accepted already: those clients may have written their requests.
-    pub fn take_rest(self: &Rc<Self>, listener: &Async<TcpListener>) {
+    pub fn accept_backlog(self: &Rc<Self>, listener: &Async<TcpListener>) {
         let mut failures = 0;
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
-                    if let Ok(stream) = Async::connected(stream) {
+                    if let Ok(stream) = Async::from_stream(stream) {
                         self.take_in(stream, self.connections.slot_anyway());
                     }
                 }
@@ -140,7 +140,7 @@
         // One that has gone already has no address, and nothing to say.
         let Ok(peer) = stream.get_ref().peer_addr() else { return };
         let held = Connections::hold(&self.connections, peer.ip(), slot);
-        self.tasks.run(async move {
+        self.tasks.spawn_detached(async move {
             let closed = ClientConnection::new(&held, stream).serve().await;
             held.closed(closed);
         });
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -1,8 +1,8 @@
 //! What the connections of clients share: how many there may be, which have no request open and may be closed, the ids of open
 //! requests, and whether the process still takes requests.
-use super::{Desk, Names};
-use crate::eviction::{self, Holder};
-use crate::limits::{Gauge, Share, Slot};
+use super::{DispatcherHandle, RequestSettings};
+use crate::eviction::{self, IdleConnection};
+use crate::limits::{Gauge, LimitShare, Slot};
 use crate::monitor::Monitor;
 use crate::oneshot;
 use async_channel::{bounded, Receiver, Sender};
@@ -76,7 +76,7 @@
         }
         drop(sources);
         drop(self.slot.take());
-        self.shared.connections.down();
+        self.shared.connections.decrement();
         self.shared.stir();
     }
 }
@@ -95,41 +95,41 @@
 
 /// The ids of all open requests, of all workers: parted, so that workers seldom meet.
 #[derive(Default)]
-pub struct Ids {
+pub struct OpenRequestIds {
     parts: [Mutex<HashSet<Box<str>>>; 16],
     hash: RandomState,
 }
 
-impl Ids {
-    fn part(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
+impl OpenRequestIds {
+    fn shard(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
         let part = &self.parts[self.hash.hash_one(id) as usize % self.parts.len()];
         part.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// False if it is open already.
     fn open(&self, id: &str) -> bool {
-        self.part(id).insert(id.into())
+        self.shard(id).insert(id.into())
     }
 
     fn shut(&self, id: &str) {
-        self.part(id).remove(id);
+        self.shard(id).remove(id);
     }
 }
 
 /// What the connections of callers share.
 pub struct Connections {
-    pub desk: Rc<Desk>,
-    names: RefCell<Rc<Names>>,
+    pub desk: Rc<DispatcherHandle>,
+    request_settings: RefCell<Rc<RequestSettings>>,
     /// What is told all that happens.
     pub monitor: Rc<Monitor>,
     /// Slots for connections, and how many connections there are.
-    open: Rc<Share>,
+    open: Rc<LimitShare>,
     connections: Gauge,
     stays: Cell<StayId>,
     idle: RefCell<BTreeMap<StayId, Stay>>,
     /// How many connections each address has.
     sources: RefCell<HashMap<IpAddr, usize>>,
-    ids: Arc<Ids>,
+    ids: Arc<OpenRequestIds>,
     stirred: (Sender<()>, Receiver<()>),
     /// Others wait to be taken in.
     crowded: Cell<bool>,
@@ -137,17 +137,18 @@
     closing: Cell<bool>,
     /// Each answer ends its connection: whoever has another call takes it to our successor.
     parting: Cell<bool>,
-    answer_by: Cell<Micros>,
+    answer_deadline: Cell<Micros>,
 }
 
 impl Connections {
     pub fn new(
-        desk: Rc<Desk>, names: Names, monitor: Rc<Monitor>, open: (Rc<Share>, Gauge), ids: Arc<Ids>,
+        desk: Rc<DispatcherHandle>, request_settings: RequestSettings, monitor: Rc<Monitor>,
+        open: (Rc<LimitShare>, Gauge), ids: Arc<OpenRequestIds>,
     ) -> Rc<Connections> {
         let (open, connections) = open;
         Rc::new(Connections {
             desk,
-            names: RefCell::new(Rc::new(names)),
+            request_settings: RefCell::new(Rc::new(request_settings)),
             monitor,
             open,
             connections,
@@ -160,13 +161,13 @@
             able: Cell::new(false),
             closing: Cell::new(false),
             parting: Cell::new(false),
-            answer_by: Cell::new(Micros::NEVER),
+            answer_deadline: Cell::new(Micros::NEVER),
         })
     }
 
     /// Holds one more connection; given up when what this returns is dropped.
     pub fn hold(shared: &Rc<Connections>, source: IpAddr, slot: Slot) -> Held {
-        shared.connections.up();
+        shared.connections.increment();
         *shared.sources.borrow_mut().entry(source).or_default() += 1;
         Held { shared: shared.clone(), source, slot: Some(slot) }
     }
@@ -179,7 +180,7 @@
     /// A slot for one more. Where there is none, one connection with no request open is closed, and others are closed with
     /// their next answer until there is.
     pub fn slot(&self) -> Option<Slot> {
-        let slot = self.open.take();
+        let slot = self.open.try_acquire();
         self.crowded.set(slot.is_none());
         if slot.is_none() {
             self.make_room();
@@ -189,7 +190,7 @@
 
     /// A slot for one that is here already and can't be sent away.
     pub fn slot_anyway(&self) -> Slot {
-        self.open.take_anyway()
+        self.open.acquire_over_limit()
     }
 
     /// Waits until there may be a slot.
@@ -198,22 +199,22 @@
     }
 
     /// What requests call things by, from now on.
-    pub fn rename(&self, names: Names) {
-        self.names.replace(Rc::new(names));
+    pub fn set_request_settings(&self, request_settings: RequestSettings) {
+        self.request_settings.replace(Rc::new(request_settings));
     }
 
-    pub fn names(&self) -> Rc<Names> {
-        self.names.borrow().clone()
+    pub fn request_settings(&self) -> Rc<RequestSettings> {
+        self.request_settings.borrow().clone()
     }
 
     /// Whether this phase wants callers at all.
-    pub fn set_able(&self, able: bool) {
+    pub fn set_serving(&self, able: bool) {
         self.able.set(able);
     }
 
     /// What `/ready` says.
     pub fn ready(&self) -> bool {
-        self.able.get() && self.desk.listed.get()
+        self.able.get() && self.desk.has_ready_endpoint.get()
     }
 
     /// Whether a connection may be kept after an answer.
@@ -222,16 +223,16 @@
     }
 
     /// No API call that comes from now on may take longer than until then.
-    pub fn answer_by(&self, then: Micros) {
-        self.answer_by.set(then);
+    pub fn set_answer_deadline(&self, then: Micros) {
+        self.answer_deadline.set(then);
     }
 
-    pub fn latest(&self) -> Micros {
-        self.answer_by.get()
+    pub fn answer_deadline(&self) -> Micros {
+        self.answer_deadline.get()
     }
 
     /// From now on each answer ends its connection.
-    pub fn part(&self) {
+    pub fn close_after_answers(&self) {
         self.parting.set(true);
     }
 
@@ -249,20 +250,20 @@
     /// against one source, or many that say nothing, taking what the usual callers need.
     pub fn make_room(&self) {
         let (mut idle, sources) = (self.idle.borrow_mut(), self.sources.borrow());
-        let holder = |stay: &Stay| Holder {
-            known: stay.known,
-            begun: stay.begun,
-            silent: stay.since.elapsed(),
-            like: sources.get(&stay.source).copied().unwrap_or(0),
+        let holder = |stay: &Stay| IdleConnection {
+            answered_before: stay.known,
+            request_started: stay.begun,
+            silent_for: stay.since.elapsed(),
+            same_source: sources.get(&stay.source).copied().unwrap_or(0),
         };
-        let first = eviction::first(idle.iter().map(|(id, stay)| (*id, holder(stay))));
+        let first = eviction::next_to_evict(idle.iter().map(|(id, stay)| (*id, holder(stay))));
         drop(first.and_then(|id| idle.remove(&id)));
     }
 
     /// Closes idle connections that another process of this sidecar is short of.
-    pub fn give_way(&self) {
+    pub fn close_excess_idle(&self) {
         let idle = self.idle.borrow().len();
-        (0..idle).take_while(|_| self.open.over()).for_each(|_| self.make_room());
+        (0..idle).take_while(|_| self.open.exceeds_half()).for_each(|_| self.make_room());
     }
 
     /// Has room looked for again, where others wait for it.
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -1,8 +1,8 @@
 //! What a server tells of its load with an answer. The platform's protocol has no header for it; this one is ours:
 //! `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, the names being those of `report.columns`.
 use super::head::Head;
-use crate::dispatcher::Told;
-use oakhollow::types::Report;
+use crate::dispatcher::LoadReport;
+use oakhollow::types::ServerLoad;
 use oakhollow_terms::LOAD_REPORT_COLUMNS;
 
 const LOAD: &str = "Load-Report";
@@ -10,24 +10,24 @@
 const MOST_FIGURES: usize = 8;
 
 /// Reads an answer's report. One with anything odd in it tells nothing: half a report is worse than none.
-pub fn report(head: &Head) -> Told {
+pub fn report(head: &Head) -> LoadReport {
     match head.only(LOAD) {
-        Ok(None) => Told::Nothing,
-        Ok(Some(text)) => read(text).map_or(Told::Odd, Told::Load),
-        Err(_) => Told::Odd,
+        Ok(None) => LoadReport::Absent,
+        Ok(Some(text)) => read(text).map_or(LoadReport::Malformed, LoadReport::Valid),
+        Err(_) => LoadReport::Malformed,
     }
 }
 
-fn read(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+fn read(text: &str) -> Option<ServerLoad> {
+    let mut report = ServerLoad::default();
     let mut figures = text.split(',');
     for part in figures.by_ref().take(MOST_FIGURES) {
         let (name, figure) = part.split_once('=')?;
-        let figure = Some(Report::sound(figure.trim().parse().ok()?)?);
+        let figure = Some(ServerLoad::plausible(figure.trim().parse().ok()?)?);
         let slot = match name.trim() {
-            "busy_reqs" => &mut report.held,
-            "pending" => &mut report.waiting,
-            "cpu_share" => &mut report.busy,
+            "busy_reqs" => &mut report.open_calls,
+            "pending" => &mut report.queued_calls,
+            "cpu_share" => &mut report.cpu_utilization,
             other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // not read
             _ => return None,
         };
@@ -45,7 +45,10 @@
     #[test]
     fn a_whole_report_is_read_and_an_odd_one_tells_nothing() {
         let whole = read("busy_reqs=3.5, pending=1,svc_ms=40").unwrap();
-        assert_eq!((whole.held, whole.waiting, whole.busy), (Some(3.5), Some(1.0), None));
+        assert_eq!(
+            (whole.open_calls, whole.queued_calls, whole.cpu_utilization),
+            (Some(3.5), Some(1.0), None)
+        );
         let odd = [
             "",
             "busy_reqs",
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -4,26 +4,26 @@
 use crate::dispatcher::Parts;
 use crate::endpoint_list::Elsewhere;
 use crate::endpoint_registry::Mark;
-use crate::generations::{ClassId, Classes, Generations, Left, Numbers};
+use crate::generations::{ClassId, Classes, Generations, Left, WorkloadIds};
 use crate::http1::acceptor::Acceptor;
-use crate::http1::connections::{Connections, Ids};
+use crate::http1::connections::{Connections, OpenRequestIds};
 use crate::http1::pool::Pool;
-use crate::http1::{Desk, Dispatcher, Fence, Http1, Names, Note};
+use crate::http1::{Dispatcher, DispatcherHandle, DispatcherMessage, Fence, Http1, RequestSettings};
 use crate::lease::Lease;
-use crate::limits::{Bound, Gauge, Share};
+use crate::limits::{Gauge, LimitShare, SharedLimit};
 use crate::list_deadline::ListDeadline;
 use crate::metrics::Metrics;
 use crate::monitor::{self, Monitor};
 use crate::reactor::{self, Async};
-use crate::start_time::Heard;
+use crate::start_time::ListArrival;
 use crate::tasks::Tasks;
 use crate::timers::Clock;
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
 use fnv::FnvHashMap;
 use futures_lite::future;
-use oakhollow::types::{ListKind, Micros, Terms};
-use oakhollow_terms::{DiscoveryList, LearntServers, MaintenanceMarks, Settings};
+use oakhollow::types::{BalancerConfig, ListKind, Micros};
+use oakhollow_terms::{DiscoveryList, LearnedHealth, MaintenanceMarks, Settings};
 use slog::{o, Logger};
 use std::cell::RefCell;
 use std::future::Future;
@@ -38,28 +38,28 @@
 
 /// What the program tells its workers.
 #[derive(Clone)]
-pub enum Order {
-    Listed(ListKind, Arc<DiscoveryList>, Heard),
+pub enum WorkerCommand {
+    ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
     /// Its sender is dropped when that holds.
-    Marked(Mark, Sender<()>),
+    ApplyMark(Mark, Sender<()>),
     /// Take callers in. Its sender is dropped when that holds.
-    Open(Sender<()>),
+    StartAccepting(Sender<()>),
     /// What the modules have learnt is asked for.
-    Asked(Sender<LearntServers>),
+    ExportLearned(Sender<LearnedHealth>),
     /// Settings that hold from now on. Its sender is dropped when they do.
-    Retuned(Arc<Settings>, Sender<()>),
+    ApplySettings(Arc<Settings>, Sender<()>),
     /// Whom others' lists let drain. Its sender is dropped when that holds.
-    Drained(Arc<Elsewhere>, Sender<()>),
+    ApplyPeerDrains(Arc<Elsewhere>, Sender<()>),
     /// The lease has begun or run out, or the list may not be used any more.
-    Look,
+    RecheckDeadlines,
     /// What is shared out with another process of this sidecar.
-    Shared(Shared),
+    SetSharing(Shared),
     /// Take nobody in any more, and end each connection with its next answer, due by then.
-    Part(Micros),
+    Handover(Micros),
     /// `/ready` says no; calls that come from now on have their answers by then.
-    SayNo(Micros),
+    ReportNotReady(Micros),
     /// Take nobody in any more. Its sender is dropped when that holds.
-    Shut(Sender<()>),
+    StopAccepting(Sender<()>),
 }
 
 /// Whether another process of this sidecar lives beside this one.
@@ -73,23 +73,23 @@
 /// The way to all workers, each with a queue of its own: guards against one that is busy for a moment keeping the others
 /// from a drain.
 #[derive(Clone)]
-pub struct Orders(Vec<Sender<Order>>);
+pub struct CommandBroadcaster(Vec<Sender<WorkerCommand>>);
 
-impl Orders {
+impl CommandBroadcaster {
     #[cfg(test)]
-    pub fn of(workers: Vec<Sender<Order>>) -> Orders {
-        Orders(workers)
+    pub fn new(workers: Vec<Sender<WorkerCommand>>) -> CommandBroadcaster {
+        CommandBroadcaster(workers)
     }
 
     /// Tells an order and waits until the last worker has carried it out, or has ended.
-    pub async fn have_done(&self, order: impl FnOnce(Sender<()>) -> Order) {
+    pub async fn send_and_wait(&self, order: impl FnOnce(Sender<()>) -> WorkerCommand) {
         let (done, all) = bounded(1);
-        self.tell(order(done)).await;
+        self.send(order(done)).await;
         let _ = all.recv().await;
     }
 
     /// Waits for those whose queue is full. One that has ended is told of elsewhere.
-    pub async fn tell(&self, order: Order) {
+    pub async fn send(&self, order: WorkerCommand) {
         for worker in &self.0 {
             let _ = worker.send(order.clone()).await;
         }
@@ -104,25 +104,25 @@
 }
 
 /// A worker that has ended unasked.
-pub struct Lost(pub String);
+pub struct WorkerFailure(pub String);
 
 /// What a worker is started with.
-pub struct Hand {
+pub struct WorkerContext {
     pub number: usize,
-    pub orders: Receiver<Order>,
+    pub commands: Receiver<WorkerCommand>,
     pub gauges: Gauges,
 }
 
 struct Worker {
-    orders: Sender<Order>,
+    orders: Sender<WorkerCommand>,
     gauges: Gauges,
     thread: Option<JoinHandle<()>>,
 }
 
 /// All workers of the program. Dropping it ends them.
-pub struct Crew {
+pub struct WorkerPool {
     workers: Vec<Worker>,
-    lost: Receiver<Lost>,
+    lost: Receiver<WorkerFailure>,
 }
 
 thread_local! {
@@ -130,24 +130,24 @@
 }
 
 /// Has panics kept for the one line in which the program says why it ends, instead of written out at once.
-pub fn keep_panics() {
+pub fn capture_panics() {
     std::panic::set_hook(Box::new(|panic| {
         let text = panic.to_string().replace('\n', " ");
         PANIC.with_borrow_mut(|kept| *kept = Some(text));
     }));
 }
 
-impl Crew {
+impl WorkerPool {
     /// Starts `count` workers; `work` is the whole life of one. A worker that ends with a fault, or panics, is told by
-    /// [`Crew::lost`].
-    pub fn hire(
-        count: usize, work: impl Fn(Hand) -> std::io::Result<()> + Clone + Send + 'static,
-    ) -> std::io::Result<Crew> {
+    /// [`WorkerPool::failure`].
+    pub fn start(
+        count: usize, work: impl Fn(WorkerContext) -> std::io::Result<()> + Clone + Send + 'static,
+    ) -> std::io::Result<WorkerPool> {
         let (tell, lost) = bounded(count);
         let mut workers = Vec::new();
         for number in 0..count {
-            let ((sender, orders), gauges) = (bounded(MOST_ORDERS), Gauges::default());
-            let hand = Hand { number, orders, gauges: gauges.clone() };
+            let ((sender, commands), gauges) = (bounded(MOST_ORDERS), Gauges::default());
+            let hand = WorkerContext { number, commands, gauges: gauges.clone() };
             let (work, tell) = (work.clone(), tell.clone());
             let life = move || {
                 let why = match catch_unwind(AssertUnwindSafe(|| work(hand))) {
@@ -155,20 +155,20 @@
                     Ok(Err(fault)) => fault.to_string(),
                     Err(_) => panic_kept(),
                 };
-                let _ = tell.try_send(Lost(format!("worker {number} ended: {why}")));
+                let _ = tell.try_send(WorkerFailure(format!("worker {number} ended: {why}")));
             };
             let thread = Builder::new().name(format!("worker {number}")).spawn(life)?;
             workers.push(Worker { orders: sender, gauges, thread: Some(thread) });
         }
-        Ok(Crew { workers, lost })
+        Ok(WorkerPool { workers, lost })
     }
 
-    pub fn orders(&self) -> Orders {
-        Orders(self.workers.iter().map(|worker| worker.orders.clone()).collect())
+    pub fn commands(&self) -> CommandBroadcaster {
+        CommandBroadcaster(self.workers.iter().map(|worker| worker.orders.clone()).collect())
     }
 
-    pub async fn lost(&self) -> Lost {
-        self.lost.recv().await.unwrap_or_else(|_| Lost("all workers ended".into()))
+    pub async fn failure(&self) -> WorkerFailure {
+        self.lost.recv().await.unwrap_or_else(|_| WorkerFailure("all workers ended".into()))
     }
 
     pub fn calls(&self) -> usize {
@@ -185,7 +185,7 @@
     }
 }
 
-impl Drop for Crew {
+impl Drop for WorkerPool {
     fn drop(&mut self) {
         self.workers.iter().for_each(|worker| _ = worker.orders.close());
         for worker in &mut self.workers {
@@ -204,10 +204,10 @@
     pub known: Arc<DiscoveryList>,
     pub marks: MaintenanceMarks,
     /// What another process learnt in this one's place, for each worker.
-    pub taught: LearntServers,
+    pub taught: LearnedHealth,
     pub workers: usize,
-    pub callers: Bound,
-    pub links: Bound,
+    pub callers: SharedLimit,
+    pub links: SharedLimit,
     pub clock: Clock,
     pub log: Logger,
     pub lease: Lease,
@@ -216,7 +216,7 @@
     pub metrics: Arc<Metrics>,
     /// Asks for a subscription to the list.
     pub ask: Sender<()>,
-    pub ids: Arc<Ids>,
+    pub ids: Arc<OpenRequestIds>,
     /// The listener is the platform's: what waits in its queue is for whoever comes next.
     pub passed: bool,
     /// Another process of this sidecar has told its snapshot and goes on beside this one.
@@ -224,18 +224,18 @@
 }
 
 /// The whole life of a worker that carries calls.
-pub fn carry(kit: Kit, hand: Hand, listener: TcpListener) -> std::io::Result<()> {
-    on_this_thread(|tasks| obey(kit, hand, listener, tasks))
+pub fn carry(kit: Kit, hand: WorkerContext, listener: TcpListener) -> std::io::Result<()> {
+    run_on_this_thread(|tasks| obey(kit, hand, listener, tasks))
 }
 
 /// Runs a worker's life with an executor of its own; ends when that does, or when any of its tasks panics.
-pub fn on_this_thread<F: Future<Output = std::io::Result<()>>>(
+pub fn run_on_this_thread<F: Future<Output = std::io::Result<()>>>(
     life: impl FnOnce(Tasks) -> F,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let tasks = Tasks::of(&executor);
+    let tasks = Tasks::new(&executor);
     let doomed = async {
-        tasks.doomed().await;
+        tasks.panicked().await;
         Err(std::io::Error::other(panic_kept()))
     };
     reactor::block_on(executor.run(future::or(doomed, life(tasks.clone()))))?
@@ -248,26 +248,26 @@
 
 /// What this worker is among all workers of all sidecars.
 fn placed(mut place: Settings, number: usize, workers: usize) -> Settings {
-    place.decision.number =
-        place.decision.number.saturating_mul(workers as u32).saturating_add(number as u32);
-    place.decision.sidecars = place.decision.sidecars.saturating_mul(workers as u32);
+    place.balancer.instance_index =
+        place.balancer.instance_index.saturating_mul(workers as u32).saturating_add(number as u32);
+    place.balancer.instances = place.balancer.instances.saturating_mul(workers as u32);
     // The few hops on top of a share are the program's: parted among its workers, the odd ones to the first.
-    if let Some(bound) = &mut place.decision.beyond_first {
-        let (few, workers) = (bound.few, workers as f64);
-        bound.few = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
+    if let Some(bound) = &mut place.balancer.retry_budget {
+        let (few, workers) = (bound.base, workers as f64);
+        bound.base = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
     }
     place
 }
 
 /// As one of two sidecars, while another process is the other.
-fn shared(mut terms: Terms, shared: Shared) -> Terms {
+fn shared(mut terms: BalancerConfig, shared: Shared) -> BalancerConfig {
     let (sidecars, number) = match shared {
         Shared::Alone => return terms,
         Shared::WithPredecessor => (2, 0),
         Shared::WithSuccessor => (2, 1),
     };
-    terms.number = terms.number.saturating_mul(sidecars).saturating_add(number);
-    terms.sidecars = terms.sidecars.saturating_mul(sidecars);
+    terms.instance_index = terms.instance_index.saturating_mul(sidecars).saturating_add(number);
+    terms.instances = terms.instances.saturating_mul(sidecars);
     if shared == Shared::WithPredecessor {
         none_beyond(&mut terms);
     }
@@ -276,49 +276,49 @@
 
 /// Hops beyond calls' first stay with the process that was there before, until it parts: guards against two that each grant
 /// them, and against a window that holds what the one sent and the other sends.
-fn none_beyond(terms: &mut Terms) {
-    if let Some(bound) = &mut terms.beyond_first {
-        (bound.few, bound.share) = (0.0, 0.0);
+fn none_beyond(terms: &mut BalancerConfig) {
+    if let Some(bound) = &mut terms.retry_budget {
+        (bound.base, bound.ratio) = (0.0, 0.0);
     }
 }
 
 /// What is offered from now on by name, and what is left to calls of all else.
 fn classes_of(classes: &mut Classes, place: &Settings) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
-    let kinds = place.decision.workloads.iter().map(|workload| workload.kind);
+    let kinds = place.balancer.workloads.iter().map(|workload| workload.idempotency);
     let named: Vec<_> = place.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
     classes.take(&named)
 }
 
 /// What requests call things by.
-fn names_of(place: &mut Settings, numbers: Vec<Numbers>, classes: Vec<ClassId>) -> Names {
+fn names_of(place: &mut Settings, numbers: Vec<WorkloadIds>, classes: Vec<ClassId>) -> RequestSettings {
     let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
-    Names {
+    RequestSettings {
         class_names,
         effects: numbers
             .iter()
-            .map(|number| monitor::effect(place.decision.workloads[number.usual.0].kind))
+            .map(|number| monitor::effect(place.balancer.workloads[number.buffered.0].idempotency))
             .collect(),
         workloads: std::mem::take(&mut place.workloads),
-        numbers,
+        workload_ids: numbers,
         classes,
-        customers: std::mem::take(&mut place.customers),
-        warm_keys: place.decision.warm_keys,
-        most_hops: place.decision.most_hops as usize,
+        tenants: std::mem::take(&mut place.tenants),
+        uses_affinity_keys: place.balancer.key_affinity,
+        max_attempts: place.balancer.max_hops as usize,
     }
 }
 
-async fn obey(kit: Kit, hand: Hand, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
-    let Hand { number, orders, gauges } = hand;
+async fn obey(kit: Kit, hand: WorkerContext, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
+    let WorkerContext { number, commands, gauges } = hand;
     let mut place = placed(kit.place, number, kit.workers);
     let (mut generations, mut classes) = (Generations::default(), Classes::default());
     let (named, mut left) = classes_of(&mut classes, &place);
     let numbers;
-    (place.decision, numbers) = generations.take(place.decision);
+    (place.balancer, numbers) = generations.take(place.balancer);
     let log = if kit.workers > 1 { kit.log.new(o!("worker" => number)) } else { kit.log };
-    let (desk, notes) = Desk::new(kit.clock, gauges.calls);
-    let limits = monitor::limits(&place.decision, place.drain_grace);
+    let (desk, notes) = DispatcherHandle::new(kit.clock, gauges.calls);
+    let limits = monitor::limits(&place.balancer, place.drain_grace);
     let monitor = Monitor::new(limits, kit.metrics, kit.clock, log.clone());
-    let links = Share::of(kit.links);
+    let links = LimitShare::new(kit.links);
     let pool =
         Pool::new(tasks.clone(), links, (place.connect_timeout, place.server_idle_timeout), log.clone());
     // One watch feeds all: the first asks for all of them, and they hear the same.
@@ -326,7 +326,7 @@
     let parts = Parts {
         protocol: Rc::new(Http1 {
             pool: pool.clone(),
-            tells_load: place.decision.tells_load,
+            reads_load_reports: place.balancer.load_reports,
             fence: Fence {
                 lease: kit.lease.clone(),
                 list_deadline: kit.list_deadline.clone(),
@@ -344,81 +344,85 @@
         taught: kit.taught,
     };
     let seed = kit.seed ^ (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let mut terms = place.decision.clone();
+    let mut terms = place.balancer.clone();
     // Not to be left to the order that follows: a call may come before it.
     if kit.beside {
-        none_beyond(&mut place.decision);
+        none_beyond(&mut place.balancer);
     }
     let dispatcher = Dispatcher::new(&place, seed, (&kit.known, kit.marks), parts);
-    tasks.run(dispatcher.run(notes));
+    tasks.spawn_detached(dispatcher.run(notes));
     let names = names_of(&mut place, numbers, named);
     let mut with = if kit.beside { Shared::WithPredecessor } else { Shared::Alone };
-    let callers = (Share::of(kit.callers), gauges.connections);
+    let callers = (LimitShare::new(kit.callers), gauges.connections);
     let connections = Connections::new(desk.clone(), names, monitor.clone(), callers, kit.ids);
     let acceptor = Acceptor::new(connections.clone(), tasks.clone(), log);
-    let mut listener = Some(Rc::new(Async::listening(listener)?));
+    let mut listener = Some(Rc::new(Async::from_listener(listener)?));
     let mut accepting = None;
-    while let Ok(order) = orders.recv().await {
+    while let Ok(order) = commands.recv().await {
         match order {
-            Order::Listed(kind, list, heard) => desk.tell(Note::Listed(kind, list, heard)).await,
-            Order::Marked(mark, done) => desk.tell(Note::Marked(mark, done)).await,
-            Order::Open(done) => {
+            WorkerCommand::ApplyList(kind, list, heard) => {
+                desk.send(DispatcherMessage::ApplyList(kind, list, heard)).await
+            }
+            WorkerCommand::ApplyMark(mark, done) => desk.send(DispatcherMessage::ApplyMark(mark, done)).await,
+            WorkerCommand::StartAccepting(done) => {
                 let accept_all = listener.clone().map(|listener| acceptor.clone().accept_all(listener));
                 accepting = accept_all.and_then(|taking| tasks.spawn(taking));
-                connections.set_able(true);
+                connections.set_serving(true);
                 drop(done);
             }
-            Order::Asked(to) => desk.tell(Note::Asked(to)).await,
-            Order::Drained(elsewhere, done) => desk.tell(Note::Drained(elsewhere, done)).await,
-            Order::Look => desk.tell(Note::Look).await,
-            Order::Retuned(place, done) => {
+            WorkerCommand::ExportLearned(to) => desk.send(DispatcherMessage::ExportLearned(to)).await,
+            WorkerCommand::ApplyPeerDrains(elsewhere, done) => {
+                desk.send(DispatcherMessage::ApplyPeerDrains(elsewhere, done)).await
+            }
+            WorkerCommand::RecheckDeadlines => desk.send(DispatcherMessage::RecheckDeadlines).await,
+            WorkerCommand::ApplySettings(place, done) => {
                 let mut place = placed(Settings::clone(&place), number, kit.workers);
                 let (numbers, named);
                 (named, left) = classes_of(&mut classes, &place);
-                (place.decision, numbers) = generations.take(place.decision);
-                pool.retune(place.connect_timeout, place.server_idle_timeout);
-                monitor.set_limits(monitor::limits(&place.decision, place.drain_grace));
+                (place.balancer, numbers) = generations.take(place.balancer);
+                pool.set_timeouts(place.connect_timeout, place.server_idle_timeout);
+                monitor.set_limits(monitor::limits(&place.balancer, place.drain_grace));
                 let names = names_of(&mut place, numbers, named);
-                terms = place.decision;
+                terms = place.balancer;
                 // The module first: a call that comes by the new names must find its number there.
                 let terms = Box::new(shared(terms.clone(), with));
-                desk.tell(Note::Retuned(terms, left.clone(), Some(done))).await;
-                connections.rename(names);
+                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), Some(done))).await;
+                connections.set_request_settings(names);
             }
-            Order::Shared(now) => {
+            WorkerCommand::SetSharing(now) => {
                 with = now;
                 let terms = Box::new(shared(terms.clone(), with));
-                desk.tell(Note::Retuned(terms, left.clone(), None)).await;
-                connections.give_way();
+                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), None)).await;
+                connections.close_excess_idle();
             }
-            Order::Part(by) => {
+            WorkerCommand::Handover(by) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
                 listener = None;
-                if with != Shared::Alone && terms.beyond_first.is_some() {
+                if with != Shared::Alone && terms.retry_budget.is_some() {
                     let mut last = shared(terms.clone(), with);
                     none_beyond(&mut last);
-                    desk.tell(Note::Retuned(Box::new(last), left.clone(), None)).await;
+                    desk.send(DispatcherMessage::ApplySettings(Box::new(last), left.clone(), None)).await;
                 }
-                connections.part();
-                connections.answer_by(by);
-                desk.tell(Note::AnswerBy(by)).await;
+                connections.close_after_answers();
+                connections.set_answer_deadline(by);
+                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
             }
-            Order::SayNo(by) => {
-                connections.set_able(false);
+            WorkerCommand::ReportNotReady(by) => {
+                connections.set_serving(false);
                 // Guards against a kill that finds an API call without its answer, also one taken before.
-                connections.answer_by(by);
-                desk.tell(Note::AnswerBy(by)).await;
+                connections.set_answer_deadline(by);
+                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
             }
-            Order::Shut(done) => {
+            WorkerCommand::StopAccepting(done) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
                 connections.close();
                 // Dropped at once after: a listener left open would go on accepting for nobody.
                 if let Some(listener) = listener.take().filter(|_| !kit.passed) {
-                    acceptor.take_rest(&listener);
+                    acceptor.accept_backlog(&listener);
                 }
                 drop(done);
             }
--- a/terms/src/agreed.rs
+++ b/terms/src/agreed.rs
@@ -17,7 +17,7 @@
 /// let (_, second) = LocalSettings::split(&of(0, 2)).unwrap();
 /// assert_eq!(first, LocalSettings::split(&of(0, 3)).unwrap().1);
 /// let place = own.merge(&[first.text.as_str(), &second.text]).unwrap();
-/// assert_eq!((place.decision.number, place.decision.most_hops), (1, 2));
+/// assert_eq!((place.balancer.instance_index, place.balancer.max_hops), (1, 2));
 /// ```
 #[derive(Clone, Default, Debug)]
 pub struct LocalSettings(Map<String, Value>);
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -14,7 +14,7 @@
 pub use agreed::{Greeting, LocalSettings, SharedSettings};
 pub use list::{DiscoveryList, EndpointEntry, ListIndex};
 pub use marks::{
-    HandoverMessage, HandoverState, HostClock, LearntServers, MaintenanceChange, MaintenanceMarks,
+    HandoverMessage, HandoverState, HostClock, LearnedHealth, MaintenanceChange, MaintenanceMarks,
 };
 pub use operator::{AccordConfig, ListSharing, NoLeasePolicy, OperatorConfig, Scope};
 pub use place::{micros_from_seconds, Settings, WorkloadSettings, LOAD_REPORT_COLUMNS};
--- a/terms/src/marks.rs
+++ b/terms/src/marks.rs
@@ -1,8 +1,8 @@
 //! Which servers are out by hand, and what of a sidecar outlives its process: a file, or a line to its successor.
 use crate::{read_json, to_json, DiscoveryList};
-use oakhollow::learnt::Judged;
+use oakhollow::server_health::ServerHealth;
 use oakhollow::types::Micros;
-use oakhollow::Tally;
+use oakhollow::OutcomeCounts;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -66,35 +66,39 @@
 }
 
 /// What one instance of the decisions has learnt of each server, by name.
-pub type LearntServers = Vec<(String, Judged)>;
+pub type LearnedHealth = Vec<(String, ServerHealth)>;
 
 /// What a successor is told beside the marks.
 #[derive(Clone, Default, Debug)]
 pub struct HandoverState {
     pub list: Option<DiscoveryList>,
-    pub learnt: LearntServers,
+    pub learned: LearnedHealth,
 }
 
 impl ServerFigures {
-    fn of((name, judged): &(String, Judged)) -> ServerFigures {
+    fn of((name, judged): &(String, ServerHealth)) -> ServerFigures {
         ServerFigures {
             name: name.clone(),
-            ease: judged.ease,
-            good: judged.record.good,
-            bad: judged.record.bad,
-            answered: judged.answered,
-            asides: judged.asides,
-            aside_us: judged.aside.map(|until| until.0),
+            ease: judged.weight_factor,
+            good: judged.outcomes.good,
+            bad: judged.outcomes.bad,
+            answered: judged.has_answered,
+            asides: judged.ejections,
+            aside_us: judged.ejected_until.map(|until| until.0),
         }
     }
 
     /// None where a figure means nothing.
-    fn read(self) -> Option<(String, Judged)> {
+    fn read(self) -> Option<(String, ServerHealth)> {
         let count = |figure: f64| (0.0..1e9).contains(&figure);
         let sound = (0.01..=1.0).contains(&self.ease) && count(self.good) && count(self.bad);
-        let record = Tally { good: self.good, bad: self.bad };
-        let (answered, asides, aside) = (self.answered, self.asides, self.aside_us.map(Micros));
-        sound.then_some((self.name, Judged { ease: self.ease, record, answered, asides, aside }))
+        let outcomes = OutcomeCounts { good: self.good, bad: self.bad };
+        let (has_answered, ejections, ejected_until) =
+            (self.answered, self.asides, self.aside_us.map(Micros));
+        sound.then_some((
+            self.name,
+            ServerHealth { weight_factor: self.ease, outcomes, has_answered, ejections, ejected_until },
+        ))
     }
 }
 
@@ -149,7 +153,7 @@
     /// `rest` goes to a successor only; `clock` is that of this process.
     pub fn to_json(&self, listen: SocketAddr, rest: HandoverState, clock: Option<HostClock>) -> String {
         let back = self.returned.iter().map(|(name, at)| (name.clone(), at.0)).collect();
-        let servers = rest.learnt.iter().map(ServerFigures::of).collect();
+        let servers = rest.learned.iter().map(ServerFigures::of).collect();
         let written = Written {
             version: VERSION,
             listen,
@@ -166,15 +170,15 @@
     ///
     /// ```
     /// use oakhollow::types::Micros;
-    /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearntServers};
+    /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearnedHealth};
     /// let (here, there) = ("127.0.0.1:70".parse().unwrap(), "127.0.0.1:71".parse().unwrap());
     /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, Micros::millis(9));
     /// let mut marks = MaintenanceMarks::default();
     /// marks.in_maintenance.insert("s-1".into());
     /// assert_eq!(read(marks.to_json(here, HandoverState::default(), None), here).unwrap().0, marks);
-    /// let taught: LearntServers = vec![("s-2".into(), oakhollow::learnt::Judged { ease: 0.5, ..Default::default() })];
-    /// let rest = HandoverState { learnt: taught.clone(), ..HandoverState::default() };
-    /// assert_eq!(read(marks.to_json(here, rest, None), here).unwrap().1.learnt, taught);
+    /// let taught: LearnedHealth = vec![("s-2".into(), oakhollow::server_health::ServerHealth { weight_factor: 0.5, ..Default::default() })];
+    /// let rest = HandoverState { learned: taught.clone(), ..HandoverState::default() };
+    /// assert_eq!(read(marks.to_json(here, rest, None), here).unwrap().1.learned, taught);
     /// assert!(read(marks.to_json(here, HandoverState::default(), None), there).unwrap_err().starts_with("listen: "));
     ///
     /// // Put back 2 ms ago by a clock that was 5 ms ahead of ours.
@@ -201,7 +205,7 @@
         let taught = written.servers.into_iter().filter_map(ServerFigures::read).collect();
         Ok((
             MaintenanceMarks { in_maintenance: written.out, returned: back },
-            HandoverState { list: written.list, learnt: taught },
+            HandoverState { list: written.list, learned: taught },
         ))
     }
 }
--- a/terms/src/start.rs
+++ b/terms/src/start.rs
@@ -109,14 +109,15 @@
     /// The settings as a program on sockets takes them.
     pub(crate) fn on_sockets(mut place: Settings) -> Result<Settings, String> {
         // On sockets nothing comes unasked: the list must be watched, wherever the simulator would push it.
-        let terms = &mut place.decision;
-        if terms.ask_within.0 == 0 || terms.ask_within > Self::ASK_WITHIN {
-            terms.ask_within = Self::ASK_WITHIN;
+        let terms = &mut place.balancer;
+        if terms.resubscribe_within.0 == 0 || terms.resubscribe_within > Self::ASK_WITHIN {
+            terms.resubscribe_within = Self::ASK_WITHIN;
         }
         // What a pushed list says counts as told whether or not a watch is open: guards against being without one for
         // longer than a server that drains may be sent to.
-        if !std::mem::replace(&mut terms.must_ask, true) && place.drain_grace.0 > 0 {
-            terms.ask_within = terms.ask_within.min(place.drain_grace.max(Self::LEAST_BETWEEN_ASKS));
+        if !std::mem::replace(&mut terms.must_subscribe, true) && place.drain_grace.0 > 0 {
+            terms.resubscribe_within =
+                terms.resubscribe_within.min(place.drain_grace.max(Self::LEAST_BETWEEN_ASKS));
         }
         if let Some(mixed) = &place.inconsistency {
             return Err(mixed.clone());
@@ -147,9 +148,9 @@
             );
             let terms = SidecarConfig::on_sockets(read_json(json.as_bytes()).expect("settings"))
                 .expect("sound")
-                .decision;
-            assert!(terms.must_ask);
-            terms.ask_within
+                .balancer;
+            assert!(terms.must_subscribe);
+            terms.resubscribe_within
         };
         assert_eq!(ask_within("pushed", r#","stop_sending_within_s":0.15"#), Micros::millis(150));
         assert_eq!(
