--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -19,7 +19,7 @@
 const CALL_A_SECOND: f64 = 0.25;
 
 /// What a scene takes of the machine while it plays, reckoned from what it starts.
-pub fn demand(scene: &Scene) -> Millicores {
+pub fn estimated_demand(scene: &Scene) -> Millicores {
     let sidecars = scene.sidecars as u64;
     let calls = scene.sidecars as f64 * scene.workloads().len() as f64 * scene.rate;
     let links = sidecars * scene.keepers as u64;
@@ -32,16 +32,20 @@
 
 /// The room for scenes on a machine of so many cores where others keep so much busy. Half of the cores count even so: that
 /// is what its scheduler gives to one of two.
-pub fn room(cores: usize, others: Millicores) -> Millicores {
+pub fn available_capacity(cores: usize, others: Millicores) -> Millicores {
     let all = cores as u64 * 1000;
     all.saturating_sub(others).max(all / 2) * GIVEN.0 / GIVEN.1
 }
 
 /// What is busy on the machine, by a look at its clocks some time apart; nothing where it does not show them.
-pub fn busy(cores: usize) -> Millicores {
-    let Some(before) = fs::read_to_string("/proc/stat").ok().and_then(|text| clocks(&text)) else { return 0 };
+pub fn busy_millicores(cores: usize) -> Millicores {
+    let Some(before) = fs::read_to_string("/proc/stat").ok().and_then(|text| parse_cpu_times(&text)) else {
+        return 0;
+    };
     thread::sleep(LOOK);
-    let Some(after) = fs::read_to_string("/proc/stat").ok().and_then(|text| clocks(&text)) else { return 0 };
+    let Some(after) = fs::read_to_string("/proc/stat").ok().and_then(|text| parse_cpu_times(&text)) else {
+        return 0;
+    };
     let (busy, all) = (after.0.saturating_sub(before.0), after.1.saturating_sub(before.1));
     (cores as u64 * 1000 * busy).checked_div(all).unwrap_or(0)
 }
@@ -50,7 +54,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// The processor time, in seconds, of this process and of those that it started and that have ended.
-pub fn spent() -> Option<f64> {
+pub fn cpu_seconds_used() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
     // After the name: the state is the third field; user's and system's time the 14th to the 17th, in hundredths.
     let times = stat.rsplit(") ").next()?.split(' ').skip(11).take(4);
@@ -58,7 +62,7 @@
 }
 
 /// The busy part of the time of all cores, and the whole, as `/proc/stat` counts them.
-pub fn clocks(stat: &str) -> Option<(u64, u64)> {
+pub fn parse_cpu_times(stat: &str) -> Option<(u64, u64)> {
     let line = stat.lines().next()?.strip_prefix("cpu ")?;
     let times: Vec<u64> = line.split_whitespace().map_while(|time| time.parse().ok()).collect();
     // user, nice, system, idle, iowait, irq, softirq, steal; what follows is counted in user already.
@@ -91,7 +95,7 @@
     }
 
     /// Waits until there is room. Whatever takes more than all of it plays alone.
-    pub fn admit(&self, demand: Millicores) -> Admitted<'_> {
+    pub fn admit(&self, demand: Millicores) -> Permit<'_> {
         let demand = demand.min(self.room);
         let mut taken = self.taken();
         let own = taken.comes;
@@ -101,27 +105,27 @@
         (taken.millicores, taken.enters) = (taken.millicores + demand, taken.enters + 1);
         // There may be room for the next as well.
         self.freed.notify_all();
-        Admitted { admission: self, demand }
+        Permit { admission: self, demand }
     }
 
     /// How many have asked so far.
-    pub fn asked(&self) -> u64 {
+    pub fn admissions_requested(&self) -> u64 {
         self.taken().comes
     }
 
     /// Waits until nothing plays, and lets nothing else in.
-    pub fn alone(&self) -> Admitted<'_> {
+    pub fn admit_exclusively(&self) -> Permit<'_> {
         self.admit(self.room)
     }
 }
 
 /// The room of one that plays, which is free again when this is dropped.
-pub struct Admitted<'a> {
+pub struct Permit<'a> {
     admission: &'a Admission,
     demand: Millicores,
 }
 
-impl Drop for Admitted<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
         self.admission.taken().millicores -= self.demand;
         self.admission.freed.notify_all();
--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -1,17 +1,17 @@
 //! What a chain of sidecars adds to a call, and how many calls reach its end. The caller, sidecar 1, app 1, sidecar 2 and so
 //! on to the last tier's servers; beside it the same chain without the sidecars. The two are played in turn, in short
 //! rounds, so that what the machine does meanwhile meets both alike, and each pair of rounds gives one difference.
-pub mod caller;
+pub mod client;
 pub mod report;
 pub mod statistics;
 pub mod tiers;
 pub mod usage;
 pub mod wire;
 
-use crate::play::ask;
+use crate::fakes::Discovery;
 use crate::processes::Sidecar;
-use crate::stand::Discovery;
-use caller::{call, Called, Calls};
+use crate::scene_runner::console_request;
+use client::{call, Called, Calls};
 use hdrhistogram::Histogram;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -98,7 +98,7 @@
 }
 
 fn ready(listen: SocketAddr) -> bool {
-    ask(listen, "GET", "/ready").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
+    console_request(listen, "GET", "/ready").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
 fn file(sidecar: &Sidecar, discovery: SocketAddr, seed: u64) -> String {
@@ -141,7 +141,7 @@
             next = tier.addresses.first().copied();
             if sidecars {
                 let mut sidecar = Sidecar::new(plan.program, &format!("n{number}"), &self.folder)?;
-                sidecar.write(&file(&sidecar, Discovery::start(&tier.addresses)?.address, seed))?;
+                sidecar.write_config(&file(&sidecar, Discovery::start(&tier.addresses)?.address, seed))?;
                 sidecar.start()?;
                 next = Some(sidecar.listen);
                 self.sidecars.insert(0, sidecar);
@@ -156,8 +156,8 @@
         let begun = Instant::now();
         for sidecar in &mut self.sidecars {
             while !ready(sidecar.listen) {
-                if sidecar.ended() || begun.elapsed() > STARTS {
-                    return Err(format!("{} does not serve:\n{}", sidecar.name, sidecar.log()));
+                if sidecar.has_exited() || begun.elapsed() > STARTS {
+                    return Err(format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text()));
                 }
                 thread::sleep(Duration::from_millis(20));
             }
@@ -172,7 +172,7 @@
 
     /// Of all sidecars; none where there are none, or one of them is not told.
     pub fn usage(&self) -> Option<Usage> {
-        let each = self.sidecars.iter().map(|sidecar| usage(sidecar.id()?));
+        let each = self.sidecars.iter().map(|sidecar| usage(sidecar.pid()?));
         each.reduce(|sum, one| {
             let (sum, one) = (sum?, one?);
             Some(Usage {
@@ -189,7 +189,7 @@
     }
 
     /// Plays one round to its last answer.
-    pub fn play(&mut self, rate: f64, lead: Duration, length: Duration) -> Result<Round, String> {
+    pub fn run(&mut self, rate: f64, lead: Duration, length: Duration) -> Result<Round, String> {
         let calls = Calls { rate, lead, length, first: self.given };
         self.given += calls.count();
         self.tiers.iter().for_each(|tier| _ = tier.take());
--- a/lab/src/chain/report.rs
+++ b/lab/src/chain/report.rs
@@ -1,5 +1,5 @@
 //! Plays the pairs of one depth and its slow round, and words what came of them, as text or as lines of JSON.
-use super::caller::LATE;
+use super::client::LATE;
 use super::statistics::{reach_bound, Interval};
 use super::{Chain, Plan, Round};
 use hdrhistogram::Histogram;
@@ -9,7 +9,7 @@
 
 /// What is played at each depth.
 #[derive(Clone, Copy)]
-pub struct Play {
+pub struct RunSettings {
     pub rate: f64,
     pub pairs: usize,
     pub length: Duration,
@@ -91,13 +91,13 @@
 }
 
 /// Plays one depth. Progress is told on standard error.
-pub fn play(plan: &Plan, play: &Play) -> Result<Report, String> {
+pub fn run(plan: &Plan, settings: &RunSettings) -> Result<Report, String> {
     let depth = plan.depth;
     let mut without = Chain::start(plan, false)?;
     let mut with = Chain::start(plan, true)?;
     let mut report = Report { depth, pairs: Vec::new(), slow: None, rest: None };
-    for number in 0..play.pairs {
-        let round = |chain: &mut Chain| chain.play(play.rate, play.lead, play.length);
+    for number in 0..settings.pairs {
+        let round = |chain: &mut Chain| chain.run(settings.rate, settings.lead, settings.length);
         // Every other pair begins with the other one.
         let (one, other) = if (number as u64 ^ plan.seed) & 1 == 0 {
             let one = round(&mut without)?;
@@ -106,18 +106,18 @@
             let other = round(&mut with)?;
             (round(&mut without)?, other)
         };
-        let pair = Pair::of(one, other, play.late_share);
-        eprintln!("oakhollow-lab: depth {depth}, pair {} of {}: {}", number + 1, play.pairs, pair.line());
+        let pair = Pair::of(one, other, settings.late_share);
+        eprintln!("oakhollow-lab: depth {depth}, pair {} of {}: {}", number + 1, settings.pairs, pair.line());
         report.pairs.push(pair);
     }
     if let (Some(before), begun) = (with.usage(), std::time::Instant::now()) {
         std::thread::sleep(Duration::from_secs(2));
         report.rest = with.usage().map(|after| (after - before, begun.elapsed().as_secs_f64()));
     }
-    if !play.slow.is_zero() {
+    if !settings.slow.is_zero() {
         eprintln!("oakhollow-lab: depth {depth}, the last tier slow");
-        with.slow_down(play.slow);
-        report.slow = Some(with.play(play.rate, play.lead, play.slow_length)?);
+        with.slow_down(settings.slow);
+        report.slow = Some(with.run(settings.rate, settings.lead, settings.slow_length)?);
     }
     Ok(report)
 }
@@ -191,14 +191,14 @@
         Some((0..self.depth).map(|tier| slow.reach(tier)).collect())
     }
 
-    pub fn text(&self, play: &Play) -> String {
+    pub fn text(&self, settings: &RunSettings) -> String {
         let mut out = String::new();
         let (depth, sound, all) = (self.depth, self.sound().count(), self.pairs.len());
-        let length = play.length.as_secs_f64();
+        let length = settings.length.as_secs_f64();
         let _ = writeln!(
             out,
             "depth {depth}, {} calls a second, {sound} of {all} pairs of {length} s give figures from when calls were due, 95 % intervals",
-            play.rate
+            settings.rate
         );
         for (name, interval) in self.added().into_iter().chain(self.cost()) {
             let _ = writeln!(out, "  {name}: {}", worded(interval));
@@ -217,7 +217,7 @@
             let _ = writeln!(
                 out,
                 "  hops at each tier for a call, the last one's answers take {} ms, one in 20 ten times that: {}",
-                play.slow.as_millis(),
+                settings.slow.as_millis(),
                 figures(&reach)
             );
             let called = &slow.called;
@@ -234,14 +234,14 @@
         let _ = writeln!(
             out,
             "  reckoned: if each tier adds at most {} of what reaches it, the last one gets {:.2} for a call",
-            play.budget,
-            reach_bound(play.budget, depth)
+            settings.budget,
+            reach_bound(settings.budget, depth)
         );
         out
     }
 
     /// A line for each pair, and one for all.
-    pub fn json(&self, play: &Play) -> Vec<Value> {
+    pub fn json(&self, settings: &RunSettings) -> Vec<Value> {
         let round = |round: &Round| {
             let Round { called, .. } = round;
             json!({
@@ -272,9 +272,9 @@
             json!({"wake_ups_a_second": used.wake_ups as f64 / each, "processor_us_a_second": used.processor_ns as f64 / 1e3 / each})
         });
         lines.push(json!({
-            "depth": depth, "rate": play.rate, "pairs": self.pairs.len(), "sound": self.sound().count(), "measures": measures,
-            "rest": rest, "reach": self.reach(), "slow_ms": play.slow.as_millis() as u64, "slow_reach": self.slow_reach(),
-            "slow": self.slow.as_ref().map(round), "budget": play.budget, "reach_bound": reach_bound(play.budget, depth),
+            "depth": depth, "rate": settings.rate, "pairs": self.pairs.len(), "sound": self.sound().count(), "measures": measures,
+            "rest": rest, "reach": self.reach(), "slow_ms": settings.slow.as_millis() as u64, "slow_reach": self.slow_reach(),
+            "slow": self.slow.as_ref().map(round), "budget": settings.budget, "reach_bound": reach_bound(settings.budget, depth),
         }));
         lines
     }
--- a/lab/src/chain/wire.rs
+++ b/lab/src/chain/wire.rs
@@ -87,7 +87,7 @@
     let text =
         |part: &[u8]| String::from_utf8(part.to_vec()).map_err(|_| Error::from(ErrorKind::InvalidData));
     let head = text(&bytes[..end + 4])?;
-    let length = crate::stand::header(&head, "Content-Length").and_then(|length| length.parse().ok());
+    let length = crate::fakes::header(&head, "Content-Length").and_then(|length| length.parse().ok());
     let all = end + 4 + length.unwrap_or(0);
     if bytes.len() < all {
         return Ok(None);
@@ -99,7 +99,7 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        crate::stand::header(&self.head, name)
+        crate::fakes::header(&self.head, name)
     }
 
     pub fn status(&self) -> u16 {
--- a/lab/src/crowd.rs
+++ b/lab/src/discovery_recovery.rs
@@ -1,7 +1,10 @@
 //! Part of a tier of hundreds whose discovery goes down, with all watches, and is back with less than all of them ask for at once: how
 //! long until each has heard from it again.
+use crate::harness::{
+    config_json, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome, ListedEndpoint, OutageKind,
+    ProcessConfig, RunValidity, SharedDiscovery, TempDir,
+};
 use crate::processes::Sidecar;
-use crate::shared::{all_serve, file, Capacity, Down, Folder, Listed, Met, Pulse, Ran, Shared, Told};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -36,12 +39,19 @@
 const LATE: f64 = 0.2;
 const LOOK: Duration = Duration::from_millis(50);
 
-fn start(program: &Path, case: &Case, folder: &Folder, discovery: &Shared) -> std::io::Result<Vec<Sidecar>> {
+fn start(
+    program: &Path, case: &Case, folder: &TempDir, discovery: &SharedDiscovery,
+) -> std::io::Result<Vec<Sidecar>> {
     let start = |at: usize| {
         let mut sidecar = Sidecar::new(program, &format!("n{at}"), folder.path())?;
-        let told =
-            Told { at, me: at, balancers: case.tier, console: false, ..Told::alone(discovery.address) };
-        sidecar.write(&file(&sidecar, &told))?;
+        let told = ProcessConfig {
+            at,
+            me: at,
+            balancers: case.tier,
+            console: false,
+            ..ProcessConfig::alone(discovery.address)
+        };
+        sidecar.write_config(&config_json(&sidecar, &told))?;
         sidecar.start()?;
         Ok(sidecar)
     };
@@ -49,32 +59,38 @@
 }
 
 /// Plays a case once.
-pub fn play(program: &Path, case: &Case) -> Result<(Report, Ran), String> {
+pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
     let failed = |fault: std::io::Error| fault.to_string();
-    let listed =
-        Listed { name: "s0".into(), address: crate::processes::free().map_err(failed)?, since_ms: 0 };
-    let discovery = Shared::start(vec![listed]).map_err(failed)?;
-    let folder = Folder::new("crowd");
+    let listed = ListedEndpoint {
+        name: "s0".into(),
+        address: crate::processes::reserve_address().map_err(failed)?,
+        since_ms: 0,
+    };
+    let discovery = SharedDiscovery::start(vec![listed]).map_err(failed)?;
+    let folder = TempDir::new("crowd");
     let mut sidecars = start(program, case, &folder, &discovery).map_err(failed)?;
-    all_serve(&mut sidecars)?;
-    let pulse = Pulse::start();
-    discovery.go_down(Down::TurnedAway);
+    wait_until_all_ready(&mut sidecars)?;
+    let delay_monitor = DelayMonitor::start();
+    discovery.go_down(OutageKind::Rejected);
     thread::sleep(case.down);
     discovery.come_back(Some(case.capacity)).map_err(failed)?;
     let back = Instant::now();
     let heard = || {
-        let calls = discovery.calls();
-        let told = calls.iter().filter(|(at, met)| *at >= back && *met == Met::Told);
+        let calls = discovery.requests();
+        let told = calls.iter().filter(|(at, met)| *at >= back && *met == DiscoveryOutcome::Served);
         told.map(|(at, _)| (*at - back).as_secs_f64()).collect::<Vec<_>>()
     };
     while heard().len() < case.processes && back.elapsed() < case.watched {
         thread::sleep(LOOK);
     }
-    let turned_away =
-        discovery.calls().iter().filter(|(at, met)| *at >= back && *met == Met::TurnedAway).count();
-    let ran = match pulse.worst() {
-        late if late > LATE => Ran::Late(format!("the rig ran {late:.3} s late")),
-        _ => Ran::InTime,
+    let turned_away = discovery
+        .requests()
+        .iter()
+        .filter(|(at, met)| *at >= back && *met == DiscoveryOutcome::Rejected)
+        .count();
+    let ran = match delay_monitor.max_delay_s() {
+        late if late > LATE => RunValidity::HarnessLate(format!("the rig ran {late:.3} s late")),
+        _ => RunValidity::Valid,
     };
     Ok((Report { heard: heard(), turned_away }, ran))
 }
--- a/lab/src/stand.rs
+++ b/lab/src/fakes.rs
@@ -1,6 +1,6 @@
 //! Stand-ins: servers that note each hop, discoveries that tell a list, and callers with a constant load.
-use crate::judge::{Answered, Hop};
-use crate::scene::Told;
+use crate::checker::{Attempt, ResponseSeen};
+use crate::scene::ListChange;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -9,11 +9,11 @@
 
 /// What all stand-ins write down.
 #[derive(Default)]
-pub struct Notes {
-    pub hops: Mutex<Vec<Hop>>,
-    pub answers: Mutex<Vec<Answered>>,
+pub struct Observations {
+    pub attempts: Mutex<Vec<Attempt>>,
+    pub responses: Mutex<Vec<ResponseSeen>>,
     /// Calls that went out later than they should have.
-    pub late: Mutex<usize>,
+    pub late_requests: Mutex<usize>,
 }
 
 /// The longest head, in bytes.
@@ -37,7 +37,7 @@
 }
 
 /// The answer of a service that is down, or has too many callers.
-pub fn turn_away(stream: &mut TcpStream) -> Option<()> {
+pub fn reject(stream: &mut TcpStream) -> Option<()> {
     stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").ok()
 }
 
@@ -49,7 +49,7 @@
 }
 
 /// A connection as a caller has it.
-pub fn dial(to: SocketAddr) -> Option<BufReader<TcpStream>> {
+pub fn connect(to: SocketAddr) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect(to).ok()?;
     stream.set_nodelay(true).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
@@ -57,14 +57,14 @@
 }
 
 /// Asks on a connection: the status, and whether the connection lasts.
-pub fn ask(stream: &mut BufReader<TcpStream>, asked: &str) -> Option<(u16, bool)> {
+pub fn send_request(stream: &mut BufReader<TcpStream>, asked: &str) -> Option<(u16, bool)> {
     stream.get_mut().write_all(asked.as_bytes()).ok()?;
     let head = read_head(stream)?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some((status, header(&head, "Connection") != Some("close")))
 }
 
-pub fn each(listener: TcpListener, work: impl Fn(TcpStream) + Clone + Send + 'static) {
+pub fn serve_connections(listener: TcpListener, work: impl Fn(TcpStream) + Clone + Send + 'static) {
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let work = work.clone();
@@ -74,10 +74,10 @@
 }
 
 /// A server that answers at once; calls whose workload's name begins with `fails` with an error.
-pub fn server(number: usize, begun: Instant, notes: Arc<Notes>) -> std::io::Result<SocketAddr> {
+pub fn start_server(number: usize, begun: Instant, notes: Arc<Observations>) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    each(listener, move |stream| {
+    serve_connections(listener, move |stream| {
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Some(head) = read_head(&mut stream) {
@@ -89,8 +89,8 @@
                 true => b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
                 false => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             };
-            let hop = Hop { at, sidecar, server: number, workload, id };
-            notes.hops.lock().unwrap_or_else(PoisonError::into_inner).push(hop);
+            let hop = Attempt { at, sidecar, server: number, workload, id };
+            notes.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(hop);
             if stream.get_mut().write_all(answer).is_err() {
                 return;
             }
@@ -109,12 +109,17 @@
 
 impl Entry {
     fn json(&self) -> String {
-        entry(&self.name, self.address, if self.leaving { "leaving" } else { "active" }, self.since_ms)
+        endpoint_json(
+            &self.name,
+            self.address,
+            if self.leaving { "leaving" } else { "active" },
+            self.since_ms,
+        )
     }
 }
 
 /// One server, as a list words it.
-pub fn entry(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> String {
+pub fn endpoint_json(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","group":0,"status":"{status}","weight":1.0,"since_ms":{since_ms}}}"#
     )
@@ -147,10 +152,10 @@
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
-    fn tell(&mut self, told: Told, server: usize, address: SocketAddr) {
+    fn tell(&mut self, told: ListChange, server: usize, address: SocketAddr) {
         let name = format!("s{server}");
         self.index += 1;
-        if told == Told::Gone {
+        if told == ListChange::Removed {
             self.entries.retain(|entry| entry.name != name);
             let whole = self.whole();
             return self.lines.push(whole);
@@ -160,8 +165,8 @@
             self.entries.len() - 1
         });
         let entry = &mut self.entries[at];
-        entry.leaving = told == Told::Drain;
-        if told == Told::Again {
+        entry.leaving = told == ListChange::Draining;
+        if told == ListChange::Restarted {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             entry.since_ms = unix.as_millis() as u64;
         }
@@ -172,7 +177,7 @@
 }
 
 /// The whole list as every discovery begins with it.
-pub fn first_list(servers: &[SocketAddr]) -> String {
+pub fn initial_list(servers: &[SocketAddr]) -> String {
     Listing::first(servers).whole()
 }
 
@@ -194,7 +199,7 @@
         let listing = Listing::first(servers);
         let (address, listing) = (listener.local_addr()?, Arc::new((Mutex::new(listing), Condvar::new())));
         let discovery = Discovery { address, listing: listing.clone() };
-        each(listener, move |stream| _ = watch(stream, &listing));
+        serve_connections(listener, move |stream| _ = watch(stream, &listing));
         Ok(discovery)
     }
 
@@ -204,7 +209,7 @@
         changed.notify_all();
     }
 
-    pub fn tell(&self, told: Told, server: usize, address: SocketAddr) {
+    pub fn tell(&self, told: ListChange, server: usize, address: SocketAddr) {
         self.change(|listing| listing.tell(told, server, address));
     }
 
@@ -253,9 +258,9 @@
 
 /// Calls one workload at one sidecar, so many a second, until the end, which may be set meanwhile. Each call is counted
 /// from when it was due.
-pub fn caller(
+pub fn run_client(
     to: SocketAddr, (sidecar, workload): (usize, &str), rate: f64, begun: Instant, end: impl Fn() -> f64,
-    notes: &Notes,
+    notes: &Observations,
 ) {
     let mut stream: Option<BufReader<TcpStream>> = None;
     for call in 0.. {
@@ -267,7 +272,7 @@
         if due > now {
             thread::sleep(Duration::from_secs_f64(due - now));
         } else if now > due + 0.1 {
-            *notes.late.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+            *notes.late_requests.lock().unwrap_or_else(PoisonError::into_inner) += 1;
             // Open loop: what could not be asked in time is not asked later in a crowd.
             if now > due + 1.0 {
                 continue;
@@ -276,20 +281,20 @@
         // A call sent once more by us is another call: whatever repeats an id is the sidecar's doing.
         let asked = |stream: &mut BufReader<TcpStream>, again: &str| {
             let asked = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {sidecar}-{workload}-{call}{again}\r\nRequest-Timeout-Ms: 900\r\n\r\n");
-            ask(stream, &asked)
+            send_request(stream, &asked)
         };
         // Its connection may have been closed for being idle.
         let at = begun.elapsed().as_secs_f64();
         let mut answer = stream.as_mut().and_then(|stream| asked(stream, ""));
         if answer.is_none() && stream.take().is_none_or(|_| begun.elapsed().as_secs_f64() < at + 0.05) {
-            stream = dial(to);
+            stream = connect(to);
             answer = stream.as_mut().and_then(|stream| asked(stream, "b"));
         }
         if !answer.is_some_and(|(_, lasts)| lasts) {
             stream = None;
         }
         let status = answer.map(|(status, _)| status);
-        let mut answers = notes.answers.lock().unwrap_or_else(PoisonError::into_inner);
-        answers.push(Answered { at, sidecar, status });
+        let mut answers = notes.responses.lock().unwrap_or_else(PoisonError::into_inner);
+        answers.push(ResponseSeen { at, sidecar, status });
     }
 }
--- a/lab/src/large_list/catalogue.rs
+++ b/lab/src/large_list/catalogue.rs
@@ -1,6 +1,6 @@
 //! What a discovery has: the endpoints that are listed, version by version.
 use super::endpoints::EndpointNo;
-use crate::stand::entry;
+use crate::fakes::endpoint_json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -23,7 +23,7 @@
 }
 
 fn worded((endpoint, address): &(EndpointNo, SocketAddr), status: &str) -> String {
-    entry(&format!("s-{:08x}", endpoint.0), *address, status, 0)
+    endpoint_json(&format!("s-{:08x}", endpoint.0), *address, status, 0)
 }
 
 fn line(index: usize, snapshot: bool, entries: &[String]) -> String {
--- a/lab/src/large_list/discovery.rs
+++ b/lab/src/large_list/discovery.rs
@@ -1,8 +1,8 @@
 //! A discovery that answers with large lists and has trouble in answering: it is slow, late, silent, cut off, down or has too many callers.
 use super::catalogue::Catalogue;
 use super::endpoints::EndpointNo;
-use crate::shared::lock;
-use crate::stand::{each, read_head, turn_away};
+use crate::fakes::{read_head, reject, serve_connections};
+use crate::harness::lock;
 use rustix::net::sockopt;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -89,7 +89,7 @@
         };
         let discovery = Discovery { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
         let serving = discovery.clone();
-        each(listener, move |stream| _ = serving.serve(stream));
+        serve_connections(listener, move |stream| _ = serving.serve(stream));
         Ok(discovery)
     }
 
@@ -146,7 +146,7 @@
         match conduct {
             Conduct::TurnsAway(after) => {
                 thread::sleep(after);
-                turn_away(&mut stream)
+                reject(&mut stream)
             }
             Conduct::Answers(pace) => self.watch(&mut stream, pace, life),
         }
--- a/lab/src/large_list/endpoints.rs
+++ b/lab/src/large_list/endpoints.rs
@@ -1,7 +1,7 @@
 //! Thousands of stand-in endpoints on one listener: each has an address of its own in the loopback range, by which a request tells
 //! whom it was sent to.
-use crate::shared::lock;
-use crate::stand::{each, read_head};
+use crate::fakes::{read_head, serve_connections};
+use crate::harness::lock;
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -37,7 +37,7 @@
         let port = listener.local_addr()?.port();
         let received = Arc::<Mutex<Vec<Received>>>::default();
         let log = received.clone();
-        each(listener, move |stream| {
+        serve_connections(listener, move |stream| {
             let endpoint = match stream.local_addr().map(|address| address.ip()) {
                 Ok(IpAddr::V4(host)) => EndpointNo(u32::from(host).wrapping_sub(FIRST_HOST) as usize),
                 _ => return,
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -4,9 +4,9 @@
 pub mod discovery;
 pub mod endpoints;
 
+use crate::fakes::{run_client, Observations};
+use crate::harness::{config_json, wait_until_all_ready, DelayMonitor, ProcessConfig, RunValidity, TempDir};
 use crate::processes::Sidecar;
-use crate::shared::{all_serve, file, Folder, Pulse, Ran, Told};
-use crate::stand::{caller, Notes};
 use catalogue::Catalogue;
 use discovery::{Conduct, Discovery};
 use endpoints::{EndpointNo, Endpoints};
@@ -91,25 +91,25 @@
 }
 
 /// Plays a case once.
-pub fn play(program: &Path, case: &Case) -> Result<(Report, Ran), String> {
+pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
     let failed = |fault: std::io::Error| fault.to_string();
     let endpoints = Endpoints::start().map_err(failed)?;
     let listed = (0..case.endpoints).map(EndpointNo).map(|one| (one, endpoints.address(one)));
     let discovery = Discovery::start(Catalogue::new(listed)).map_err(failed)?;
-    let folder = Folder::new("large-list");
+    let folder = TempDir::new("large-list");
     let mut sidecar = Sidecar::new(program, "n0", folder.path()).map_err(failed)?;
-    sidecar.write(&settings(&sidecar, &discovery)).map_err(failed)?;
+    sidecar.write_config(&settings(&sidecar, &discovery)).map_err(failed)?;
     sidecar.start().map_err(failed)?;
-    all_serve(std::slice::from_mut(&mut sidecar))?;
-    let (pulse, begun) = (Pulse::start(), Instant::now());
-    let notes = Arc::<Notes>::default();
+    wait_until_all_ready(std::slice::from_mut(&mut sidecar))?;
+    let (delay_monitor, begun) = (DelayMonitor::start(), Instant::now());
+    let notes = Arc::<Observations>::default();
     let trouble = begun + QUIET;
     let length = (QUIET + case.length).as_secs_f64();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
             let (notes, to) = (notes.clone(), sidecar.listen);
             let rate = REQUESTS_A_SECOND / CLIENTS as f64;
-            scope.spawn(move || caller(to, (client, "view"), rate, begun, || length, &notes));
+            scope.spawn(move || run_client(to, (client, "view"), rate, begun, || length, &notes));
         }
         scope.spawn(|| begin_trouble(case, &discovery, trouble));
         scope.spawn(|| replace_endpoints(case, &discovery, &endpoints, trouble));
@@ -120,16 +120,16 @@
             }
         });
     });
-    let report = report(case, &discovery, &endpoints, &notes, trouble, sidecar.log());
-    let ran = match pulse.worst() {
-        late if late > LATE => Ran::Late(format!("the rig ran {late:.3} s late")),
-        _ => Ran::InTime,
+    let report = report(case, &discovery, &endpoints, &notes, trouble, sidecar.log_text());
+    let ran = match delay_monitor.max_delay_s() {
+        late if late > LATE => RunValidity::HarnessLate(format!("the rig ran {late:.3} s late")),
+        _ => RunValidity::Valid,
     };
     Ok((report, ran))
 }
 
 fn settings(sidecar: &Sidecar, discovery: &Discovery) -> String {
-    let text = file(sidecar, &Told::alone(discovery.address));
+    let text = config_json(sidecar, &ProcessConfig::alone(discovery.address));
     let grace = format!(r#""rules":{{"stop_sending_within_s":{},"#, GRACE.as_secs_f64());
     text.replace(r#""rules":{"#, &grace)
 }
@@ -179,7 +179,8 @@
 }
 
 fn report(
-    case: &Case, discovery: &Discovery, endpoints: &Endpoints, notes: &Notes, trouble: Instant, log: String,
+    case: &Case, discovery: &Discovery, endpoints: &Endpoints, notes: &Observations, trouble: Instant,
+    log: String,
 ) -> Report {
     let forbidden = forbidden_from(case, discovery, trouble);
     let received = endpoints.received();
@@ -193,7 +194,7 @@
         .collect();
     breaks.sort_by(|one, other| one.at.total_cmp(&other.at));
     let mut answers = vec![(0, 0); case.length.as_secs() as usize + 1];
-    for answered in crate::shared::lock(&notes.answers).iter() {
+    for answered in crate::harness::lock(&notes.responses).iter() {
         let second = answered.at - QUIET.as_secs_f64();
         if let Some((all, served)) = answers.get_mut(second as usize).filter(|_| second >= 0.0) {
             *all += 1;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -2,21 +2,21 @@
 //! relay on every link between instances, faults by script, and a judge who reads what servers and callers saw.
 //! A scene is a small text file, see [`scene`].
 pub mod admission;
-pub mod budget;
 pub mod chain;
-pub mod crowd;
-pub mod judge;
+pub mod checker;
+pub mod discovery_recovery;
+pub mod fakes;
+pub mod harness;
 pub mod large_list;
-pub mod play;
 pub mod processes;
-pub mod ramp;
 pub mod relay;
-pub mod replays;
+pub mod reruns;
 pub mod restart;
 pub mod scale;
 pub mod scene;
-pub mod shared;
+pub mod scene_runner;
+pub mod slow_start;
+pub mod slow_start_limit;
 pub mod soak;
-pub mod stand;
 pub mod stand_in;
 pub mod traffic;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,16 +1,16 @@
 //! `oakhollow-lab`: plays scenes with many processes of the program.
 use clap::{Parser, Subcommand};
-use oakhollow_lab::admission::{demand, spent};
+use oakhollow_lab::admission::{cpu_seconds_used, estimated_demand};
 use oakhollow_lab::chain;
-use oakhollow_lab::play::{self, play, Arm};
 use oakhollow_lab::scale::catalogue::Shape;
 use oakhollow_lab::scale::day::Day;
 use oakhollow_lab::scale::report;
 use oakhollow_lab::scale::run::{step, Plan};
 use oakhollow_lab::scene::Scene;
+use oakhollow_lab::scene_runner::{self, run_scene, RunOptions};
 use oakhollow_lab::soak;
 use oakhollow_lab::soak::trouble::Trouble;
-use oakhollow_lab::stand_in::{run, How};
+use oakhollow_lab::stand_in::{run as run_stand_in, Behaviour};
 use oakhollow_lab::traffic::{measure, Report};
 use oakhollow_terms::Scope;
 use std::path::{Path, PathBuf};
@@ -102,7 +102,7 @@
     /// Stands in for a sidecar, in a scene.
     #[command(hide = true)]
     StandIn {
-        how: How,
+        how: Behaviour,
         file: PathBuf,
         #[arg(long)]
         operator: PathBuf,
@@ -202,7 +202,7 @@
     let (mut pairs, mut clean) = (soak::report::Pairs::default(), true);
     for seed in args.seed..args.seed + args.seeds {
         let plan = soak::Plan { seed, processes: args.processes, length, without: without.clone() };
-        match soak::play(&program, &plan) {
+        match soak::run(&program, &plan) {
             Ok(report) => {
                 print!("{report}");
                 if args.timetable {
@@ -274,25 +274,25 @@
     ExitCode::from(u8::from(!whole))
 }
 
-fn tell(file: &str, scene: &Scene, report: &play::Report, took: f64, json: bool) {
-    let settings = report.contradiction.as_ref().map_or(0.0, |found| found.length);
-    let drains = report.in_vain.as_ref().map_or(0.0, |found| found.length);
+fn tell(file: &str, scene: &Scene, report: &scene_runner::Report, took: f64, json: bool) {
+    let settings = report.contradiction.as_ref().map_or(0.0, |found| found.duration_s);
+    let drains = report.drain_violation.as_ref().map_or(0.0, |found| found.duration_s);
     let length = settings.max(drains);
     if json {
         let line = serde_json::json!({
-            "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.within, "hops": report.hops,
-            "answers": report.answers, "unanswered": report.unanswered, "faults": report.faults,
-            "millicores": took.round(), "reckoned_millicores": demand(scene),
+            "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.within, "hops": report.attempts,
+            "answers": report.responses, "unanswered": report.unanswered, "faults": report.failures,
+            "millicores": took.round(), "reckoned_millicores": estimated_demand(scene),
         });
         return println!("{line}");
     }
-    report.faults.iter().for_each(|fault| println!("{file}: {fault}"));
+    report.failures.iter().for_each(|fault| println!("{file}: {fault}"));
     println!(
         "{file}: {} hops, {} answers, {} calls without one",
-        report.hops, report.answers, report.unanswered
+        report.attempts, report.responses, report.unanswered
     );
     println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.within);
-    println!("{file}: took {took:.0} thousandths of a core, reckoned {}", demand(scene));
+    println!("{file}: took {took:.0} thousandths of a core, reckoned {}", estimated_demand(scene));
 }
 
 fn positive(text: &str) -> Result<f64, String> {
@@ -306,8 +306,8 @@
 }
 
 /// False if it could not be played.
-fn play_chain(plan: &chain::Plan, to_play: &chain::report::Play, json: bool) -> bool {
-    match chain::report::play(plan, to_play) {
+fn play_chain(plan: &chain::Plan, to_play: &chain::report::RunSettings, json: bool) -> bool {
+    match chain::report::run(plan, to_play) {
         Ok(report) if json => report.json(to_play).iter().for_each(|line| println!("{line}")),
         Ok(report) => print!("{}", report.text(to_play)),
         Err(why) => {
@@ -321,7 +321,7 @@
 fn main() -> ExitCode {
     match Args::parse().command {
         Command::StandIn { how, file, operator } => {
-            let why = run(&file, &operator, how).err().unwrap_or_default();
+            let why = run_stand_in(&file, &operator, how).err().unwrap_or_default();
             eprintln!("oakhollow-lab: stand-in: {why}");
             ExitCode::FAILURE
         }
@@ -356,7 +356,7 @@
             program,
         } => {
             let program = program.unwrap_or_else(beside);
-            let to_play = chain::report::Play {
+            let to_play = chain::report::RunSettings {
                 rate,
                 pairs,
                 length: Duration::from_secs_f64(seconds),
@@ -377,8 +377,8 @@
         Command::Play { files, seed, json, alone, program, logs } => {
             let own = std::env::current_exe().unwrap_or_default();
             let program = program.unwrap_or_else(beside);
-            let arm = Arm { program: &program, stand_in: &own, agreed: !alone, seed };
-            match files.iter().filter(|file| !play_one(file, &arm, json, logs)).count() {
+            let options = RunOptions { program: &program, lab_program: &own, with_accord: !alone, seed };
+            match files.iter().filter(|file| !play_one(file, &options, json, logs)).count() {
                 0 => ExitCode::SUCCESS,
                 _ => ExitCode::FAILURE,
             }
@@ -387,13 +387,13 @@
 }
 
 /// False if anything that the scene expects does not hold.
-fn play_one(file: &Path, arm: &Arm, json: bool, logs: bool) -> bool {
+fn play_one(file: &Path, options: &RunOptions, json: bool, logs: bool) -> bool {
     let name = file.display().to_string();
-    let (before, begun) = (spent(), Instant::now());
+    let (before, begun) = (cpu_seconds_used(), Instant::now());
     let read = std::fs::read_to_string(file).map_err(|fault| fault.to_string());
     let played = read.and_then(|text| {
-        let scene = Scene::read(&text)?;
-        let report = play(&scene, arm).map_err(|why| why.to_string())?;
+        let scene = Scene::parse(&text)?;
+        let report = run_scene(&scene, options).map_err(|why| why.to_string())?;
         Ok((scene, report))
     });
     match played {
@@ -401,9 +401,9 @@
             if logs {
                 report.logs.iter().for_each(|(name, log)| println!("--- {name}\n{log}"));
             }
-            let took = before.zip(spent()).map_or(0.0, |(before, after)| after - before);
+            let took = before.zip(cpu_seconds_used()).map_or(0.0, |(before, after)| after - before);
             tell(&name, &scene, &report, 1000.0 * took / begun.elapsed().as_secs_f64(), json);
-            report.faults.is_empty()
+            report.failures.is_empty()
         }
         Err(why) => {
             eprintln!("oakhollow-lab: {name}: {why}");
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -34,7 +34,7 @@
 
 /// An address that stays the process's when it is started again. Of the loopback range each has a host of its own: guards
 /// against a port that somebody's outgoing connection takes meanwhile.
-pub fn free() -> std::io::Result<SocketAddr> {
+pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static GIVEN: AtomicU32 = AtomicU32::new(0);
     let (given, own) = (GIVEN.fetch_add(1, Ordering::Relaxed), std::process::id());
     let host = [127, 64 + (own >> 8) as u8 % 64, own as u8, 1 + (given % 250) as u8];
@@ -47,8 +47,8 @@
         fs::create_dir_all(&folder)?;
         Ok(Sidecar {
             name: name.into(),
-            listen: free()?,
-            console: free()?,
+            listen: reserve_address()?,
+            console: reserve_address()?,
             program: program.into(),
             folder,
             operator: false,
@@ -61,7 +61,7 @@
     }
 
     /// Has a stand-in take the program's place.
-    pub fn stand_in(&mut self, program: &Path, how: &str) {
+    pub fn use_stand_in(&mut self, program: &Path, how: &str) {
         self.program = program.into();
         self.stands_in = vec!["stand-in".into(), how.into()];
     }
@@ -73,7 +73,7 @@
     }
 
     /// From now on the library of faults is loaded into its processes.
-    pub fn bend(&mut self) -> std::io::Result<()> {
+    pub fn enable_faults(&mut self) -> std::io::Result<()> {
         let library = library(&self.program).ok_or_else(|| {
             let beside = self.program.display();
             let text = format!("no library of faults beside {beside}: {BUILDS_LIBRARY} builds it");
@@ -94,38 +94,38 @@
     }
 
     /// Starts a second process beside the first.
-    pub fn replace(&mut self) -> std::io::Result<()> {
+    pub fn start_second(&mut self) -> std::io::Result<()> {
         self.first = self.child.take();
         self.start()
     }
 
     /// Asks the first process to end.
-    pub fn part(&self) {
+    pub fn terminate_first(&self) {
         if let Some(id) = self.first.as_ref().and_then(|first| Pid::from_raw(first.id() as i32)) {
             let _ = kill_process(id, Signal::TERM);
         }
     }
 
     /// Has it read its file again.
-    pub fn reread(&self) {
+    pub fn reload(&self) {
         if self.stands_in.is_empty() {
             self.signal(Signal::HUP);
         }
     }
 
     /// Writes its file whole, or not at all.
-    pub fn write(&self, text: &str) -> std::io::Result<()> {
+    pub fn write_config(&self, text: &str) -> std::io::Result<()> {
         fs::write(self.folder.join("new.json"), text)?;
         fs::rename(self.folder.join("new.json"), self.folder.join("sidecar.json"))
     }
 
     /// Leaves half of its file.
-    pub fn spoil(&self) -> std::io::Result<()> {
+    pub fn truncate_config(&self) -> std::io::Result<()> {
         let text = fs::read_to_string(self.folder.join("sidecar.json"))?;
         fs::write(self.folder.join("sidecar.json"), &text[..text.len() / 2])
     }
 
-    pub fn write_operator(&mut self, text: &str) -> std::io::Result<()> {
+    pub fn write_operator_config(&mut self, text: &str) -> std::io::Result<()> {
         self.operator = true;
         fs::write(self.folder.join("operator.toml"), text)
     }
@@ -167,7 +167,7 @@
     }
 
     /// Sends a signal to one of its processes by id, if that has not been waited for yet.
-    pub fn signal_one(&self, id: u32, signal: Signal) {
+    pub fn signal_child(&self, id: u32, signal: Signal) {
         let ours = [&self.child, &self.first].into_iter().flatten().any(|child| child.id() == id);
         if let Some(id) = Pid::from_raw(id as i32).filter(|_| ours) {
             let _ = kill_process(id, signal);
@@ -175,12 +175,12 @@
     }
 
     /// Of the process that runs; none where none does.
-    pub fn id(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     /// Where its file stands.
-    pub fn path(&self) -> PathBuf {
+    pub fn config_path(&self) -> PathBuf {
         self.folder.join("sidecar.json")
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// The first of two processes has ended; also where there are not two.
-    pub fn first_ended(&mut self) -> bool {
+    pub fn first_has_exited(&mut self) -> bool {
         let ended = self.first.as_mut().is_none_or(|first| !matches!(first.try_wait(), Ok(None)));
         if ended {
             self.first = None;
@@ -215,11 +215,11 @@
     }
 
     /// Has ended by itself.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    pub fn log(&self) -> String {
+    pub fn log_text(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 }
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -1,10 +1,11 @@
 //! Dozens of processes killed at once and started again while discovery is down: how long until each is ready, and how their
 //! calls to discovery are spread once it is back.
-use crate::processes::Sidecar;
-use crate::shared::{
-    all_serve, file, view, Capacity, Down, Folder, Listed, Met, Pulse, Ran, Shared, Told, READY,
+use crate::fakes::{connect, read_head, send_request};
+use crate::harness::{
+    config_json, view_request, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome,
+    ListedEndpoint, OutageKind, ProcessConfig, RunValidity, SharedDiscovery, TempDir, READY_REQUEST,
 };
-use crate::stand::{ask, dial, read_head};
+use crate::processes::Sidecar;
 use rustix::process::Signal;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -18,7 +19,7 @@
     pub processes: usize,
     /// Whether the platform leaves the list in each one's file.
     pub known: bool,
-    pub down: Down,
+    pub down: OutageKind,
     /// How long discovery is down, from the kill on, in seconds.
     pub down_s: f64,
     /// What it has after its return.
@@ -29,10 +30,10 @@
     /// From each one's start until it was ready, in seconds, in order; infinite where it never was.
     pub ready: Vec<f64>,
     /// Calls to discovery, in seconds from its return, in order.
-    pub calls: Vec<(f64, Met)>,
+    pub calls: Vec<(f64, DiscoveryOutcome)>,
     /// Processes that serve a call in the end.
     pub serve: usize,
-    pub pulse: f64,
+    pub harness_delay_s: f64,
 }
 
 impl Report {
@@ -44,7 +45,7 @@
         times.iter().map(near).max().unwrap_or(0)
     }
 
-    pub fn count(&self, met: Met) -> usize {
+    pub fn count(&self, met: DiscoveryOutcome) -> usize {
         self.calls.iter().filter(|(_, how)| *how == met).count()
     }
 }
@@ -75,25 +76,25 @@
 
 struct Rig {
     sidecars: Vec<Sidecar>,
-    discovery: Shared,
+    discovery: SharedDiscovery,
     /// Goes last.
-    folder: Folder,
+    folder: TempDir,
 }
 
 impl Rig {
     fn build(program: &Path, case: &Case) -> std::io::Result<Rig> {
-        let named = |at| Ok(Listed { name: format!("s{at}"), address: server()?, since_ms: 0 });
-        let listed: Vec<Listed> = (0..3).map(named).collect::<std::io::Result<_>>()?;
+        let named = |at| Ok(ListedEndpoint { name: format!("s{at}"), address: server()?, since_ms: 0 });
+        let listed: Vec<ListedEndpoint> = (0..3).map(named).collect::<std::io::Result<_>>()?;
         let mut rig = Rig {
             sidecars: Vec::new(),
-            discovery: Shared::start(listed.clone())?,
-            folder: Folder::new("restart"),
+            discovery: SharedDiscovery::start(listed.clone())?,
+            folder: TempDir::new("restart"),
         };
         for at in 0..case.processes {
             let mut sidecar = Sidecar::new(program, &format!("n{at}"), rig.folder.path())?;
-            sidecar.write(&file(
+            sidecar.write_config(&config_json(
                 &sidecar,
-                &Told {
+                &ProcessConfig {
                     at,
                     me: at,
                     balancers: case.processes,
@@ -114,7 +115,8 @@
     /// Those which serve a call.
     fn serve(&self) -> usize {
         let asked = |sidecar: &&Sidecar| {
-            let answer = dial(sidecar.listen).and_then(|mut stream| ask(&mut stream, &view("one")));
+            let answer = connect(sidecar.listen)
+                .and_then(|mut stream| send_request(&mut stream, &view_request("one")));
             answer.is_some_and(|(status, _)| status == 200)
         };
         self.sidecars.iter().filter(asked).count()
@@ -126,9 +128,9 @@
     let mut connection = None;
     while started.elapsed() < WATCHED {
         if connection.is_none() {
-            connection = dial(to);
+            connection = connect(to);
         }
-        let answer = connection.as_mut().and_then(|connection| ask(connection, READY));
+        let answer = connection.as_mut().and_then(|connection| send_request(connection, READY_REQUEST));
         if answer.is_some_and(|(status, _)| status == 200) {
             return started.elapsed().as_secs_f64();
         }
@@ -139,15 +141,15 @@
 }
 
 /// Plays one case. An error means that the rig could not be built, or that not all served before the kill.
-pub fn play(program: &Path, case: &Case) -> Result<(Report, Ran), String> {
+pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
     let faulty = |fault: std::io::Error| fault.to_string();
     let mut rig = Rig::build(program, case).map_err(faulty)?;
-    all_serve(&mut rig.sidecars)?;
+    wait_until_all_ready(&mut rig.sidecars)?;
     let before = rig.serve();
     if before < case.processes {
         return Err(format!("{before} of {} serve before the kill", case.processes));
     }
-    let pulse = Pulse::start();
+    let delay_monitor = DelayMonitor::start();
     let killed = Instant::now();
     rig.sidecars.iter().for_each(|sidecar| sidecar.signal(Signal::KILL));
     rig.discovery.go_down(case.down);
@@ -173,13 +175,13 @@
     thread::sleep(settled.saturating_duration_since(Instant::now()));
     let since = |at: Instant| at.checked_duration_since(back).map(|after| after.as_secs_f64());
     let from_back = |at: Instant| since(at).unwrap_or_else(|| -(back - at).as_secs_f64());
-    let calls = rig.discovery.calls().into_iter().filter(|(at, _)| *at >= killed);
-    let mut calls: Vec<(f64, Met)> = calls.map(|(at, met)| (from_back(at), met)).collect();
+    let calls = rig.discovery.requests().into_iter().filter(|(at, _)| *at >= killed);
+    let mut calls: Vec<(f64, DiscoveryOutcome)> = calls.map(|(at, met)| (from_back(at), met)).collect();
     calls.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let worst = pulse.worst();
+    let worst = delay_monitor.max_delay_s();
     let ran = match worst > LATE_S {
-        true => Ran::Late(format!("the rig's pulse was {worst:.3} s late")),
-        false => Ran::InTime,
+        true => RunValidity::HarnessLate(format!("the rig's pulse was {worst:.3} s late")),
+        false => RunValidity::Valid,
     };
-    Ok((Report { ready, calls, serve: rig.serve(), pulse: worst }, ran))
+    Ok((Report { ready, calls, serve: rig.serve(), harness_delay_s: worst }, ran))
 }
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -62,8 +62,11 @@
     }
 
     /// What a list tells of some servers; `since` is when they last started.
-    pub fn told(&self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, Told)>) -> Listed {
-        let fact = |told: Told| Fact { since: told.since, out: told.out, first_hand: true, entry: None };
+    pub fn told(
+        &self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, EndpointState)>,
+    ) -> Listed {
+        let fact =
+            |told: EndpointState| Fact { since: told.since, out: told.out, first_hand: true, entry: None };
         let entries = servers.map(|(server, told)| (self.names[server].clone(), Some(fact(told))));
         Listed { index, whole, entries: entries.collect() }
     }
@@ -71,7 +74,7 @@
 
 /// How a list words a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Told {
+pub struct EndpointState {
     pub since: u64,
     pub out: bool,
 }
--- a/lab/src/scale/day.rs
+++ b/lab/src/scale/day.rs
@@ -14,7 +14,7 @@
 
 /// What is done at the beginning of a phase.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Deed {
+pub enum PhaseAction {
     Nothing,
     /// One instance's list tells that one server leaves.
     OneDrains,
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Phase {
     pub name: &'static str,
-    pub deed: Deed,
+    pub action: PhaseAction,
     /// How long it lasts, in lengths of a lease.
     pub leases: f64,
     /// Whether it gives figures.
@@ -38,12 +38,12 @@
     pub every_s: f64,
 }
 
-const fn phase(name: &'static str, deed: Deed, leases: f64, measured: bool) -> Phase {
-    Phase { name, deed, leases, measured, every_s: 0.0 }
+const fn phase(name: &'static str, action: PhaseAction, leases: f64, measured: bool) -> Phase {
+    Phase { name, action, leases, measured, every_s: 0.0 }
 }
 
-const fn again(name: &'static str, deed: Deed, leases: f64, every_s: f64) -> Phase {
-    Phase { name, deed, leases, measured: true, every_s }
+const fn again(name: &'static str, action: PhaseAction, leases: f64, every_s: f64) -> Phase {
+    Phase { name, action, leases, measured: true, every_s }
 }
 
 /// 5,900 changes a day are one in 14.6 s; ten times as many.
@@ -51,16 +51,21 @@
 /// A server that is replaced stays away for that long.
 const BETWEEN_SERVERS_S: f64 = 3.0;
 
-const SETTLING: Phase = phase("settling", Deed::Nothing, 2.0, false);
-const REST: Phase = phase("rest", Deed::Nothing, 4.0, true);
+const SETTLING: Phase = phase("settling", PhaseAction::Nothing, 2.0, false);
+const REST: Phase = phase("rest", PhaseAction::Nothing, 4.0, true);
 
 /// With T = 13 s the minute of a zone's loss is ten leases.
-const ZONE_DAY: &[Phase] =
-    &[SETTLING, REST, phase("lost", Deed::ZoneLost, 10.0, true), phase("back", Deed::ZoneBack, 8.0, true)];
+const ZONE_DAY: &[Phase] = &[
+    SETTLING,
+    REST,
+    phase("lost", PhaseAction::ZoneLost, 10.0, true),
+    phase("back", PhaseAction::ZoneBack, 8.0, true),
+];
 /// T is 2.06 leases.
-const REST_DAY: &[Phase] = &[SETTLING, REST, phase("drain", Deed::OneDrains, 2.06, true)];
-const CHANGE_DAY: &[Phase] = &[SETTLING, REST, again("change", Deed::Write, 10.0, BETWEEN_CHANGES_S)];
-const RELEASE_DAY: &[Phase] = &[SETTLING, REST, again("release", Deed::ReplaceOne, 10.0, BETWEEN_SERVERS_S)];
+const REST_DAY: &[Phase] = &[SETTLING, REST, phase("drain", PhaseAction::OneDrains, 2.06, true)];
+const CHANGE_DAY: &[Phase] = &[SETTLING, REST, again("change", PhaseAction::Write, 10.0, BETWEEN_CHANGES_S)];
+const RELEASE_DAY: &[Phase] =
+    &[SETTLING, REST, again("release", PhaseAction::ReplaceOne, 10.0, BETWEEN_SERVERS_S)];
 
 impl Day {
     pub fn phases(self) -> &'static [Phase] {
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,10 +1,10 @@
 //! The real processes of a step: keepers, and sidecars that carry calls, each with a stand-in discovery.
 use super::usage::{self, Usage};
-use crate::play::{ask, healthy};
-use crate::processes::{free, Sidecar};
-use crate::scene::Told;
-use crate::stand::{self, Discovery, Notes};
-use crate::stand_in::document;
+use crate::fakes::{self, Discovery, Observations};
+use crate::processes::{reserve_address, Sidecar};
+use crate::scene::ListChange;
+use crate::scene_runner::{console_request, is_healthy};
+use crate::stand_in::read_instance_file;
 use oakhollow_accord::Document;
 use oakhollow_terms::Scope;
 use std::net::SocketAddr;
@@ -57,19 +57,20 @@
 }
 
 impl Fleet {
-    pub fn start(wanted: &Wanted, begun: Instant, notes: &Arc<Notes>) -> Result<Fleet, String> {
+    pub fn start(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> Result<Fleet, String> {
         Fleet::build(wanted, begun, notes).map_err(|fault| fault.to_string())
     }
 
-    fn build(wanted: &Wanted, begun: Instant, notes: &Arc<Notes>) -> std::io::Result<Fleet> {
+    fn build(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> std::io::Result<Fleet> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let unique =
             format!("oakhollow-scale-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
         let servers: Vec<SocketAddr> = (0..wanted.servers)
-            .map(|at| stand::server(at, begun, notes.clone()))
+            .map(|at| fakes::start_server(at, begun, notes.clone()))
             .collect::<std::io::Result<_>>()?;
-        let keepers: Vec<SocketAddr> = (0..KEEPERS).map(|_| free()).collect::<std::io::Result<_>>()?;
+        let keepers: Vec<SocketAddr> =
+            (0..KEEPERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
         let names: Vec<String> = (0..KEEPERS)
             .map(|at| format!("n{at}"))
             .chain((0..wanted.sidecars).map(|at| format!("r{at}")))
@@ -93,12 +94,12 @@
         for (at, name) in names.iter().enumerate() {
             let mut process = Sidecar::new(wanted.program, name, &fleet.folder)?;
             let discovery = Discovery::start(&fleet.servers)?;
-            process.write_operator(&operator)?;
-            process.write(&file(wanted, at, &process, &discovery, &fleet.servers))?;
+            process.write_operator_config(&operator)?;
+            process.write_config(&file(wanted, at, &process, &discovery, &fleet.servers))?;
             fleet.discoveries.push(discovery);
             fleet.processes.push(process);
         }
-        let first = document(&fleet.processes[0].path()).map_err(std::io::Error::other)?;
+        let first = read_instance_file(&fleet.processes[0].config_path()).map_err(std::io::Error::other)?;
         fleet.document = first.2;
         fleet.begun = Instant::now();
         fleet.processes.iter_mut().try_for_each(Sidecar::start)?;
@@ -107,14 +108,14 @@
 
     /// Waits until all answer at their consoles, which needs no lease.
     pub fn answers(&mut self) -> Result<(), String> {
-        self.wait(STARTS, |process| ask(process.console, "GET", "/healthcheck").is_some())?;
+        self.wait(STARTS, |process| console_request(process.console, "GET", "/healthcheck").is_some())?;
         self.answers_s = self.begun.elapsed().as_secs_f64();
         Ok(())
     }
 
     /// Waits until all serve.
     pub fn serves(&mut self, lease: Duration) -> Result<(), String> {
-        self.wait(STARTS + 4 * lease, |process| healthy(process.console))?;
+        self.wait(STARTS + 4 * lease, |process| is_healthy(process.console))?;
         self.serves_s = self.begun.elapsed().as_secs_f64();
         Ok(())
     }
@@ -122,8 +123,8 @@
     fn wait(&mut self, most: Duration, done: impl Fn(&Sidecar) -> bool) -> Result<(), String> {
         for process in &mut self.processes {
             while !done(process) {
-                if process.ended() || self.begun.elapsed() > most {
-                    return Err(format!("{} does not serve:\n{}", process.name, process.log()));
+                if process.has_exited() || self.begun.elapsed() > most {
+                    return Err(format!("{} does not serve:\n{}", process.name, process.log_text()));
                 }
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -132,26 +133,27 @@
     }
 
     /// Whether the list of the real ones names that server, and all their discoveries tell that of it.
-    pub fn lists_tell(&self, server: usize, told: Told) {
+    pub fn lists_tell(&self, server: usize, told: ListChange) {
         if let Some(address) = self.servers.get(server) {
             self.discoveries.iter().for_each(|discovery| discovery.tell(told, server, *address));
         }
     }
 
     pub fn usage(&self) -> Vec<Usage> {
-        let of = |process: &Sidecar| process.id().and_then(Usage::of).unwrap_or_default();
+        let of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
         self.processes.iter().map(of).collect()
     }
 
     /// Resident bytes of all together.
     pub fn resident(&self) -> u64 {
-        self.processes.iter().filter_map(Sidecar::id).filter_map(usage::resident).sum()
+        self.processes.iter().filter_map(Sidecar::pid).filter_map(usage::resident).sum()
     }
 
     /// One that has ended by itself.
     pub fn ended(&mut self) -> Option<String> {
-        let ended = self.processes.iter_mut().find_map(|process| process.ended().then_some(&*process))?;
-        let log = ended.log();
+        let ended =
+            self.processes.iter_mut().find_map(|process| process.has_exited().then_some(&*process))?;
+        let log = ended.log_text();
         let last: Vec<&str> = log.lines().rev().take(3).collect();
         Some(format!("{} has ended: {}", ended.name, last.join(" | ")))
     }
@@ -198,7 +200,7 @@
         wanted.seed.wrapping_mul(31).wrapping_add(at as u64),
         // A keeper keeps two links back for each instance; beside them what a file has that says nothing.
         1_024 + 2 * (wanted.hollow.len() + KEEPERS + wanted.sidecars),
-        stand::first_list(servers),
+        fakes::initial_list(servers),
         KEEPERS + wanted.sidecars,
         workloads.join(",")
     )
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -1,13 +1,13 @@
 //! One step of a scale run: so many hollow instances, one day, and what came of it.
-use super::catalogue::{self, Catalogue, Told};
+use super::catalogue::{self, Catalogue, EndpointState};
 use super::count::{Counts, Said};
-use super::day::{Day, Deed, Phase};
+use super::day::{Day, Phase, PhaseAction};
 use super::fleet::{Fleet, Wanted, CALLED, KEEPERS};
-use super::hollow::{Awaited, Born, Common};
 use super::shard::{Clock, Order, Shard};
+use super::simulated::{Awaited, Common, InstanceSpec};
 use super::usage::{self, Usage};
+use crate::fakes::{self, Observations};
 use crate::scene;
-use crate::stand::{self, Notes};
 use nanorand::WyRand;
 use oakhollow::types::Micros;
 use oakhollow_terms::Scope;
@@ -153,8 +153,8 @@
     fleet: Fleet,
     shards: Vec<Shard>,
     catalogue: Arc<Catalogue>,
-    born: Vec<Born>,
-    notes: Arc<Notes>,
+    born: Vec<InstanceSpec>,
+    notes: Arc<Observations>,
     /// When each server started last, in milliseconds of Unix time, as lists tell it.
     since: Vec<u64>,
     resident_peak: u64,
@@ -178,8 +178,8 @@
     let clock = Clock(Instant::now());
     let catalogue = Arc::new(Catalogue::new(plan.shape));
     let mut random = WyRand::new_seed(plan.seed);
-    let born: Vec<Born> = (0..instances)
-        .map(|at| Born {
+    let born: Vec<InstanceSpec> = (0..instances)
+        .map(|at| InstanceSpec {
             name: format!("h{at}"),
             zone: at % plan.shape.zones,
             list: catalogue.list_of(&mut random),
@@ -187,7 +187,7 @@
         })
         .collect();
     let hollow: Vec<String> = born.iter().map(|one| one.name.clone()).collect();
-    let notes = Arc::new(Notes::default());
+    let notes = Arc::new(Observations::default());
     let wanted = Wanted {
         program: plan.program,
         sidecars: plan.sidecars,
@@ -202,9 +202,9 @@
     let lease = oakhollow_accord::lease(oakhollow_terms::micros(plan.within));
     let common = Common { keepers: KEEPERS, lease, document: fleet.document.clone(), scope: plan.scope };
     let begun = clock.now();
-    let mut parts: Vec<Vec<Born>> = vec![Vec::new(); plan.threads.max(1)];
+    let mut parts: Vec<Vec<InstanceSpec>> = vec![Vec::new(); plan.threads.max(1)];
     for (at, one) in born.iter().enumerate() {
-        let later = Born { at: one.at + begun, ..one.clone() };
+        let later = InstanceSpec { at: one.at + begun, ..one.clone() };
         parts[at % plan.threads.max(1)].push(later);
     }
     let shards = parts.into_iter().enumerate().map(|(at, part)| {
@@ -219,7 +219,7 @@
     rig.all_act(lease)?;
     let acting_s = (clock.now() - begun).secs();
     progress(&format!("{instances} instances act after {acting_s:.1} s"));
-    let phases = rig.play(lease, progress);
+    let phases = rig.run(lease, progress);
     Ok(StepReport {
         instances,
         operator_bytes: rig.fleet.operator_bytes,
@@ -273,14 +273,14 @@
     }
 
     /// Plays the day's phases, while callers call.
-    fn play(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
+    fn run(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
         let (over, offset) = (AtomicBool::new(false), Instant::now());
         let begun = self.clock.0;
         std::thread::scope(|scope| {
             for (at, process) in self.fleet.processes.iter().enumerate().skip(KEEPERS) {
                 let (to, notes, rate, over) = (process.listen, self.notes.clone(), self.plan.rate, &over);
                 let end = move || if over.load(Ordering::Relaxed) { 0.0 } else { f64::INFINITY };
-                scope.spawn(move || stand::caller(to, (at, CALLED), rate, offset, end, &notes));
+                scope.spawn(move || fakes::run_client(to, (at, CALLED), rate, offset, end, &notes));
             }
             let mut reports = Vec::new();
             for phase in self.plan.day.phases() {
@@ -373,7 +373,7 @@
                 if deeds > 0 {
                     self.see_heard(told_at, &mut heard);
                 }
-                (told_at, heard.listeners) = self.does(phase.deed, deeds);
+                (told_at, heard.listeners) = self.does(phase.action, deeds);
                 deeds += 1;
                 next = (phase.every_s > 0.0).then_some(due + phase.every_s);
             }
@@ -386,7 +386,7 @@
             }
         }
         let length_s = (self.clock.now() - Micros(from as u64 * 1_000_000)).secs();
-        let heard = (phase.deed != Deed::Nothing).then(|| {
+        let heard = (phase.action != PhaseAction::Nothing).then(|| {
             self.see_heard(told_at, &mut heard);
             heard.after_s.sort_by(f64::total_cmp);
             heard
@@ -423,30 +423,30 @@
     }
 
     /// Does what a phase does, for that time in it. When it was ordered, and how many are to hear of it.
-    fn does(&mut self, deed: Deed, time: usize) -> (Micros, usize) {
+    fn does(&mut self, action: PhaseAction, time: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
         let all = self.plan.shape.services * self.plan.shape.servers;
         let marked = Arc::new((0..all).map(|at| self.catalogue.zone_of(at) == zone).collect::<Vec<bool>>());
-        match deed {
-            Deed::Nothing => (self.clock.now(), 0),
-            Deed::OneDrains => {
+        match action {
+            PhaseAction::Nothing => (self.clock.now(), 0),
+            PhaseAction::OneDrains => {
                 let server = self.born[0].list[0] as usize;
                 let only = Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
                 let listeners = self.awaits(Awaited::Servers(only, true));
                 let now = self.clock.now();
-                self.shards[0].order(Order::OneListTells(0, server, Told { since: 0, out: true }));
+                self.shards[0].order(Order::OneListTells(0, server, EndpointState { since: 0, out: true }));
                 (now, listeners)
             }
-            Deed::ZoneLost => {
+            PhaseAction::ZoneLost => {
                 self.awaits(Awaited::Servers(marked.clone(), true));
                 let now = self.clock.now();
                 self.order(&Order::Lose(zone));
-                self.order(&Order::ListsTell(marked, Told { since: 0, out: true }));
-                self.fleet_tells(zone, scene::Told::Drain);
+                self.order(&Order::ListsTell(marked, EndpointState { since: 0, out: true }));
+                self.fleet_tells(zone, scene::ListChange::Draining);
                 self.reached();
                 (now, self.waiting())
             }
-            Deed::Write => {
+            PhaseAction::Write => {
                 let mut document = self.fleet.document.clone();
                 document.version.number += 1;
                 self.fleet.document = document.clone();
@@ -456,36 +456,39 @@
                 self.shards[0].order(Order::Write(Some(who), document));
                 (now, listeners)
             }
-            Deed::ReplaceOne => {
+            PhaseAction::ReplaceOne => {
                 let servers = self.catalogue.servers_of(0);
                 let (leaves, before) = (time % servers.len(), (time + servers.len() - 1) % servers.len());
                 let one = |server: usize| Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
                 let listeners = self.awaits(Awaited::Servers(one(leaves), true));
                 let now = self.clock.now();
-                self.order(&Order::ListsTell(one(leaves), Told { since: self.since[leaves], out: true }));
-                self.fleet.lists_tell(leaves, scene::Told::Drain);
+                self.order(&Order::ListsTell(
+                    one(leaves),
+                    EndpointState { since: self.since[leaves], out: true },
+                ));
+                self.fleet.lists_tell(leaves, scene::ListChange::Draining);
                 if time > 0 {
                     self.since[before] = unix_ms();
                     self.order(&Order::ListsTell(
                         one(before),
-                        Told { since: self.since[before], out: false },
+                        EndpointState { since: self.since[before], out: false },
                     ));
-                    self.fleet.lists_tell(before, scene::Told::Again);
+                    self.fleet.lists_tell(before, scene::ListChange::Restarted);
                 }
                 (now, listeners)
             }
-            Deed::ZoneBack => {
+            PhaseAction::ZoneBack => {
                 let listeners = self.awaits(Awaited::Servers(marked.clone(), false));
                 let now = self.clock.now();
-                self.order(&Order::ListsTell(marked, Told { since: unix_ms(), out: false }));
+                self.order(&Order::ListsTell(marked, EndpointState { since: unix_ms(), out: false }));
                 self.order(&Order::Return(zone));
-                self.fleet_tells(zone, scene::Told::Again);
+                self.fleet_tells(zone, scene::ListChange::Restarted);
                 (now, listeners)
             }
         }
     }
 
-    fn fleet_tells(&self, zone: usize, told: scene::Told) {
+    fn fleet_tells(&self, zone: usize, told: scene::ListChange) {
         let servers = self.catalogue.servers_of(0).filter(|server| self.catalogue.zone_of(*server) == zone);
         servers.for_each(|server| self.fleet.lists_tell(server, told));
     }
@@ -499,7 +502,7 @@
 
     /// What callers saw from that time of theirs on.
     fn carried(&self, from: f64, length: f64) -> Carried {
-        let answers = self.notes.answers.lock().unwrap_or_else(PoisonError::into_inner);
+        let answers = self.notes.responses.lock().unwrap_or_else(PoisonError::into_inner);
         let within = answers.iter().filter(|answer| (from..from + length).contains(&answer.at));
         let (mut carried, mut slots) = (Carried::default(), BTreeSet::new());
         for answer in within {
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -1,9 +1,9 @@
 //! One thread of the rig, and the hollow instances that it carries: a loop over what the machine tells, what is due and what
 //! is ordered. Nothing but an order walks over all instances.
-use super::catalogue::{Catalogue, Told};
+use super::catalogue::{Catalogue, EndpointState};
 use super::count::{Counts, Said};
-use super::hollow::{Awaited, Born, Common, Hollow};
 use super::link::Became;
+use super::simulated::{Awaited, Common, InstanceSpec, SimulatedInstance};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{Action, Document, InstanceId, Word};
@@ -54,9 +54,9 @@
 #[derive(Clone)]
 pub enum Order {
     /// All lists tell this of the servers that are marked, each at a moment within a second.
-    ListsTell(Arc<Vec<bool>>, Told),
+    ListsTell(Arc<Vec<bool>>, EndpointState),
     /// One instance's list alone tells this of one server; it is known by its number here.
-    OneListTells(usize, usize, Told),
+    OneListTells(usize, usize, EndpointState),
     /// Everybody in that zone falls silent, or is there again as after a start.
     Lose(usize),
     Return(usize),
@@ -97,21 +97,21 @@
 
 impl Shard {
     pub fn start(
-        born: Vec<Born>, common: Common, catalogue: Arc<Catalogue>, keepers: Vec<SocketAddr>, clock: Clock,
-        seed: u64,
+        born: Vec<InstanceSpec>, common: Common, catalogue: Arc<Catalogue>, keepers: Vec<SocketAddr>,
+        clock: Clock, seed: u64,
     ) -> Result<Shard> {
         let (status, (orders, ordered)) = (Arc::new(Status::default()), channel());
         let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         epoll::add(&epoll, &bell, EventData::new_u64(BELL), EventFlags::IN)?;
-        let told = vec![Told::default(); catalogue.shape().services * catalogue.shape().servers];
+        let told = vec![EndpointState::default(); catalogue.shape().services * catalogue.shape().servers];
         let mut timers = BinaryHeap::new();
         for (at, one) in born.iter().enumerate() {
             timers.push(Reverse((one.at, at, Due::Start)));
         }
         let inside = Inside {
             epoll,
-            hollows: born.into_iter().map(|one| Hollow::new(one, &common)).collect(),
+            hollows: born.into_iter().map(|one| SimulatedInstance::new(one, &common)).collect(),
             counts: Counts::new(keepers.len(), 0),
             common,
             catalogue,
@@ -157,17 +157,17 @@
 
 struct Inside {
     epoll: OwnedFd,
-    hollows: Vec<Hollow>,
+    hollows: Vec<SimulatedInstance>,
     common: Common,
     catalogue: Arc<Catalogue>,
     keepers: Vec<SocketAddr>,
     clock: Clock,
     /// What lists say of each server.
-    told: Vec<Told>,
+    told: Vec<EndpointState>,
     timers: BinaryHeap<Reverse<(Micros, usize, Due)>>,
     random: WyRand,
     /// What lists were ordered to tell, by number.
-    tells: Vec<(Arc<Vec<bool>>, Told)>,
+    tells: Vec<(Arc<Vec<bool>>, EndpointState)>,
     counts: Counts,
     status: Arc<Status>,
     scratch: Vec<u8>,
@@ -245,7 +245,7 @@
     }
 
     /// Has the member of one work on something, counts its time, and carries out what comes of it.
-    fn works(&mut self, at: usize, work: impl FnOnce(&mut Hollow, &mut Vec<Action>)) {
+    fn works(&mut self, at: usize, work: impl FnOnce(&mut SimulatedInstance, &mut Vec<Action>)) {
         let (began, mut actions) = (own_time(), Vec::new());
         work(&mut self.hollows[at], &mut actions);
         self.counts.work_us += (own_time() - began).0;
@@ -381,7 +381,7 @@
         }
     }
 
-    fn list_tells(&mut self, at: usize, now: Micros, marked: &[bool], told: Told) {
+    fn list_tells(&mut self, at: usize, now: Micros, marked: &[bool], told: EndpointState) {
         if self.hollows[at].alive {
             let catalogue = self.catalogue.clone();
             self.works(at, |hollow, actions| hollow.list_tells(now, &catalogue, marked, told, actions));
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/simulated.rs
@@ -1,5 +1,5 @@
 //! One hollow instance: a member as a sidecar has it, its links to the keepers and its own small list.
-use super::catalogue::{Catalogue, Told};
+use super::catalogue::{Catalogue, EndpointState};
 use super::count::{Counts, Running};
 use super::link::Link;
 use oakhollow::types::Micros;
@@ -9,7 +9,7 @@
 
 /// What an instance is from its start on.
 #[derive(Clone)]
-pub struct Born {
+pub struct InstanceSpec {
     pub name: String,
     pub zone: usize,
     /// The servers on its list.
@@ -50,8 +50,8 @@
     Version(Version),
 }
 
-pub struct Hollow {
-    pub born: Born,
+pub struct SimulatedInstance {
+    pub born: InstanceSpec,
     pub member: Member,
     pub links: Vec<Link>,
     pub greeting: String,
@@ -75,9 +75,9 @@
     pub quiet_at: Micros,
 }
 
-impl Hollow {
-    pub fn new(born: Born, common: &Common) -> Hollow {
-        Hollow {
+impl SimulatedInstance {
+    pub fn new(born: InstanceSpec, common: &Common) -> SimulatedInstance {
+        SimulatedInstance {
             member: common.member(),
             links: (0..common.keepers).map(|_| Link::default()).collect(),
             greeting: String::new(),
@@ -99,7 +99,7 @@
 
     /// Begins a life: it knows its file and its list, and nothing else.
     pub fn start(
-        &mut self, now: Micros, common: &Common, catalogue: &Catalogue, told: &[Told],
+        &mut self, now: Micros, common: &Common, catalogue: &Catalogue, told: &[EndpointState],
     ) -> Vec<Action> {
         self.links.iter_mut().for_each(Link::close);
         self.greeting = Greeting::new(&self.born.name, now.0).to_json();
@@ -115,7 +115,8 @@
 
     /// Its list tells something of those servers on it that are marked.
     pub fn list_tells(
-        &mut self, now: Micros, catalogue: &Catalogue, marked: &[bool], told: Told, actions: &mut Vec<Action>,
+        &mut self, now: Micros, catalogue: &Catalogue, marked: &[bool], told: EndpointState,
+        actions: &mut Vec<Action>,
     ) {
         self.index += 1;
         let servers = self.born.list.iter().map(|server| *server as usize);
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -22,15 +22,15 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
-    Read,
-    Once,
+pub enum WorkloadKind {
+    ReadLike,
+    NonIdempotent,
 }
 
 #[derive(Clone, PartialEq, Debug)]
-pub enum Fault {
-    Tell(u64),
-    Spoil,
+pub enum Action {
+    WriteVersion(u64),
+    TruncateFile,
     Cut,
     CutTo,
     CutFrom,
@@ -38,29 +38,29 @@
     Delay(u64),
     Reset,
     Refuse,
-    Half,
+    TruncateMessage,
     Replay,
-    Stranger,
-    Replace,
-    Part,
+    ForeignConnections,
+    StartSecond,
+    TerminateFirst,
     Stop,
     Continue,
     Kill,
     Start,
-    List(Told, usize),
-    Mute,
-    Unmute,
-    Renumber,
-    Mark(bool, usize),
+    ChangeList(ListChange, usize),
+    DiscoveryDown,
+    DiscoveryUp,
+    RestartDiscovery,
+    SetMaintenance(bool, usize),
 }
 
 /// What a discovery tells of a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Told {
-    Drain,
-    Back,
-    Again,
-    Gone,
+pub enum ListChange {
+    Draining,
+    Ready,
+    Restarted,
+    Removed,
 }
 
 /// Servers of every scene, and how many of them lists name from the start.
@@ -68,17 +68,17 @@
 pub const LISTED: usize = 3;
 
 #[derive(Clone, PartialEq, Debug)]
-pub enum Expected {
-    Contradiction(f64),
-    Holds(usize, u64, f64),
-    Silent(usize, f64, f64),
-    Serves(usize, f64, f64),
-    Uses(usize, usize, f64, f64),
-    Spares(usize, usize, f64, f64),
-    Drains(f64),
-    Lacks(usize, u64, f64),
+pub enum Expectation {
+    MaxContradiction(f64),
+    ActsOnVersion(usize, u64, f64),
+    SendsNothing(usize, f64, f64),
+    Sends(usize, f64, f64),
+    SendsTo(usize, usize, f64, f64),
+    SendsNothingTo(usize, usize, f64, f64),
+    MaxDrainViolation(f64),
+    NotYetOnVersion(usize, u64, f64),
     /// It repeats nothing of what it begins between the two times.
-    Once(usize, f64, f64),
+    NoRepeats(usize, f64, f64),
     Logs(usize, String),
 }
 
@@ -88,13 +88,13 @@
     pub keepers: usize,
     pub within: f64,
     pub unsure: String,
-    pub with: Vec<String>,
+    pub accord_settings: Vec<String>,
     pub stand_in: Option<(usize, String)>,
     pub rate: f64,
-    pub versions: BTreeMap<u64, Vec<(String, Kind)>>,
-    pub events: Vec<(f64, usize, Fault)>,
-    pub until: f64,
-    pub expected: Vec<Expected>,
+    pub versions: BTreeMap<u64, Vec<(String, WorkloadKind)>>,
+    pub actions: Vec<(f64, usize, Action)>,
+    pub end_s: f64,
+    pub expectations: Vec<Expectation>,
 }
 
 impl Scene {
@@ -103,11 +103,11 @@
     /// ```
     /// use oakhollow_lab::scene::Scene;
     /// let text = "sidecars 4 keepers 3 within 1.0\nversion 1 old:read\nload 20\nat 2 cut n9\nuntil 4";
-    /// assert_eq!(Scene::read(text).unwrap_err(), "line 4: there is no n9");
-    /// assert!(Scene::read(&text.replace("n9", "n3")).is_ok());
-    /// assert_eq!(Scene::read(&text.replace("cut n9", "bend n3")).unwrap_err(), "line 4: not understood: at 2 bend n3");
+    /// assert_eq!(Scene::parse(text).unwrap_err(), "line 4: there is no n9");
+    /// assert!(Scene::parse(&text.replace("n9", "n3")).is_ok());
+    /// assert_eq!(Scene::parse(&text.replace("cut n9", "bend n3")).unwrap_err(), "line 4: not understood: at 2 bend n3");
     /// ```
-    pub fn read(text: &str) -> Result<Scene, String> {
+    pub fn parse(text: &str) -> Result<Scene, String> {
         let mut scene = Scene { rate: 20.0, unsure: "refuse".into(), ..Scene::default() };
         for (at, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
@@ -115,11 +115,11 @@
                 scene.line(line).map_err(|why| format!("line {}: {why}", at + 1))?;
             }
         }
-        scene.events.sort_by(|one, other| one.0.total_cmp(&other.0));
+        scene.actions.sort_by(|one, other| one.0.total_cmp(&other.0));
         match () {
             _ if scene.sidecars == 0 => Err("sidecars: missing".into()),
             _ if scene.versions.is_empty() => Err("version: missing".into()),
-            _ if scene.until <= 0.0 => Err("until: missing".into()),
+            _ if scene.end_s <= 0.0 => Err("until: missing".into()),
             _ => Ok(scene),
         }
     }
@@ -140,7 +140,7 @@
         };
         match words[..] {
             ["stand-in", who, how] => self.stand_in = Some((instance(who)?, how.into())),
-            ["with", ref rest @ ..] => self.with.push(rest.join(" ")),
+            ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
             ["sidecars", count, "keepers", keepers, "within", within, ref rest @ ..] => {
                 (self.sidecars, self.keepers) = (whole(count)? as usize, whole(keepers)? as usize);
                 self.within = number(within)?;
@@ -154,8 +154,8 @@
                 let mut all = Vec::new();
                 for workload in workloads {
                     let (name, kind) = match workload.split_once(':') {
-                        Some((name, "read")) => (name, Kind::Read),
-                        Some((name, "once")) => (name, Kind::Once),
+                        Some((name, "read")) => (name, WorkloadKind::ReadLike),
+                        Some((name, "once")) => (name, WorkloadKind::NonIdempotent),
                         _ => return Err(odd()),
                     };
                     all.push((name.to_string(), kind));
@@ -163,70 +163,80 @@
                 self.versions.insert(whole(number)?, all);
             }
             ["load", rate] => self.rate = number(rate)?,
-            ["until", time] => self.until = number(time)?,
+            ["until", time] => self.end_s = number(time)?,
             ["at", time, what, who, ref rest @ ..] => {
                 let fault = match (what, rest) {
                     ("tell", [version]) if self.versions.contains_key(&whole(version)?) => {
-                        Fault::Tell(whole(version)?)
+                        Action::WriteVersion(whole(version)?)
                     }
-                    ("spoil", []) => Fault::Spoil,
-                    ("cut", []) => Fault::Cut,
-                    ("cut-to", []) => Fault::CutTo,
-                    ("cut-from", []) => Fault::CutFrom,
-                    ("heal", []) => Fault::Heal,
-                    ("delay", [length]) => Fault::Delay(whole(length)?),
-                    ("reset", []) => Fault::Reset,
-                    ("refuse", []) => Fault::Refuse,
-                    ("half", []) => Fault::Half,
-                    ("replay", []) => Fault::Replay,
-                    ("stranger", []) => Fault::Stranger,
-                    ("replace", []) => Fault::Replace,
-                    ("part", []) => Fault::Part,
-                    ("drain", [one]) => Fault::List(Told::Drain, server(one)?),
-                    ("back", [one]) => Fault::List(Told::Back, server(one)?),
-                    ("again", [one]) => Fault::List(Told::Again, server(one)?),
-                    ("gone", [one]) => Fault::List(Told::Gone, server(one)?),
-                    ("mute", []) => Fault::Mute,
-                    ("unmute", []) => Fault::Unmute,
-                    ("renumber", []) => Fault::Renumber,
-                    ("mark", [one]) => Fault::Mark(true, server(one)?),
-                    ("unmark", [one]) => Fault::Mark(false, server(one)?),
-                    ("stop", []) => Fault::Stop,
-                    ("continue", []) => Fault::Continue,
-                    ("kill", []) => Fault::Kill,
-                    ("start", []) => Fault::Start,
+                    ("spoil", []) => Action::TruncateFile,
+                    ("cut", []) => Action::Cut,
+                    ("cut-to", []) => Action::CutTo,
+                    ("cut-from", []) => Action::CutFrom,
+                    ("heal", []) => Action::Heal,
+                    ("delay", [length]) => Action::Delay(whole(length)?),
+                    ("reset", []) => Action::Reset,
+                    ("refuse", []) => Action::Refuse,
+                    ("half", []) => Action::TruncateMessage,
+                    ("replay", []) => Action::Replay,
+                    ("stranger", []) => Action::ForeignConnections,
+                    ("replace", []) => Action::StartSecond,
+                    ("part", []) => Action::TerminateFirst,
+                    ("drain", [one]) => Action::ChangeList(ListChange::Draining, server(one)?),
+                    ("back", [one]) => Action::ChangeList(ListChange::Ready, server(one)?),
+                    ("again", [one]) => Action::ChangeList(ListChange::Restarted, server(one)?),
+                    ("gone", [one]) => Action::ChangeList(ListChange::Removed, server(one)?),
+                    ("mute", []) => Action::DiscoveryDown,
+                    ("unmute", []) => Action::DiscoveryUp,
+                    ("renumber", []) => Action::RestartDiscovery,
+                    ("mark", [one]) => Action::SetMaintenance(true, server(one)?),
+                    ("unmark", [one]) => Action::SetMaintenance(false, server(one)?),
+                    ("stop", []) => Action::Stop,
+                    ("continue", []) => Action::Continue,
+                    ("kill", []) => Action::Kill,
+                    ("start", []) => Action::Start,
                     _ => return Err(odd()),
                 };
-                self.events.push((number(time)?, instance(who)?, fault));
+                self.actions.push((number(time)?, instance(who)?, fault));
             }
             ["expect", "contradiction", most] => {
-                self.expected.push(Expected::Contradiction(number(most)?));
+                self.expectations.push(Expectation::MaxContradiction(number(most)?));
+            }
+            ["expect", "drains", most] => {
+                self.expectations.push(Expectation::MaxDrainViolation(number(most)?))
             }
-            ["expect", "drains", most] => self.expected.push(Expected::Drains(number(most)?)),
             ["expect", who, what, one, from, to] if what == "uses" || what == "spares" => {
                 let (who, one, from, to) = (instance(who)?, server(one)?, number(from)?, number(to)?);
-                self.expected.push(match what {
-                    "uses" => Expected::Uses(who, one, from, to),
-                    _ => Expected::Spares(who, one, from, to),
+                self.expectations.push(match what {
+                    "uses" => Expectation::SendsTo(who, one, from, to),
+                    _ => Expectation::SendsNothingTo(who, one, from, to),
                 });
             }
             ["expect", who, "holds", version, "by", time] => {
-                self.expected.push(Expected::Holds(instance(who)?, whole(version)?, number(time)?));
+                self.expectations.push(Expectation::ActsOnVersion(
+                    instance(who)?,
+                    whole(version)?,
+                    number(time)?,
+                ));
             }
             ["expect", who, "lacks", version, "until", time] => {
-                self.expected.push(Expected::Lacks(instance(who)?, whole(version)?, number(time)?));
+                self.expectations.push(Expectation::NotYetOnVersion(
+                    instance(who)?,
+                    whole(version)?,
+                    number(time)?,
+                ));
             }
             ["expect", who, "logs", ref text @ ..] => {
-                self.expected.push(Expected::Logs(instance(who)?, text.join(" ")));
+                self.expectations.push(Expectation::Logs(instance(who)?, text.join(" ")));
             }
             ["expect", who, "once", from, to] => {
-                self.expected.push(Expected::Once(instance(who)?, number(from)?, number(to)?));
+                self.expectations.push(Expectation::NoRepeats(instance(who)?, number(from)?, number(to)?));
             }
             ["expect", who, "silent", from, to] => {
-                self.expected.push(Expected::Silent(instance(who)?, number(from)?, number(to)?));
+                self.expectations.push(Expectation::SendsNothing(instance(who)?, number(from)?, number(to)?));
             }
             ["expect", who, "serves", from, to] => {
-                self.expected.push(Expected::Serves(instance(who)?, number(from)?, number(to)?));
+                self.expectations.push(Expectation::Sends(instance(who)?, number(from)?, number(to)?));
             }
             _ => return Err(odd()),
         }
--- a/lab/src/play.rs
+++ b/lab/src/scene_runner.rs
@@ -1,9 +1,9 @@
 //! Plays one scene: starts everything, carries the script out on time, and has the judge read what was seen.
-use crate::judge::{self, Contradiction, Found, InVain};
-use crate::processes::{free, Sidecar};
+use crate::checker::{self, Contradiction, DrainViolation, Findings};
+use crate::fakes::{self, Discovery, Observations};
+use crate::processes::{reserve_address, Sidecar};
 use crate::relay::Relay;
-use crate::scene::{Fault, Kind, Scene, LISTED, SERVERS};
-use crate::stand::{self, Discovery, Notes};
+use crate::scene::{Action, Scene, WorkloadKind, LISTED, SERVERS};
 use nanorand::{Rng, WyRand};
 use oakhollow_terms::Greeting;
 use rustix::process::Signal;
@@ -24,11 +24,11 @@
 /// What came of a scene.
 pub struct Report {
     pub contradiction: Option<Contradiction>,
-    pub in_vain: Option<InVain>,
+    pub drain_violation: Option<DrainViolation>,
     /// What did not hold, a line each.
-    pub faults: Vec<String>,
-    pub hops: usize,
-    pub answers: usize,
+    pub failures: Vec<String>,
+    pub attempts: usize,
+    pub responses: usize,
     pub unanswered: usize,
     /// Each sidecar's log.
     pub logs: Vec<(String, String)>,
@@ -36,39 +36,41 @@
 
 /// Why a play has no report.
 #[derive(Debug)]
-pub enum NoReport {
+pub enum RunError {
     /// The rig ran late: nothing can be said of the program. What would have been broken is told, and proves nothing.
-    NoFigure { why: String, broken: Vec<String> },
+    Inconclusive { reason: String, failed_expectations: Vec<String> },
     /// Something could not be built, does not serve, or has ended by itself.
-    Fault(String),
+    Failed(String),
 }
 
-impl From<std::io::Error> for NoReport {
-    fn from(fault: std::io::Error) -> NoReport {
-        NoReport::Fault(fault.to_string())
+impl From<std::io::Error> for RunError {
+    fn from(fault: std::io::Error) -> RunError {
+        RunError::Failed(fault.to_string())
     }
 }
 
-impl fmt::Display for NoReport {
+impl fmt::Display for RunError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoReport::NoFigure { why, broken } if broken.is_empty() => write!(out, "{why}: no figure"),
-            NoReport::NoFigure { why, broken } => {
-                write!(out, "{why}: no figure (it had: {})", broken.join("; "))
+            RunError::Inconclusive { reason, failed_expectations } if failed_expectations.is_empty() => {
+                write!(out, "{reason}: no figure")
             }
-            NoReport::Fault(why) => out.write_str(why),
+            RunError::Inconclusive { reason, failed_expectations } => {
+                write!(out, "{reason}: no figure (it had: {})", failed_expectations.join("; "))
+            }
+            RunError::Failed(why) => out.write_str(why),
         }
     }
 }
 
 /// With what a scene is played.
 #[derive(Clone, Copy)]
-pub struct Arm<'a> {
+pub struct RunOptions<'a> {
     pub program: &'a Path,
     /// The rig's own program, which stands in for one.
-    pub stand_in: &'a Path,
+    pub lab_program: &'a Path,
     /// Whether the instances agree; each acts on its own file alone otherwise.
-    pub agreed: bool,
+    pub with_accord: bool,
     pub seed: u64,
 }
 
@@ -92,33 +94,36 @@
 }
 
 impl Rig {
-    fn build(scene: &Scene, arm: &Arm, begun: Instant, notes: &Arc<Notes>) -> std::io::Result<Rig> {
+    fn build(
+        scene: &Scene, options: &RunOptions, begun: Instant, notes: &Arc<Observations>,
+    ) -> std::io::Result<Rig> {
         static PLAYS: AtomicU32 = AtomicU32::new(0);
         let unique =
             format!("oakhollow-lab-{}-{}", std::process::id(), PLAYS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
-        let servers: Vec<SocketAddr> =
-            (0..SERVERS).map(|at| stand::server(at, begun, notes.clone())).collect::<std::io::Result<_>>()?;
+        let servers: Vec<SocketAddr> = (0..SERVERS)
+            .map(|at| fakes::start_server(at, begun, notes.clone()))
+            .collect::<std::io::Result<_>>()?;
         let mut rig = Rig {
             sidecars: Vec::new(),
             relays: Vec::new(),
-            keepers: (0..scene.keepers).map(|_| free()).collect::<std::io::Result<_>>()?,
+            keepers: (0..scene.keepers).map(|_| reserve_address()).collect::<std::io::Result<_>>()?,
             discoveries: Vec::new(),
-            list: stand::first_list(&servers[..LISTED]),
+            list: fakes::initial_list(&servers[..LISTED]),
             servers,
-            seed: arm.seed,
+            seed: options.seed,
             folder,
         };
         let first = *scene.versions.keys().next().unwrap_or(&1);
         for at in 0..scene.sidecars {
-            let mut sidecar = Sidecar::new(arm.program, &format!("n{at}"), &rig.folder)?;
+            let mut sidecar = Sidecar::new(options.program, &format!("n{at}"), &rig.folder)?;
             if let Some((_, how)) = scene.stand_in.as_ref().filter(|(who, _)| *who == at) {
-                sidecar.stand_in(arm.stand_in, how);
+                sidecar.use_stand_in(options.lab_program, how);
             }
             rig.discoveries.push(Discovery::start(&rig.servers[..LISTED])?);
             let relays: Vec<Relay> =
                 rig.keepers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
-            if arm.agreed {
+            if options.with_accord {
                 let instances = (0..scene.sidecars).map(|other| {
                     // Its own keeper is no link away; those who keep nothing are dialled by nobody.
                     let address = match rig.keepers.get(other) {
@@ -130,21 +135,21 @@
                 });
                 let instances: Vec<String> = instances.collect();
                 let names: Vec<String> = (0..scene.keepers).map(|keeper| format!("\"n{keeper}\"")).collect();
-                sidecar.write_operator(&format!(
+                sidecar.write_operator_config(&format!(
                     "[accord]\nwithin = {:?}\nunsure = \"{}\"\nkeepers = [{}]\n{}\n[accord.instances]\n{}\n",
                     scene.within,
                     scene.unsure,
                     names.join(", "),
-                    scene.with.join("\n"),
+                    scene.accord_settings.join("\n"),
                     instances.join("\n")
                 ))?;
             }
             rig.relays.push(relays);
             rig.sidecars.push(sidecar);
-            rig.sidecars[at].write(&rig.file(scene, at, first))?;
+            rig.sidecars[at].write_config(&rig.file(scene, at, first))?;
         }
         for (at, sidecar) in rig.sidecars.iter_mut().enumerate() {
-            if scene.events.iter().any(|(_, who, fault)| *who == at && *fault == Fault::Replace) {
+            if scene.actions.iter().any(|(_, who, fault)| *who == at && *fault == Action::StartSecond) {
                 sidecar.pass_listener()?;
             }
             sidecar.start()?;
@@ -153,10 +158,10 @@
     }
 
     fn file(&self, scene: &Scene, at: usize, number: u64) -> String {
-        let workload = |(name, kind): &(String, Kind)| {
+        let workload = |(name, kind): &(String, WorkloadKind)| {
             let semantics = match kind {
-                Kind::Read => "read_like",
-                Kind::Once => "non_idempotent",
+                WorkloadKind::ReadLike => "read_like",
+                WorkloadKind::NonIdempotent => "non_idempotent",
             };
             format!(
                 r#"{{"name":"{name}","semantics":"{semantics}","quoted_time_s":1,"abandon_time_s":2,"payoff":1}}"#
@@ -181,14 +186,14 @@
     }
 
     /// All answer that they serve.
-    fn serves(&mut self) -> Result<(), NoReport> {
+    fn serves(&mut self) -> Result<(), RunError> {
         let begun = Instant::now();
         for at in 0..self.sidecars.len() {
-            while !healthy(self.sidecars[at].console) {
+            while !is_healthy(self.sidecars[at].console) {
                 let sidecar = &mut self.sidecars[at];
-                if sidecar.ended() || begun.elapsed() > STARTS {
-                    let why = format!("{} does not serve:\n{}", sidecar.name, sidecar.log());
-                    return Err(NoReport::Fault(why));
+                if sidecar.has_exited() || begun.elapsed() > STARTS {
+                    let why = format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text());
+                    return Err(RunError::Failed(why));
                 }
                 thread::sleep(Duration::from_millis(20));
             }
@@ -204,42 +209,46 @@
         own.chain(others.filter_map(move |(_, relays)| Some((relays.get(who)?, false))))
     }
 
-    fn strike(&mut self, scene: &Scene, who: usize, fault: &Fault) -> std::io::Result<()> {
+    fn strike(&mut self, scene: &Scene, who: usize, fault: &Action) -> std::io::Result<()> {
         match fault {
-            Fault::Tell(number) => {
-                self.sidecars[who].write(&self.file(scene, who, *number))?;
-                self.sidecars[who].reread();
+            Action::WriteVersion(number) => {
+                self.sidecars[who].write_config(&self.file(scene, who, *number))?;
+                self.sidecars[who].reload();
             }
-            Fault::Spoil => {
-                self.sidecars[who].spoil()?;
-                self.sidecars[who].reread();
+            Action::TruncateFile => {
+                self.sidecars[who].truncate_config()?;
+                self.sidecars[who].reload();
             }
-            Fault::Cut => self.links(who).for_each(|(relay, _)| relay.cut(true, true)),
-            Fault::CutTo => self.links(who).for_each(|(relay, own)| relay.cut(own, !own)),
-            Fault::CutFrom => self.links(who).for_each(|(relay, own)| relay.cut(!own, own)),
-            Fault::Heal => self.links(who).for_each(|(relay, _)| relay.cut(false, false)),
-            Fault::Delay(length) => {
+            Action::Cut => self.links(who).for_each(|(relay, _)| relay.cut(true, true)),
+            Action::CutTo => self.links(who).for_each(|(relay, own)| relay.cut(own, !own)),
+            Action::CutFrom => self.links(who).for_each(|(relay, own)| relay.cut(!own, own)),
+            Action::Heal => self.links(who).for_each(|(relay, _)| relay.cut(false, false)),
+            Action::Delay(length) => {
                 self.links(who).for_each(|(relay, _)| relay.delay(Duration::from_millis(*length)));
             }
-            Fault::Reset => self.links(who).for_each(|(relay, _)| relay.reset()),
-            Fault::Refuse => self.links(who).for_each(|(relay, _)| relay.refuse()),
-            Fault::Half => self.links(who).for_each(|(relay, _)| relay.half()),
-            Fault::Replay => self.links(who).for_each(|(relay, _)| relay.replay()),
-            Fault::Stranger => self.keepers.get(who).into_iter().for_each(|keeper| strangers(*keeper)),
-            Fault::Replace => self.sidecars[who].replace()?,
-            Fault::Part => self.sidecars[who].part(),
-            Fault::List(told, server) => self.discoveries[who].tell(*told, *server, self.servers[*server]),
-            Fault::Mute => self.discoveries[who].set_down(true),
-            Fault::Unmute => self.discoveries[who].set_down(false),
-            Fault::Renumber => self.discoveries[who].renumber(),
-            Fault::Mark(out, server) => {
+            Action::Reset => self.links(who).for_each(|(relay, _)| relay.reset()),
+            Action::Refuse => self.links(who).for_each(|(relay, _)| relay.refuse()),
+            Action::TruncateMessage => self.links(who).for_each(|(relay, _)| relay.half()),
+            Action::Replay => self.links(who).for_each(|(relay, _)| relay.replay()),
+            Action::ForeignConnections => {
+                self.keepers.get(who).into_iter().for_each(|keeper| strangers(*keeper))
+            }
+            Action::StartSecond => self.sidecars[who].start_second()?,
+            Action::TerminateFirst => self.sidecars[who].terminate_first(),
+            Action::ChangeList(told, server) => {
+                self.discoveries[who].tell(*told, *server, self.servers[*server])
+            }
+            Action::DiscoveryDown => self.discoveries[who].set_down(true),
+            Action::DiscoveryUp => self.discoveries[who].set_down(false),
+            Action::RestartDiscovery => self.discoveries[who].renumber(),
+            Action::SetMaintenance(out, server) => {
                 let what = if *out { "maint" } else { "ready" };
-                ask(self.sidecars[who].console, "PUT", &format!("/endpoints/s{server}/{what}"));
+                console_request(self.sidecars[who].console, "PUT", &format!("/endpoints/s{server}/{what}"));
             }
-            Fault::Stop => self.sidecars[who].signal(Signal::STOP),
-            Fault::Continue => self.sidecars[who].signal(Signal::CONT),
-            Fault::Kill => self.sidecars[who].kill(),
-            Fault::Start => self.sidecars[who].start()?,
+            Action::Stop => self.sidecars[who].signal(Signal::STOP),
+            Action::Continue => self.sidecars[who].signal(Signal::CONT),
+            Action::Kill => self.sidecars[who].kill(),
+            Action::Start => self.sidecars[who].start()?,
         }
         Ok(())
     }
@@ -257,44 +266,44 @@
             let mut stream = TcpStream::connect(keeper).ok()?;
             // It may be cut short: that is for the other side to do.
             let _ = stream.write_all(said.as_bytes());
-            stand::read_head(&mut BufReader::new(stream))
+            fakes::read_head(&mut BufReader::new(stream))
         });
     }
 }
 
 /// Asks a console; the head of its answer.
-pub(crate) fn ask(console: SocketAddr, method: &str, path: &str) -> Option<String> {
+pub(crate) fn console_request(console: SocketAddr, method: &str, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).ok()?;
-    stand::read_head(&mut BufReader::new(stream))
+    fakes::read_head(&mut BufReader::new(stream))
 }
 
-pub(crate) fn healthy(console: SocketAddr) -> bool {
-    ask(console, "GET", "/healthcheck").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
+pub(crate) fn is_healthy(console: SocketAddr) -> bool {
+    console_request(console, "GET", "/healthcheck").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
 /// Plays a scene.
-pub fn play(scene: &Scene, arm: &Arm) -> Result<Report, NoReport> {
-    let (building, notes) = (Instant::now(), Arc::new(Notes::default()));
-    let mut rig = Rig::build(scene, arm, building, &notes)?;
+pub fn run_scene(scene: &Scene, options: &RunOptions) -> Result<Report, RunError> {
+    let (building, notes) = (Instant::now(), Arc::new(Observations::default()));
+    let mut rig = Rig::build(scene, options, building, &notes)?;
     rig.serves()?;
     let offset = building.elapsed().as_secs_f64();
     let begun = Instant::now();
-    let mut random = WyRand::new_seed(arm.seed);
+    let mut random = WyRand::new_seed(options.seed);
     let played = thread::scope(|scope| {
         for (at, sidecar) in rig.sidecars.iter().enumerate() {
             for workload in scene.workloads() {
                 let (to, notes) = (sidecar.listen, &notes);
                 scope.spawn(move || {
-                    stand::caller(to, (at, workload), scene.rate, begun, || scene.until, notes);
+                    fakes::run_client(to, (at, workload), scene.rate, begun, || scene.end_s, notes);
                 });
             }
         }
         let rig = &mut rig;
         let (mut late, mut struck): (f64, Vec<_>) = (0.0, Vec::new());
-        for (time, who, fault) in &scene.events {
-            let due = time + if arm.seed == 0 { 0.0 } else { random.generate::<f64>() * JITTER };
+        for (time, who, fault) in &scene.actions {
+            let due = time + if options.seed == 0 { 0.0 } else { random.generate::<f64>() * JITTER };
             let now = begun.elapsed().as_secs_f64();
             late = late.max(now - due);
             thread::sleep(Duration::from_secs_f64((due - now).max(0.0)));
@@ -305,21 +314,23 @@
         Ok::<_, std::io::Error>((late, struck))
     });
     let (script_late, struck) = played?;
-    let scene = &Scene { events: struck, ..scene.clone() };
+    let scene = &Scene { actions: struck, ..scene.clone() };
     let mut faults = Vec::new();
-    let killed = |at: usize| scene.events.iter().any(|(_, who, fault)| *who == at && *fault == Fault::Kill);
+    let killed = |at: usize| scene.actions.iter().any(|(_, who, fault)| *who == at && *fault == Action::Kill);
     for (at, sidecar) in rig.sidecars.iter_mut().enumerate() {
-        if sidecar.ended() && !killed(at) {
+        if sidecar.has_exited() && !killed(at) {
             faults.push(format!("{} has ended", sidecar.name));
         }
     }
-    let hops = std::mem::take(&mut *notes.hops.lock().unwrap_or_else(PoisonError::into_inner));
-    let hops: Vec<_> = hops.into_iter().map(|hop| judge::Hop { at: hop.at - offset, ..hop }).collect();
-    let answers = std::mem::take(&mut *notes.answers.lock().unwrap_or_else(PoisonError::into_inner));
-    let logs: Vec<_> = rig.sidecars.iter().map(|sidecar| (sidecar.name.clone(), sidecar.log())).collect();
-    let Found { contradiction, in_vain, broken } = judge::judge(scene, &hops, &answers, &logs);
-    let late = *notes.late.lock().unwrap_or_else(PoisonError::into_inner);
-    let stops = scene.events.iter().any(|(_, _, fault)| matches!(fault, Fault::Stop | Fault::Kill));
+    let hops = std::mem::take(&mut *notes.attempts.lock().unwrap_or_else(PoisonError::into_inner));
+    let hops: Vec<_> = hops.into_iter().map(|hop| checker::Attempt { at: hop.at - offset, ..hop }).collect();
+    let answers = std::mem::take(&mut *notes.responses.lock().unwrap_or_else(PoisonError::into_inner));
+    let logs: Vec<_> =
+        rig.sidecars.iter().map(|sidecar| (sidecar.name.clone(), sidecar.log_text())).collect();
+    let Findings { contradiction, drain_violation, failed_expectations } =
+        checker::check(scene, &hops, &answers, &logs);
+    let late = *notes.late_requests.lock().unwrap_or_else(PoisonError::into_inner);
+    let stops = scene.actions.iter().any(|(_, _, fault)| matches!(fault, Action::Stop | Action::Kill));
     // Callers of a process that stands still wait for it.
     let why = if script_late > JITTER {
         Some(format!("the script ran {script_late:.3} s late"))
@@ -329,17 +340,19 @@
         None
     };
     match why {
-        None => faults.extend(broken),
-        Some(why) if faults.is_empty() => return Err(NoReport::NoFigure { why, broken }),
+        None => faults.extend(failed_expectations),
+        Some(why) if faults.is_empty() => {
+            return Err(RunError::Inconclusive { reason: why, failed_expectations })
+        }
         // That a process has ended by itself is true whenever it is seen.
-        Some(why) => return Err(NoReport::Fault(format!("{}; {why}", faults.join("; ")))),
+        Some(why) => return Err(RunError::Failed(format!("{}; {why}", faults.join("; ")))),
     }
     Ok(Report {
         contradiction,
-        in_vain,
-        faults,
-        hops: hops.len(),
-        answers: answers.len(),
+        drain_violation,
+        failures: faults,
+        attempts: hops.len(),
+        responses: answers.len(),
         unanswered: answers.iter().filter(|answer| answer.status.is_none()).count(),
         logs,
     })
--- a/lab/src/ramp.rs
+++ b/lab/src/slow_start.rs
@@ -1,8 +1,11 @@
-//! Many processes before one cold server: what all of them send it, added up, goes to the judge of [`crate::budget`].
-use crate::budget::{fullest, Arrival, Ramp, Window};
+//! Many processes before one cold server: what all of them send it, added up, goes to the judge of [`crate::slow_start_limit`].
+use crate::fakes::{connect, read_head, send_request};
+use crate::harness::{
+    config_json, lock, unix_ms, view_request, wait_until_all_ready, DelayMonitor, ListedEndpoint,
+    ProcessConfig, RunValidity, SharedDiscovery, TempDir,
+};
 use crate::processes::Sidecar;
-use crate::shared::{all_serve, file, lock, unix_ms, view, Folder, Listed, Pulse, Ran, Shared, Told};
-use crate::stand::{ask, dial, read_head};
+use crate::slow_start_limit::{fullest, Arrival, Ramp, Window};
 use nanorand::{Rng, WyRand};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -61,7 +64,7 @@
     pub late: usize,
     pub served: usize,
     /// The longest that the rig's own pulse was late, in seconds.
-    pub pulse: f64,
+    pub harness_delay_s: f64,
 }
 
 const WARM: usize = 3;
@@ -157,18 +160,18 @@
         }
         thread::sleep(due.saturating_duration_since(Instant::now()));
         tally.late.fetch_add(usize::from(due.elapsed().as_secs_f64() > LATE_S), Ordering::Relaxed);
-        let asked = |again: &str| view(&format!("{process}-{stream}-{call}{again}"));
-        let mut answer = connection.as_mut().and_then(|connection| ask(connection, &asked("")));
+        let asked = |again: &str| view_request(&format!("{process}-{stream}-{call}{again}"));
+        let mut answer = connection.as_mut().and_then(|connection| send_request(connection, &asked("")));
         if answer.is_none() {
             // A process that starts again finds its callers waiting, each with a call.
             connection = None;
             while connection.is_none() && due.elapsed() < Duration::from_secs(1) {
-                connection = dial(to);
+                connection = connect(to);
                 if connection.is_none() {
                     thread::sleep(Duration::from_millis(10));
                 }
             }
-            answer = connection.as_mut().and_then(|connection| ask(connection, &asked("b")));
+            answer = connection.as_mut().and_then(|connection| send_request(connection, &asked("b")));
         }
         tally.calls.fetch_add(1, Ordering::Relaxed);
         if answer.is_some_and(|(status, _)| status == 200) {
@@ -189,9 +192,9 @@
     sidecars: Vec<Sidecar>,
     servers: Vec<Server>,
     /// For those who hear in time, and for the others.
-    discoveries: [Shared; 2],
+    discoveries: [SharedDiscovery; 2],
     /// Goes last.
-    folder: Folder,
+    folder: TempDir,
 }
 
 /// Who hears late, where somebody does.
@@ -208,16 +211,16 @@
     fn build(program: &Path, case: &Case) -> std::io::Result<Rig> {
         let servers: Vec<Server> = (0..=WARM).map(|_| Server::start()).collect::<std::io::Result<_>>()?;
         let named = servers.iter().enumerate().take(WARM + usize::from(case.returns));
-        let listed: Vec<Listed> = named.map(|(at, server)| listed(at, server, 0)).collect();
-        let discoveries = [Shared::start(listed.clone())?, Shared::start(listed.clone())?];
-        let mut rig = Rig { sidecars: Vec::new(), servers, discoveries, folder: Folder::new("ramp") };
+        let listed: Vec<ListedEndpoint> = named.map(|(at, server)| listed(at, server, 0)).collect();
+        let discoveries = [SharedDiscovery::start(listed.clone())?, SharedDiscovery::start(listed.clone())?];
+        let mut rig = Rig { sidecars: Vec::new(), servers, discoveries, folder: TempDir::new("ramp") };
         let ramp = ramp(case);
         for at in 0..case.processes {
             let mut sidecar = Sidecar::new(program, &format!("n{at}"), rig.folder.path())?;
             let balancers = if case.alone { 1 } else { case.processes };
-            sidecar.write(&file(
+            sidecar.write_config(&config_json(
                 &sidecar,
-                &Told {
+                &ProcessConfig {
                     at,
                     me: at % balancers,
                     balancers,
@@ -236,17 +239,17 @@
     }
 
     /// The cold server starts; those who hear in time are told at once. Tells the moment and the entry.
-    fn starts(&self) -> (Instant, Listed) {
+    fn starts(&self) -> (Instant, ListedEndpoint) {
         let server = &self.servers[WARM];
         let entry = listed(WARM, server, unix_ms());
         let started = server.start_again();
-        self.discoveries[0].tell(entry.clone());
+        self.discoveries[0].announce(entry.clone());
         (started, entry)
     }
 }
 
-fn listed(at: usize, server: &Server, since_ms: u64) -> Listed {
-    Listed { name: format!("s{at}"), address: server.address, since_ms }
+fn listed(at: usize, server: &Server, since_ms: u64) -> ListedEndpoint {
+    ListedEndpoint { name: format!("s{at}"), address: server.address, since_ms }
 }
 
 enum Step {
@@ -256,10 +259,10 @@
 }
 
 /// Plays one case. An error means that the rig could not be built.
-pub fn play(program: &Path, case: &Case) -> Result<(Report, Ran), String> {
+pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
     let mut rig = Rig::build(program, case).map_err(|fault| fault.to_string())?;
-    all_serve(&mut rig.sidecars)?;
-    let (ramp, tally, pulse) = (ramp(case), Tally::default(), Pulse::start());
+    wait_until_all_ready(&mut rig.sidecars)?;
+    let (ramp, tally, delay_monitor) = (ramp(case), Tally::default(), DelayMonitor::start());
     let begun = Instant::now();
     let mut steps = Vec::new();
     for start in std::iter::once(0.0).chain(case.again_s) {
@@ -298,7 +301,7 @@
                     entry = Some(now_listed);
                 }
                 Step::TellTheLate => {
-                    entry.iter().for_each(|entry| rig.discoveries[1].tell(entry.clone()));
+                    entry.iter().for_each(|entry| rig.discoveries[1].announce(entry.clone()));
                     if let Some((started, told)) = told.last_mut() {
                         let now = started.elapsed().as_secs_f64();
                         told.iter_mut().for_each(|told| *told = told.min(now));
@@ -316,8 +319,8 @@
         Ok::<(), String>(())
     })?;
     for sidecar in &mut rig.sidecars {
-        if sidecar.ended() {
-            return Err(format!("{} has ended:\n{}", sidecar.name, sidecar.log()));
+        if sidecar.has_exited() {
+            return Err(format!("{} has ended:\n{}", sidecar.name, sidecar.log_text()));
         }
     }
     let lives = lock(&rig.servers[WARM].lives);
@@ -335,14 +338,14 @@
         calls: tally.calls.into_inner(),
         late: tally.late.into_inner(),
         served: tally.served.into_inner(),
-        pulse: pulse.worst(),
+        harness_delay_s: delay_monitor.max_delay_s(),
     };
     let ran = if report.late * LATE_CALLS > report.calls {
-        Ran::Otherwise(format!("{} of {} calls went out late", report.late, report.calls))
-    } else if report.pulse > LATE_S {
-        Ran::Late(format!("the rig's pulse was {:.3} s late", report.pulse))
+        RunValidity::Invalid(format!("{} of {} calls went out late", report.late, report.calls))
+    } else if report.harness_delay_s > LATE_S {
+        RunValidity::HarnessLate(format!("the rig's pulse was {:.3} s late", report.harness_delay_s))
     } else {
-        Ran::InTime
+        RunValidity::Valid
     };
     Ok((report, ran))
 }
--- a/lab/src/soak/judge.rs
+++ b/lab/src/soak/checker.rs
@@ -2,7 +2,7 @@
 //! whose verdict stands beside this one.
 use super::fleet::Ends;
 use super::records::{Attempt, Class, Deed, Ending, Event, ProcessId, Records, Request};
-use crate::shared::lock;
+use crate::harness::lock;
 use std::collections::HashMap;
 
 /// By how much the rig itself may be late, in seconds.
@@ -159,7 +159,7 @@
 }
 
 /// Reads all records.
-pub fn judge(records: &Records, ends: &Ends) -> Verdict {
+pub fn check(records: &Records, ends: &Ends) -> Verdict {
     let mut by_process: HashMap<ProcessId, Vec<(f64, Event)>> = HashMap::new();
     for (at, process, event) in lock(&records.events).iter() {
         by_process.entry(*process).or_default().push((*at, *event));
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -1,8 +1,8 @@
 //! Clients, well-behaved and otherwise, each of which writes down how its requests ended.
 use super::records::{Class, Ending, ProcessId, Records, Request};
 use super::servers::reset;
-use crate::shared::lock;
-use crate::stand::{header, read_head};
+use crate::fakes::{header, read_head};
+use crate::harness::lock;
 use nanorand::{Rng, WyRand};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,7 +1,7 @@
 //! One discovery of a group: an address for each of its processes, so that it knows whom it tells, and faults of its own.
 use super::records::{Event, ProcessId, Records};
-use crate::shared::{lock, unix_ms};
-use crate::stand::{each, entry, read_head, turn_away};
+use crate::fakes::{endpoint_json, read_head, reject, serve_connections};
+use crate::harness::{lock, unix_ms};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -86,7 +86,7 @@
     pub fn address(&self, process: ProcessId) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (address, discovery) = (listener.local_addr()?, self.clone());
-        each(listener, move |stream| _ = discovery.serve(stream, process));
+        serve_connections(listener, move |stream| _ = discovery.serve(stream, process));
         Ok(address)
     }
 
@@ -149,7 +149,7 @@
         }
         if mode == Mode::Crowded {
             thread::sleep(CROWDED);
-            return turn_away(stream.get_mut());
+            return reject(stream.get_mut());
         }
         if mode == Mode::Slow {
             thread::sleep(SLOW);
@@ -206,7 +206,7 @@
             Standing::Leaving => "leaving",
             Standing::Absent => "left",
         };
-        let named = entry(&format!("s{server}"), listed.address, status, listed.since_ms);
+        let named = endpoint_json(&format!("s{server}"), listed.address, status, listed.since_ms);
         // Two cells, by which keyed requests are told for repeats.
         named.replace(r#""group":0"#, &format!(r#""group":{}"#, server % 2))
     }
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -5,9 +5,9 @@
 use super::servers::Server;
 use super::timetable::Shape;
 use super::Plan;
+use crate::fakes::{connect, send_request};
+use crate::harness::{lock, READY_REQUEST};
 use crate::processes::Sidecar;
-use crate::shared::{lock, READY};
-use crate::stand::{ask, dial};
 use oakhollow_faults::FaultKind;
 use rustix::process::Signal;
 use std::collections::BTreeMap;
@@ -108,9 +108,9 @@
     }
 
     /// Starts a second one beside it.
-    pub fn replace(self: &Arc<Self>) -> std::io::Result<()> {
+    pub fn start_second(self: &Arc<Self>) -> std::io::Result<()> {
         let process = self.clone();
-        on_lasting_thread(move || lock(&process.sidecar).replace())
+        on_lasting_thread(move || lock(&process.sidecar).start_second())
     }
 
     /// Waits until it listens for signals: one that comes before its program runs at all ends it.
@@ -132,7 +132,7 @@
 
     /// How often its processes have said that they heard they are to end.
     fn times_heard(&self) -> usize {
-        lock(&self.sidecar).log().matches(HEARD).count()
+        lock(&self.sidecar).log_text().matches(HEARD).count()
     }
 
     /// Asks it to end and kills it as early as may be after that, if it has not ended. One that has not even heard is a find.
@@ -154,7 +154,7 @@
             return lock(&self.sidecar).kill();
         }
         self.records.note(self.id, Event::Ended(None));
-        let log = lock(&self.sidecar).log();
+        let log = lock(&self.sidecar).log_text();
         let last: Vec<&str> = log.lines().rev().take(LAST_LINES).collect();
         eprintln!(
             "{:?} did not end; its last lines, the newest first:\n{}\n{}",
@@ -167,7 +167,7 @@
 
     /// What its threads wait for, as the kernel tells it.
     fn threads(&self) -> String {
-        let id = lock(&self.sidecar).id().unwrap_or_default();
+        let id = lock(&self.sidecar).pid().unwrap_or_default();
         let tasks = std::fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
         let told = tasks.map(|task| {
             let read = |name: &str| std::fs::read_to_string(task.path().join(name)).unwrap_or_default();
@@ -177,14 +177,14 @@
     }
 
     /// Writes its file as it was built, with discovery there.
-    pub fn write(&self, discovery: SocketAddr) -> std::io::Result<()> {
+    pub fn write_config(&self, discovery: SocketAddr) -> std::io::Result<()> {
         let text = lock(&self.file).replace("DISCOVERY", &discovery.to_string());
-        lock(&self.sidecar).write(&text)
+        lock(&self.sidecar).write_config(&text)
     }
 
     /// Leaves half of its file, until it is written again.
-    pub fn spoil(&self) -> std::io::Result<()> {
-        lock(&self.sidecar).spoil()
+    pub fn truncate_config(&self) -> std::io::Result<()> {
+        lock(&self.sidecar).truncate_config()
     }
 
     /// Has a kind of system call fail from now on, so many of a million.
@@ -204,8 +204,8 @@
     /// Waits until it says that it is ready. False if it does not in time.
     pub fn wait_ready(&self, within: Duration) -> bool {
         let begun = Instant::now();
-        while begun.elapsed() < within && !lock(&self.sidecar).ended() {
-            let ready = dial(self.listen).and_then(|mut stream| ask(&mut stream, READY));
+        while begun.elapsed() < within && !lock(&self.sidecar).has_exited() {
+            let ready = connect(self.listen).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
             if ready.is_some_and(|(status, _)| status == 200) {
                 self.records.note(self.id, Event::Ready);
                 return true;
@@ -220,7 +220,9 @@
         let word = if out { "maint" } else { "ready" };
         let text =
             format!("PUT /endpoints/s{server}/{word} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-        dial(self.console).and_then(|mut stream| ask(&mut stream, &text)).map(|(status, _)| status)
+        connect(self.console)
+            .and_then(|mut stream| send_request(&mut stream, &text))
+            .map(|(status, _)| status)
     }
 
     /// Writes down what happens to it.
@@ -289,7 +291,7 @@
             for (number, mut sidecar) in made.into_iter().enumerate() {
                 let id = ProcessId { group, number };
                 if let Some(operator) = &operator {
-                    sidecar.write_operator(operator)?;
+                    sidecar.write_operator_config(operator)?;
                 }
                 let known = if setup == Setup::Pushed {
                     format!(r#""known":{},"#, discovery.list())
@@ -317,7 +319,7 @@
                     records: records.clone(),
                 };
                 let process = Arc::new(process);
-                process.write(discovery.address(id)?)?;
+                process.write_config(discovery.address(id)?)?;
                 process.start()?;
                 processes.push(process);
             }
@@ -341,7 +343,7 @@
         let begun = Instant::now();
         for process in self.processes() {
             if !process.wait_ready(within.saturating_sub(begun.elapsed())) {
-                let log = lock(&process.sidecar).log();
+                let log = lock(&process.sidecar).log_text();
                 return Err(format!("{:?} is not ready:\n{log}", process.id));
             }
         }
@@ -375,7 +377,7 @@
         });
         for process in self.processes() {
             let sidecar = lock(&process.sidecar);
-            for line in sidecar.log().lines().filter(|line| tells_of_a_fault(line)) {
+            for line in sidecar.log_text().lines().filter(|line| tells_of_a_fault(line)) {
                 ends.broken.push(format!("{}: {line}", sidecar.name));
             }
             if let Some(faults) = sidecar.faults() {
@@ -395,7 +397,7 @@
 
 fn sidecar(program: &Path, folder: &Path, id: ProcessId, setup: Setup) -> std::io::Result<Sidecar> {
     let mut sidecar = Sidecar::new(program, &format!("g{}p{}", id.group, id.number), folder)?;
-    sidecar.bend()?;
+    sidecar.enable_faults()?;
     if setup == Setup::Passed {
         sidecar.pass_listener()?;
     }
@@ -416,7 +418,7 @@
             let mut text =
                 format!("[accord]\nwithin = 2.0\nkeepers = [{}]\n\n[accord.instances]\n", keepers.join(", "));
             for sidecar in sidecars {
-                text += &format!("{} = \"{}\"\n", sidecar.name, crate::processes::free()?);
+                text += &format!("{} = \"{}\"\n", sidecar.name, crate::processes::reserve_address()?);
             }
             Some(text)
         }
--- a/lab/src/soak/conduct.rs
+++ b/lab/src/soak/injector.rs
@@ -6,7 +6,7 @@
 use super::servers::Manner;
 use super::timetable::{Entry, Timetable};
 use super::trouble::Trouble;
-use crate::shared::lock;
+use crate::harness::lock;
 use oakhollow_faults::{FaultKind, ALWAYS};
 use rustix::process::Signal;
 use std::sync::Arc;
@@ -121,23 +121,23 @@
 }
 
 fn stop(process: &Process, length: Duration) {
-    let Some(id) = lock(&process.sidecar).id() else { return };
+    let Some(id) = lock(&process.sidecar).pid() else { return };
     process.note(Event::Stopped);
-    lock(&process.sidecar).signal_one(id, Signal::STOP);
+    lock(&process.sidecar).signal_child(id, Signal::STOP);
     thread::sleep(length);
-    lock(&process.sidecar).signal_one(id, Signal::CONT);
+    lock(&process.sidecar).signal_child(id, Signal::CONT);
     process.note(Event::Continued);
 }
 
 fn hang_up(group: &Group, process: &Process, entry: &Entry) {
     process.wait_for_handlers();
     if entry.trouble == Trouble::HangupBroken {
-        let _ = process.spoil();
+        let _ = process.truncate_config();
         process.signal(Signal::HUP);
         thread::sleep(Duration::from_millis(30));
     }
     let Ok(discovery) = group.discovery.address(process.id) else { return };
-    if process.write(discovery).is_err() {
+    if process.write_config(discovery).is_err() {
         return;
     }
     process.signal(Signal::HUP);
@@ -152,15 +152,15 @@
     let passed = process.setup == Setup::Passed;
     let Some(_hold) = Hold::take(process).filter(|_| passed) else { return };
     process.note(Event::TakesOver(true));
-    if process.replace().is_ok() {
+    if process.start_second().is_ok() {
         if entry.trouble == Trouble::TakeOverKilled {
             thread::sleep(Duration::from_millis(entry.chance % 300));
             lock(&process.sidecar).kill_second();
         } else {
             thread::sleep(SIDE_BY_SIDE);
-            lock(&process.sidecar).part();
+            lock(&process.sidecar).terminate_first();
             let begun = Instant::now();
-            while begun.elapsed() < FIRST_ENDS && !lock(&process.sidecar).first_ended() {
+            while begun.elapsed() < FIRST_ENDS && !lock(&process.sidecar).first_has_exited() {
                 thread::sleep(Duration::from_millis(10));
             }
         }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -3,19 +3,19 @@
 //!
 //! Each of the parts has one job: [`trouble`] names the kinds of trouble, [`timetable`] draws when they happen and to whom,
 //! [`fleet`] starts the processes, [`servers`], [`clients`] and [`discovery`] stand for everybody else and keep records,
-//! [`conduct`] carries the timetable out, and [`judge`] reads the records.
+//! [`injector`] carries the timetable out, and [`checker`] reads the records.
+pub mod checker;
 pub mod clients;
-pub mod conduct;
 pub mod discovery;
 pub mod fleet;
-pub mod judge;
+pub mod injector;
 pub mod records;
 pub mod report;
 pub mod servers;
 pub mod timetable;
 pub mod trouble;
 
-use crate::shared::{Folder, Pulse};
+use crate::harness::{DelayMonitor, TempDir};
 use fleet::Fleet;
 use records::Records;
 use report::Report;
@@ -50,25 +50,25 @@
 }
 
 /// Plays a seed. An error means that the rig could not be built: there is no verdict.
-pub fn play(program: &Path, plan: &Plan) -> Result<Report, String> {
-    let folder = Folder::new("soak");
+pub fn run(program: &Path, plan: &Plan) -> Result<Report, String> {
+    let folder = TempDir::new("soak");
     let records = Arc::new(Records::new());
     let mut fleet =
         Fleet::build(program, plan, folder.path(), &records).map_err(|error| error.to_string())?;
     fleet.all_ready(READY_WITHIN)?;
     let timetable = Timetable::draw(plan, &fleet.shape());
-    let pulse = Pulse::start();
+    let delay_monitor = DelayMonitor::start();
     let begun = Instant::now();
     let callers = fleet.start_clients(plan.seed);
     let crowd = start_crowd(&fleet, plan);
-    conduct::carry_out(&mut fleet, &timetable, begun);
+    injector::carry_out(&mut fleet, &timetable, begun);
     crowd.into_iter().for_each(|held| _ = held.join());
     callers.stop();
     thread::sleep(SETTLES);
-    let worst_pulse = pulse.worst();
+    let harness_delay_s = delay_monitor.max_delay_s();
     let ends = fleet.end();
-    let verdict = judge::judge(&records, &ends);
-    Ok(Report::new(plan, timetable, verdict, ends, worst_pulse, &records))
+    let verdict = checker::check(&records, &ends);
+    Ok(Report::new(plan, timetable, verdict, ends, harness_delay_s, &records))
 }
 
 fn start_crowd(fleet: &Fleet, plan: &Plan) -> Vec<JoinHandle<()>> {
@@ -85,7 +85,7 @@
     let mut smaller = plan.clone();
     for kind in Trouble::ALL.iter().filter(|kind| !plan.without.contains(kind)) {
         smaller.without.push(*kind);
-        let found = play(program, &smaller).is_ok_and(|report| !report.is_clean() && !report.is_late());
+        let found = run(program, &smaller).is_ok_and(|report| !report.is_clean() && !report.is_late());
         if !found {
             smaller.without.pop();
         }
--- a/lab/src/soak/records.rs
+++ b/lab/src/soak/records.rs
@@ -1,5 +1,5 @@
 //! What clients, servers, discovery and the rig itself write down, by one clock.
-use crate::shared::lock;
+use crate::harness::lock;
 use std::sync::Mutex;
 use std::time::Instant;
 
--- a/lab/src/soak/report.rs
+++ b/lab/src/soak/report.rs
@@ -1,11 +1,11 @@
 //! What a play prints.
+use super::checker::Verdict;
 use super::fleet::Ends;
-use super::judge::Verdict;
 use super::records::Records;
 use super::timetable::Timetable;
 use super::trouble::Trouble;
 use super::Plan;
-use crate::shared::lock;
+use crate::harness::lock;
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter, Result};
 
@@ -25,7 +25,7 @@
     /// How the processes ended, and which faults arrived.
     pub ends: Ends,
     /// How late the rig itself ran at worst, in seconds.
-    pub pulse: f64,
+    pub harness_delay_s: f64,
     /// Attempts that servers saw.
     pub attempts: usize,
     processes: usize,
@@ -34,15 +34,24 @@
 impl Report {
     /// Of a play that is over.
     pub fn new(
-        plan: &Plan, timetable: Timetable, verdict: Verdict, ends: Ends, pulse: f64, records: &Records,
+        plan: &Plan, timetable: Timetable, verdict: Verdict, ends: Ends, harness_delay_s: f64,
+        records: &Records,
     ) -> Report {
         let attempts = lock(&records.attempts).len();
-        Report { seed: plan.seed, timetable, verdict, ends, pulse, attempts, processes: plan.processes }
+        Report {
+            seed: plan.seed,
+            timetable,
+            verdict,
+            ends,
+            harness_delay_s,
+            attempts,
+            processes: plan.processes,
+        }
     }
 
     /// The rig ran so late that it may be the cause of what was found.
     pub fn is_late(&self) -> bool {
-        self.pulse > LATE
+        self.harness_delay_s > LATE
     }
 
     /// Nothing was found.
@@ -84,13 +93,13 @@
         writeln!(
             out,
             "seed {}: {verdict}: {} processes, {} troubles, {} pairs of kinds, {requests} requests ({served} served, {refused} refused, \
-             {excused} excused), {} attempts, pulse {:.3} s late",
+             {excused} excused), {} attempts, the harness was {:.3} s late",
             self.seed,
             self.processes,
             self.timetable.entries.len(),
             self.pairs().len(),
             self.attempts,
-            self.pulse,
+            self.harness_delay_s,
         )?;
         let arrived: Vec<String> =
             self.ends.arrived.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
--- a/lab/src/soak/servers.rs
+++ b/lab/src/soak/servers.rs
@@ -1,7 +1,7 @@
 //! Stand-in servers: each answers a request with its id, misbehaves as it is told, and writes every attempt down.
 use super::records::{Attempt, Deed, ProcessId, Records};
-use crate::shared::lock;
-use crate::stand::header;
+use crate::fakes::header;
+use crate::harness::lock;
 use nanorand::{Rng, WyRand};
 use rustix::net::sockopt;
 use std::io::{ErrorKind, Read, Write};
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,6 +1,6 @@
 //! A sidecar of the rig's own, which agrees as all others do and forwards calls in the plainest way, honestly or with one fault
 //! of choice: whoever judges scenes must catch each of those.
-use crate::stand::{each, header, read_head};
+use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Kind, Micros};
 use oakhollow_accord::{lease, Action, Document, Fact, InstanceId, Judge, Listed, Member, Version, Word};
 use oakhollow_terms::{micros, read, to_json, Entry, Greeting, List, Operator, Own, Start};
@@ -15,7 +15,7 @@
 
 /// What it does wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, clap::ValueEnum)]
-pub enum How {
+pub enum Behaviour {
     Honest,
     /// It goes on by the old settings for three seconds after it has said that it knows the new ones.
     Late,
@@ -41,7 +41,7 @@
 type Offered = BTreeMap<String, bool>;
 
 struct Inside {
-    how: How,
+    how: Behaviour,
     begun: Instant,
     within: Micros,
     member: Member,
@@ -73,7 +73,7 @@
 }
 
 /// What a sidecar's file says, its own part of the settings, and the part that is the same for all.
-pub(crate) fn document(path: &Path) -> Result<(Start, Own, Document), String> {
+pub(crate) fn read_instance_file(path: &Path) -> Result<(Start, Own, Document), String> {
     let start = Start::from_file(path)?;
     let (own, common) = Own::part(&start.settings)?;
     let number = start.version.ok_or("version: missing")?;
@@ -95,13 +95,13 @@
                     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
                     let Ok(fresh) = offered(&self.own, &texts) else { continue };
                     match self.how {
-                        How::Late if !self.offered.is_empty() => {
+                        Behaviour::Late if !self.offered.is_empty() => {
                             self.later.push((Instant::now() + LATE, fresh));
                         }
                         _ => self.offered = fresh,
                     }
                 }
-                Action::Heard if self.how == How::NoDrains => {}
+                Action::Heard if self.how == Behaviour::NoDrains => {}
                 Action::Heard => {
                     self.out = self
                         .member
@@ -116,7 +116,7 @@
     }
 
     fn hear(&mut self, from: InstanceId, word: Word) {
-        if self.how == How::Deaf && matches!(word, Word::Documents(_)) && self.until > Micros(0) {
+        if self.how == Behaviour::Deaf && matches!(word, Word::Documents(_)) && self.until > Micros(0) {
             return;
         }
         let (before, mut actions) = (self.member.until(), Vec::new());
@@ -124,9 +124,9 @@
         self.carry_out(actions);
         let until = self.member.until();
         match self.how {
-            How::FromAnswer if until > before => self.until = self.now() + self.within,
-            How::FromAnswer => {}
-            How::NoLease if until > Micros(0) => self.until = Micros::NEVER,
+            Behaviour::FromAnswer if until > before => self.until = self.now() + self.within,
+            Behaviour::FromAnswer => {}
+            Behaviour::NoLease if until > Micros(0) => self.until = Micros::NEVER,
             _ => self.until = until,
         }
     }
@@ -139,10 +139,10 @@
         let file = std::fs::read_to_string(&self.path).unwrap_or_default();
         if file != self.file {
             self.file = file;
-            if let Ok((_, own, document)) = document(&self.path) {
+            if let Ok((_, own, document)) = read_instance_file(&self.path) {
                 self.own = own;
                 let text = document.text.clone();
-                if !self.member.written(now, document, &mut actions) && self.how == How::Lower {
+                if !self.member.written(now, document, &mut actions) && self.how == Behaviour::Lower {
                     self.offered = offered(&self.own, &[&text]).unwrap_or_default();
                 }
             }
@@ -202,8 +202,8 @@
 }
 
 /// Runs for as long as the process.
-pub fn run(path: &Path, operator: &Path, how: How) -> Result<(), String> {
-    let (start, own, first) = document(path)?;
+pub fn run(path: &Path, operator: &Path, how: Behaviour) -> Result<(), String> {
+    let (start, own, first) = read_instance_file(path)?;
     let agreed = Operator::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
     let names: Vec<&String> = agreed.instances.keys().collect();
     let id = |name: &String| names.iter().position(|other| *other == name).map(|at| InstanceId(at as u32));
@@ -212,7 +212,7 @@
     let judge: Judge = {
         let (own, only) = (own.clone(), first.text.clone());
         Arc::new(move |texts: &[Arc<str>]| {
-            if how == How::Refuses && texts.iter().any(|text| *text != only) {
+            if how == Behaviour::Refuses && texts.iter().any(|text| *text != only) {
                 return Err("settings: not known to this build".into());
             }
             let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
@@ -246,10 +246,10 @@
     watch(&inside, start.discovery);
     let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|fault| fault.to_string());
     let door = inside.clone();
-    each(listener(start.listen)?, move |stream| _ = serve(&door, BufReader::new(stream)));
+    serve_connections(listener(start.listen)?, move |stream| _ = serve(&door, BufReader::new(stream)));
     if let Some(at) = start.console {
         let door = inside.clone();
-        each(listener(at)?, move |stream| {
+        serve_connections(listener(at)?, move |stream| {
             let status = if lock(&door).acts() && !lock(&door).servers.is_empty() { 200 } else { 503 };
             let mut stream = BufReader::new(stream);
             if read_head(&mut stream).is_some() {
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! How much instances say to agree, and how long a change takes, simulated: members and keepers by the package's own code,
 //! all in one process, in virtual time, with links of 0.5 to 2 ms. Bytes are those of the words' lines.
-use crate::scale::catalogue::{Catalogue, Shape, Told};
+use crate::scale::catalogue::{Catalogue, EndpointState, Shape};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{
@@ -297,7 +297,7 @@
     let lists: Vec<Vec<u32>> = (0..instances).map(|_| catalogue.list_of(&mut random)).collect();
     let told = |at: usize, index: u64, out: bool, tells: &dyn Fn(usize) -> bool| {
         let servers = lists[at].iter().map(|server| *server as usize).filter(|server| tells(*server));
-        catalogue.told(index, index == 1, servers.map(|server| (server, Told { since: 7, out })))
+        catalogue.told(index, index == 1, servers.map(|server| (server, EndpointState { since: 7, out })))
     };
     let mut fleet = Fleet::new(instances, within, seed, scope, |at| told(at, 1, false, &|_| true));
     let never = |_: &Member| false;
--- a/lab/tests/admission.rs
+++ b/lab/tests/admission.rs
@@ -1,8 +1,8 @@
 //! How many scenes play at once, and which of them are played again.
-use oakhollow_lab::admission::{clocks, demand, room, Admission};
-use oakhollow_lab::play::NoReport;
-use oakhollow_lab::replays::{play_admitted, REPLAYS};
+use oakhollow_lab::admission::{available_capacity, estimated_demand, parse_cpu_times, Admission};
+use oakhollow_lab::reruns::{run_admitted, MAX_RERUNS};
 use oakhollow_lab::scene::Scene;
+use oakhollow_lab::scene_runner::RunError;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 use std::thread;
@@ -11,7 +11,7 @@
 const SCENE: &str = "sidecars 4 keepers 3 within 1.0\nversion 1 view:read old:read\nload 20\nuntil 4";
 
 fn demand_of(text: &str) -> u64 {
-    demand(&Scene::read(text).expect("a scene"))
+    estimated_demand(&Scene::parse(text).expect("a scene"))
 }
 
 #[test]
@@ -32,15 +32,15 @@
 
 #[test]
 fn room_is_what_others_leave() {
-    assert_eq!(room(8, 0), 2000);
-    assert_eq!(room(8, 3000), 1250);
+    assert_eq!(available_capacity(8, 0), 2000);
+    assert_eq!(available_capacity(8, 3000), 1250);
     // A machine that is full gives half of itself to who asks for it.
-    assert_eq!(room(8, 8000), 1000);
-    assert_eq!(room(1, 0), 250);
+    assert_eq!(available_capacity(8, 8000), 1000);
+    assert_eq!(available_capacity(1, 0), 250);
     let stat = "cpu  10 1 5 80 4 2 3 1 9 9\ncpu0 1 1 1 1 1 1 1 1 0 0\n";
-    assert_eq!(clocks(stat), Some((22, 106)));
-    assert_eq!(clocks("intr 7"), None);
-    assert_eq!(clocks("cpu  10 1"), None);
+    assert_eq!(parse_cpu_times(stat), Some((22, 106)));
+    assert_eq!(parse_cpu_times("intr 7"), None);
+    assert_eq!(parse_cpu_times("cpu  10 1"), None);
 }
 
 #[test]
@@ -85,27 +85,27 @@
 
 /// Until so many have asked.
 fn admission_has_waiting(admission: &Admission, asked: u64) {
-    while admission.asked() < asked {
+    while admission.admissions_requested() < asked {
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-fn no_figure() -> NoReport {
-    NoReport::NoFigure { why: "9 of 10 calls went out late".into(), broken: vec![] }
+fn no_figure() -> RunError {
+    RunError::Inconclusive { reason: "9 of 10 calls went out late".into(), failed_expectations: vec![] }
 }
 
 /// What comes of plays that go as told, and how many of them there were.
-fn played(goes: impl Fn(usize) -> Result<(), NoReport>) -> (Result<(), NoReport>, usize) {
+fn played(goes: impl Fn(usize) -> Result<(), RunError>) -> (Result<(), RunError>, usize) {
     let (admission, plays) = (Admission::new(1000), AtomicUsize::new(0));
-    let came = play_admitted(&admission, 100, "a scene", || goes(plays.fetch_add(1, Ordering::SeqCst)));
+    let came = run_admitted(&admission, 100, "a scene", || goes(plays.fetch_add(1, Ordering::SeqCst)));
     (came, plays.load(Ordering::SeqCst))
 }
 
 #[test]
 fn none_without_a_figure_passes() {
     let (came, plays) = played(|_| Err(no_figure()));
-    assert!(matches!(came, Err(NoReport::NoFigure { .. })));
-    assert_eq!(plays, 1 + REPLAYS);
+    assert!(matches!(came, Err(RunError::Inconclusive { .. })));
+    assert_eq!(plays, 1 + MAX_RERUNS);
 }
 
 #[test]
@@ -117,13 +117,13 @@
 
 #[test]
 fn a_fault_is_not_played_again() {
-    let fault = || Err(NoReport::Fault("n0 has ended".into()));
+    let fault = || Err(RunError::Failed("n0 has ended".into()));
     let (came, plays) = played(|_| fault());
-    assert!(matches!(came, Err(NoReport::Fault(_))));
+    assert!(matches!(came, Err(RunError::Failed(_))));
     assert_eq!(plays, 1);
     // Nor one that shows when it is played again.
     let (came, plays) = played(|at| if at == 0 { Err(no_figure()) } else { fault() });
-    assert!(matches!(came, Err(NoReport::Fault(_))));
+    assert!(matches!(came, Err(RunError::Failed(_))));
     assert_eq!(plays, 2);
     // What has a figure is not played again either: whether it is broken is for the caller to say.
     assert_eq!(played(|_| Ok(())).1, 1);
@@ -144,7 +144,7 @@
                 }
             });
         }
-        let came = play_admitted(&admission, 300, "a scene", || {
+        let came = run_admitted(&admission, 300, "a scene", || {
             let again = plays.fetch_add(1, Ordering::SeqCst) > 0;
             for _ in 0..if again { 10 } else { 0 } {
                 assert_eq!(others.load(Ordering::SeqCst), 0);
--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -2,8 +2,8 @@
 mod beside;
 
 use beside::program;
-use oakhollow_lab::chain::caller::{call, Called, Calls};
-use oakhollow_lab::chain::report::{self, Play};
+use oakhollow_lab::chain::client::{call, Called, Calls};
+use oakhollow_lab::chain::report::{self, RunSettings};
 use oakhollow_lab::chain::statistics::{reach_bound, t_quantile, Interval};
 use oakhollow_lab::chain::tiers::Tier;
 use oakhollow_lab::chain::usage::{figure, usage};
@@ -90,7 +90,7 @@
         let mut calls = 0;
         for slow in [Duration::ZERO, Duration::from_millis(20)] {
             chain.slow_down(slow);
-            let round = chain.play(100.0, lead, length).expect("played");
+            let round = chain.run(100.0, lead, length).expect("played");
             let called = &round.called;
             assert!(round.whole() && called.sent == 100, "{:?}, {} open", called.answers, called.unanswered);
             assert_eq!(called.counted, 80);
@@ -123,7 +123,7 @@
     let plan = Plan { program: &program, depth: 1, servers: 2, seed: 0 };
     let length = Duration::from_millis(300);
     // No share is below it: every pair ran late.
-    let late = Play {
+    let late = RunSettings {
         rate: 100.0,
         pairs: 2,
         length,
@@ -133,7 +133,7 @@
         slow_length: length,
         budget: 0.05,
     };
-    let report = report::play(&plan, &late).expect("played");
+    let report = report::run(&plan, &late).expect("played");
     // What does not count from when calls were due is told all the same.
     let told: Vec<bool> = report.added().iter().map(|(_, interval)| interval.is_some()).collect();
     let served = report.pairs.iter().filter(|pair| pair.unserved.is_none()).count() >= 2;
--- a/lab/tests/crowd.rs
+++ b/lab/tests/crowd.rs
@@ -2,8 +2,8 @@
 mod beside;
 
 use beside::program;
-use oakhollow_lab::crowd::{play, Case, Report};
-use oakhollow_lab::shared::{figure, Capacity, TurnsAway};
+use oakhollow_lab::discovery_recovery::{run, Case, Report};
+use oakhollow_lab::harness::{run_until_conclusive, Capacity, RejectionTiming};
 use std::time::Duration;
 
 const PROCESSES: usize = 24;
@@ -14,9 +14,9 @@
 #[test]
 fn a_crowded_discovery_is_not_kept_from_answering() {
     let capacity = Capacity {
-        a_second: PROCESSES as f64 / ALL_ANSWERED_S,
-        patience_s: 2.0,
-        turns_away: TurnsAway::Late,
+        requests_per_s: PROCESSES as f64 / ALL_ANSWERED_S,
+        max_wait_s: 2.0,
+        rejection: RejectionTiming::AfterMaxWait,
     };
     let case = Case {
         name: "crowd",
@@ -38,7 +38,7 @@
             heard => Err(format!("{heard} of {PROCESSES} have heard 16 s after its return")),
         }
     };
-    if let Err(fault) = figure(case.name, || play(&program(), &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program(), &case), judge) {
         panic!("{fault}");
     }
 }
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -4,9 +4,12 @@
 
 use beside::program;
 use oakhollow_faults::{FaultKind, Faults, ALWAYS};
+use oakhollow_lab::fakes::{connect, read_head, send_request, serve_connections};
+use oakhollow_lab::harness::{
+    config_json, unix_ms, view_request, wait_until_all_ready, ListedEndpoint, ProcessConfig, SharedDiscovery,
+    TempDir,
+};
 use oakhollow_lab::processes::Sidecar;
-use oakhollow_lab::shared::{all_serve, file, unix_ms, view, Folder, Listed, Shared, Told};
-use oakhollow_lab::stand::{ask, dial, each, read_head};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,7 +23,7 @@
 
 /// A server that answers at once and counts what it is sent.
 struct Server {
-    listed: Listed,
+    listed: ListedEndpoint,
     seen: Arc<AtomicUsize>,
 }
 
@@ -30,7 +33,7 @@
         let address = listener.local_addr().expect("bound");
         let seen = Arc::<AtomicUsize>::default();
         let count = seen.clone();
-        each(listener, move |stream| {
+        serve_connections(listener, move |stream| {
             let _ = stream.set_nodelay(true);
             let mut stream = BufReader::new(stream);
             while read_head(&mut stream).is_some() {
@@ -41,16 +44,16 @@
                 }
             }
         });
-        Server { listed: Listed { name, address, since_ms: 0 }, seen }
+        Server { listed: ListedEndpoint { name, address, since_ms: 0 }, seen }
     }
 }
 
 struct Rig {
     sidecar: Sidecar,
     servers: Vec<Server>,
-    discovery: Shared,
+    discovery: SharedDiscovery,
     calls: usize,
-    _folder: Folder,
+    _folder: TempDir,
 }
 
 impl Rig {
@@ -58,12 +61,12 @@
     fn start(clock_s: i64) -> Rig {
         let servers: Vec<Server> = (0..SERVERS).map(|at| Server::start(format!("s{at}"))).collect();
         let listed = servers.iter().map(|server| server.listed.clone()).collect();
-        let discovery = Shared::start(listed).expect("a discovery");
-        let folder = Folder::new("faults");
+        let discovery = SharedDiscovery::start(listed).expect("a discovery");
+        let folder = TempDir::new("faults");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
-        let told = Told::alone(discovery.address);
-        sidecar.write(&file(&sidecar, &told)).expect("written");
-        sidecar.bend().expect("the library of faults");
+        let told = ProcessConfig::alone(discovery.address);
+        sidecar.write_config(&config_json(&sidecar, &told)).expect("written");
+        sidecar.enable_faults().expect("the library of faults");
         let mut rig = Rig { sidecar, servers, discovery, calls: 0, _folder: folder };
         rig.faults().step_clock(clock_s).expect("stepped");
         rig.sidecar.start().expect("started");
@@ -80,7 +83,7 @@
     }
 
     fn serves(&mut self) {
-        all_serve(std::slice::from_mut(&mut self.sidecar)).expect("serves");
+        wait_until_all_ready(std::slice::from_mut(&mut self.sidecar)).expect("serves");
     }
 
     /// Killed, and started again with the same folder.
@@ -94,7 +97,7 @@
     fn console(&self, path: &str) -> u16 {
         let asked = format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
         let to = self.sidecar.console;
-        let answer = dial(to).and_then(|mut stream| ask(&mut stream, &asked));
+        let answer = connect(to).and_then(|mut stream| send_request(&mut stream, &asked));
         answer.expect("an answer").0
     }
 
@@ -102,12 +105,14 @@
     fn part(&mut self, server: usize, length: Duration) -> f64 {
         let seen = |rig: &Rig| rig.servers.iter().map(|server| server.seen.load(Ordering::Relaxed)).collect();
         let (before, begun): (Vec<usize>, Instant) = (seen(self), Instant::now());
-        let mut stream = dial(self.sidecar.listen);
+        let mut stream = connect(self.sidecar.listen);
         while begun.elapsed() < length {
             self.calls += 1;
-            let asked = stream.as_mut().and_then(|stream| ask(stream, &view(&format!("p{}", self.calls))));
+            let asked = stream
+                .as_mut()
+                .and_then(|stream| send_request(stream, &view_request(&format!("p{}", self.calls))));
             if !asked.is_some_and(|(_, lasts)| lasts) {
-                stream = dial(self.sidecar.listen);
+                stream = connect(self.sidecar.listen);
             }
             thread::sleep(Duration::from_millis(10));
         }
@@ -119,8 +124,8 @@
     }
 
     fn starts_again(&mut self, server: usize) {
-        let listed = Listed { since_ms: unix_ms(), ..self.servers[server].listed.clone() };
-        self.discovery.tell(listed);
+        let listed = ListedEndpoint { since_ms: unix_ms(), ..self.servers[server].listed.clone() };
+        self.discovery.announce(listed);
         thread::sleep(Duration::from_millis(100));
     }
 }
@@ -130,16 +135,16 @@
     let call = move |caller: usize, call: usize, stream: &mut Option<BufReader<std::net::TcpStream>>| {
         let begun = Instant::now();
         let id = format!("a{caller}-{call}-{}", to.port());
-        let answered = stream.as_mut().and_then(|stream| ask(stream, &view(&id)));
+        let answered = stream.as_mut().and_then(|stream| send_request(stream, &view_request(&id)));
         if !answered.is_some_and(|(_, lasts)| lasts) {
-            *stream = dial(to);
+            *stream = connect(to);
         }
         answered.map(|_| begun.elapsed())
     };
     let callers: Vec<_> = (0..callers)
         .map(|caller| {
             thread::spawn(move || {
-                let mut stream = dial(to);
+                let mut stream = connect(to);
                 if let Some(stream) = &stream {
                     let _ = stream.get_ref().set_read_timeout(Some(Duration::from_millis(1_700)));
                 }
@@ -181,21 +186,21 @@
 fn accepts_that_fail_for_a_moment_hold_up_nobody() {
     let rig = Rig::start(0);
     // Rests, and is to be there still.
-    let mut rests = dial(rig.sidecar.listen).expect("connected");
-    assert_eq!(ask(&mut rests, &view("first")).map(|(status, _)| status), Some(200));
+    let mut rests = connect(rig.sidecar.listen).expect("connected");
+    assert_eq!(send_request(&mut rests, &view_request("first")).map(|(status, _)| status), Some(200));
     rig.set(FaultKind::FailedAccept, ALWAYS / 3);
     let mut worst = Duration::ZERO;
     for call in 0..60 {
         let begun = Instant::now();
-        let mut stream = dial(rig.sidecar.listen).expect("connected");
-        let answered = ask(&mut stream, &view(&format!("accept{call}")));
+        let mut stream = connect(rig.sidecar.listen).expect("connected");
+        let answered = send_request(&mut stream, &view_request(&format!("accept{call}")));
         assert_eq!(answered.map(|(status, _)| status), Some(200));
         worst = worst.max(begun.elapsed());
     }
     let arrived = rig.faults().arrived(FaultKind::FailedAccept);
     assert!(arrived > 10, "{arrived} accepts failed");
     assert_eq!(
-        ask(&mut rests, &view("last")).map(|(status, _)| status),
+        send_request(&mut rests, &view_request("last")).map(|(status, _)| status),
         Some(200),
         "the idle one was closed"
     );
@@ -233,13 +238,13 @@
         rig.set(FaultKind::FailedRead, ALWAYS / 3);
         rig.sidecar.start().expect("started");
         thread::sleep(Duration::from_millis(100));
-        if rig.sidecar.ended() {
+        if rig.sidecar.has_exited() {
             continue;
         }
         rig.serves();
         rig.set(FaultKind::FailedRead, 0);
         served += 1;
-        assert_eq!(rig.part(0, Duration::from_secs(1)), 0.0, "at start {starts}, {}", rig.sidecar.log());
+        assert_eq!(rig.part(0, Duration::from_secs(1)), 0.0, "at start {starts}, {}", rig.sidecar.log_text());
     }
     assert!(rig.faults().arrived(FaultKind::FailedRead) > 0);
 }
--- a/lab/tests/handover.rs
+++ b/lab/tests/handover.rs
@@ -3,9 +3,11 @@
 mod turn;
 
 use beside::program;
+use oakhollow_lab::fakes::{connect, send_request};
+use oakhollow_lab::harness::{
+    config_json, wait_until_all_ready, ListedEndpoint, ProcessConfig, SharedDiscovery, TempDir,
+};
 use oakhollow_lab::processes::Sidecar;
-use oakhollow_lab::shared::{all_serve, file, Folder, Listed, Shared, Told};
-use oakhollow_lab::stand::{ask, dial};
 use rustix::process::Signal;
 use std::io::{BufRead, BufReader};
 use std::os::unix::net::UnixStream;
@@ -17,26 +19,26 @@
 struct Rig {
     sidecar: Sidecar,
     socket: PathBuf,
-    _discovery: Shared,
-    _folder: Folder,
+    _discovery: SharedDiscovery,
+    _folder: TempDir,
 }
 
 impl Rig {
     /// One process with a passed socket, before so many servers; `prepare` sees where its successors will find it.
     fn start(servers: usize, prepare: impl FnOnce(&PathBuf)) -> Rig {
         let nobody = "127.0.0.1:9".parse().expect("an address");
-        let named = |at| Listed { name: format!("server-{at}"), address: nobody, since_ms: 0 };
-        let discovery = Shared::start((0..servers).map(named).collect()).expect("a discovery");
-        let folder = Folder::new("handover");
+        let named = |at| ListedEndpoint { name: format!("server-{at}"), address: nobody, since_ms: 0 };
+        let discovery = SharedDiscovery::start((0..servers).map(named).collect()).expect("a discovery");
+        let folder = TempDir::new("handover");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
-        let told = Told::alone(discovery.address);
-        sidecar.write(&file(&sidecar, &told)).expect("written");
+        let told = ProcessConfig::alone(discovery.address);
+        sidecar.write_config(&config_json(&sidecar, &told)).expect("written");
         sidecar.pass_listener().expect("a socket");
         let name = format!("oakhollow-{}.sock", sidecar.listen.to_string().replace(':', "_"));
         let socket = sidecar.folder().join(name);
         prepare(&socket);
         sidecar.start().expect("started");
-        all_serve(std::slice::from_mut(&mut sidecar)).expect("serves");
+        wait_until_all_ready(std::slice::from_mut(&mut sidecar)).expect("serves");
         Rig { sidecar, socket, _discovery: discovery, _folder: folder }
     }
 
@@ -54,7 +56,7 @@
 
     fn takes_out(&self, server: &str) -> u16 {
         let asked = format!("PUT /endpoints/{server}/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-        let answer = dial(self.sidecar.console).and_then(|mut stream| ask(&mut stream, &asked));
+        let answer = connect(self.sidecar.console).and_then(|mut stream| send_request(&mut stream, &asked));
         answer.expect("an answer").0
     }
 }
@@ -89,9 +91,9 @@
     let _turn = turn();
     let mut rig = Rig::start(4, |_| {});
     rig.sidecar.signal(Signal::STOP);
-    rig.sidecar.replace().expect("started");
+    rig.sidecar.start_second().expect("started");
     // Longer than it waits for the one before it.
     thread::sleep(Duration::from_millis(900));
-    assert!(!rig.sidecar.ended(), "{}", rig.sidecar.log());
-    all_serve(std::slice::from_mut(&mut rig.sidecar)).expect("serves");
+    assert!(!rig.sidecar.has_exited(), "{}", rig.sidecar.log_text());
+    wait_until_all_ready(std::slice::from_mut(&mut rig.sidecar)).expect("serves");
 }
--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -1,20 +1,22 @@
 //! What the judge makes of sidecars that do as they should not.
-use oakhollow_lab::judge::{judge, longest, Answered, Hop};
+use oakhollow_lab::checker::{check, longest_contradiction, Attempt, ResponseSeen};
 use oakhollow_lab::scene::Scene;
 
 const SCENE: &str = "sidecars 3 keepers 1 within 1.0\nversion 1 view:read old:read fails:read\n\
     version 2 view:read new:read fails:once\nuntil 9\nexpect contradiction 0.2\nexpect n2 silent 4 5";
 
-fn broken(scene: &Scene, hops: &[Hop], answers: &[Answered], logs: &[(String, String)]) -> Vec<String> {
-    judge(scene, hops, answers, logs).broken
+fn broken(
+    scene: &Scene, hops: &[Attempt], answers: &[ResponseSeen], logs: &[(String, String)],
+) -> Vec<String> {
+    check(scene, hops, answers, logs).failed_expectations
 }
 
 /// Hops as `TIME SIDECAR WORKLOAD ID`, and what the judge says is broken.
 fn judged(hops: &str) -> (Option<f64>, Vec<String>) {
-    let scene = Scene::read(SCENE).expect("a scene");
+    let scene = Scene::parse(SCENE).expect("a scene");
     let hop = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        Hop {
+        Attempt {
             at: words[0].parse().expect("a time"),
             sidecar: words[1].parse().expect("a sidecar"),
             server: words.get(4).map_or(0, |server| server.parse().expect("a server")),
@@ -22,8 +24,8 @@
             id: words[3].into(),
         }
     };
-    let hops: Vec<Hop> = hops.split(';').map(|line| hop(line.trim())).collect();
-    let length = longest(&scene, &hops).ok().flatten().map(|found| found.length);
+    let hops: Vec<Attempt> = hops.split(';').map(|line| hop(line.trim())).collect();
+    let length = longest_contradiction(&scene, &hops).ok().flatten().map(|found| found.duration_s);
     (length, broken(&scene, &hops, &[], &[]))
 }
 
@@ -50,10 +52,10 @@
     // It repeats what the new ones have as once-only.
     assert_eq!(judged("2 1 new b; 2.1 0 fails c; 2.6 0 fails c").0, Some(0.6000000000000001));
     // It sends to a server which another that serves was told to drain.
-    let scene = Scene::read(&SCENE.replace("until 9", "until 9\nat 2 drain n0 s1\nexpect drains 1"))
+    let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 2 drain n0 s1\nexpect drains 1"))
         .expect("a scene");
     let sent =
-        |at, sidecar, server| Hop { at, sidecar, server, workload: "view".into(), id: format!("{at}") };
+        |at, sidecar, server| Attempt { at, sidecar, server, workload: "view".into(), id: format!("{at}") };
     let goes_on = |from: f64, to: f64| {
         let own = (0..100).map(move |at| from + 0.1 * f64::from(at)).take_while(move |at| *at < to);
         own.map(|at| sent(at, 0, 0)).chain([sent(2.5, 1, 1), sent(3.5, 1, 1)]).collect::<Vec<_>>()
@@ -73,8 +75,8 @@
 
 #[test]
 fn a_call_without_an_answer_is_a_fault_where_nothing_was_killed() {
-    let scene = Scene::read(&SCENE.replace("until 9", "until 9\nat 6 kill n1")).expect("a scene");
-    let missing = |sidecar, at| vec![Answered { at, sidecar, status: None }];
+    let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 6 kill n1")).expect("a scene");
+    let missing = |sidecar, at| vec![ResponseSeen { at, sidecar, status: None }];
     assert_eq!(broken(&scene, &[], &missing(0, 6.5), &[]), ["1 calls without an answer"]);
     assert!(broken(&scene, &[], &missing(1, 6.5), &[]).is_empty());
     assert_eq!(broken(&scene, &[], &missing(1, 1.0), &[]).len(), 1);
--- a/lab/tests/large_lists.rs
+++ b/lab/tests/large_lists.rs
@@ -2,9 +2,9 @@
 mod beside;
 
 use beside::program;
+use oakhollow_lab::harness::run_until_conclusive;
 use oakhollow_lab::large_list::discovery::{Conduct, Pace};
-use oakhollow_lab::large_list::{play, Case, Cut, Report};
-use oakhollow_lab::shared::figure;
+use oakhollow_lab::large_list::{run, Case, Cut, Report};
 use std::thread;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     let faults: Vec<String> = thread::scope(|scope| {
         let plays = cases.iter().map(|case| {
             let program = &program;
-            scope.spawn(move || figure(case.name, || play(program, case), no_breaks))
+            scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_breaks))
         });
         let plays: Vec<_> = plays.collect();
         plays.into_iter().filter_map(|play| play.join().expect("played").err()).collect()
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -3,15 +3,15 @@
 mod turn;
 
 use beside::program;
-use oakhollow_lab::budget::{fullest, Arrival, Ramp, Window};
-use oakhollow_lab::ramp::{play, Case, Report};
-use oakhollow_lab::shared::figure;
+use oakhollow_lab::harness::run_until_conclusive;
+use oakhollow_lab::slow_start::{run, Case, Report};
+use oakhollow_lab::slow_start_limit::{fullest, Arrival, Ramp, Window};
 use turn::turn;
 
 fn told(case: &Case, report: &Report) {
-    let Report { lives, calls, late, served, pulse } = report;
+    let Report { lives, calls, late, served, harness_delay_s } = report;
     let Case { name, processes, .. } = case;
-    println!("{name}, {processes} processes: {served} of {calls} calls served, {late} late, pulse {pulse:.3} s late");
+    println!("{name}, {processes} processes: {served} of {calls} calls served, {late} late, the harness was {harness_delay_s:.3} s late");
     for life in lives {
         println!("  {} arrivals, {} falls, fullest {:?}", life.arrivals, life.falls, life.fullest);
     }
@@ -24,7 +24,7 @@
         told(&case, report);
         judge(report)
     };
-    if let Err(fault) = figure(case.name, || play(&program, &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), judge) {
         panic!("{fault}");
     }
 }
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -3,12 +3,18 @@
 mod turn;
 
 use beside::program;
-use oakhollow_lab::restart::{play, Case, Report};
-use oakhollow_lab::shared::{figure, Capacity, Down, Met, TurnsAway};
+use oakhollow_lab::harness::{run_until_conclusive, Capacity, DiscoveryOutcome, OutageKind, RejectionTiming};
+use oakhollow_lab::restart::{run, Case, Report};
 use turn::turn;
 
-const CASE: Case =
-    Case { name: "known list", processes: 30, known: true, down: Down::Refused, down_s: 4.0, capacity: None };
+const CASE: Case = Case {
+    name: "known list",
+    processes: 30,
+    known: true,
+    down: OutageKind::Refused,
+    down_s: 4.0,
+    capacity: None,
+};
 
 fn told(case: &Case, report: &Report) {
     let at = |part: f64| report.ready[((report.ready.len() as f64 * part).ceil() as usize).max(1) - 1];
@@ -20,11 +26,11 @@
         at(0.5),
         at(0.9),
         at(1.0),
-        report.count(Met::Unanswered),
-        report.count(Met::Told),
-        report.count(Met::TurnedAway),
+        report.count(DiscoveryOutcome::Unanswered),
+        report.count(DiscoveryOutcome::Served),
+        report.count(DiscoveryOutcome::Rejected),
         report.most_at_once(0.0, f64::INFINITY),
-        report.pulse,
+        report.harness_delay_s,
     );
     for second in 0..8 {
         let bin = |tenth: usize| {
@@ -53,7 +59,7 @@
             _ => Ok(()),
         }
     };
-    if let Err(fault) = figure(case.name, || play(&program, &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), judge) {
         panic!("{fault}");
     }
 }
@@ -71,12 +77,19 @@
 /// It works through one call of each process in five seconds, and whoever would wait for longer than 0.3 s is turned away.
 #[test]
 fn without_a_list_and_with_too_many_callers_at_its_return() {
-    let capacity = Some(Capacity { a_second: 6.0, patience_s: 0.3, turns_away: TurnsAway::AtOnce });
-    holds(Case { name: "no list, too many callers", known: false, down: Down::Closed, capacity, ..CASE });
+    let capacity =
+        Some(Capacity { requests_per_s: 6.0, max_wait_s: 0.3, rejection: RejectionTiming::Immediate });
+    holds(Case {
+        name: "no list, too many callers",
+        known: false,
+        down: OutageKind::Closed,
+        capacity,
+        ..CASE
+    });
 }
 
 /// All are held unanswered, and closed in the moment of its return.
 #[test]
 fn without_a_list_and_with_calls_that_are_closed_at_its_return() {
-    holds(Case { name: "no list, held", known: false, down: Down::Held, ..CASE });
+    holds(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
 }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -4,7 +4,7 @@
 use beside::program;
 use oakhollow_lab::soak::timetable::{Shape, Timetable};
 use oakhollow_lab::soak::trouble::Trouble;
-use oakhollow_lab::soak::{play, Plan};
+use oakhollow_lab::soak::{run, Plan};
 use std::time::Duration;
 
 /// A rig that ran late gives no figure: it is played again, so often.
@@ -16,7 +16,7 @@
 
 fn is_clean(seed: u64) {
     for _ in 0..PLAYS {
-        let report = play(&program(), &plan(seed)).expect("the rig is built");
+        let report = run(&program(), &plan(seed)).expect("the rig is built");
         println!("{report}{}", report.timetable_text());
         if report.is_clean() {
             return;
--- a/lab/tests/soak_judge.rs
+++ b/lab/tests/soak_judge.rs
@@ -1,7 +1,7 @@
 //! The soak's judge finds each broken promise in records made by hand, and none in those of a promise that is kept.
-use oakhollow_lab::shared::lock;
+use oakhollow_lab::harness::lock;
+use oakhollow_lab::soak::checker::check;
 use oakhollow_lab::soak::fleet::Ends;
-use oakhollow_lab::soak::judge::judge;
 use oakhollow_lab::soak::records::{Attempt, Class, Deed, Ending, Event, ProcessId, Records, Request};
 
 const PROCESS: ProcessId = ProcessId { group: 0, number: 0 };
@@ -39,7 +39,7 @@
     lock(&records.requests).push(request);
     lock(&records.attempts).extend_from_slice(attempts);
     lock(&records.events).extend(events.iter().map(|(at, event)| (*at, PROCESS, *event)));
-    judge(&records, &Ends::default()).findings.iter().map(|finding| finding.promise).collect()
+    check(&records, &Ends::default()).findings.iter().map(|finding| finding.promise).collect()
 }
 
 fn ended(ending: Ending, at: f64) -> Request {
@@ -116,7 +116,7 @@
     lock(&records.events).extend(events.iter().map(|(at, event)| (*at, PROCESS, *event)));
     let broken = vec!["g0p0: rule broken: answer_in_time: request g0p0-1 (7): 0.000s accepted".into()];
     let ends = Ends { broken, ..Ends::default() };
-    judge(&records, &ends).findings.iter().map(|finding| finding.promise).collect()
+    check(&records, &ends).findings.iter().map(|finding| finding.promise).collect()
 }
 
 #[test]
--- a/lab/tests/waited_unread.rs
+++ b/lab/tests/waited_unread.rs
@@ -2,9 +2,11 @@
 mod beside;
 
 use beside::program;
+use oakhollow_lab::fakes::{connect, header, read_head, serve_connections};
+use oakhollow_lab::harness::{
+    config_json, lock, view_request, ListedEndpoint, ProcessConfig, SharedDiscovery, TempDir,
+};
 use oakhollow_lab::processes::Sidecar;
-use oakhollow_lab::shared::{file, lock, view, Folder, Listed, Shared, Told};
-use oakhollow_lab::stand::{dial, each, header, read_head};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -22,7 +24,7 @@
 fn server(told: Arc<Mutex<Option<(Instant, Duration)>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    each(listener, move |stream| {
+    serve_connections(listener, move |stream| {
         let mut stream = BufReader::new(stream);
         while let Some(head) = read_head(&mut stream) {
             let left = header(&head, "Request-Timeout-Ms").and_then(|left| left.parse().ok());
@@ -39,16 +41,16 @@
 #[test]
 fn a_server_is_told_what_is_left_of_a_request_that_waited_unread() {
     let told = Arc::default();
-    let listed = Listed { name: "s0".into(), address: server(Arc::clone(&told)), since_ms: 0 };
-    let discovery = Shared::start(vec![listed.clone()]).expect("a discovery");
-    let folder = Folder::new("waited-unread");
+    let listed = ListedEndpoint { name: "s0".into(), address: server(Arc::clone(&told)), since_ms: 0 };
+    let discovery = SharedDiscovery::start(vec![listed.clone()]).expect("a discovery");
+    let folder = TempDir::new("waited-unread");
     let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
     let known = [listed];
-    let settings = Told { known: Some(&known), ..Told::alone(discovery.address) };
-    sidecar.write(&file(&sidecar, &settings)).expect("written");
+    let settings = ProcessConfig { known: Some(&known), ..ProcessConfig::alone(discovery.address) };
+    sidecar.write_config(&config_json(&sidecar, &settings)).expect("written");
     sidecar.pass_listener().expect("a listener");
-    let mut client = dial(sidecar.listen).expect("taken in by the kernel");
-    client.get_mut().write_all(view("one").as_bytes()).expect("sent");
+    let mut client = connect(sidecar.listen).expect("taken in by the kernel");
+    client.get_mut().write_all(view_request("one").as_bytes()).expect("sent");
     let sent = Instant::now();
     thread::sleep(WAITS);
     sidecar.start().expect("started");
