--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -2,7 +2,9 @@
 //! debug log. Sending, repeating, closing and starting go through this and nothing else, by what it returns.
 use crate::metrics::{AttemptKind, Metrics, RefusalReason, SystemCall};
 use crate::timers::Clock;
-use oakhollow::types::{CallId, HopNo, Kind, Listing, Micros, Outcome, ServerId, Standing, Terms};
+use oakhollow::types::{
+    BalancerConfig, CallId, HopNo, Idempotency, ListedServer, Micros, Outcome, ServerId, ServerStatus,
+};
 use oakhollow_guard::{
     AnswerKind, AttemptPermit, CloseReason, Denial, Effect, Event, Guard, LastLook, Limits, Location,
     RetryBudget, Rule, SendPermit,
@@ -29,19 +31,19 @@
 }
 
 /// The effect that a request of a workload has.
-pub fn effect(kind: Kind) -> Effect {
+pub fn effect(kind: Idempotency) -> Effect {
     match kind {
-        Kind::Repeatable => Effect::Safe,
-        Kind::Tagged { group, memory } => Effect::Keyed { memory, group },
-        Kind::OnceOnly => Effect::Unsafe,
+        Idempotency::Idempotent => Effect::Safe,
+        Idempotency::ByKey { scope, window } => Effect::Keyed { memory: window, group: scope },
+        Idempotency::NonIdempotent => Effect::Unsafe,
     }
 }
 
 /// What of the settings the guard checks.
-pub fn limits(terms: &Terms, drain_grace: Micros) -> Limits {
-    let budget = terms.beyond_first.as_ref();
+pub fn limits(terms: &BalancerConfig, drain_grace: Micros) -> Limits {
+    let budget = terms.retry_budget.as_ref();
     let retry_budget =
-        budget.map(|bound| RetryBudget { few: bound.few, share: bound.share, window: bound.window });
+        budget.map(|bound| RetryBudget { few: bound.base, share: bound.ratio, window: bound.window });
     Limits { drain_grace, retry_budget }
 }
 
@@ -100,13 +102,13 @@
             );
         }
         if kind != AttemptKind::First {
-            self.metrics.spend(self.guard.borrow().retry_budget_used());
+            self.metrics.set_retry_budget_used(self.guard.borrow().retry_budget_used());
         }
-        allowed.inspect_err(|denial| self.metrics.deny(*denial))
+        allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
     /// Whether its first byte may be written, by what is known now.
-    pub fn send(&self, permit: &AttemptPermit, look: LastLook) -> Result<SendPermit, Denial> {
+    pub fn permit_send(&self, permit: &AttemptPermit, look: LastLook) -> Result<SendPermit, Denial> {
         let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, look);
         self.tell_violations();
         if self.verbose {
@@ -119,7 +121,7 @@
                 allowed.as_ref().err()
             );
         }
-        allowed.inspect_err(|denial| self.metrics.deny(*denial))
+        allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
     /// Its last byte was written.
@@ -129,13 +131,13 @@
 
     /// An attempt has ended.
     pub fn attempt_ended(&self, request: CallId, attempt: HopNo, kind: AttemptKind, outcome: Outcome) {
-        self.metrics.end_attempt(kind, outcome);
+        self.metrics.count_attempt(kind, outcome);
         self.observe(Event::AttemptEnded { request, attempt, outcome });
     }
 
     /// A request was refused.
     pub fn refused(&self, request: CallId, reason: RefusalReason) {
-        self.metrics.refuse(reason);
+        self.metrics.count_refusal(reason);
         if self.verbose {
             debug!(self.log, "request {}: refused: {:?}", request.0, reason);
         }
@@ -143,17 +145,17 @@
 
     /// A client's connection is closed.
     pub fn connection_closed(&self, reason: CloseReason) {
-        self.metrics.close(reason);
+        self.metrics.count_closed_connection(reason);
         if self.verbose {
             debug!(self.log, "connection closed: {}", reason.name());
         }
     }
 
     /// What is known of a server from now on.
-    pub fn server_listed(&self, listing: &Listing) {
-        let location = Location { place: listing.place, cell: listing.cell };
-        self.observe(Event::ServerListed { server: listing.server, standing: listing.standing, location });
-        if listing.standing == Standing::Gone {
+    pub fn server_listed(&self, listing: &ListedServer) {
+        let location = Location { place: listing.zone, cell: listing.cell };
+        self.observe(Event::ServerListed { server: listing.server, standing: listing.status, location });
+        if listing.status == ServerStatus::Gone {
             self.guard.borrow_mut().forget_server(listing.server);
         }
     }
@@ -165,7 +167,7 @@
 
     /// A system call failed.
     pub fn system_error(&self, call: SystemCall, error: &std::io::Error) {
-        self.metrics.fail(call, error);
+        self.metrics.count_system_error(call, error);
     }
 
     fn observe(&self, event: Event) {
@@ -182,7 +184,7 @@
         }
         let found = self.guard.borrow_mut().take_violations();
         for violation in found {
-            self.metrics.violate(violation.rule);
+            self.metrics.count_violation(violation.rule);
             if self.has_line(violation.at) {
                 error!(self.log, "rule broken: {}", violation);
             }
@@ -242,7 +244,7 @@
     pub fn answer_begun(&self, kind: AnswerKind) {
         let monitor = &self.monitor;
         self.answered.set(Some(kind));
-        monitor.metrics.took(monitor.clock.now() - self.since);
+        monitor.metrics.observe_latency(monitor.clock.now() - self.since);
         monitor.observe(Event::AnswerBegun { request: self.request, kind });
     }
 
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -1,7 +1,7 @@
 //! The one clock, and the module's timers as a stream of the tokens that fall due.
 use crate::reactor::Timer;
 use futures_lite::Stream;
-use oakhollow::types::{Micros, Token};
+use oakhollow::types::{Micros, TimerToken};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
@@ -31,13 +31,13 @@
     }
 
     /// What this clock says at that moment.
-    pub fn at(&self, moment: Instant) -> Micros {
+    pub fn micros_at(&self, moment: Instant) -> Micros {
         let since = moment.saturating_duration_since(self.started).as_micros() as u64;
         let before = self.started.saturating_duration_since(moment).as_micros() as u64;
         self.unix + Micros(since) - Micros(before)
     }
 
-    pub fn instant(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Micros) -> Instant {
         let since = duration(at - self.unix);
         self.started.checked_add(since).unwrap_or_else(|| self.started + Duration::from_secs(1 << 30))
     }
@@ -47,8 +47,8 @@
     clock: Clock,
     /// By the millisecond, the latest first once that has come: guards against sorting tens of thousands of which most
     /// concern calls that are over.
-    due: BTreeMap<u64, Vec<(Micros, u64, Token)>>,
-    now: Vec<(Micros, u64, Token)>,
+    due: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
+    now: Vec<(Micros, u64, TimerToken)>,
     set: u64,
     bell: Timer,
 }
@@ -59,14 +59,14 @@
     }
 
     /// Timers of one time fall due in the order in which they were set.
-    pub fn set(&mut self, at: Micros, token: Token) {
+    pub fn set(&mut self, at: Micros, token: TimerToken) {
         self.set += 1;
         self.due.entry(at.0 / 1000).or_default().push((at, self.set, token));
     }
 }
 
 impl Timers {
-    fn ring_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<Token>> {
+    fn ring_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
         self.bell.set_at(at);
         if Pin::new(&mut self.bell).poll(context).is_ready() {
             context.waker().wake_by_ref();
@@ -76,9 +76,9 @@
 }
 
 impl Stream for Timers {
-    type Item = Token;
+    type Item = TimerToken;
 
-    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<Token>> {
+    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<TimerToken>> {
         if let Some((_, _, token)) = self.now.pop() {
             return Poll::Ready(Some(token));
         }
@@ -86,7 +86,7 @@
         let Some(mut first) = self.due.first_entry() else { return Poll::Pending };
         let begins = Micros(*first.key() * 1000);
         if begins > now {
-            let at = self.clock.instant(begins);
+            let at = self.clock.instant_at(begins);
             return self.ring_at(at, context);
         }
         let millisecond = first.get_mut();
@@ -103,7 +103,7 @@
             return self.poll_next(context);
         }
         let Some(at) = next else { return Poll::Pending };
-        let at = self.clock.instant(at);
+        let at = self.clock.instant_at(at);
         self.ring_at(at, context)
     }
 }
