--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,6 +1,6 @@
 //! A sidecar of the rig's own, which agrees as all others do and forwards calls in the plainest way, honestly or with one fault
 //! of choice: whoever judges scenes must catch each of those.
-use crate::stand::{each, header, read_head};
+use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{
     lease_duration, Action, Document, Fact, InstanceId, ListUpdate, Member, Message, Validator, Version,
@@ -20,7 +20,7 @@
 
 /// What it does wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, clap::ValueEnum)]
-pub enum How {
+pub enum Behaviour {
     Honest,
     /// It goes on by the old settings for three seconds after it has said that it knows the new ones.
     Late,
@@ -46,7 +46,7 @@
 type Offered = BTreeMap<String, bool>;
 
 struct Inside {
-    how: How,
+    how: Behaviour,
     begun: Instant,
     within: Micros,
     member: Member,
@@ -79,9 +79,9 @@
 }
 
 /// What a sidecar's file says, its own part of the settings, and the part that is the same for all.
-pub(crate) fn document(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
+pub(crate) fn read_instance_file(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
     let start = SidecarConfig::from_file(path)?;
-    let (own, common) = LocalSettings::split(&start.settings_text)?;
+    let (own, common) = LocalSettings::split(&start.settings)?;
     let number = start.settings_version.ok_or("version: missing")?;
     let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
     Ok((start, own, Document { version, text: common.text.into() }))
@@ -102,13 +102,13 @@
                     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
                     let Ok(fresh) = offered(&self.own, &texts) else { continue };
                     match self.how {
-                        How::Late if !self.offered.is_empty() => {
+                        Behaviour::Late if !self.offered.is_empty() => {
                             self.later.push((Instant::now() + LATE, fresh));
                         }
                         _ => self.offered = fresh,
                     }
                 }
-                Action::ApplyLists if self.how == How::NoDrains => {}
+                Action::ApplyLists if self.how == Behaviour::NoDrains => {}
                 Action::ApplyLists => {
                     self.out = self
                         .member
@@ -123,7 +123,7 @@
     }
 
     fn hear(&mut self, from: InstanceId, word: Message) {
-        if self.how == How::Deaf && matches!(word, Message::Documents(_)) && self.until > Micros(0) {
+        if self.how == Behaviour::Deaf && matches!(word, Message::Documents(_)) && self.until > Micros(0) {
             return;
         }
         let (before, mut actions) = (self.member.lease_valid_until(), Vec::new());
@@ -131,9 +131,9 @@
         self.carry_out(actions);
         let until = self.member.lease_valid_until();
         match self.how {
-            How::FromAnswer if until > before => self.until = self.now() + self.within,
-            How::FromAnswer => {}
-            How::NoLease if until > Micros(0) => self.until = Micros::NEVER,
+            Behaviour::FromAnswer if until > before => self.until = self.now() + self.within,
+            Behaviour::FromAnswer => {}
+            Behaviour::NoLease if until > Micros(0) => self.until = Micros::NEVER,
             _ => self.until = until,
         }
     }
@@ -146,10 +146,10 @@
         let file = std::fs::read_to_string(&self.path).unwrap_or_default();
         if file != self.file {
             self.file = file;
-            if let Ok((_, own, document)) = document(&self.path) {
+            if let Ok((_, own, document)) = read_instance_file(&self.path) {
                 self.own = own;
                 let text = document.text.clone();
-                if !self.member.propose(now, document, &mut actions) && self.how == How::Lower {
+                if !self.member.propose(now, document, &mut actions) && self.how == Behaviour::Lower {
                     self.offered = offered(&self.own, &[&text]).unwrap_or_default();
                 }
             }
@@ -210,8 +210,8 @@
 }
 
 /// Runs for as long as the process.
-pub fn run(path: &Path, operator: &Path, how: How) -> Result<(), String> {
-    let (start, own, first) = document(path)?;
+pub fn run(path: &Path, operator: &Path, how: Behaviour) -> Result<(), String> {
+    let (start, own, first) = read_instance_file(path)?;
     let agreed = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
     let names: Vec<&String> = agreed.instances.keys().collect();
     let id = |name: &String| names.iter().position(|other| *other == name).map(|at| InstanceId(at as u32));
@@ -220,7 +220,7 @@
     let judge: Validator = {
         let (own, only) = (own.clone(), first.text.clone());
         Arc::new(move |texts: &[Arc<str>]| {
-            if how == How::Refuses && texts.iter().any(|text| *text != only) {
+            if how == Behaviour::Refuses && texts.iter().any(|text| *text != only) {
                 return Err("settings: not known to this build".into());
             }
             let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
@@ -254,10 +254,10 @@
     watch(&inside, start.discovery);
     let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|fault| fault.to_string());
     let door = inside.clone();
-    each(listener(start.listen)?, move |stream| _ = serve(&door, BufReader::new(stream)));
+    serve_connections(listener(start.listen)?, move |stream| _ = serve(&door, BufReader::new(stream)));
     if let Some(at) = start.console {
         let door = inside.clone();
-        each(listener(at)?, move |stream| {
+        serve_connections(listener(at)?, move |stream| {
             let status = if lock(&door).acts() && !lock(&door).servers.is_empty() { 200 } else { 503 };
             let mut stream = BufReader::new(stream);
             if read_head(&mut stream).is_some() {
