--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -81,7 +81,7 @@
 /// What a sidecar's file says, its own part of the settings, and the part that is the same for all.
 pub(crate) fn read_instance_file(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
     let start = SidecarConfig::from_file(path)?;
-    let (own, common) = LocalSettings::split(&start.settings)?;
+    let (own, common) = LocalSettings::split(&start.settings_text)?;
     let number = start.settings_version.ok_or("version: missing")?;
     let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
     Ok((start, own, Document { version, text: common.text.into() }))
