--- a/accord/src/audience.rs
+++ b/accord/src/audience.rs
@@ -2,7 +2,7 @@
 //! subscription, with what has been told of its servers as a ledger of its own.
 use crate::facts::{Fact, Ledger, Subject, MAX_FACTS};
 use crate::names::Names;
-use crate::{Holder, Micros};
+use crate::{HolderId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 struct Subscription {
     names: Names,
     ledger: Ledger,
-    holders: BTreeSet<Holder>,
+    holders: BTreeSet<HolderId>,
     /// How many have told that they will ask with it.
     offered_by: usize,
 }
@@ -22,7 +22,7 @@
 pub(crate) struct Audience {
     /// All that is told, and who hears all of it.
     all: Ledger,
-    hear_all: BTreeSet<Holder>,
+    hear_all: BTreeSet<HolderId>,
     subscriptions: BTreeMap<u64, Subscription>,
     /// Which subscriptions name a server.
     naming: BTreeMap<Arc<str>, BTreeSet<u64>>,
@@ -46,7 +46,7 @@
 
     /// Says something of a server from now on. Those who are to hear of it are added; false if nothing changes by it.
     pub(crate) fn set(
-        &mut self, now: Micros, subject: &Subject, fact: Option<Fact>, hear: &mut BTreeSet<Holder>,
+        &mut self, now: Micros, subject: &Subject, fact: Option<Fact>, hear: &mut BTreeSet<HolderId>,
     ) -> bool {
         let known = self.all.facts().get(subject);
         let forbids = fact.as_ref().is_some_and(|fact| fact.forbids_beyond(known));
@@ -72,7 +72,7 @@
     }
 
     /// One that was subscribed to that, if to anything, is now to this; false if that is not known.
-    pub(crate) fn moves(&mut self, holder: Holder, from: Option<Topic>, to: Topic) -> bool {
+    pub(crate) fn moves(&mut self, holder: HolderId, from: Option<Topic>, to: Topic) -> bool {
         if from == Some(to) {
             return true;
         }
@@ -90,7 +90,7 @@
         true
     }
 
-    pub(crate) fn leaves(&mut self, holder: Holder, topic: Topic) {
+    pub(crate) fn leaves(&mut self, holder: HolderId, topic: Topic) {
         match topic {
             None => _ = self.hear_all.remove(&holder),
             Some(hash) => {
--- a/accord/src/member.rs
+++ b/accord/src/lease_holder.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
     Send(InstanceId, Message),
-    /// Act on the strictest of what [`Member::active_documents`] gives: carried out before what comes behind it is said.
+    /// Act on the strictest of what [`LeaseHolder::active_documents`] gives: carried out before what comes behind it is said.
     ApplyDocuments,
-    /// Keep to what others' lists say now, see [`Member::excluded_servers`]: carried out before what comes behind it is said.
+    /// Keep to what others' lists say now, see [`LeaseHolder::excluded_servers`]: carried out before what comes behind it is said.
     ApplyLists,
     /// A mark that was set by hand elsewhere: whether that server is out, and since when. Carried out likewise.
     ApplyMaintenance {
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone)]
-pub struct Member {
+pub struct LeaseHolder {
     keepers: Vec<InstanceId>,
     pub(crate) within: Micros,
     judge: Validator,
@@ -59,12 +59,12 @@
     too_far: BTreeSet<InstanceId>,
 }
 
-impl Member {
+impl LeaseHolder {
     /// How often it asks within the length of a lease.
     const ASKS: f64 = 4.0;
 
-    pub fn new(keepers: Vec<InstanceId>, within: Micros, judge: Validator) -> Member {
-        Member {
+    pub fn new(keepers: Vec<InstanceId>, within: Micros, judge: Validator) -> LeaseHolder {
+        LeaseHolder {
             keepers,
             within,
             judge,
@@ -81,13 +81,13 @@
     }
 
     /// Passes on who may be sent to as well, not only who may not.
-    pub fn with_full_lists(mut self) -> Member {
+    pub fn with_full_lists(mut self) -> LeaseHolder {
         self.lists.whole = true;
         self
     }
 
     /// Hears of those servers alone that its own list names, and sends to none of which a majority of keepers does not tell yet.
-    pub fn with_subscription(mut self) -> Member {
+    pub fn with_subscription(mut self) -> LeaseHolder {
         self.lists.subscribes = true;
         self
     }
@@ -199,7 +199,7 @@
         }
     }
 
-    /// To be called at [`Member::next_wakeup`].
+    /// To be called at [`LeaseHolder::next_wakeup`].
     pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now >= self.next {
             self.ask(now, out);
--- a/accord/src/keeper.rs
+++ b/accord/src/lease_server.rs
@@ -2,7 +2,7 @@
 use crate::facts::Facts;
 use crate::leases::Leases;
 use crate::said::{Asking, Said, Taken};
-use crate::{Holder, Message, Micros, Version, CLOCK_RATE_TOLERANCE, MAX_PENDING_VERSIONS};
+use crate::{HolderId, Message, Micros, Version, CLOCK_RATE_TOLERANCE, MAX_PENDING_VERSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -19,14 +19,14 @@
 /// For whom a version that does not hold yet waits.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct BlockingLease {
-    pub holder: Holder,
+    pub holder: HolderId,
     pub expires_at: Micros,
     /// It can't take that version, and stands in its way for as long as it lives.
     pub rejects: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Keeper {
+pub struct LeaseServer {
     /// From when on it grants and clears: leases of its earlier life have run out by then.
     pub(crate) awake: Micros,
     /// How long it counts a lease: longer than whoever holds it does.
@@ -40,12 +40,12 @@
     steps: u64,
 }
 
-impl Keeper {
+impl LeaseServer {
     /// `within` is how long a member counts a lease.
-    pub fn new(now: Micros, within: Micros) -> Keeper {
+    pub fn new(now: Micros, within: Micros) -> LeaseServer {
         let span = within.times(1.0 + CLOCK_RATE_TOLERANCE);
         // Guards against clearing what a lease that this keeper granted before it was started again stands against.
-        Keeper {
+        LeaseServer {
             awake: now + span,
             span,
             documents: BTreeMap::new(),
@@ -58,7 +58,7 @@
     }
 
     pub fn handle_message(
-        &mut self, now: Micros, from: Holder, word: Message, out: &mut Vec<(Holder, Message)>,
+        &mut self, now: Micros, from: HolderId, word: Message, out: &mut Vec<(HolderId, Message)>,
     ) {
         match word {
             Message::LeaseRequest {
@@ -102,8 +102,8 @@
         self.clear(now, out);
     }
 
-    /// To be called at [`Keeper::next_wakeup`], or any time.
-    pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
+    /// To be called at [`LeaseServer::next_wakeup`], or any time.
+    pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
         self.clear(now, out);
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Each lease that lives, until when, and what its holder knows.
-    pub fn leases(&self) -> impl Iterator<Item = (Holder, Micros, impl Iterator<Item = &Version>)> {
+    pub fn leases(&self) -> impl Iterator<Item = (HolderId, Micros, impl Iterator<Item = &Version>)> {
         self.leases.iter().map(|(holder, lease)| (*holder, lease.until, lease.knows.iter()))
     }
 
@@ -144,7 +144,7 @@
         later && !self.documents.contains_key(&version)
     }
 
-    fn ask(&mut self, now: Micros, from: Holder, asked: Asked, out: &mut Vec<(Holder, Message)>) {
+    fn ask(&mut self, now: Micros, from: HolderId, asked: Asked, out: &mut Vec<(HolderId, Message)>) {
         let Asked { turn, knows, refuses, says, names, heard } = asked;
         // Guards against an ask that comes late, or twice, by which its sender would know less or more than it does.
         if self.said.turn_of(from).is_some_and(|last| last >= turn) {
@@ -185,7 +185,9 @@
     }
 
     /// Takes what one who asks says and of what it hears, and tells it what it lacks; false if either is not known here.
-    fn hears(&mut self, now: Micros, from: Holder, asking: Asking, out: &mut Vec<(Holder, Message)>) -> bool {
+    fn hears(
+        &mut self, now: Micros, from: HolderId, asking: Asking, out: &mut Vec<(HolderId, Message)>,
+    ) -> bool {
         let heard = asking.heard;
         let Taken { lacks, lacks_names, hear } = self.said.asked(now, from, asking);
         out.extend(lacks.map(|have| (from, Message::UnknownReport { known_hash: have })));
@@ -198,7 +200,7 @@
         lacks.is_none() && lacks_names.is_none()
     }
 
-    fn tell_facts(&mut self, now: Micros, holder: Holder, out: &mut Vec<(Holder, Message)>) {
+    fn tell_facts(&mut self, now: Micros, holder: HolderId, out: &mut Vec<(HolderId, Message)>) {
         // Guards against one that starts again unsaying what it told in its earlier life, by which leases are held.
         if now < self.awake {
             return;
@@ -219,7 +221,7 @@
     }
 
     /// Lets the latest version hold against which no lease stands.
-    fn clear(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
+    fn clear(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
         self.leases.expire(now);
         let hear = self.said.expire(now);
         hear.into_iter().for_each(|holder| self.tell_facts(now, holder, out));
@@ -241,7 +243,7 @@
         self.tell(now, out);
     }
 
-    fn tell(&mut self, now: Micros, out: &mut Vec<(Holder, Message)>) {
+    fn tell(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
         let live = self.leases.iter().filter(|(_, lease)| lease.until > now);
         let before = out.len();
         out.extend(live.map(|(holder, _)| (*holder, Message::StateChanged)));
--- a/accord/src/leases.rs
+++ b/accord/src/leases.rs
@@ -1,5 +1,5 @@
 //! The leases that a keeper has granted, kept so that no word costs a walk over all of them.
-use crate::{Holder, Micros, Version};
+use crate::{HolderId, Micros, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
@@ -23,22 +23,22 @@
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Leases {
-    held: BTreeMap<Holder, Lease>,
+    held: BTreeMap<HolderId, Lease>,
     /// When each is over, the earliest first.
-    ends: BTreeSet<(Micros, Holder)>,
+    ends: BTreeSet<(Micros, HolderId)>,
     /// How many are held by those who know the same versions.
     alike: BTreeMap<BTreeSet<Version>, usize>,
     pub(crate) steps: u64,
 }
 
 impl Leases {
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Holder, &Lease)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&HolderId, &Lease)> {
         self.held.iter()
     }
 
     /// What its holder knows now, whether or not it is renewed; one that was never granted is none.
     pub(crate) fn asked(
-        &mut self, from: Holder, (knows, refuses): (BTreeSet<Version>, BTreeSet<Version>),
+        &mut self, from: HolderId, (knows, refuses): (BTreeSet<Version>, BTreeSet<Version>),
         granted: Option<Micros>,
     ) {
         self.steps += 1;
@@ -52,7 +52,7 @@
         self.held.insert(from, Lease { until, knows, refuses });
     }
 
-    fn drop_of(&mut self, holder: Holder) {
+    fn drop_of(&mut self, holder: HolderId) {
         let Some(lease) = self.held.remove(&holder) else { return };
         self.ends.remove(&(lease.until, holder));
         if let Some(count) = self.alike.get_mut(&lease.knows) {
@@ -78,7 +78,7 @@
 
     /// When the next of those is over that live.
     pub(crate) fn next_end(&self, now: Micros) -> Option<Micros> {
-        let last = Holder { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
+        let last = HolderId { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
         self.ends.range((Excluded((now, last)), Unbounded)).next().map(|(until, _)| *until)
     }
 }
--- a/accord/src/lib.rs
+++ b/accord/src/lib.rs
@@ -1,23 +1,23 @@
 //! How many instances agree on versions of a document, such as the settings, so that no two of them act on rules that
-//! contradict each other. A few named instances are keepers. Every instance, a [`Member`], asks them for leases and acts
-//! only while a majority's leases live; a [`Keeper`] lets a new version hold once each lease that it granted is held by
+//! contradict each other. A few named instances are keepers. Every instance, a [`LeaseHolder`], asks them for leases and acts
+//! only while a majority's leases live; a [`LeaseServer`] lets a new version hold once each lease that it granted is held by
 //! one that knows that version, or has run out. Whoever knows versions that need not hold yet acts on the strictest of
 //! all it knows. What one hears of a server that drains is spread to all, and by the same leases nobody acts for long who
 //! has not heard it. `docs/accord.md` has the argument why that suffices. No I/O, no clock, no threads: the time is handed in.
 mod audience;
 mod facts;
-mod keeper;
+mod lease_holder;
+mod lease_server;
 mod leases;
 mod lists;
-mod member;
 mod names;
 mod said;
 mod shape;
 
 pub use facts::{Fact, FactChange, Facts, Subject, MAX_FACTS};
-pub use keeper::{BlockingLease, Keeper};
+pub use lease_holder::{Action, LeaseHolder, Validator};
+pub use lease_server::{BlockingLease, LeaseServer};
 pub use lists::ListUpdate;
-pub use member::{Action, Member, Validator};
 
 pub use oakhollow::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -57,7 +57,7 @@
 
 /// One life of an instance: after a new start, and in a second process beside the first, it is another holder.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Holder {
+pub struct HolderId {
     pub instance: InstanceId,
     pub incarnation: u64,
 }
--- a/accord/src/said.rs
+++ b/accord/src/said.rs
@@ -2,7 +2,7 @@
 //! what all others say.
 use crate::audience::{Audience, Topic};
 use crate::facts::{Content, Fact, FactChange, Ledger, Subject, MAX_FACTS};
-use crate::{Holder, Micros};
+use crate::{HolderId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -43,14 +43,14 @@
     pub(crate) lacks: Option<u64>,
     pub(crate) lacks_names: Option<u64>,
     /// Who is to hear that the most of all has changed by it.
-    pub(crate) hear: BTreeSet<Holder>,
+    pub(crate) hear: BTreeSet<HolderId>,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Said {
-    says: BTreeMap<Holder, Says>,
+    says: BTreeMap<HolderId, Says>,
     /// Until when what each says counts, the earliest first.
-    ends: BTreeSet<(Micros, Holder)>,
+    ends: BTreeSet<(Micros, HolderId)>,
     /// By hash: most say the same.
     contents: BTreeMap<u64, Known>,
     /// How many contents that are said hold each fact.
@@ -69,7 +69,7 @@
     }
 
     /// What is told to one who asks here.
-    pub(crate) fn told_to(&self, holder: Holder) -> Option<&Ledger> {
+    pub(crate) fn told_to(&self, holder: HolderId) -> Option<&Ledger> {
         self.audience.ledger(self.says.get(&holder)?.topic)
     }
 
@@ -77,12 +77,12 @@
         self.steps + self.audience.steps
     }
 
-    pub(crate) fn turn_of(&self, holder: Holder) -> Option<u64> {
+    pub(crate) fn turn_of(&self, holder: HolderId) -> Option<u64> {
         self.says.get(&holder).map(|says| says.turn)
     }
 
     /// One asks with what it says and has heard.
-    pub(crate) fn asked(&mut self, now: Micros, from: Holder, asking: Asking) -> Taken {
+    pub(crate) fn asked(&mut self, now: Micros, from: HolderId, asking: Asking) -> Taken {
         self.steps += 1;
         let Asking { turn, hash, names, heard, until } = asking;
         let known = hash == 0 || self.contents.contains_key(&hash);
@@ -111,7 +111,7 @@
 
     /// The servers that one's list names, as they follow from names that are known. It hears of those once it asks with them.
     pub(crate) fn subscribe(
-        &mut self, from: Holder, base: (u64, u64), more: Vec<Arc<str>>, fewer: &[Arc<str>],
+        &mut self, from: HolderId, base: (u64, u64), more: Vec<Arc<str>>, fewer: &[Arc<str>],
     ) {
         let Some(offered) = self.says.get(&from).map(|says| says.offered_names) else { return };
         if base.1 != offered && self.audience.offers(base, more, fewer) {
@@ -124,7 +124,7 @@
 
     /// What one says of servers from now on, as it follows from a content that is known. It counts once it is asked with:
     /// guards against what is told late undoing what was asked with since.
-    pub(crate) fn offer(&mut self, from: Holder, (base, to): (u64, u64), changes: Vec<FactChange>) {
+    pub(crate) fn offer(&mut self, from: HolderId, (base, to): (u64, u64), changes: Vec<FactChange>) {
         self.steps += changes.len() as u64;
         let Some(offered) = self.says.get(&from).map(|says| says.offered) else { return };
         let base = if base == 0 { Some(Content::default()) } else { self.content(base).cloned() };
@@ -147,7 +147,7 @@
     }
 
     /// Drops what those say who have asked no more; who is to hear that the most of all has changed by it.
-    pub(crate) fn expire(&mut self, now: Micros) -> BTreeSet<Holder> {
+    pub(crate) fn expire(&mut self, now: Micros) -> BTreeSet<HolderId> {
         let mut hear = BTreeSet::new();
         while let Some((_, holder)) = self.ends.first().copied().filter(|(until, _)| *until <= now) {
             self.steps += 1;
@@ -167,7 +167,7 @@
 
     /// What one lacks of what is told to it: from which hash on, to which, and the changes. If that is lost, it says so when
     /// it asks again.
-    pub(crate) fn owed(&mut self, holder: Holder) -> Option<(u64, u64, Vec<FactChange>)> {
+    pub(crate) fn owed(&mut self, holder: HolderId) -> Option<(u64, u64, Vec<FactChange>)> {
         let says = self.says.get_mut(&holder)?;
         let ledger = self.audience.ledger(says.topic)?;
         let (from, changes) = ledger.since(says.heard);
@@ -187,7 +187,7 @@
     }
 
     /// One content is said once more, and another once less.
-    fn replace(&mut self, now: Micros, less: u64, more: u64, hear: &mut BTreeSet<Holder>) {
+    fn replace(&mut self, now: Micros, less: u64, more: u64, hear: &mut BTreeSet<HolderId>) {
         let mut touched = BTreeSet::new();
         if let Some(known) = self.contents.get_mut(&more) {
             known.said_by += 1;
@@ -232,7 +232,7 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, subject: Subject, hear: &mut BTreeSet<Holder>) {
+    fn tell(&mut self, now: Micros, subject: Subject, hear: &mut BTreeSet<HolderId>) {
         // Guards against lists that have nothing in common.
         let facts = self.ledger().facts();
         if !facts.contains_key(&subject) && facts.len() >= 2 * MAX_FACTS {
--- a/accord/src/shape.rs
+++ b/accord/src/shape.rs
@@ -1,11 +1,11 @@
 //! What of a keeper or a member matters from now on, for whoever explores all they can come to: times as what is left of them,
 //! nothing that is over, and neither the numbers of asks nor what is known of servers. Two that have the same shape go on alike.
-use crate::{Holder, InstanceId, Keeper, Member, Micros};
+use crate::{HolderId, InstanceId, LeaseHolder, LeaseServer, Micros};
 use std::hash::{Hash, Hasher};
 
-impl Keeper {
+impl LeaseServer {
     /// `name` stands for a holder, so that those who play the same part look alike.
-    pub fn shape(&self, now: Micros, name: impl Fn(Holder) -> u32, into: &mut impl Hasher) {
+    pub fn shape(&self, now: Micros, name: impl Fn(HolderId) -> u32, into: &mut impl Hasher) {
         (self.awake - now, self.cleared, self.documents.keys().collect::<Vec<_>>()).hash(into);
         let live = self.leases.iter().filter(|(_, lease)| lease.until > now);
         let mut leases: Vec<_> = live
@@ -16,12 +16,12 @@
     }
 
     /// The last ask of one that was taken.
-    pub fn turn_of(&self, holder: Holder) -> Option<u64> {
+    pub fn turn_of(&self, holder: HolderId) -> Option<u64> {
         self.said.turn_of(holder)
     }
 }
 
-impl Member {
+impl LeaseHolder {
     /// But its leases, which belong to one keeper each.
     pub fn shape(&self, into: &mut impl Hasher) {
         (self.documents.keys().collect::<Vec<_>>(), &self.refused, self.base).hash(into);
--- a/accord/tests/explored/mod.rs
+++ b/accord/tests/explored/mod.rs
@@ -5,7 +5,7 @@
 use crate::words::WITHIN;
 use crate::world::{Crooked, Envelope, World};
 use fnv::FnvHasher;
-use oakhollow_accord::{Holder, InstanceId, Message};
+use oakhollow_accord::{HolderId, InstanceId, Message};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashSet, VecDeque};
 use std::hash::{BuildHasherDefault, Hash, Hasher};
@@ -99,7 +99,7 @@
         let mut keepers: [u64; KEEPERS] = std::array::from_fn(|keeper| {
             let mut hasher = DefaultHasher::new();
             let now = world.keeper_time(keeper);
-            let name = |holder: Holder| {
+            let name = |holder: HolderId| {
                 let at = holder.instance.0 as usize;
                 let place = order.iter().position(|other| *other == at).unwrap_or(OTHERS) as u32;
                 place * 2 + u32::from(holder.incarnation != world.instances[at].life)
@@ -146,7 +146,7 @@
                     return Some((*life, word.clone()));
                 };
                 // Whether it is dropped as older than what came since; what it asks for lives no longer than it would.
-                let holder = Holder { instance: InstanceId(*from), incarnation: *life };
+                let holder = HolderId { instance: InstanceId(*from), incarnation: *life };
                 let fresh = world.keepers[keeper].turn_of(holder).is_none_or(|last| last < *turn);
                 let left = world.instances[other].member.turn_left(*turn, world.member_time(other)).0;
                 let word = Message::LeaseRequest {
--- a/accord/tests/rules.rs
+++ b/accord/tests/rules.rs
@@ -11,8 +11,8 @@
 /// second member.
 struct Few {
     now: Micros,
-    keeper: Keeper,
-    members: Vec<Member>,
+    keeper: LeaseServer,
+    members: Vec<LeaseHolder>,
     log: Vec<String>,
 }
 
@@ -26,10 +26,10 @@
                 Ok(())
             })
         };
-        let member = |takes| Member::new(vec![ONLY], WITHIN, judge(takes));
+        let member = |takes| LeaseHolder::new(vec![ONLY], WITHIN, judge(takes));
         let members = vec![member(true), member(false)];
         let mut few =
-            Few { now: Micros(0), keeper: Keeper::new(Micros(0), WITHIN), members, log: Vec::new() };
+            Few { now: Micros(0), keeper: LeaseServer::new(Micros(0), WITHIN), members, log: Vec::new() };
         assert!(few.write(0, document(5)) && few.write(1, document(5)));
         few.pass(20);
         assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
@@ -48,7 +48,7 @@
             match action {
                 Action::Send(_, word) => {
                     let (from, mut out) =
-                        (Holder { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
+                        (HolderId { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
                     self.keeper.handle_message(self.now, from, word, &mut out);
                     self.hear(out);
                 }
@@ -58,7 +58,7 @@
         }
     }
 
-    fn hear(&mut self, out: Vec<(Holder, Message)>) {
+    fn hear(&mut self, out: Vec<(HolderId, Message)>) {
         for (to, word) in out.into_iter().filter(|(_, word)| *word != Message::StateChanged) {
             let (at, mut actions) = (to.instance.0 as usize, Vec::new());
             self.members[at].handle_message(self.now, ONLY, word, &mut actions);
@@ -148,7 +148,7 @@
 #[test]
 fn a_lease_that_is_below_the_round_trip_is_said_once() {
     let takes = |_: &[Arc<str>]| Ok(());
-    let mut member = Member::new(vec![ONLY], WITHIN, Arc::new(takes));
+    let mut member = LeaseHolder::new(vec![ONLY], WITHIN, Arc::new(takes));
     let (mut actions, mut said) = (Vec::new(), 0);
     member.propose(Micros(0), document(5), &mut actions);
     for turn in 1..4 {
--- a/accord/tests/weighed.rs
+++ b/accord/tests/weighed.rs
@@ -35,7 +35,7 @@
 
 /// One who asks, by its own ledger as the package keeps it.
 struct Asks {
-    member: Member,
+    member: LeaseHolder,
     life: u64,
     index: u64,
     says: Plain,
@@ -44,12 +44,12 @@
 
 struct Few {
     now: Micros,
-    keeper: Keeper,
+    keeper: LeaseServer,
     asks: Vec<Asks>,
 }
 
-fn member() -> Member {
-    Member::new(vec![InstanceId(0)], WITHIN, Arc::new(|_: &[Arc<str>]| Ok(())))
+fn member() -> LeaseHolder {
+    LeaseHolder::new(vec![InstanceId(0)], WITHIN, Arc::new(|_: &[Arc<str>]| Ok(())))
 }
 
 fn facts(plain: &Plain) -> Vec<(Arc<str>, Option<Fact>)> {
@@ -64,12 +64,12 @@
     fn new(members: u8) -> Few {
         let fresh = || Asks { member: member(), life: 1, index: 1, says: Plain::new(), until: Micros(0) };
         let asks = (0..members).map(|_| fresh()).collect();
-        Few { now: Micros(1), keeper: Keeper::new(Micros(0), WITHIN), asks }
+        Few { now: Micros(1), keeper: LeaseServer::new(Micros(0), WITHIN), asks }
     }
 
     fn carry(&mut self, who: usize, actions: Vec<Action>) {
         let asks = &mut self.asks[who];
-        let holder = Holder { instance: InstanceId(who as u32), incarnation: asks.life };
+        let holder = HolderId { instance: InstanceId(who as u32), incarnation: asks.life };
         for action in actions {
             let Action::Send(_, word) = action else { continue };
             if matches!(word, Message::LeaseRequest { .. }) {
@@ -165,16 +165,16 @@
 /// Steps of work of a keeper for one drain that is told to one, and taken back, beside so many others that each say
 /// something of their own.
 fn steps_for_a_drain(others: u32) -> u64 {
-    let (mut keeper, now) = (Keeper::new(Micros(0), WITHIN), Micros(1));
+    let (mut keeper, now) = (LeaseServer::new(Micros(0), WITHIN), Micros(1));
     let mut out = Vec::new();
-    let says = |holder: u32, name: String, keeper: &mut Keeper, out: &mut Vec<(Holder, Message)>| {
-        let holder = Holder { instance: InstanceId(holder), incarnation: 1 };
+    let says = |holder: u32, name: String, keeper: &mut LeaseServer, out: &mut Vec<(HolderId, Message)>| {
+        let holder = HolderId { instance: InstanceId(holder), incarnation: 1 };
         let mut member = member();
         let (mut actions, fact) =
             (Vec::new(), Fact { since: 1, excluded: true, first_hand: true, entry: None });
         let entries = vec![(Arc::from(name), Some(fact))];
         member.handle_list_update(now, ListUpdate { index: 1, snapshot: false, entries }, &mut actions);
-        let mut asks = |member: &mut Member, out: &mut Vec<(Holder, Message)>| {
+        let mut asks = |member: &mut LeaseHolder, out: &mut Vec<(HolderId, Message)>| {
             let mut actions = Vec::new();
             member.handle_message(now, InstanceId(0), Message::StateChanged, &mut actions);
             for action in actions {
--- a/accord/tests/world/mod.rs
+++ b/accord/tests/world/mod.rs
@@ -26,7 +26,7 @@
 
 #[derive(Clone)]
 pub struct Instance {
-    pub member: Member,
+    pub member: LeaseHolder,
     pub life: u64,
     /// What it acts on, as the shell was last told.
     pub acts_on: BTreeSet<Version>,
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 pub struct World {
     pub now: f64,
-    pub keepers: Vec<Arc<Keeper>>,
+    pub keepers: Vec<Arc<LeaseServer>>,
     pub keeper_pace: Vec<f64>,
     pub instances: Vec<Arc<Instance>>,
     /// What has just been said.
@@ -75,7 +75,7 @@
     }
 
     pub fn of(keepers: usize, instances: usize, crooked: Crooked, subscribed: bool) -> World {
-        let keeper = Arc::new(Keeper::new(Micros(0), WITHIN));
+        let keeper = Arc::new(LeaseServer::new(Micros(0), WITHIN));
         let mut world = World {
             now: 0.0,
             keepers: vec![keeper; keepers],
@@ -102,8 +102,9 @@
         world
     }
 
-    fn member(&self) -> Member {
-        let member = Member::new((0..self.keepers.len() as u32).map(InstanceId).collect(), WITHIN, judge());
+    fn member(&self) -> LeaseHolder {
+        let member =
+            LeaseHolder::new((0..self.keepers.len() as u32).map(InstanceId).collect(), WITHIN, judge());
         if self.subscribed {
             member.with_subscription()
         } else {
@@ -209,7 +210,7 @@
         }
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Message)>) {
+    fn keeper_says(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
         let said = out
             .into_iter()
             .map(|(to, word)| Envelope::ToMember(to.instance.0 as usize, at, to.incarnation, word));
@@ -225,7 +226,7 @@
                     *names = names.map(|_| 0);
                 }
                 let (now, mut out) = (self.keeper_time(at), Vec::new());
-                let from = Holder { instance: InstanceId(instance), incarnation: life };
+                let from = HolderId { instance: InstanceId(instance), incarnation: life };
                 Arc::make_mut(&mut self.keepers[at]).handle_message(now, from, word, &mut out);
                 self.keeper_says(at, out);
             }
@@ -258,7 +259,7 @@
     pub fn restart_keeper(&mut self, at: usize) {
         let now = self.keeper_time(at);
         let within = if self.crooked == Crooked::WakesAtOnce { Micros(0) } else { WITHIN };
-        self.keepers[at] = Arc::new(Keeper::new(now, within));
+        self.keepers[at] = Arc::new(LeaseServer::new(now, within));
     }
 
     pub fn restart_instance(&mut self, at: usize, number: u64) {
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -3,7 +3,7 @@
 use super::count::{Counts, Running};
 use super::link::Link;
 use oakhollow::types::Micros;
-use oakhollow_accord::{Action, Document, InstanceId, ListUpdate, Member, Validator, Version};
+use oakhollow_accord::{Action, Document, InstanceId, LeaseHolder, ListUpdate, Validator, Version};
 use oakhollow_terms::{Greeting, Scope};
 use std::sync::Arc;
 
@@ -29,11 +29,11 @@
 }
 
 impl Common {
-    fn member(&self) -> Member {
+    fn member(&self) -> LeaseHolder {
         let keepers = (0..self.keepers).map(|at| InstanceId(at as u32)).collect();
         // It can take whatever it is told: it carries no calls by it.
         let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
-        let member = Member::new(keepers, self.lease, judge);
+        let member = LeaseHolder::new(keepers, self.lease, judge);
         match self.scope {
             Scope::All => member,
             Scope::Listed => member.with_subscription(),
@@ -52,7 +52,7 @@
 
 pub struct SimulatedInstance {
     pub born: InstanceSpec,
-    pub member: Member,
+    pub member: LeaseHolder,
     pub links: Vec<Link>,
     pub greeting: String,
     pub alive: bool,
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -3,7 +3,7 @@
 use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{
-    lease_duration, Action, Document, Fact, InstanceId, ListUpdate, Member, Message, Validator, Version,
+    lease_duration, Action, Document, Fact, InstanceId, LeaseHolder, ListUpdate, Message, Validator, Version,
 };
 use oakhollow_terms::{
     micros_from_seconds, read_json, to_json, DiscoveryList, EndpointEntry, Greeting, LocalSettings,
@@ -49,7 +49,7 @@
     how: Behaviour,
     begun: Instant,
     within: Micros,
-    member: Member,
+    member: LeaseHolder,
     own: LocalSettings,
     path: PathBuf,
     /// The file as it was last read.
@@ -231,7 +231,7 @@
         how,
         begun: Instant::now(),
         within,
-        member: Member::new(keepers.clone(), within, judge),
+        member: LeaseHolder::new(keepers.clone(), within, judge),
         own,
         path: path.into(),
         file: std::fs::read_to_string(path).map_err(|fault| fault.to_string())?,
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -4,8 +4,8 @@
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{
-    lease_duration, Action, Document, Fact, Holder, InstanceId, Keeper, ListUpdate, Member, Message,
-    Validator, Version,
+    lease_duration, Action, Document, Fact, HolderId, InstanceId, LeaseHolder, LeaseServer, ListUpdate,
+    Message, Validator, Version,
 };
 use oakhollow_terms::{to_json, Scope};
 use std::cmp::Reverse;
@@ -40,14 +40,14 @@
 enum Event {
     ToKeeper(usize, usize, Message),
     ToMember(usize, usize, Message),
-    Member(usize),
-    Keeper(usize),
+    LeaseHolder(usize),
+    LeaseServer(usize),
 }
 
 struct Fleet {
     now: Micros,
-    members: Vec<Member>,
-    keepers: Vec<Keeper>,
+    members: Vec<LeaseHolder>,
+    keepers: Vec<LeaseServer>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     number: u64,
     random: WyRand,
@@ -68,7 +68,7 @@
     ) -> Fleet {
         let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let names: Vec<InstanceId> = (0..KEEPERS as u32).map(InstanceId).collect();
-        let all = || Member::new(names.clone(), lease_duration(within), judge.clone());
+        let all = || LeaseHolder::new(names.clone(), lease_duration(within), judge.clone());
         let member = || match scope {
             Scope::All => all(),
             Scope::Listed => all().with_subscription(),
@@ -76,7 +76,7 @@
         let mut fleet = Fleet {
             now: Micros(1),
             members: (0..instances).map(|_| member()).collect(),
-            keepers: vec![Keeper::new(Micros(1), lease_duration(within)); KEEPERS],
+            keepers: vec![LeaseServer::new(Micros(1), lease_duration(within)); KEEPERS],
             events: BinaryHeap::new(),
             number: 0,
             random: WyRand::new_seed(seed),
@@ -139,10 +139,10 @@
             }
         }
         let due = self.members[at].next_wakeup() - self.now;
-        self.at(due, Event::Member(at));
+        self.at(due, Event::LeaseHolder(at));
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(Holder, Message)>) {
+    fn keeper_says(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
         for (holder, word) in out {
             let to = holder.instance.0 as usize;
             self.count(to, at, &word);
@@ -152,12 +152,12 @@
             }
         }
         if let Some(due) = self.keepers[at].next_wakeup(self.now) {
-            self.at(due - self.now, Event::Keeper(at));
+            self.at(due - self.now, Event::LeaseServer(at));
         }
     }
 
     /// Until then, or until all but the silent one are as wanted: in seconds from now.
-    fn run(&mut self, most: Micros, done: impl Fn(&Member) -> bool) -> f64 {
+    fn run(&mut self, most: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
         let (begun, end) = (self.now, self.now + most);
         let waits = |at: &usize| self.silent != Some(*at) && !done(&self.members[*at]);
         let mut waiting: BTreeSet<usize> = (0..self.members.len()).filter(waits).collect();
@@ -168,13 +168,13 @@
             }
             self.now = at;
             let concerned = match &event {
-                Event::ToMember(at, ..) | Event::Member(at) => Some(*at),
-                Event::ToKeeper(..) | Event::Keeper(_) => None,
+                Event::ToMember(at, ..) | Event::LeaseHolder(at) => Some(*at),
+                Event::ToKeeper(..) | Event::LeaseServer(_) => None,
             };
             match event {
                 Event::ToKeeper(keeper, from, word) => {
                     let mut out = Vec::new();
-                    let from = Holder { instance: InstanceId(from as u32), incarnation: 1 };
+                    let from = HolderId { instance: InstanceId(from as u32), incarnation: 1 };
                     self.keepers[keeper].handle_message(self.now, from, word, &mut out);
                     self.keeper_says(keeper, out);
                 }
@@ -183,13 +183,13 @@
                     self.members[to].handle_message(self.now, InstanceId(keeper as u32), word, &mut actions);
                     self.act(to, actions);
                 }
-                Event::Member(at) if self.now >= self.members[at].next_wakeup() => {
+                Event::LeaseHolder(at) if self.now >= self.members[at].next_wakeup() => {
                     let mut actions = Vec::new();
                     self.members[at].handle_timer(self.now, &mut actions);
                     self.act(at, actions);
                 }
-                Event::Member(_) => {}
-                Event::Keeper(at) => {
+                Event::LeaseHolder(_) => {}
+                Event::LeaseServer(at) => {
                     let mut out = Vec::new();
                     self.keepers[at].handle_timer(self.now, &mut out);
                     self.keeper_says(at, out);
@@ -226,7 +226,7 @@
         let fact = |server| (Arc::from(format!("s-{server:08x}")), Some(fact(false)));
         ListUpdate { index: 1, snapshot: true, entries: (0..SERVERS).map(fact).collect() }
     });
-    let never = |_: &Member| false;
+    let never = |_: &LeaseHolder| false;
     fleet.run(within.times(3.0), never);
     fleet.heard();
     let length = within.times(5.0);
@@ -238,10 +238,11 @@
         words: said.words - calm.words * within.secs(),
         bytes: said.bytes - calm.bytes * within.secs(),
     };
-    let holds =
-        |number: u64| move |member: &Member| member.committed().is_some_and(|base| base.number == number);
+    let holds = |number: u64| {
+        move |member: &LeaseHolder| member.committed().is_some_and(|base| base.number == number)
+    };
     let rest = |fleet: &mut Fleet, took: f64| {
-        fleet.run(within - Micros((took * 1e6) as u64), |_: &Member| false);
+        fleet.run(within - Micros((took * 1e6) as u64), |_: &LeaseHolder| false);
     };
     let last = instances - 1;
     fleet.write(last, 2);
@@ -302,11 +303,12 @@
         catalogue.told(index, index == 1, servers.map(|server| (server, EndpointState { since: 7, out })))
     };
     let mut fleet = Fleet::new(instances, within, seed, scope, |at| told(at, 1, false, &|_| true));
-    let never = |_: &Member| false;
+    let never = |_: &LeaseHolder| false;
     fleet.run(within.times(3.0), never);
     let mut cost_of = |length: Micros, begin: &mut dyn FnMut(&mut Fleet)| {
         fleet.heard();
-        let steps = |fleet: &Fleet| fleet.keepers.iter().map(Keeper::entries_examined).sum::<u64>() as f64;
+        let steps =
+            |fleet: &Fleet| fleet.keepers.iter().map(LeaseServer::entries_examined).sum::<u64>() as f64;
         let before = steps(&fleet);
         begin(&mut fleet);
         fleet.run(length, never);
--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -17,8 +17,8 @@
 use futures_lite::io::{self, AsyncReadExt, BufReader};
 use oakhollow::types::{ListKind, Micros};
 use oakhollow_accord::{
-    Action, Document, Fact, Holder, InstanceId, Keeper, ListUpdate, Member, Message, Validator, Version,
-    MAX_PENDING_VERSIONS,
+    Action, Document, Fact, HolderId, InstanceId, LeaseHolder, LeaseServer, ListUpdate, Message, Validator,
+    Version, MAX_PENDING_VERSIONS,
 };
 use oakhollow_terms::{
     read_json, AccordConfig as Operated, DiscoveryList, EndpointEntry, Greeting, ListSharing, LocalSettings,
@@ -69,9 +69,9 @@
     /// The console asks how it stands.
     Asked(Sender<String>),
     /// A member's link to our keeper stands, by this way, or is gone.
-    Linked(Holder, Sender<Message>),
-    Gone(Holder),
-    ToKeeper(Holder, Message),
+    Linked(HolderId, Sender<Message>),
+    Gone(HolderId),
+    ToKeeper(HolderId, Message),
     ToMember(InstanceId, Message),
 }
 
@@ -152,12 +152,12 @@
     parts: Parts,
     names: Arc<[String]>,
     me: InstanceId,
-    member: Member,
+    member: LeaseHolder,
     own: Arc<Mutex<LocalSettings>>,
-    keeper: Option<Keeper>,
+    keeper: Option<LeaseServer>,
     /// The ways to the keepers, and to those that our keeper has heard of.
     to_keepers: HashMap<InstanceId, Sender<Message>>,
-    to_members: HashMap<Holder, Sender<Message>>,
+    to_members: HashMap<HolderId, Sender<Message>>,
     /// What was last said of acting or not.
     acted: bool,
     /// What is agreed can't be kept to.
@@ -188,12 +188,12 @@
     };
     let (inputs, incoming) = bounded(MOST_INPUTS);
     let running = Running {
-        keeper: keepers.contains(&me).then(|| Keeper::new(parts.clock.now(), within)),
+        keeper: keepers.contains(&me).then(|| LeaseServer::new(parts.clock.now(), within)),
         member: match (parts.operated.list_sharing, parts.operated.scope) {
-            (ListSharing::Whole, _) => Member::new(keepers.clone(), within, judge).with_full_lists(),
-            (ListSharing::Drains, Scope::All) => Member::new(keepers.clone(), within, judge),
+            (ListSharing::Whole, _) => LeaseHolder::new(keepers.clone(), within, judge).with_full_lists(),
+            (ListSharing::Drains, Scope::All) => LeaseHolder::new(keepers.clone(), within, judge),
             (ListSharing::Drains, Scope::Listed) => {
-                Member::new(keepers.clone(), within, judge).with_subscription()
+                LeaseHolder::new(keepers.clone(), within, judge).with_subscription()
             }
         },
         names,
@@ -355,7 +355,7 @@
         waits.map(|done| done.try_send(()));
     }
 
-    fn pass_on(&self, out: Vec<(Holder, Message)>) {
+    fn pass_on(&self, out: Vec<(HolderId, Message)>) {
         for (holder, word) in out {
             self.to_members.get(&holder).map(|to| to.try_send(word));
         }
@@ -655,7 +655,7 @@
     let greeting = Greeting::read(greeting.trim_ascii())?;
     let at = names.iter().position(|name| *name == greeting.name);
     let at = at.ok_or_else(|| format!("name: {:?} is not in accord.instances", greeting.name))?;
-    let holder = Holder { instance: InstanceId(at as u32), incarnation: greeting.incarnation };
+    let holder = HolderId { instance: InstanceId(at as u32), incarnation: greeting.incarnation };
     let (to, words) = bounded(MOST_WORDS);
     let _ = inputs.send(Input::Linked(holder, to)).await;
     let odd = carry(stream, &words, silence, inputs, |word| Input::ToKeeper(holder, word)).await;
