--- a/accord/src/facts.rs
+++ b/accord/src/facts.rs
@@ -1,18 +1,19 @@
-//! What lists and operators say of servers, as it spreads among instances. Each instance says what it was told itself; a
-//! keeper knows of each subject the most that any who lives says, and tells that to all. Two contents are told apart, and
-//! what lies between them found, by a hash of all they hold.
+//! Facts about servers, from discovery lists and from operators, as they spread among instances. Each
+//! instance reports what it learned itself; for each subject a lease server publishes the greatest fact that
+//! any live lease holder reports. Sets of facts are identified, and differences between them computed, by a
+//! hash over their whole content.
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Of whom something is said.
+/// What a fact is about.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
     Server(Arc<str>),
-    /// A server's mark by hand.
+    /// The maintenance mark of a server, set by an operator.
     #[serde(rename = "mark")]
     Maintenance(Arc<str>),
 }
@@ -24,52 +25,52 @@
     }
 }
 
-/// What is said of it. Of two facts the greater one holds: a later life over an earlier, and within one life what
-/// forbids over what allows.
+/// A statement about a subject. Of two facts the greater one wins: a later `since` over an earlier one, and
+/// with the same `since` an exclusion over its absence.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Fact {
-    /// When the server last started, or when the mark was set.
+    /// When the server last started, or when the maintenance mark was set.
     pub since: u64,
-    /// Nothing new is to be sent there.
+    /// No new requests may be sent to the server.
     #[serde(rename = "out")]
     pub excluded: bool,
-    /// Whoever says it was told so by its own list, not by others.
+    /// The reporting instance learned it from its own list, not from other instances.
     pub first_hand: bool,
-    /// How the list words it, where that is passed on.
+    /// The entry of the discovery list, if instances share whole lists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<Arc<str>>,
 }
 
 impl Fact {
-    /// Whether it forbids what was allowed by what is known.
-    pub(crate) fn forbids_beyond(&self, known: Option<&Fact>) -> bool {
+    /// Whether this fact excludes a server that the known fact allows.
+    pub(crate) fn newly_excludes(&self, known: Option<&Fact>) -> bool {
         self.excluded && known.is_none_or(|known| !known.excluded || known.since < self.since)
     }
 }
 
 pub type Facts = BTreeMap<Subject, Fact>;
-/// What is said of a subject from now on; nothing more where none.
+/// The new fact about a subject; `None` if there is none any more.
 pub type FactChange = (Subject, Option<Fact>);
 
-/// Subjects of which something may be said at a time: guards against a list without end.
+/// The most subjects that one set of facts may have, so that an endless list can't exhaust memory.
 pub const MAX_FACTS: usize = 8_192;
-/// Changes that are remembered; whoever lacks more is told all there is.
-const MOST_PAST: usize = 4_096;
+/// The most changes that a ledger remembers; a holder that is further behind gets the whole content.
+const MAX_HISTORY: usize = 4_096;
 
-fn hash_of(subject: &Subject, fact: &Fact) -> u64 {
+fn fact_hash(subject: &Subject, fact: &Fact) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     (subject, fact).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Facts, and a hash of all of them that does not depend on the order; zero of nothing.
+/// A set of facts with a hash that does not depend on their order; the hash of the empty set is 0.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Content {
+pub struct FactSet {
     facts: Facts,
     hash: u64,
 }
 
-impl Content {
+impl FactSet {
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
@@ -78,54 +79,56 @@
         self.hash
     }
 
-    fn put(&mut self, subject: Subject, fact: Option<Fact>) {
-        self.hash ^= fact.as_ref().map_or(0, |fact| hash_of(&subject, fact));
+    fn set_fact(&mut self, subject: Subject, fact: Option<Fact>) {
+        self.hash ^= fact.as_ref().map_or(0, |fact| fact_hash(&subject, fact));
         let known = match fact {
             Some(fact) => self.facts.insert(subject.clone(), fact),
             None => self.facts.remove(&subject),
         };
-        self.hash ^= known.map_or(0, |known| hash_of(&subject, &known));
+        self.hash ^= known.map_or(0, |known| fact_hash(&subject, &known));
     }
 
-    pub fn take(&mut self, changes: Vec<FactChange>) {
-        changes.into_iter().for_each(|(subject, fact)| self.put(subject, fact));
+    pub fn apply(&mut self, changes: Vec<FactChange>) {
+        changes.into_iter().for_each(|(subject, fact)| self.set_fact(subject, fact));
     }
 
-    /// Takes what another's content has become; false if that does not follow from what is known here.
-    pub fn follow(&mut self, from: u64, to: u64, changes: Vec<FactChange>) -> bool {
+    /// Applies another side's update. Returns false if it is not based on the content known here, or if the
+    /// result does not match its hash; in the second case the set is cleared.
+    pub fn apply_update(&mut self, from: u64, to: u64, changes: Vec<FactChange>) -> bool {
         if from != 0 && from != self.hash {
             return false;
         }
         if from == 0 {
-            *self = Content::default();
+            *self = FactSet::default();
         }
-        self.take(changes);
+        self.apply(changes);
         if self.hash != to {
-            *self = Content::default();
+            *self = FactSet::default();
         }
         self.hash == to
     }
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
-struct Past {
-    /// Of what was known before it.
-    hash: u64,
+struct LedgerEntry {
+    /// The hash of the content before this change.
+    hash_before: u64,
     subject: Subject,
-    at: Micros,
+    changed_at: Micros,
 }
 
-/// Facts with what they were before.
+/// A set of facts with its history of changes.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Ledger {
-    content: Content,
-    past: VecDeque<Past>,
-    /// How many were before the first that is remembered, and by hash the last with it, counted from the very first.
-    forgotten: usize,
-    places: BTreeMap<u64, usize>,
-    /// Which of them forbid, counted likewise; and how many facts do.
-    forbids: VecDeque<usize>,
-    forbidding: usize,
+    content: FactSet,
+    history: VecDeque<LedgerEntry>,
+    /// How many changes were dropped from the front of the history, and for each content hash the last
+    /// position at which it was current. Positions count from the very first change.
+    dropped: usize,
+    positions: BTreeMap<u64, usize>,
+    /// The positions of the changes that newly excluded a server, and how many facts exclude one now.
+    exclusions: VecDeque<usize>,
+    excluded_count: usize,
 }
 
 impl Ledger {
@@ -137,53 +140,54 @@
         self.content.hash
     }
 
-    /// False if nothing changes by it.
+    /// Returns false if nothing changed.
     pub fn set(&mut self, now: Micros, subject: &Subject, fact: Option<Fact>) -> bool {
         let known = self.facts().get(subject);
         if known == fact.as_ref() {
             return false;
         }
-        let forbids = fact.as_ref().is_some_and(|fact| fact.forbids_beyond(known));
-        let out = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.excluded));
-        self.forbidding = self.forbidding + out(fact.as_ref()) - out(known);
+        let newly_excluded = fact.as_ref().is_some_and(|fact| fact.newly_excludes(known));
+        let exclusions = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.excluded));
+        self.excluded_count = self.excluded_count + exclusions(fact.as_ref()) - exclusions(known);
         let hash = self.hash();
-        let place = self.forgotten + self.past.len();
-        self.places.insert(hash, place);
-        if forbids {
-            self.forbids.push_back(place);
+        let position = self.dropped + self.history.len();
+        self.positions.insert(hash, position);
+        if newly_excluded {
+            self.exclusions.push_back(position);
         }
-        self.past.push_back(Past { hash, subject: subject.clone(), at: now });
-        if self.past.len() > MOST_PAST {
-            if let Some(first) = self.past.pop_front() {
-                if self.places.get(&first.hash) == Some(&self.forgotten) {
-                    self.places.remove(&first.hash);
+        self.history.push_back(LedgerEntry { hash_before: hash, subject: subject.clone(), changed_at: now });
+        if self.history.len() > MAX_HISTORY {
+            if let Some(first) = self.history.pop_front() {
+                if self.positions.get(&first.hash_before) == Some(&self.dropped) {
+                    self.positions.remove(&first.hash_before);
                 }
-                self.forgotten += 1;
+                self.dropped += 1;
             }
-            if self.forbids.front().is_some_and(|place| *place < self.forgotten) {
-                self.forbids.pop_front();
+            if self.exclusions.front().is_some_and(|position| *position < self.dropped) {
+                self.exclusions.pop_front();
             }
         }
-        self.content.put(subject.clone(), fact);
+        self.content.set_fact(subject.clone(), fact);
         true
     }
 
-    /// Where what has changed since the content had that hash begins, if that is remembered; counted from the very first.
-    fn place(&self, hash: u64) -> Option<usize> {
+    /// The position of the first change after the content had that hash, if it is still remembered.
+    fn position(&self, hash: u64) -> Option<usize> {
         match hash {
-            _ if hash == self.hash() => Some(self.forgotten + self.past.len()),
-            _ => self.places.get(&hash).copied(),
+            _ if hash == self.hash() => Some(self.dropped + self.history.len()),
+            _ => self.positions.get(&hash).copied(),
         }
     }
 
-    /// From which hash on, and what whoever has that content lacks; from nothing on where that is not remembered.
-    pub fn since(&self, hash: u64) -> (u64, Vec<FactChange>) {
-        let Some(place) = self.place(hash) else {
+    /// The changes since the content had that hash, with the hash they start from: 0, with the whole content,
+    /// if that hash is no longer remembered.
+    pub fn changes_since(&self, hash: u64) -> (u64, Vec<FactChange>) {
+        let Some(position) = self.position(hash) else {
             let all = self.facts().iter().map(|(subject, fact)| (subject.clone(), Some(fact.clone())));
             return (0, all.collect());
         };
-        let after = self.past.range(place - self.forgotten..);
-        let mut subjects: Vec<&Subject> = after.map(|past| &past.subject).collect();
+        let after = self.history.range(position - self.dropped..);
+        let mut subjects: Vec<&Subject> = after.map(|entry| &entry.subject).collect();
         subjects.sort_unstable();
         subjects.dedup();
         let changes =
@@ -191,26 +195,30 @@
         (hash, changes.collect())
     }
 
-    /// For how long whoever has the content of that hash lacks something that forbids; none if that can't be told.
-    pub fn behind(&self, hash: u64, now: Micros) -> Option<Micros> {
-        match self.place(hash) {
-            Some(place) => {
-                let first = self.forbids.partition_point(|forbids| *forbids < place);
-                let since = self.forbids.get(first).map(|place| self.past[place - self.forgotten].at);
+    /// For how long a holder with the content of that hash has lacked an exclusion; `None` if that can't be
+    /// determined.
+    pub fn exclusion_lag(&self, hash: u64, now: Micros) -> Option<Micros> {
+        match self.position(hash) {
+            Some(position) => {
+                let first = self.exclusions.partition_point(|exclusion| *exclusion < position);
+                let since = self
+                    .exclusions
+                    .get(first)
+                    .map(|position| self.history[position - self.dropped].changed_at);
                 Some(since.map_or(Micros(0), |since| now - since))
             }
-            None if self.forbidding > 0 => None,
+            None if self.excluded_count > 0 => None,
             None => Some(Micros(0)),
         }
     }
 }
 
-/// Of each subject the most that is said by any.
-pub fn most<'a>(all: impl Iterator<Item = &'a Facts>) -> BTreeMap<&'a Subject, &'a Fact> {
-    let mut most: BTreeMap<&Subject, &Fact> = BTreeMap::new();
+/// For each subject the greatest fact in any of the sets.
+pub fn greatest_facts<'a>(all: impl Iterator<Item = &'a Facts>) -> BTreeMap<&'a Subject, &'a Fact> {
+    let mut greatest: BTreeMap<&Subject, &Fact> = BTreeMap::new();
     for (subject, fact) in all.flatten() {
-        let known = most.entry(subject).or_insert(fact);
+        let known = greatest.entry(subject).or_insert(fact);
         *known = (*known).max(fact);
     }
-    most
+    greatest
 }
--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -1,20 +1,24 @@
-//! An instance as it asks for leases: which versions it keeps to, and until when it may act.
-use crate::lists::{ListUpdate, Lists};
+//! An instance as a lease holder: which versions it complies with, and until when it may act.
+use crate::server_view::{ListUpdate, ServerView};
 use crate::{majority, Document, Fact, InstanceId, Message, Micros, Version, MAX_PENDING_VERSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Whether an instance could act on the strictest of these contents; if not, why.
+/// Checks that an instance could act on the strictest combination of these documents; the error says why it
+/// can't.
 pub type Validator = Arc<dyn Fn(&[Arc<str>]) -> Result<(), String> + Send + Sync>;
 
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
     Send(InstanceId, Message),
-    /// Act on the strictest of what [`LeaseHolder::active_documents`] gives: carried out before what comes behind it is said.
+    /// Act on the strictest combination of [`LeaseHolder::active_documents`]. Must be done before the actions
+    /// that follow are sent.
     ApplyDocuments,
-    /// Keep to what others' lists say now, see [`LeaseHolder::excluded_servers`]: carried out before what comes behind it is said.
+    /// Respect what other instances' lists say now, see [`LeaseHolder::excluded_servers`] and
+    /// [`LeaseHolder::unconfirmed_servers`]. Must be done before the actions that follow are sent.
     ApplyLists,
-    /// A mark that was set by hand elsewhere: whether that server is out, and since when. Carried out likewise.
+    /// Apply a maintenance mark that was set at another instance. Must be done before the actions that follow
+    /// are sent.
     ApplyMaintenance {
         name: Arc<str>,
         in_maintenance: bool,
@@ -23,156 +27,156 @@
     Log(String),
 }
 
-/// A lease, from when it was asked for.
+/// A lease, valid from when it was requested.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Lease {
-    pub(crate) from: Micros,
-    pub(crate) cleared: Version,
-    /// How often the names on the own list had changed when it was asked for.
-    naming: u64,
+    pub(crate) requested_at: Micros,
+    pub(crate) committed: Version,
+    /// The revision of the names on its own list when it was requested.
+    names_revision: u64,
 }
 
-/// When a turn was asked, and how often the names on the own list had changed by then.
+/// When a request was sent, and the revision of the names on its own list then.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Turn {
-    pub(crate) at: Micros,
-    naming: u64,
+pub(crate) struct SentRequest {
+    pub(crate) sent_at: Micros,
+    names_revision: u64,
 }
 
 #[derive(Clone)]
 pub struct LeaseHolder {
-    keepers: Vec<InstanceId>,
-    pub(crate) within: Micros,
-    judge: Validator,
-    /// All it keeps to: what holds, and what may come to hold.
+    lease_servers: Vec<InstanceId>,
+    pub(crate) lease_duration: Micros,
+    validator: Validator,
+    /// All versions it complies with: the committed one, and those that may be committed.
     pub(crate) documents: BTreeMap<Version, Arc<str>>,
-    pub(crate) refused: BTreeSet<Version>,
-    /// The earliest version that may still hold anywhere; none before a majority of keepers has said so.
-    pub(crate) base: Option<Version>,
-    turn: u64,
-    /// When each turn was asked, while a lease for it would live.
-    pub(crate) asked: BTreeMap<u64, Turn>,
+    pub(crate) rejected: BTreeSet<Version>,
+    /// The earliest version that may still be in force at any instance; `None` before a majority of lease
+    /// servers has granted a lease.
+    pub(crate) committed: Option<Version>,
+    sequence: u64,
+    /// The requests sent, for as long as a lease for them would be valid.
+    pub(crate) sent_requests: BTreeMap<u64, SentRequest>,
     pub(crate) leases: BTreeMap<InstanceId, Lease>,
-    next: Micros,
-    lists: Lists,
-    /// Keepers whose last answer came when its lease was over.
-    too_far: BTreeSet<InstanceId>,
+    next_request_at: Micros,
+    server_view: ServerView,
+    /// Lease servers whose last grant arrived after its lease had expired.
+    slow_servers: BTreeSet<InstanceId>,
 }
 
 impl LeaseHolder {
-    /// How often it asks within the length of a lease.
-    const ASKS: f64 = 4.0;
+    /// How many times it requests a lease within the length of a lease.
+    const REQUESTS_PER_LEASE: f64 = 4.0;
 
-    pub fn new(keepers: Vec<InstanceId>, within: Micros, judge: Validator) -> LeaseHolder {
+    pub fn new(lease_servers: Vec<InstanceId>, lease_duration: Micros, validator: Validator) -> LeaseHolder {
         LeaseHolder {
-            keepers,
-            within,
-            judge,
+            lease_servers,
+            lease_duration,
+            validator,
             documents: BTreeMap::new(),
-            refused: BTreeSet::new(),
-            base: None,
-            turn: 0,
-            asked: BTreeMap::new(),
+            rejected: BTreeSet::new(),
+            committed: None,
+            sequence: 0,
+            sent_requests: BTreeMap::new(),
             leases: BTreeMap::new(),
-            next: Micros(0),
-            lists: Lists::default(),
-            too_far: BTreeSet::new(),
+            next_request_at: Micros(0),
+            server_view: ServerView::default(),
+            slow_servers: BTreeSet::new(),
         }
     }
 
-    /// Passes on who may be sent to as well, not only who may not.
+    /// Makes it report all entries of its list, not only exclusions.
     pub fn with_full_lists(mut self) -> LeaseHolder {
-        self.lists.whole = true;
+        self.server_view.share_full_list = true;
         self
     }
 
-    /// Hears of those servers alone that its own list names, and sends to none of which a majority of keepers does not tell yet.
+    /// Makes it receive facts only about the servers that its own list names, and send to none of those
+    /// before a majority of lease servers has confirmed it.
     pub fn with_subscription(mut self) -> LeaseHolder {
-        self.lists.subscribes = true;
+        self.server_view.subscribed = true;
         self
     }
 
-    /// What its own list tells.
-    pub fn handle_list_update(&mut self, now: Micros, listed: ListUpdate, out: &mut Vec<Action>) {
-        let was_full = self.lists.full();
-        let (changed, renamed) = self.lists.listed(now, listed);
-        if self.lists.full() && !was_full {
-            out.push(Action::Log("the list is too long: others are not told all of it".into()));
+    /// Applies an update of its own list.
+    pub fn handle_list_update(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Action>) {
+        let had_overflowed = self.server_view.overflowed();
+        let (report_changed, names_changed) = self.server_view.apply_list(now, update);
+        if self.server_view.overflowed() && !had_overflowed {
+            out.push(Action::Log(
+                "the endpoint list is too long: other instances do not receive all of it".into(),
+            ));
         }
-        if renamed {
+        if names_changed {
             out.push(Action::ApplyLists);
         }
-        if changed || renamed {
-            self.ask(now, out);
+        if report_changed || names_changed {
+            self.request_leases(now, out);
         }
     }
 
-    /// A mark that was set by hand at this instance.
+    /// Applies a maintenance mark that was set at this instance.
     pub fn handle_maintenance_change(
-        &mut self, now: Micros, (name, is_out, at): (&str, bool, u64), out: &mut Vec<Action>,
+        &mut self, now: Micros, (name, in_maintenance, set_at): (&str, bool, u64), out: &mut Vec<Action>,
     ) {
-        if self.lists.marked(now, &Arc::from(name), is_out, at) {
-            self.ask(now, out);
+        if self.server_view.set_maintenance(now, &Arc::from(name), in_maintenance, set_at) {
+            self.request_leases(now, out);
         }
     }
 
-    /// Servers to which nothing new may go by others' lists, and the life of theirs for which that was said.
+    /// The servers that other instances exclude, with the `since` of the incarnation that is excluded.
     pub fn excluded_servers(&self) -> BTreeMap<&Arc<str>, u64> {
-        self.lists.out()
+        self.server_view.excluded_servers()
     }
 
-    /// Servers on its list of which a majority of keepers does not tell it yet, by the life that is listed: nothing may go there.
+    /// The servers on its list that a majority of lease servers has not yet confirmed, with the `since` of
+    /// the listed incarnation; nothing may be sent to them.
     pub fn unconfirmed_servers(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
-        self.lists.untold()
+        self.server_view.unconfirmed_servers()
     }
 
-    /// Servers as others' lists word them, where this instance's own does not name them in that life.
+    /// The entries from other instances' lists whose servers, in that incarnation, this instance's own list
+    /// does not have.
     pub fn foreign_entries(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.lists.unknown()
+        self.server_view.foreign_entries()
     }
 
-    /// What its own file says; false if that is not taken.
+    /// Proposes the document from the instance's own file. Returns false if it is not accepted.
     pub fn propose(&mut self, now: Micros, document: Document, out: &mut Vec<Action>) -> bool {
         let version = document.version;
         let latest = self.documents.keys().next_back().copied();
         if let Some(latest) = latest.filter(|latest| version.epoch_and_number() < latest.epoch_and_number()) {
-            out.push(Action::Log(format!("version {version} not taken: {latest} is known, which is later")));
+            out.push(Action::Log(format!("version {version} not accepted: version {latest} is later")));
             return false;
         }
-        self.learn(now, document, out) && self.documents.contains_key(&version)
+        self.add_document(now, document, out) && self.documents.contains_key(&version)
     }
 
-    pub fn handle_message(&mut self, now: Micros, from: InstanceId, word: Message, out: &mut Vec<Action>) {
-        if !self.keepers.contains(&from) {
+    pub fn handle_message(&mut self, now: Micros, from: InstanceId, message: Message, out: &mut Vec<Action>) {
+        if !self.lease_servers.contains(&from) {
             return;
         }
-        self.lists.spoke(now, from);
-        match word {
-            Message::LeaseGrant { sequence: turn, committed: cleared, lag_us: behind } => {
-                self.granted(now, from, (turn, cleared, Micros(behind)), out)
+        self.server_view.record_message(now, from);
+        match message {
+            Message::LeaseGrant { sequence, committed, lag_us } => {
+                self.handle_grant(now, from, (sequence, committed, Micros(lag_us)), out)
             }
-            Message::UnknownReport { known_hash: have } => {
-                let (base, changes) = self.lists.says().since(have);
-                let to = self.lists.says().hash();
-                out.push(Action::Send(
-                    from,
-                    Message::FactUpdate { number: 0, base_hash: base, new_hash: to, changes },
-                ));
-                self.ask_one(now, from, out);
+            Message::UnknownReport { known_hash } => {
+                let (base_hash, changes) = self.server_view.reported().changes_since(known_hash);
+                let new_hash = self.server_view.reported().hash();
+                out.push(Action::Send(from, Message::FactUpdate { number: 0, base_hash, new_hash, changes }));
+                self.request_lease(now, from, out);
             }
-            Message::UnknownNames { known_hash: have } => {
-                let (base, more, fewer) = self.lists.names_beyond(have);
-                if let (Some(to), _) = self.lists.named() {
-                    out.push(Action::Send(
-                        from,
-                        Message::Subscribe { base_hash: base, new_hash: to, added: more, removed: fewer },
-                    ));
-                    self.ask_one(now, from, out);
+            Message::UnknownNames { known_hash } => {
+                let (base_hash, added, removed) = self.server_view.names_update_from(known_hash);
+                if let (Some(new_hash), _) = self.server_view.names_hash_and_revision() {
+                    out.push(Action::Send(from, Message::Subscribe { base_hash, new_hash, added, removed }));
+                    self.request_lease(now, from, out);
                 }
             }
-            Message::FactUpdate { number: at, base_hash: base, new_hash: to, changes } => {
-                if self.lists.hear(from, at, (base, to, changes)) {
-                    self.look_at_lists(now, out);
+            Message::FactUpdate { number, base_hash, new_hash, changes } => {
+                if self.server_view.receive(from, number, (base_hash, new_hash, changes)) {
+                    self.refresh_server_view(now, out);
                 }
             }
             Message::RequestDocuments(versions) => {
@@ -180,117 +184,130 @@
                 let known: Vec<_> = known.map(|(version, text)| (*version, text.clone())).collect();
                 if !known.is_empty() {
                     out.push(Action::Send(from, Message::Documents(known)));
-                    self.ask_one(now, from, out);
+                    self.request_lease(now, from, out);
                 }
             }
             Message::Documents(documents) => {
-                let before = (self.documents.len(), self.refused.len());
+                let before = (self.documents.len(), self.rejected.len());
                 for (version, text) in documents {
-                    self.learn(now, Document { version, text }, out);
+                    self.add_document(now, Document { version, text }, out);
                 }
-                if (self.documents.len(), self.refused.len()) == before {
+                if (self.documents.len(), self.rejected.len()) == before {
                     return;
                 }
-                self.ask(now, out);
+                self.request_leases(now, out);
             }
-            Message::StateChanged => self.ask_one(now, from, out),
-            // Only a keeper is told these.
+            Message::StateChanged => self.request_lease(now, from, out),
+            // These are sent to lease servers only.
             Message::LeaseRequest { .. } | Message::Subscribe { .. } => {}
         }
     }
 
-    /// To be called at [`LeaseHolder::next_wakeup`].
+    /// To be called at the time given by [`LeaseHolder::next_wakeup`].
     pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if now >= self.next {
-            self.ask(now, out);
+        if now >= self.next_request_at {
+            self.request_leases(now, out);
         }
     }
 
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.next_request_at
     }
 
-    /// Until when it may act on what it keeps to; nothing before a majority's leases live.
+    /// Until when it may act on its active documents; 0 before it holds valid leases from a majority of lease
+    /// servers.
     pub fn lease_valid_until(&self) -> Micros {
-        let mut ends: Vec<Micros> = self.leases.values().map(|lease| lease.from + self.within).collect();
-        ends.sort_unstable_by(|one, other| other.cmp(one));
-        ends.get(majority(self.keepers.len()) - 1).copied().unwrap_or_default()
+        let mut expiry_times: Vec<Micros> =
+            self.leases.values().map(|lease| lease.requested_at + self.lease_duration).collect();
+        expiry_times.sort_unstable_by(|one, other| other.cmp(one));
+        expiry_times.get(majority(self.lease_servers.len()) - 1).copied().unwrap_or_default()
     }
 
-    /// What it keeps to, the earliest first.
+    /// The documents it complies with, the earliest first.
     pub fn active_documents(&self) -> impl Iterator<Item = (&Version, &Arc<str>)> {
         self.documents.iter()
     }
 
-    /// What holds, as far as it knows.
+    /// The committed version, as far as it knows.
     pub fn committed(&self) -> Option<Version> {
-        self.base
+        self.committed
     }
 
-    /// False if it can't take it, which is said once.
-    fn learn(&mut self, now: Micros, document: Document, out: &mut Vec<Action>) -> bool {
+    /// Returns false if the document is rejected; the reason is logged once.
+    fn add_document(&mut self, now: Micros, document: Document, out: &mut Vec<Action>) -> bool {
         let Document { version, text } = document;
-        if self.documents.contains_key(&version) || self.refused.contains(&version) {
-            return !self.refused.contains(&version);
+        if self.documents.contains_key(&version) || self.rejected.contains(&version) {
+            return !self.rejected.contains(&version);
         }
-        if let Some(base) = self.base {
-            if version.epoch_and_number() == base.epoch_and_number() {
+        if let Some(committed) = self.committed {
+            if version.epoch_and_number() == committed.epoch_and_number() {
                 out.push(Action::Log(format!(
-                    "version {version} not taken: {base} holds under the same number, with another content"
+                    "version {version} not accepted: {committed} is committed under the same number with different content"
                 )));
-                self.refuse(version);
+                self.reject(version);
                 return false;
             }
-            if version < base {
+            if version < committed {
                 return false;
             }
         }
-        if let Some(twin) =
+        if let Some(same_number) =
             self.documents.keys().find(|other| other.epoch_and_number() == version.epoch_and_number())
         {
             out.push(Action::Log(format!(
-                "versions {twin} and {version} have one number and two contents: neither comes to hold, a higher number must"
+                "versions {same_number} and {version} have the same number but different content: neither will be committed, a higher number is needed"
             )));
         }
         let texts: Vec<Arc<str>> = self.documents.values().cloned().chain([text.clone()]).collect();
-        let full =
-            if texts.len() > MAX_PENDING_VERSIONS { Err("too many versions wait".into()) } else { Ok(()) };
-        // Also as it is once the earlier ones hold no more: guards against a version that can be taken with others alone.
-        let each = (0..texts.len()).try_for_each(|first| (self.judge)(&texts[first..]));
-        if let Err(why) = full.and(each) {
-            out.push(Action::Log(format!("version {version} refused: {why}")));
-            self.refuse(version);
+        let room = if texts.len() > MAX_PENDING_VERSIONS {
+            Err("too many versions are pending".into())
+        } else {
+            Ok(())
+        };
+        // Each later subset is checked as well: it must be possible to act on a version also once the earlier
+        // ones are superseded.
+        let each = (0..texts.len()).try_for_each(|first| (self.validator)(&texts[first..]));
+        if let Err(why) = room.and(each) {
+            out.push(Action::Log(format!("version {version} rejected: {why}")));
+            self.reject(version);
             return false;
         }
         self.documents.insert(version, text);
         out.push(Action::ApplyDocuments);
-        self.ask(now, out);
+        self.request_leases(now, out);
         true
     }
 
-    fn refuse(&mut self, version: Version) {
-        self.refused.insert(version);
-        // Guards against a writer without end; the lowest are the least likely to be told again.
-        while self.refused.len() > MAX_PENDING_VERSIONS {
-            self.refused.pop_first();
+    fn reject(&mut self, version: Version) {
+        self.rejected.insert(version);
+        // Bounds the memory if an author writes endless versions; the lowest are the least likely to be
+        // received again.
+        while self.rejected.len() > MAX_PENDING_VERSIONS {
+            self.rejected.pop_first();
         }
     }
 
-    fn ask(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.next = now + self.within.times(1.0 / Self::ASKS);
-        let within = self.within;
-        self.asked.retain(|_, turn| turn.at + within > now);
-        if self.lists.forget_silent(now, within) {
-            self.look_at_lists(now, out);
+    fn request_leases(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.next_request_at = now + self.lease_duration.times(1.0 / Self::REQUESTS_PER_LEASE);
+        let lease_duration = self.lease_duration;
+        self.sent_requests.retain(|_, request| request.sent_at + lease_duration > now);
+        if self.server_view.forget_silent(now, lease_duration) {
+            self.refresh_server_view(now, out);
         }
-        self.turn += 1;
-        self.asked.insert(self.turn, Turn { at: now, naming: self.lists.named().1 });
-        let says = self.keepers.iter().map(|keeper| Action::Send(*keeper, self.word(*keeper)));
-        out.extend(says);
+        self.sequence += 1;
+        self.sent_requests.insert(
+            self.sequence,
+            SentRequest { sent_at: now, names_revision: self.server_view.names_hash_and_revision().1 },
+        );
+        let requests = self
+            .lease_servers
+            .iter()
+            .map(|lease_server| Action::Send(*lease_server, self.lease_request(*lease_server)));
+        out.extend(requests);
     }
 
-    fn look_at_lists(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(marks) = self.lists.look(now) else { return };
+    fn refresh_server_view(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let Some(marks) = self.server_view.refresh(now) else { return };
         out.push(Action::ApplyLists);
         let mark = |(name, fact): (Arc<str>, Fact)| Action::ApplyMaintenance {
             name,
@@ -300,81 +317,89 @@
         out.extend(marks.into_iter().map(mark));
     }
 
-    /// Asks one keeper alone, where only that one has something new.
-    fn ask_one(&mut self, now: Micros, keeper: InstanceId, out: &mut Vec<Action>) {
-        self.turn += 1;
-        self.asked.insert(self.turn, Turn { at: now, naming: self.lists.named().1 });
-        out.push(Action::Send(keeper, self.word(keeper)));
+    /// Requests a lease from one lease server, when only that one has something new.
+    fn request_lease(&mut self, now: Micros, lease_server: InstanceId, out: &mut Vec<Action>) {
+        self.sequence += 1;
+        self.sent_requests.insert(
+            self.sequence,
+            SentRequest { sent_at: now, names_revision: self.server_view.names_hash_and_revision().1 },
+        );
+        out.push(Action::Send(lease_server, self.lease_request(lease_server)));
     }
 
-    fn word(&self, keeper: InstanceId) -> Message {
+    fn lease_request(&self, lease_server: InstanceId) -> Message {
         Message::LeaseRequest {
-            sequence: self.turn,
+            sequence: self.sequence,
             known_versions: self.documents.keys().copied().collect(),
-            rejected_versions: self.refused.iter().copied().collect(),
-            reported_hash: self.lists.says().hash(),
-            names_hash: self.lists.named().0,
-            received_hash: self.lists.heard_of(keeper).0,
-            last_update: self.lists.heard_of(keeper).1,
+            rejected_versions: self.rejected.iter().copied().collect(),
+            reported_hash: self.server_view.reported().hash(),
+            names_hash: self.server_view.names_hash_and_revision().0,
+            received_hash: self.server_view.received_from(lease_server).0,
+            last_update: self.server_view.received_from(lease_server).1,
         }
     }
 
-    fn granted(
-        &mut self, now: Micros, from: InstanceId, granted: (u64, Version, Micros), out: &mut Vec<Action>,
+    fn handle_grant(
+        &mut self, now: Micros, from: InstanceId, grant: (u64, Version, Micros), out: &mut Vec<Action>,
     ) {
-        let (turn, cleared, behind) = granted;
-        // Counted from when it was asked for, whenever the answer comes, and less by what had not been heard by then.
-        let asked = self.asked.get(&turn).copied();
-        let naming = asked.map_or(0, |turn| turn.naming);
-        let at = asked.map(|turn| turn.at - behind);
-        let Some(at) = at.filter(|at| *at + self.within > now) else {
-            // One that was asked before the last, and is remembered no more.
-            if behind == Micros(0) && self.too_far.insert(from) {
-                let within = self.within.secs();
+        let (sequence, committed, lag) = grant;
+        // A lease counts from when it was requested, however late the grant arrives, and is shorter by the
+        // time for which an exclusion was missing at the request.
+        let request = self.sent_requests.get(&sequence).copied();
+        let names_revision = request.map_or(0, |request| request.names_revision);
+        let valid_from = request.map(|request| request.sent_at - lag);
+        let Some(valid_from) = valid_from.filter(|from| *from + self.lease_duration > now) else {
+            // The grant is for a request that is too old to be remembered.
+            if lag == Micros(0) && self.slow_servers.insert(from) {
+                let lease_duration = self.lease_duration.secs();
                 out.push(Action::Log(format!(
-                    "accord.within: a keeper's answer took longer than the {within:.3} s that a lease lives"
+                    "accord.within: a keeper's answer took longer than the lease duration of {lease_duration:.3} s"
                 )));
             }
             return;
         };
-        self.too_far.remove(&from);
-        let known = self.documents.contains_key(&cleared);
+        self.slow_servers.remove(&from);
+        let known = self.documents.contains_key(&committed);
         if !known
-            || !self.lists.tells_by(naming)
-            || self.leases.get(&from).is_some_and(|lease| (lease.from, lease.naming) >= (at, naming))
+            || !self.server_view.accepts_names_revision(names_revision)
+            || self.leases.get(&from).is_some_and(|lease| {
+                (lease.requested_at, lease.names_revision) >= (valid_from, names_revision)
+            })
         {
             return;
         }
-        self.leases.insert(from, Lease { from: at, cleared, naming });
-        self.leases.retain(|_, lease| lease.from + self.within > now);
-        self.agree_on_names(out);
-        let agreed = self.agreed(|lease| lease.cleared);
-        if let Some(agreed) = agreed.filter(|agreed| Some(*agreed) > self.base) {
-            self.base = Some(agreed);
-            let loosened = self.documents.keys().next().is_some_and(|first| *first < agreed);
+        self.leases.insert(from, Lease { requested_at: valid_from, committed, names_revision });
+        self.leases.retain(|_, lease| lease.requested_at + self.lease_duration > now);
+        self.apply_confirmed_names(out);
+        let agreed = self.majority_value(|lease| lease.committed);
+        if let Some(agreed) = agreed.filter(|agreed| Some(*agreed) > self.committed) {
+            self.committed = Some(agreed);
+            let superseded = self.documents.keys().next().is_some_and(|first| *first < agreed);
             self.documents = self.documents.split_off(&agreed);
-            self.refused = self.refused.split_off(&agreed);
-            // Guards against acting by a lease of one for whom something earlier holds.
-            self.leases.retain(|_, lease| lease.cleared >= agreed);
-            out.push(Action::Log(format!("version {agreed} holds")));
-            if loosened {
+            self.rejected = self.rejected.split_off(&agreed);
+            // A lease from a lease server at which an earlier version is committed no longer counts.
+            self.leases.retain(|_, lease| lease.committed >= agreed);
+            out.push(Action::Log(format!("version {agreed} committed")));
+            if superseded {
                 out.push(Action::ApplyDocuments);
             }
         }
     }
 
-    /// What a majority of its leases says, or more.
-    fn agreed<T: Ord>(&self, of: impl Fn(&Lease) -> T) -> Option<T> {
+    /// The greatest value that a majority of its leases has reached.
+    fn majority_value<T: Ord>(&self, of: impl Fn(&Lease) -> T) -> Option<T> {
         let mut held: Vec<T> = self.leases.values().map(of).collect();
         held.sort_unstable_by(|one, other| other.cmp(one));
-        held.into_iter().nth(majority(self.keepers.len()) - 1)
+        held.into_iter().nth(majority(self.lease_servers.len()) - 1)
     }
 
-    /// Sends to servers on its list once a majority of keepers tells of them.
-    fn agree_on_names(&mut self, out: &mut Vec<Action>) {
-        if let Some(agreed) = self.agreed(|lease| lease.naming).filter(|agreed| self.lists.told_by(*agreed)) {
-            // Guards against acting by a lease of one that does not tell of all that is sent to.
-            self.leases.retain(|_, lease| lease.naming >= agreed);
+    /// Allows the servers on its list that a majority of lease servers has confirmed.
+    fn apply_confirmed_names(&mut self, out: &mut Vec<Action>) {
+        let agreed = self.majority_value(|lease| lease.names_revision);
+        if let Some(agreed) = agreed.filter(|agreed| self.server_view.confirm_names(*agreed)) {
+            // A lease from a lease server that does not publish facts about all of these servers no longer
+            // counts.
+            self.leases.retain(|_, lease| lease.names_revision >= agreed);
             out.push(Action::ApplyLists);
         }
     }
--- a/accord/src/lease_server.rs
+++ b/accord/src/lease_server.rs
@@ -1,252 +1,294 @@
-//! One that grants leases, and lets a version hold once no lease stands in its way. It forgets all at a new start.
+//! A lease server grants leases, and commits a version once no lease prevents it. It keeps no state across a
+//! restart.
 use crate::facts::Facts;
 use crate::leases::Leases;
-use crate::said::{Asking, Said, Taken};
+use crate::reports::{ReportOutcome, ReportRef, Reports};
 use crate::{HolderId, Message, Micros, Version, CLOCK_RATE_TOLERANCE, MAX_PENDING_VERSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What one asks with.
-struct Asked {
-    turn: u64,
-    knows: BTreeSet<Version>,
-    refuses: BTreeSet<Version>,
-    says: u64,
-    names: Option<u64>,
-    heard: u64,
+/// The fields of a lease request.
+struct RequestFields {
+    sequence: u64,
+    known_versions: BTreeSet<Version>,
+    rejected_versions: BTreeSet<Version>,
+    reported_hash: u64,
+    names_hash: Option<u64>,
+    received_hash: u64,
 }
 
-/// For whom a version that does not hold yet waits.
+/// A lease that prevents a pending version from being committed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct BlockingLease {
     pub holder: HolderId,
     pub expires_at: Micros,
-    /// It can't take that version, and stands in its way for as long as it lives.
+    /// The holder can't apply that version, so it prevents the commit for as long as its lease is renewed.
     pub rejects: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LeaseServer {
-    /// From when on it grants and clears: leases of its earlier life have run out by then.
-    pub(crate) awake: Micros,
-    /// How long it counts a lease: longer than whoever holds it does.
-    span: Micros,
+    /// The time from which it grants leases and commits versions: those granted before its restart have
+    /// expired by then.
+    pub(crate) active_from: Micros,
+    /// How long it counts a lease as valid: longer than the holder does.
+    lease_span: Micros,
     pub(crate) documents: BTreeMap<Version, Arc<str>>,
-    pub(crate) cleared: Option<Version>,
+    pub(crate) committed: Option<Version>,
     pub(crate) leases: Leases,
-    pub(crate) said: Said,
-    /// Numbers what is told of servers, over all lives of this keeper.
-    told: u64,
-    steps: u64,
+    pub(crate) reports: Reports,
+    /// The number of the last fact update it sent; it increases over restarts too.
+    last_update: u64,
+    entries_examined: u64,
 }
 
 impl LeaseServer {
-    /// `within` is how long a member counts a lease.
-    pub fn new(now: Micros, within: Micros) -> LeaseServer {
-        let span = within.times(1.0 + CLOCK_RATE_TOLERANCE);
-        // Guards against clearing what a lease that this keeper granted before it was started again stands against.
+    /// `lease_duration` is how long a lease holder counts its lease as valid.
+    pub fn new(now: Micros, lease_duration: Micros) -> LeaseServer {
+        let lease_span = lease_duration.times(1.0 + CLOCK_RATE_TOLERANCE);
+        // Waits for one lease span, so that it does not commit a version that a lease granted before its
+        // restart still prevents.
         LeaseServer {
-            awake: now + span,
-            span,
+            active_from: now + lease_span,
+            lease_span,
             documents: BTreeMap::new(),
-            cleared: None,
+            committed: None,
             leases: Leases::default(),
-            said: Said::default(),
-            told: 0,
-            steps: 0,
+            reports: Reports::default(),
+            last_update: 0,
+            entries_examined: 0,
         }
     }
 
     pub fn handle_message(
-        &mut self, now: Micros, from: HolderId, word: Message, out: &mut Vec<(HolderId, Message)>,
+        &mut self, now: Micros, from: HolderId, message: Message, out: &mut Vec<(HolderId, Message)>,
     ) {
-        match word {
+        match message {
             Message::LeaseRequest {
-                sequence: turn,
-                known_versions: knows,
-                rejected_versions: refuses,
-                reported_hash: says,
-                names_hash: names,
-                received_hash: heard,
-                last_update: after,
+                sequence,
+                known_versions,
+                rejected_versions,
+                reported_hash,
+                names_hash,
+                received_hash,
+                last_update: last_known,
             } => {
-                // Guards against a keeper that starts again with its clock behind: none would hear it.
-                self.told = self.told.max(after);
-                let (knows, refuses) = (knows.into_iter().collect(), refuses.into_iter().collect());
-                self.ask(now, from, Asked { turn, knows, refuses, says, names, heard }, out)
+                // The clock of a lease server may be behind after its restart; without this, lease holders
+                // would ignore its updates as old.
+                self.last_update = self.last_update.max(last_known);
+                let (known_versions, rejected_versions) =
+                    (known_versions.into_iter().collect(), rejected_versions.into_iter().collect());
+                self.handle_lease_request(
+                    now,
+                    from,
+                    RequestFields {
+                        sequence,
+                        known_versions,
+                        rejected_versions,
+                        reported_hash,
+                        names_hash,
+                        received_hash,
+                    },
+                    out,
+                )
             }
-            Message::FactUpdate { base_hash: base, new_hash: to, changes, .. } => {
-                self.said.offer(from, (base, to), changes)
+            Message::FactUpdate { base_hash, new_hash, changes, .. } => {
+                self.reports.announce_report(from, (base_hash, new_hash), changes)
             }
-            Message::Subscribe { base_hash: base, new_hash: to, added: more, removed: fewer } => {
-                self.said.subscribe(from, (base, to), more, &fewer)
+            Message::Subscribe { base_hash, new_hash, added, removed } => {
+                self.reports.announce_names(from, (base_hash, new_hash), added, &removed)
             }
             Message::Documents(documents) => {
                 let before = self.documents.len();
                 for (version, text) in documents {
-                    if self.wants(version) && self.documents.len() < MAX_PENDING_VERSIONS {
+                    if self.needs_document(version) && self.documents.len() < MAX_PENDING_VERSIONS {
                         self.documents.insert(version, text);
                     }
                 }
                 if self.documents.len() > before {
-                    self.tell(now, out);
+                    self.notify_holders(now, out);
                 }
             }
-            // Only a member is told these.
+            // These are sent to lease holders only.
             Message::LeaseGrant { .. }
             | Message::RequestDocuments(_)
             | Message::StateChanged
             | Message::UnknownReport { .. }
             | Message::UnknownNames { .. } => {}
         }
-        self.clear(now, out);
+        self.commit_ready_version(now, out);
     }
 
-    /// To be called at [`LeaseServer::next_wakeup`], or any time.
+    /// To be called at the time given by [`LeaseServer::next_wakeup`], or at any time.
     pub fn handle_timer(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
-        self.clear(now, out);
+        self.commit_ready_version(now, out);
     }
 
-    /// When something may hold without a word from anybody.
+    /// When a version may be committed without a further message.
     pub fn next_wakeup(&self, now: Micros) -> Option<Micros> {
-        let pending = self.documents.keys().any(|version| Some(*version) > self.cleared);
-        let ends = [self.leases.next_end(now), Some(self.awake).filter(|awake| *awake > now)];
-        ends.into_iter().flatten().min().filter(|_| pending)
+        let pending = self.documents.keys().any(|version| Some(*version) > self.committed);
+        let times =
+            [self.leases.next_expiry(now), Some(self.active_from).filter(|active_from| *active_from > now)];
+        times.into_iter().flatten().min().filter(|_| pending)
     }
 
     pub fn committed(&self) -> Option<Version> {
-        self.cleared
+        self.committed
     }
 
-    /// The latest version that does not hold yet, and those for whom it waits.
+    /// The latest version that is not committed yet, and the leases that prevent it.
     pub fn pending_version(&self, now: Micros) -> Option<(Version, Vec<BlockingLease>)> {
-        let version = *self.documents.keys().next_back().filter(|version| Some(**version) > self.cleared)?;
-        let in_the_way =
-            self.leases.iter().filter(|(_, lease)| lease.until > now && !lease.keeps_to(version));
-        let waiting = in_the_way.map(|(holder, lease)| BlockingLease {
+        let version =
+            *self.documents.keys().next_back().filter(|version| Some(**version) > self.committed)?;
+        let blocking =
+            self.leases.iter().filter(|(_, lease)| lease.expires_at > now && !lease.complies_with(version));
+        let leases = blocking.map(|(holder, lease)| BlockingLease {
             holder: *holder,
-            expires_at: lease.until,
-            rejects: lease.refuses.contains(&version),
+            expires_at: lease.expires_at,
+            rejects: lease.rejected_versions.contains(&version),
         });
-        Some((version, waiting.collect()))
+        Some((version, leases.collect()))
     }
 
-    /// Each lease that lives, until when, and what its holder knows.
+    /// Each valid lease: its holder, when it expires, and the versions its holder knows.
     pub fn leases(&self) -> impl Iterator<Item = (HolderId, Micros, impl Iterator<Item = &Version>)> {
-        self.leases.iter().map(|(holder, lease)| (*holder, lease.until, lease.knows.iter()))
+        self.leases.iter().map(|(holder, lease)| (*holder, lease.expires_at, lease.known_versions.iter()))
     }
 
-    /// A version that may come to hold here, and is not known yet.
-    fn wants(&self, version: Version) -> bool {
-        let later = self.cleared.is_none_or(|cleared| {
-            version > cleared && version.epoch_and_number() > cleared.epoch_and_number()
+    /// Whether a version may still be committed here and its document is not known yet.
+    fn needs_document(&self, version: Version) -> bool {
+        let later = self.committed.is_none_or(|committed| {
+            version > committed && version.epoch_and_number() > committed.epoch_and_number()
         });
         later && !self.documents.contains_key(&version)
     }
 
-    fn ask(&mut self, now: Micros, from: HolderId, asked: Asked, out: &mut Vec<(HolderId, Message)>) {
-        let Asked { turn, knows, refuses, says, names, heard } = asked;
-        // Guards against an ask that comes late, or twice, by which its sender would know less or more than it does.
-        if self.said.turn_of(from).is_some_and(|last| last >= turn) {
+    fn handle_lease_request(
+        &mut self, now: Micros, from: HolderId, fields: RequestFields, out: &mut Vec<(HolderId, Message)>,
+    ) {
+        let RequestFields {
+            sequence,
+            known_versions,
+            rejected_versions,
+            reported_hash,
+            names_hash,
+            received_hash,
+        } = fields;
+        // A delayed or duplicated request must not change what is known of its sender.
+        if self.reports.last_sequence(from).is_some_and(|last| last >= sequence) {
             return;
         }
-        // Guards against asking again and again for what there is no room for.
+        // Documents for which there is no room are not requested again and again.
         let room = MAX_PENDING_VERSIONS.saturating_sub(self.documents.len());
-        let wanted: Vec<Version> =
-            knows.iter().copied().filter(|version| self.wants(*version)).take(room).collect();
-        if !wanted.is_empty() {
-            out.push((from, Message::RequestDocuments(wanted)));
+        let requested: Vec<Version> = known_versions
+            .iter()
+            .copied()
+            .filter(|version| self.needs_document(*version))
+            .take(room)
+            .collect();
+        if !requested.is_empty() {
+            out.push((from, Message::RequestDocuments(requested)));
         }
-        let lacking = self.documents.iter().filter(|(version, _)| {
-            let above = knows.first().is_some_and(|first| first > version);
-            !knows.contains(version) && !refuses.contains(version) && !above
+        let missing_documents = self.documents.iter().filter(|(version, _)| {
+            let superseded = known_versions.first().is_some_and(|first| first > version);
+            !known_versions.contains(version) && !rejected_versions.contains(version) && !superseded
         });
-        let lacking: Vec<_> = lacking.map(|(version, text)| (*version, text.clone())).collect();
-        let cleared = self.cleared.filter(|cleared| knows.contains(cleared));
-        // Guards against renewing for ever what a later version waits for: whoever lacks it learns it first.
-        let granted = cleared.filter(|_| lacking.is_empty() && now >= self.awake);
-        // Guards against a lease for one who has heard what is not known here: others' leases must wait for that.
-        let asking = Asking { turn, hash: says, names, heard, until: now + self.span };
-        let said = self.hears(now, from, asking, out);
-        let behind = self.said.told_to(from).and_then(|told| told.behind(heard, now));
-        let behind = behind.filter(|behind| *behind < self.span && said);
-        let granted = granted.zip(behind);
-        if !lacking.is_empty() {
-            out.push((from, Message::Documents(lacking)));
-        }
-        let until = granted.map(|_| now + self.span);
-        self.leases.asked(from, (knows, refuses), until);
-        let grant = |(cleared, behind): (Version, Micros)| Message::LeaseGrant {
-            sequence: turn,
-            committed: cleared,
-            lag_us: behind.0,
+        let missing_documents: Vec<_> =
+            missing_documents.map(|(version, text)| (*version, text.clone())).collect();
+        let committed = self.committed.filter(|committed| known_versions.contains(committed));
+        // A holder that lacks a pending version gets no renewal before it has the document; otherwise the
+        // version could wait for ever.
+        let granted = committed.filter(|_| missing_documents.is_empty() && now >= self.active_from);
+        // A holder whose report is unknown here gets no lease: the leases of others must wait for what it
+        // reports.
+        let report_ref = ReportRef {
+            sequence,
+            hash: reported_hash,
+            names: names_hash,
+            received_hash,
+            expires_at: now + self.lease_span,
         };
+        let report_known = self.record_report(now, from, report_ref, out);
+        let lag = self.reports.ledger_for(from).and_then(|ledger| ledger.exclusion_lag(received_hash, now));
+        let lag = lag.filter(|lag| *lag < self.lease_span && report_known);
+        let granted = granted.zip(lag);
+        if !missing_documents.is_empty() {
+            out.push((from, Message::Documents(missing_documents)));
+        }
+        let expires_at = granted.map(|_| now + self.lease_span);
+        self.leases.update(from, (known_versions, rejected_versions), expires_at);
+        let grant =
+            |(committed, lag): (Version, Micros)| Message::LeaseGrant { sequence, committed, lag_us: lag.0 };
         out.extend(granted.map(|granted| (from, grant(granted))));
     }
 
-    /// Takes what one who asks says and of what it hears, and tells it what it lacks; false if either is not known here.
-    fn hears(
-        &mut self, now: Micros, from: HolderId, asking: Asking, out: &mut Vec<(HolderId, Message)>,
+    /// Records a holder's report and what it has received, and sends what it lacks. Returns false if its
+    /// report or its names are unknown here.
+    fn record_report(
+        &mut self, now: Micros, from: HolderId, report_ref: ReportRef, out: &mut Vec<(HolderId, Message)>,
     ) -> bool {
-        let heard = asking.heard;
-        let Taken { lacks, lacks_names, hear } = self.said.asked(now, from, asking);
-        out.extend(lacks.map(|have| (from, Message::UnknownReport { known_hash: have })));
-        out.extend(lacks_names.map(|have| (from, Message::UnknownNames { known_hash: have })));
-        let told = hear.contains(&from);
-        hear.into_iter().for_each(|holder| self.tell_facts(now, holder, out));
-        if !told && self.said.told_to(from).is_some_and(|told| told.hash() != heard) {
-            self.tell_facts(now, from, out);
+        let received_hash = report_ref.received_hash;
+        let ReportOutcome { unknown_report, unknown_names, notify } =
+            self.reports.record(now, from, report_ref);
+        out.extend(unknown_report.map(|known_hash| (from, Message::UnknownReport { known_hash })));
+        out.extend(unknown_names.map(|known_hash| (from, Message::UnknownNames { known_hash })));
+        let notified = notify.contains(&from);
+        notify.into_iter().for_each(|holder| self.send_fact_update(now, holder, out));
+        if !notified && self.reports.ledger_for(from).is_some_and(|ledger| ledger.hash() != received_hash) {
+            self.send_fact_update(now, from, out);
         }
-        lacks.is_none() && lacks_names.is_none()
+        unknown_report.is_none() && unknown_names.is_none()
     }
 
-    fn tell_facts(&mut self, now: Micros, holder: HolderId, out: &mut Vec<(HolderId, Message)>) {
-        // Guards against one that starts again unsaying what it told in its earlier life, by which leases are held.
-        if now < self.awake {
+    fn send_fact_update(&mut self, now: Micros, holder: HolderId, out: &mut Vec<(HolderId, Message)>) {
+        // After a restart it publishes nothing before it has the reports of all lease holders: otherwise it
+        // would withdraw facts that it published before the restart and that leases rely on.
+        if now < self.active_from {
             return;
         }
-        let Some((from, to, changes)) = self.said.owed(holder) else { return };
-        self.told = self.told.max(now.0) + 1;
-        out.push((holder, Message::FactUpdate { number: self.told, base_hash: from, new_hash: to, changes }));
+        let Some((base_hash, new_hash, changes)) = self.reports.next_update(holder) else { return };
+        self.last_update = self.last_update.max(now.0) + 1;
+        out.push((holder, Message::FactUpdate { number: self.last_update, base_hash, new_hash, changes }));
     }
 
-    /// What is said of servers here.
+    /// All facts published here.
     pub fn facts(&self) -> &Facts {
-        self.said.ledger().facts()
+        self.reports.ledger().facts()
     }
 
-    /// Entries looked at since its start, for whoever measures what a word costs.
+    /// How many entries were examined since the start; tests and the lab measure the cost of messages by it.
     pub fn entries_examined(&self) -> u64 {
-        self.steps + self.leases.steps + self.said.steps()
+        self.entries_examined + self.leases.entries_examined + self.reports.entries_examined()
     }
 
-    /// Lets the latest version hold against which no lease stands.
-    fn clear(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
+    /// Commits the latest version that no lease prevents.
+    fn commit_ready_version(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
         self.leases.expire(now);
-        let hear = self.said.expire(now);
-        hear.into_iter().for_each(|holder| self.tell_facts(now, holder, out));
-        if now < self.awake {
+        let notify = self.reports.expire(now);
+        notify.into_iter().for_each(|holder| self.send_fact_update(now, holder, out));
+        if now < self.active_from {
             return;
         }
-        let later = self.documents.keys().rev().take_while(|version| Some(**version) > self.cleared);
+        let later = self.documents.keys().rev().take_while(|version| Some(**version) > self.committed);
         let later: Vec<Version> = later.copied().collect();
-        self.steps += later.len() as u64;
-        let free = |version: &Version| {
-            // Guards against one of two contents under one number winning by chance.
-            let twins =
+        self.entries_examined += later.len() as u64;
+        let can_commit = |version: &Version| {
+            // Of two documents with the same number neither is committed; otherwise one of them would win by
+            // chance.
+            let same_number =
                 self.documents.keys().filter(|other| other.epoch_and_number() == version.epoch_and_number());
-            twins.count() == 1 && self.leases.all_keep_to(*version)
+            same_number.count() == 1 && self.leases.all_comply_with(*version)
         };
-        let Some(version) = later.into_iter().find(free) else { return };
-        self.cleared = Some(version);
+        let Some(version) = later.into_iter().find(can_commit) else { return };
+        self.committed = Some(version);
         self.documents = self.documents.split_off(&version);
-        self.tell(now, out);
+        self.notify_holders(now, out);
     }
 
-    fn tell(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
-        let live = self.leases.iter().filter(|(_, lease)| lease.until > now);
+    fn notify_holders(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
+        let valid = self.leases.iter().filter(|(_, lease)| lease.expires_at > now);
         let before = out.len();
-        out.extend(live.map(|(holder, _)| (*holder, Message::StateChanged)));
-        self.steps += (out.len() - before) as u64;
+        out.extend(valid.map(|(holder, _)| (*holder, Message::StateChanged)));
+        self.entries_examined += (out.len() - before) as u64;
     }
 }
--- a/accord/src/leases.rs
+++ b/accord/src/leases.rs
@@ -1,84 +1,90 @@
-//! The leases that a keeper has granted, kept so that no word costs a walk over all of them.
+//! The leases that a lease server has granted, indexed so that no message needs a walk over all of them.
 use crate::{HolderId, Micros, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Lease {
-    pub(crate) until: Micros,
-    pub(crate) knows: BTreeSet<Version>,
-    pub(crate) refuses: BTreeSet<Version>,
+    pub(crate) expires_at: Micros,
+    pub(crate) known_versions: BTreeSet<Version>,
+    pub(crate) rejected_versions: BTreeSet<Version>,
 }
 
 impl Lease {
-    /// Whoever holds it keeps to that version, or to a later one.
-    pub(crate) fn keeps_to(&self, version: Version) -> bool {
-        keeps_to(&self.knows, version)
+    /// Whether the holder complies with that version, or with a later one.
+    pub(crate) fn complies_with(&self, version: Version) -> bool {
+        complies_with(&self.known_versions, version)
     }
 }
 
-fn keeps_to(knows: &BTreeSet<Version>, version: Version) -> bool {
-    knows.contains(&version) || knows.first().is_some_and(|first| *first > version)
+fn complies_with(known_versions: &BTreeSet<Version>, version: Version) -> bool {
+    known_versions.contains(&version) || known_versions.first().is_some_and(|first| *first > version)
 }
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Leases {
-    held: BTreeMap<HolderId, Lease>,
-    /// When each is over, the earliest first.
-    ends: BTreeSet<(Micros, HolderId)>,
-    /// How many are held by those who know the same versions.
-    alike: BTreeMap<BTreeSet<Version>, usize>,
-    pub(crate) steps: u64,
+    by_holder: BTreeMap<HolderId, Lease>,
+    /// Expiry times, the earliest first.
+    expiry_order: BTreeSet<(Micros, HolderId)>,
+    /// How many leases are held by holders that know the same versions.
+    count_by_versions: BTreeMap<BTreeSet<Version>, usize>,
+    pub(crate) entries_examined: u64,
 }
 
 impl Leases {
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&HolderId, &Lease)> {
-        self.held.iter()
+        self.by_holder.iter()
     }
 
-    /// What its holder knows now, whether or not it is renewed; one that was never granted is none.
-    pub(crate) fn asked(
-        &mut self, from: HolderId, (knows, refuses): (BTreeSet<Version>, BTreeSet<Version>),
-        granted: Option<Micros>,
+    /// Updates what a holder knows, and renews its lease if one is granted. Does nothing if it has no lease
+    /// and gets none.
+    pub(crate) fn update(
+        &mut self, from: HolderId,
+        (known_versions, rejected_versions): (BTreeSet<Version>, BTreeSet<Version>), granted: Option<Micros>,
     ) {
-        self.steps += 1;
-        let Some(until) = granted.or_else(|| self.held.get(&from).map(|lease| lease.until)) else { return };
-        self.drop_of(from);
-        match self.alike.get_mut(&knows) {
+        self.entries_examined += 1;
+        let Some(expires_at) = granted.or_else(|| self.by_holder.get(&from).map(|lease| lease.expires_at))
+        else {
+            return;
+        };
+        self.remove_lease(from);
+        match self.count_by_versions.get_mut(&known_versions) {
             Some(count) => *count += 1,
-            None => _ = self.alike.insert(knows.clone(), 1),
+            None => _ = self.count_by_versions.insert(known_versions.clone(), 1),
         }
-        self.ends.insert((until, from));
-        self.held.insert(from, Lease { until, knows, refuses });
+        self.expiry_order.insert((expires_at, from));
+        self.by_holder.insert(from, Lease { expires_at, known_versions, rejected_versions });
     }
 
-    fn drop_of(&mut self, holder: HolderId) {
-        let Some(lease) = self.held.remove(&holder) else { return };
-        self.ends.remove(&(lease.until, holder));
-        if let Some(count) = self.alike.get_mut(&lease.knows) {
+    fn remove_lease(&mut self, holder: HolderId) {
+        let Some(lease) = self.by_holder.remove(&holder) else { return };
+        self.expiry_order.remove(&(lease.expires_at, holder));
+        if let Some(count) = self.count_by_versions.get_mut(&lease.known_versions) {
             *count -= 1;
             if *count == 0 {
-                self.alike.remove(&lease.knows);
+                self.count_by_versions.remove(&lease.known_versions);
             }
         }
     }
 
     pub(crate) fn expire(&mut self, now: Micros) {
-        while let Some((_, holder)) = self.ends.first().copied().filter(|(until, _)| *until <= now) {
-            self.steps += 1;
-            self.drop_of(holder);
+        while let Some((_, holder)) =
+            self.expiry_order.first().copied().filter(|(expires_at, _)| *expires_at <= now)
+        {
+            self.entries_examined += 1;
+            self.remove_lease(holder);
         }
     }
 
-    /// No lease stands against that version.
-    pub(crate) fn all_keep_to(&mut self, version: Version) -> bool {
-        self.steps += self.alike.len() as u64;
-        self.alike.keys().all(|knows| keeps_to(knows, version))
+    /// Whether no lease prevents that version.
+    pub(crate) fn all_comply_with(&mut self, version: Version) -> bool {
+        self.entries_examined += self.count_by_versions.len() as u64;
+        self.count_by_versions.keys().all(|known_versions| complies_with(known_versions, version))
     }
 
-    /// When the next of those is over that live.
-    pub(crate) fn next_end(&self, now: Micros) -> Option<Micros> {
+    /// When the next valid lease expires.
+    pub(crate) fn next_expiry(&self, now: Micros) -> Option<Micros> {
         let last = HolderId { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
-        self.ends.range((Excluded((now, last)), Unbounded)).next().map(|(until, _)| *until)
+        self.expiry_order.range((Excluded((now, last)), Unbounded)).next().map(|(expires_at, _)| *expires_at)
     }
 }
--- a/accord/src/lib.rs
+++ b/accord/src/lib.rs
@@ -1,43 +1,48 @@
-//! How many instances agree on versions of a document, such as the settings, so that no two of them act on rules that
-//! contradict each other. A few named instances are keepers. Every instance, a [`LeaseHolder`], asks them for leases and acts
-//! only while a majority's leases live; a [`LeaseServer`] lets a new version hold once each lease that it granted is held by
-//! one that knows that version, or has run out. Whoever knows versions that need not hold yet acts on the strictest of
-//! all it knows. What one hears of a server that drains is spread to all, and by the same leases nobody acts for long who
-//! has not heard it. `docs/accord.md` has the argument why that suffices. No I/O, no clock, no threads: the time is handed in.
-mod audience;
+//! A lease protocol by which instances agree on versions of a document, such as the settings, so that no two
+//! of them act on contradicting rules. A few named instances, the `keepers` of the operator's file, are lease
+//! servers. Every instance is a [`LeaseHolder`]: it requests leases from the lease servers, and acts only
+//! while it holds valid leases from a majority of them. A [`LeaseServer`] commits a new version once each
+//! lease that it granted has expired or its holder knows the version. A lease holder that knows uncommitted
+//! versions acts on the strictest combination of all versions it knows.
+//!
+//! Lease holders also report which servers drain. Lease servers pass that on, and the same leases bound for
+//! how long a lease holder that has not received it may act. `docs/accord.md` has the proof. No I/O, no clock
+//! and no threads: the caller passes the time in.
 mod facts;
 mod lease_holder;
 mod lease_server;
 mod leases;
-mod lists;
-mod names;
-mod said;
-mod shape;
+mod name_set;
+mod reports;
+mod server_view;
+mod state_hash;
+mod subscriptions;
 
 pub use facts::{Fact, FactChange, Facts, Subject, MAX_FACTS};
 pub use lease_holder::{Action, LeaseHolder, Validator};
 pub use lease_server::{BlockingLease, LeaseServer};
-pub use lists::ListUpdate;
+pub use server_view::ListUpdate;
 
 pub use oakhollow::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One of the instances that are named in the operator's file, by its position there.
+/// An instance that the operator's file names, by its position there.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct InstanceId(pub u32);
 
-/// Which state of a document: what its writer numbered, and what it holds. A writer that numbers anew begins a new epoch.
+/// A version of a document: the number that its author gave it, and a hash of its content. An author that
+/// restarts its numbers begins a higher epoch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Version {
     pub epoch: u64,
     pub number: u64,
-    /// Tells two contents under one number apart.
+    /// Distinguishes two contents with the same number.
     pub hash: u64,
 }
 
 impl Version {
-    /// What the writer calls it.
+    /// The part of the version that the author assigns.
     pub fn epoch_and_number(&self) -> (u64, u64) {
         (self.epoch, self.number)
     }
@@ -55,18 +60,20 @@
     pub text: Arc<str>,
 }
 
-/// One life of an instance: after a new start, and in a second process beside the first, it is another holder.
+/// One incarnation of an instance. A restarted process, or a second process beside the first, is another
+/// holder.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct HolderId {
     pub instance: InstanceId,
     pub incarnation: u64,
 }
 
-/// What members and keepers say to each other.
+/// The messages between lease holders and lease servers.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// A member wants a lease: it keeps to all of what it knows, and can't take what it refuses.
+    /// A lease holder requests a lease. It complies with all versions that it knows, and can't apply those it
+    /// rejects.
     #[serde(rename = "ask")]
     LeaseRequest {
         #[serde(rename = "turn")]
@@ -75,38 +82,41 @@
         known_versions: Vec<Version>,
         #[serde(rename = "refuses")]
         rejected_versions: Vec<Version>,
-        /// The hash of what it says of servers, and of what it has heard of them from this keeper.
+        /// The hash of the facts that the lease holder reports, then that of the facts it has received from
+        /// this lease server.
         #[serde(rename = "says")]
         reported_hash: u64,
-        /// The hash of the servers that its list names, where it is told of those alone; it is told of all otherwise.
+        /// The hash of the server names on the lease holder's list if it receives only facts about those;
+        /// `None` if it receives all.
         #[serde(default, rename = "names", skip_serializing_if = "Option::is_none")]
         names_hash: Option<u64>,
         #[serde(rename = "heard")]
         received_hash: u64,
-        /// How that keeper numbered what was last heard from it.
+        /// The number of the last fact update from this lease server.
         #[serde(rename = "after")]
         last_update: u64,
     },
-    /// The lease for that turn, and what holds at this keeper.
+    /// The lease for the request with that number, and the version committed at this lease server.
     #[serde(rename = "grant")]
     LeaseGrant {
         #[serde(rename = "turn")]
         sequence: u64,
         #[serde(rename = "cleared")]
         committed: Version,
-        /// For how long, in microseconds, it has lacked something that this keeper knows to be forbidden: its lease is
-        /// shorter by that.
+        /// For how long, in microseconds, the lease holder has lacked an exclusion that this lease server
+        /// knows of; its lease is shorter by that.
         #[serde(rename = "behind")]
         lag_us: u64,
     },
-    /// What a member says of servers is not known here; what has this hash is.
+    /// The lease server does not know the lease holder's report with the hash of its request; it knows the
+    /// one with this hash.
     #[serde(rename = "lacks")]
     UnknownReport {
         #[serde(rename = "have")]
         known_hash: u64,
     },
-    /// What whoever says this says of servers, as changes from the content of one hash to that of another.
-    /// A keeper numbers what it tells: what comes late must not undo what came before it.
+    /// A change of the sender's facts from the content with one hash to that with another. A lease server
+    /// numbers its updates, so that a delayed one does not undo a later one.
     #[serde(rename = "says")]
     FactUpdate {
         #[serde(rename = "at")]
@@ -117,13 +127,14 @@
         new_hash: u64,
         changes: Vec<FactChange>,
     },
-    /// The names by which a member asks are not known here; those of this hash are.
+    /// The lease server does not know the names with the hash of the lease holder's request; it knows those
+    /// with this hash.
     #[serde(rename = "lacks_names")]
     UnknownNames {
         #[serde(rename = "have")]
         known_hash: u64,
     },
-    /// The servers that a member's list names, as they follow from those of another hash.
+    /// The server names on a lease holder's list, as a difference from those with another hash.
     Subscribe {
         #[serde(rename = "from")]
         base_hash: u64,
@@ -134,28 +145,30 @@
         #[serde(rename = "fewer")]
         removed: Vec<Arc<str>>,
     },
-    /// Whoever hears this knows versions that the one who says it does not.
+    /// Asks the receiver for documents that the sender does not have.
     #[serde(rename = "want")]
     RequestDocuments(Vec<Version>),
     Documents(Vec<(Version, Arc<str>)>),
-    /// Something has changed at a keeper: ask again.
+    /// The lease server's state has changed: the lease holder should send a new lease request.
     #[serde(rename = "news")]
     StateChanged,
 }
 
-/// Versions that may wait to hold at a time: guards against a writer without end.
+/// The most versions that may be pending, so that an author of endless versions can't exhaust memory.
 pub const MAX_PENDING_VERSIONS: usize = 16;
 
-/// By how much a keeper's clock may run faster than a member's, as a part: the keeper counts a lease longer by it.
+/// By what fraction a lease server's clock may run faster than a lease holder's. A lease server counts leases
+/// as valid for longer by it.
 pub const CLOCK_RATE_TOLERANCE: f64 = 0.03;
 
-/// How long a lease lives where the promise is that what one hears holds for all `within`: one length of a lease passes at
-/// most until a keeper has heard it, or whoever heard it acts no more, and another until nobody acts without it.
-pub fn lease_duration(within: Micros) -> Micros {
-    within.times(0.5 / (1.0 + CLOCK_RATE_TOLERANCE))
+/// The length of a lease such that a fact known to one instance binds all instances after `max_divergence`. At most
+/// one lease passes until a lease server has the fact or the instance that knows it no longer acts, and at
+/// most another until no instance acts without it.
+pub fn lease_duration(max_divergence: Micros) -> Micros {
+    max_divergence.times(0.5 / (1.0 + CLOCK_RATE_TOLERANCE))
 }
 
-/// How many of the keepers have a word that two such groups can't have without sharing one.
-pub fn majority(keepers: usize) -> usize {
-    keepers / 2 + 1
+/// The smallest group of lease servers such that any two groups of that size have a lease server in common.
+pub fn majority(lease_servers: usize) -> usize {
+    lease_servers / 2 + 1
 }
--- /dev/null
+++ b/accord/src/reports.rs
@@ -0,0 +1,278 @@
+//! The reports of all lease holders at a lease server, merged incrementally: the cost of a message depends on
+//! what it changes, not on what other holders report.
+use crate::facts::{Fact, FactChange, FactSet, Ledger, Subject, MAX_FACTS};
+use crate::subscriptions::{Subscriptions, Topic};
+use crate::{HolderId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// The state of one holder: the hash of its report, and what it has received from this lease server.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub(crate) struct HolderState {
+    pub(crate) sequence: u64,
+    reported_hash: u64,
+    /// The hash of the report it announced last, which its next lease requests will refer to.
+    announced: u64,
+    /// The servers it receives facts about, and the hash of the names it announced last.
+    topic: Topic,
+    announced_names: u64,
+    received_hash: u64,
+    expires_at: Micros,
+}
+
+/// The parts of a lease request that concern facts about servers.
+pub(crate) struct ReportRef {
+    pub(crate) sequence: u64,
+    pub(crate) hash: u64,
+    pub(crate) names: Topic,
+    pub(crate) received_hash: u64,
+    pub(crate) expires_at: Micros,
+}
+
+/// One report, how many holders report it, and how many announced it last.
+#[derive(Clone, PartialEq, Eq, Debug, Default)]
+struct KnownReport {
+    content: FactSet,
+    reported_by: usize,
+    announced_by: usize,
+}
+
+/// The result of a lease request.
+pub(crate) struct ReportOutcome {
+    /// The hash of the last known report, if the one that the request refers to is unknown here; likewise for
+    /// the names.
+    pub(crate) unknown_report: Option<u64>,
+    pub(crate) unknown_names: Option<u64>,
+    /// The holders to notify because published facts have changed.
+    pub(crate) notify: BTreeSet<HolderId>,
+}
+
+#[derive(Clone, PartialEq, Eq, Debug, Default)]
+pub(crate) struct Reports {
+    holders: BTreeMap<HolderId, HolderState>,
+    /// When the report of each holder expires, the earliest first.
+    expiry_order: BTreeSet<(Micros, HolderId)>,
+    /// Reports by their hash: most holders report the same.
+    reports_by_hash: BTreeMap<u64, KnownReport>,
+    /// How many distinct current reports contain each fact.
+    fact_counts: BTreeMap<Subject, BTreeMap<Fact, usize>>,
+    /// Subjects for which the ledger has no room.
+    overflow: BTreeSet<Subject>,
+    /// The published facts, and which holders receive them.
+    subscriptions: Subscriptions,
+    pub(crate) entries_examined: u64,
+}
+
+impl Reports {
+    /// All published facts.
+    pub(crate) fn ledger(&self) -> &Ledger {
+        self.subscriptions.full_ledger()
+    }
+
+    /// The facts published to one holder.
+    pub(crate) fn ledger_for(&self, holder: HolderId) -> Option<&Ledger> {
+        self.subscriptions.ledger_for(self.holders.get(&holder)?.topic)
+    }
+
+    pub(crate) fn entries_examined(&self) -> u64 {
+        self.entries_examined + self.subscriptions.entries_examined
+    }
+
+    pub(crate) fn last_sequence(&self, holder: HolderId) -> Option<u64> {
+        self.holders.get(&holder).map(|state| state.sequence)
+    }
+
+    /// Records the report that a lease request refers to, and what its sender has received.
+    pub(crate) fn record(&mut self, now: Micros, from: HolderId, report: ReportRef) -> ReportOutcome {
+        self.entries_examined += 1;
+        let ReportRef { sequence, hash, names, received_hash, expires_at } = report;
+        let known = hash == 0 || self.reports_by_hash.contains_key(&hash);
+        let last = self.holders.remove(&from);
+        let (before, announced) =
+            last.as_ref().map_or((0, 0), |state| (state.reported_hash, state.announced));
+        let previous_topic = last.as_ref().map(|state| state.topic);
+        let announced_names = last.as_ref().map_or(0, |state| state.announced_names);
+        if let Some(last) = last {
+            self.expiry_order.remove(&(last.expires_at, from));
+        }
+        let names_known = self.subscriptions.change_topic(from, previous_topic, names);
+        // While its names are unknown here, a holder receives facts about no servers, or about those of its
+        // previous names.
+        let topic = if names_known { names } else { previous_topic.unwrap_or(Some(0)) };
+        if !names_known && previous_topic.is_none() {
+            self.subscriptions.change_topic(from, None, topic);
+        }
+        let hash = if known { hash } else { before };
+        self.holders.insert(
+            from,
+            HolderState {
+                sequence,
+                reported_hash: hash,
+                announced,
+                topic,
+                announced_names,
+                received_hash,
+                expires_at,
+            },
+        );
+        self.expiry_order.insert((expires_at, from));
+        let mut notify = BTreeSet::new();
+        if hash != before {
+            self.replace_report(now, before, hash, &mut notify);
+        }
+        ReportOutcome {
+            unknown_report: (!known).then_some(before),
+            unknown_names: (!names_known).then_some(topic.unwrap_or(0)),
+            notify,
+        }
+    }
+
+    /// Records the server names on a holder's list, as a difference from names that are known. They take
+    /// effect with its next lease request that refers to them.
+    pub(crate) fn announce_names(
+        &mut self, from: HolderId, base: (u64, u64), added: Vec<Arc<str>>, removed: &[Arc<str>],
+    ) {
+        let Some(announced) = self.holders.get(&from).map(|state| state.announced_names) else { return };
+        if base.1 != announced && self.subscriptions.announce_names(base, added, removed) {
+            self.subscriptions.withdraw_names(announced);
+            if let Some(state) = self.holders.get_mut(&from) {
+                state.announced_names = base.1;
+            }
+        }
+    }
+
+    /// Records a holder's next report, as a difference from one that is known. It takes effect with the next
+    /// lease request that refers to it, so that a delayed message can't undo what a later request referred
+    /// to.
+    pub(crate) fn announce_report(
+        &mut self, from: HolderId, (base, to): (u64, u64), changes: Vec<FactChange>,
+    ) {
+        self.entries_examined += changes.len() as u64;
+        let Some(announced) = self.holders.get(&from).map(|state| state.announced) else { return };
+        let base = if base == 0 { Some(FactSet::default()) } else { self.content(base).cloned() };
+        let Some(mut content) = base else { return };
+        content.apply(changes);
+        // If the result does not match its hash, the holder is asked for its report again.
+        if content.facts().len() > MAX_FACTS || content.hash() != to || to == announced {
+            return;
+        }
+        if to != 0 {
+            self.reports_by_hash
+                .entry(to)
+                .or_insert(KnownReport { content, ..KnownReport::default() })
+                .announced_by += 1;
+        }
+        if let Some(known) = self.reports_by_hash.get_mut(&announced) {
+            known.announced_by -= 1;
+        }
+        self.remove_if_unused(announced);
+        if let Some(state) = self.holders.get_mut(&from) {
+            state.announced = to;
+        }
+    }
+
+    /// Drops the reports of holders that have sent no request in time. Returns the holders to notify because
+    /// published facts have changed.
+    pub(crate) fn expire(&mut self, now: Micros) -> BTreeSet<HolderId> {
+        let mut notify = BTreeSet::new();
+        while let Some((_, holder)) =
+            self.expiry_order.first().copied().filter(|(expires_at, _)| *expires_at <= now)
+        {
+            self.entries_examined += 1;
+            self.expiry_order.pop_first();
+            let Some(state) = self.holders.remove(&holder) else { continue };
+            self.subscriptions.unsubscribe(holder, state.topic);
+            self.subscriptions.withdraw_names(state.announced_names);
+            if let Some(known) = self.reports_by_hash.get_mut(&state.announced) {
+                known.announced_by -= 1;
+            }
+            self.remove_if_unused(state.announced);
+            self.replace_report(now, state.reported_hash, 0, &mut notify);
+            notify.remove(&holder);
+        }
+        notify
+    }
+
+    /// The update that a holder lacks: the base hash, the new hash and the changes. If the message is lost,
+    /// the holder's next request shows that.
+    pub(crate) fn next_update(&mut self, holder: HolderId) -> Option<(u64, u64, Vec<FactChange>)> {
+        let state = self.holders.get_mut(&holder)?;
+        let ledger = self.subscriptions.ledger_for(state.topic)?;
+        let (from, changes) = ledger.changes_since(state.received_hash);
+        state.received_hash = ledger.hash();
+        self.entries_examined += 1 + changes.len() as u64;
+        Some((from, state.received_hash, changes))
+    }
+
+    fn content(&self, hash: u64) -> Option<&FactSet> {
+        self.reports_by_hash.get(&hash).map(|known| &known.content)
+    }
+
+    fn remove_if_unused(&mut self, hash: u64) {
+        if self.reports_by_hash.get(&hash).is_some_and(|known| known.reported_by + known.announced_by == 0) {
+            self.reports_by_hash.remove(&hash);
+        }
+    }
+
+    /// Counts one more holder for one report, and one less for another.
+    fn replace_report(
+        &mut self, now: Micros, removed_hash: u64, added_hash: u64, notify: &mut BTreeSet<HolderId>,
+    ) {
+        let mut changed = BTreeSet::new();
+        if let Some(known) = self.reports_by_hash.get_mut(&added_hash) {
+            known.reported_by += 1;
+            if known.reported_by == 1 {
+                for (subject, fact) in known.content.facts() {
+                    let facts = self.fact_counts.entry(subject.clone()).or_default();
+                    *facts.entry(fact.clone()).or_default() += 1;
+                    changed.insert(subject.clone());
+                }
+            }
+        }
+        if let Some(known) = self.reports_by_hash.get_mut(&removed_hash) {
+            known.reported_by -= 1;
+            if known.reported_by == 0 {
+                for (subject, fact) in known.content.facts() {
+                    let Some(facts) = self.fact_counts.get_mut(subject) else { continue };
+                    if let Some(count) = facts.get_mut(fact) {
+                        *count -= 1;
+                    }
+                    facts.retain(|_, count| *count > 0);
+                    changed.insert(subject.clone());
+                }
+            }
+        }
+        self.remove_if_unused(removed_hash);
+        self.entries_examined += changed.len() as u64;
+        // Withdraws facts first: that makes room for new ones.
+        let is_withdrawn = |reports: &Reports, subject: &Subject| {
+            reports.fact_counts.get(subject).is_none_or(BTreeMap::is_empty)
+        };
+        let (withdrawn, published): (Vec<_>, Vec<_>) =
+            changed.into_iter().partition(|subject| is_withdrawn(self, subject));
+        for subject in withdrawn {
+            self.fact_counts.remove(&subject);
+            self.overflow.remove(&subject);
+            self.subscriptions.publish(now, &subject, None, notify);
+        }
+        for subject in published {
+            self.publish(now, subject, notify);
+        }
+        while self.ledger().facts().len() < 2 * MAX_FACTS {
+            let Some(subject) = self.overflow.pop_first() else { break };
+            self.entries_examined += 1;
+            self.publish(now, subject, notify);
+        }
+    }
+
+    fn publish(&mut self, now: Micros, subject: Subject, notify: &mut BTreeSet<HolderId>) {
+        // Bounds the ledger if the lists of the instances have little in common.
+        let facts = self.ledger().facts();
+        if !facts.contains_key(&subject) && facts.len() >= 2 * MAX_FACTS {
+            self.overflow.insert(subject);
+            return;
+        }
+        let greatest = self.fact_counts.get(&subject).and_then(|facts| facts.keys().next_back()).cloned();
+        self.subscriptions.publish(now, &subject, greatest, notify);
+    }
+}
