--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,295 +1,313 @@
-//! The servers that an instance knows, as the rules read them: totals that are kept up to date instead of summed, our part
-//! of the ring kept by changes, and the servers that might be sent to kept by class, so that one can be drawn in a time
-//! that does not grow with their number. Nothing is decided here: whether a drawn server fits is asked of the rules.
-use crate::records::{Server, Trust};
+//! The servers that a balancer knows. Totals are updated with each change instead of being summed, and the
+//! balancer's subset of the ring is adjusted by differences. Servers that calls may be sent to are indexed by
+//! class, so that one can be picked in a time that does not grow with their number. Whether a picked server
+//! is suitable is decided by the caller.
+use crate::records::{Health, Server};
 use crate::types::*;
-use crate::{scatter, Allowance, OutcomeCounts, SeededRng};
+use crate::{mix64, OutcomeCounts, SeededRng, TokenBucket};
 use fnv::FnvHashMap;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Where a server stands that might be sent to, by what the pick ranks.
+/// The class of a server that calls may be sent to, by which the pick ranks servers. `Local` means in the
+/// balancer's own zone, or anywhere if traffic between zones has no cost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Class {
-    /// It holds none of our calls and has answered before.
-    IdleNear,
-    IdleFar,
-    /// It holds none of our calls and has never answered.
-    NewNear,
-    NewFar,
+pub enum ServerClass {
+    /// It holds none of this balancer's calls and has answered before.
+    IdleLocal,
+    IdleRemote,
+    /// It holds none of this balancer's calls and has never answered.
+    NewLocal,
+    NewRemote,
     Busy,
 }
 
-/// Changes of the list up to which the ring is kept by each of them; more make it anew.
-const FEW: usize = 32;
-/// Blind draws of a server before all of a class are looked through.
-const DRAWS: usize = 16;
-/// Parts of a unit of size: sizes are summed in whole ones, so that no sum drifts.
-const PARTS: f64 = 1e6;
+/// Up to so many changed entries the ring is updated entry by entry; beyond that it is rebuilt.
+const MAX_SINGLE_UPDATES: usize = 32;
+/// Random probes of a class before all its servers are searched.
+const RANDOM_PROBES: usize = 16;
+/// Weights are summed as whole numbers of this fraction, so that the sums do not drift.
+const UNITS_PER_WEIGHT: f64 = 1e6;
 
-/// Where a server stands on the ring: the same order at every sidecar.
-type Turn = ((u64, u64), ServerId);
+/// A position on the ring: the same order at every balancer.
+type RingPosition = ((u64, u64), ServerId);
 
 struct Entry {
     server: Server,
-    /// Where it stands on the ring.
-    turn: Turn,
-    around: bool,
-    /// What it adds to the room of our part of the ring.
-    room: f64,
-    class: Option<(Class, usize)>,
-    parked: Option<Micros>,
-    redrawn: u64,
+    position: RingPosition,
+    in_subset: bool,
+    /// What it adds to the capacity of the subset.
+    capacity: f64,
+    /// Its class and its index in [`Fleet::classes`].
+    class: Option<(ServerClass, usize)>,
+    /// Its time in [`Fleet::blocked`], if it is there.
+    blocked_until: Option<Micros>,
+    /// The subset generation in which it was added last.
+    generation: u64,
 }
 
-/// What one server adds to the totals.
+/// What one server contributes to the totals.
 #[derive(Clone, Copy, PartialEq, Default)]
-struct Part {
+struct Contribution {
     usable: bool,
-    around: bool,
-    size: u128,
-    ease: u64,
-    stuck: u32,
-    answered: Option<u32>,
-    record: OutcomeCounts,
+    in_subset: bool,
+    weight: u128,
+    /// The bits of the weight factor: the order of positive floats is that of their bits.
+    weight_factor: u64,
+    unhealthy_in_flight: u32,
+    /// Its open hops, if it has answered before.
+    answered_in_flight: Option<u32>,
+    outcomes: OutcomeCounts,
 }
 
+/// All servers, the ring of ready ones and the balancer's subset of it.
 #[derive(Default)]
 pub struct Fleet {
     now: Micros,
-    near: Option<ZoneId>,
+    local_zone: Option<ZoneId>,
     slots: Slab<Entry>,
-    numbers: FnvHashMap<ServerId, usize>,
-    ring: Vec<(Turn, usize)>,
-    circle: VecDeque<usize>,
-    /// Where on the ring our part begins, and its room.
-    first: usize,
-    room: f64,
-    redraws: u64,
+    slot_by_id: FnvHashMap<ServerId, usize>,
+    /// The slots of all ready servers, sorted.
+    ring: Vec<(RingPosition, usize)>,
+    /// The slots of the subset, in ring order.
+    subset: VecDeque<usize>,
+    /// The index on the ring at which the subset begins.
+    subset_start: usize,
+    subset_capacity: f64,
+    generation: u64,
+    /// The slots of each class.
     classes: [Vec<usize>; 5],
-    parked: BTreeSet<(Micros, usize)>,
-    // Totals: over all servers, ...
-    usable: usize,
-    size: u128,
-    // ... and over our part of the ring.
-    size_around: u128,
-    eases: BTreeMap<u64, u32>,
-    stuck: u32,
-    answered: usize,
-    answered_out: u32,
-    record: OutcomeCounts,
+    /// Servers that may not be sent to before a time.
+    blocked: BTreeSet<(Micros, usize)>,
+    // Totals over all servers:
+    usable_count: usize,
+    usable_weight: u128,
+    // Totals over the subset:
+    subset_weight: u128,
+    weight_factors: BTreeMap<u64, u32>,
+    unhealthy_in_flight: u32,
+    answered_count: usize,
+    answered_in_flight: u32,
+    outcomes: OutcomeCounts,
 }
 
 impl Fleet {
-    /// `near` is our own place, where crossing is priced. Elsewhere the ring must keep cells together.
-    pub fn new(near: Option<ZoneId>) -> Fleet {
-        Fleet { near, ..Fleet::default() }
+    /// `local_zone` is the balancer's own zone, if traffic to other zones has a cost. If it is none, the ring
+    /// must keep the servers of a cell together.
+    pub fn new(local_zone: Option<ZoneId>) -> Fleet {
+        Fleet { local_zone, ..Fleet::default() }
     }
 
-    // ---- what the rules read ----
+    // ---- queries ----
 
     pub fn get(&self, id: ServerId) -> Option<&Server> {
-        self.numbers.get(&id).map(|slot| &self.slots[*slot].server)
+        self.slot_by_id.get(&id).map(|slot| &self.slots[*slot].server)
     }
 
     pub fn all(&self) -> impl Iterator<Item = &Server> + Clone {
         self.slots.iter().map(|(_, entry)| &entry.server)
     }
 
-    /// Our part of the ring.
-    pub fn around(&self) -> impl Iterator<Item = &Server> + Clone {
-        self.circle.iter().map(|slot| &self.slots[*slot].server)
+    /// The servers of the subset.
+    pub fn subset(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.subset.iter().map(|slot| &self.slots[*slot].server)
     }
 
-    /// Those of a cell in our part of the ring: found at once where cells stand together.
-    pub fn cell(&self, cell: CellId) -> impl Iterator<Item = &Server> {
-        self.cell_slots(cell).map(|slot| &self.slots[slot].server)
+    /// The servers of a cell that are in the subset: found by binary search if the ring keeps cells together.
+    pub fn in_cell(&self, cell: CellId) -> impl Iterator<Item = &Server> {
+        self.slots_in_cell(cell).map(|slot| &self.slots[slot].server)
     }
 
-    fn cell_slots(&self, cell: CellId) -> impl Iterator<Item = usize> + '_ {
-        let turn = ListedServer::cell_turn(cell);
-        let (from, to) = match self.near {
+    fn slots_in_cell(&self, cell: CellId) -> impl Iterator<Item = usize> + '_ {
+        let position = ListedServer::cell_ring_position(cell);
+        let (from, to) = match self.local_zone {
             None => {
-                let from = self.ring.partition_point(|((at, _), _)| at.0 < turn);
-                (from, from + self.ring[from..].partition_point(|((at, _), _)| at.0 == turn))
+                let from = self.ring.partition_point(|((at, _), _)| at.0 < position);
+                (from, from + self.ring[from..].partition_point(|((at, _), _)| at.0 == position))
             }
             Some(_) => (0, self.ring.len()),
         };
-        let there = self.ring[from..to].iter().map(|(_, slot)| *slot);
-        there.filter(move |slot| {
+        let slots = self.ring[from..to].iter().map(|(_, slot)| *slot);
+        slots.filter(move |slot| {
             let entry = &self.slots[*slot];
-            entry.around && entry.server.listing.cell == cell
+            entry.in_subset && entry.server.listing.cell == cell
         })
     }
 
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.ring.len()
     }
 
-    /// How many are ready and fit, of all there are.
-    pub fn usable(&self) -> f64 {
-        self.usable as f64
+    /// The number of servers that are ready and healthy.
+    pub fn usable_count(&self) -> f64 {
+        self.usable_count as f64
     }
 
-    /// Their size together, which is never 0.
-    pub fn usable_size(&self) -> f64 {
-        0.01 + self.size as f64 / PARTS
+    /// The total weight of the usable servers; never 0.
+    pub fn usable_weight(&self) -> f64 {
+        0.01 + self.usable_weight as f64 / UNITS_PER_WEIGHT
     }
 
-    /// The size of those around us that are fit; never 0.
-    pub fn size_around(&self) -> f64 {
-        0.01 + self.size_around as f64 / PARTS
+    /// The total weight of the usable servers in the subset; never 0.
+    pub fn subset_weight(&self) -> f64 {
+        0.01 + self.subset_weight as f64 / UNITS_PER_WEIGHT
     }
 
-    /// The most ease of any fit server around us, 0.3 at least.
-    pub fn easiest(&self) -> f64 {
-        self.eases.keys().next_back().map_or(0.3, |bits| f64::from_bits(*bits).max(0.3))
+    /// The highest weight factor of the usable servers in the subset, 0.3 at least.
+    pub fn max_weight_factor(&self) -> f64 {
+        self.weight_factors.keys().next_back().map_or(0.3, |bits| f64::from_bits(*bits).max(0.3))
     }
 
-    /// Our hops at servers around us that are not fit.
-    pub fn stuck(&self) -> u32 {
-        self.stuck
+    /// Open hops at servers of the subset that are not healthy.
+    pub fn unhealthy_in_flight(&self) -> u32 {
+        self.unhealthy_in_flight
     }
 
-    /// Our hops at a server around us that has answered before, in the mean.
-    pub fn mean_out(&self) -> f64 {
-        f64::from(self.answered_out) / self.answered.max(1) as f64
+    /// The mean number of open hops at the servers of the subset that have answered before.
+    pub fn mean_in_flight(&self) -> f64 {
+        f64::from(self.answered_in_flight) / self.answered_count.max(1) as f64
     }
 
-    /// The first of those around us that fit, in a key's own order, which is the same at every sidecar.
-    pub fn in_order_of(&self, key: u64, most: usize, fits: &impl Fn(&Server) -> bool) -> Vec<&Server> {
-        let fitting = self.around().filter(|server| fits(server));
+    /// The first suitable servers of the subset, at most `most` of them, in an order that depends on the key
+    /// and is the same at every balancer.
+    pub fn preferred_for_key(
+        &self, key: u64, most: usize, suitable: &impl Fn(&Server) -> bool,
+    ) -> Vec<&Server> {
+        let servers = self.subset().filter(|server| suitable(server));
         let mut order: Vec<_> =
-            fitting.map(|server| (scatter(key ^ server.listing.name_hash), server)).collect();
+            servers.map(|server| (mix64(key ^ server.listing.name_hash), server)).collect();
         if order.len() > most {
-            order.select_nth_unstable_by_key(most, |(turn, _)| *turn);
+            order.select_nth_unstable_by_key(most, |(hash, _)| *hash);
             order.truncate(most);
         }
-        order.sort_unstable_by_key(|(turn, _)| *turn);
+        order.sort_unstable_by_key(|(hash, _)| *hash);
         order.into_iter().map(|(_, server)| server).collect()
     }
 
-    /// The records of all around us but this one, together.
-    pub fn peers(&self, id: ServerId) -> OutcomeCounts {
-        let own = self.numbers.get(&id).map(|slot| &self.slots[*slot]).filter(|entry| entry.around);
-        let own = own.map(|entry| entry.server.record).unwrap_or_default();
-        OutcomeCounts { good: self.record.good - own.good, bad: self.record.bad - own.bad }
+    /// The outcomes at all servers of the subset but this one.
+    pub fn outcomes_of_others(&self, id: ServerId) -> OutcomeCounts {
+        let own = self.slot_by_id.get(&id).map(|slot| &self.slots[*slot]).filter(|entry| entry.in_subset);
+        let own = own.map(|entry| entry.server.outcomes).unwrap_or_default();
+        OutcomeCounts { good: self.outcomes.good - own.good, bad: self.outcomes.bad - own.bad }
     }
 
-    /// An even draw among those of some classes that fit, of one cell only if that is said. Drawn blindly first:
-    /// mostly nearly all fit; looked through where that fails.
-    pub fn draw(
-        &self, classes: &[Class], cell: Option<CellId>, lots: &mut SeededRng, fits: &impl Fn(&Server) -> bool,
+    /// Picks a suitable server of the given classes, uniformly at random, only from `cell` if that is given.
+    /// Probes at random first, since mostly nearly all servers are suitable, and searches all of them if that
+    /// fails.
+    pub fn pick_random(
+        &self, classes: &[ServerClass], cell: Option<CellId>, rng: &mut SeededRng,
+        suitable: &impl Fn(&Server) -> bool,
     ) -> Option<&Server> {
-        let even = |fitting: Vec<usize>, lots: &mut SeededRng| {
-            (!fitting.is_empty()).then(|| &self.slots[fitting[lots.below(fitting.len())]].server)
+        let uniform = |slots: Vec<usize>, rng: &mut SeededRng| {
+            (!slots.is_empty()).then(|| &self.slots[slots[rng.below(slots.len())]].server)
         };
-        let fit = |slot: &usize| fits(&self.slots[*slot].server);
+        let suits = |slot: &usize| suitable(&self.slots[*slot].server);
         if let Some(cell) = cell {
             let of_class =
                 |slot: &usize| self.slots[*slot].class.is_some_and(|(class, _)| classes.contains(&class));
-            return even(self.cell_slots(cell).filter(of_class).filter(fit).collect(), lots);
+            return uniform(self.slots_in_cell(cell).filter(of_class).filter(suits).collect(), rng);
         }
         let sets = || classes.iter().map(|class| &self.classes[*class as usize]);
         let all: usize = sets().map(Vec::len).sum();
-        if all > DRAWS {
-            for _ in 0..DRAWS {
-                let mut at = lots.below(all);
+        if all > RANDOM_PROBES {
+            for _ in 0..RANDOM_PROBES {
+                let mut at = rng.below(all);
                 let set = sets().find(|set| {
                     let here = at < set.len();
                     at -= if here { 0 } else { set.len() };
                     here
                 })?;
-                if fit(&set[at]) {
+                if suits(&set[at]) {
                     return Some(&self.slots[set[at]].server);
                 }
             }
         }
-        even(sets().flatten().copied().filter(fit).collect(), lots)
+        uniform(sets().flatten().copied().filter(suits).collect(), rng)
     }
 
     // ---- changes ----
 
-    /// Changes a server, and all that hangs on it.
-    pub fn change<T>(&mut self, id: ServerId, how: impl FnOnce(&mut Server) -> T) -> Option<T> {
-        let slot = *self.numbers.get(&id)?;
-        let before = self.part(slot);
-        let done = how(&mut self.slots[slot].server);
-        self.recount(before, slot);
-        Some(done)
+    /// Changes a server, and updates its class and the totals.
+    pub fn update<T>(&mut self, id: ServerId, change: impl FnOnce(&mut Server) -> T) -> Option<T> {
+        let slot = *self.slot_by_id.get(&id)?;
+        let before = self.contribution(slot);
+        let result = change(&mut self.slots[slot].server);
+        self.update_totals(before, slot);
+        Some(result)
     }
 
-    /// Time has passed: the next server whose rest is over by now, if any.
-    pub fn rouse(&mut self, now: Micros) -> Option<ServerId> {
+    /// Advances the time; returns the next server that has become unblocked, if any. To be called until none
+    /// is left.
+    pub fn next_unblocked(&mut self, now: Micros) -> Option<ServerId> {
         self.now = now;
-        let &(at, slot) = self.parked.first()?;
+        let &(at, slot) = self.blocked.first()?;
         (at <= now).then(|| {
-            self.class_anew(slot);
+            self.reclassify(slot);
             self.slots[slot].server.listing.server
         })
     }
 
     pub fn remove(&mut self, id: ServerId) {
-        let Some(slot) = self.numbers.get(&id).copied() else { return };
-        let before = self.part(slot);
+        let Some(slot) = self.slot_by_id.get(&id).copied() else { return };
+        let before = self.contribution(slot);
         self.slots[slot].server.listing.status = ServerStatus::Gone;
-        self.slots[slot].around = false;
-        self.recount(before, slot);
-        self.numbers.remove(&id);
+        self.slots[slot].in_subset = false;
+        self.update_totals(before, slot);
+        self.slot_by_id.remove(&id);
         self.slots.remove(slot);
     }
 
-    /// Takes what the list tells. A whole one names all there are. `cold` is the allowance that a fresh server starts
-    /// with. Our part of the ring must be drawn or fitted after it.
-    pub fn list(
-        &mut self, whole: bool, entries: &[ListedServer], turn: impl Fn(&ListedServer) -> (u64, u64),
-        mut cold: impl FnMut() -> Allowance,
+    /// Applies list entries. A whole list names all servers that exist. `cold_bucket` makes the token bucket
+    /// of a new server. The subset must be rebuilt or adjusted afterwards.
+    pub fn apply_list(
+        &mut self, whole: bool, entries: &[ListedServer], position: impl Fn(&ListedServer) -> (u64, u64),
+        mut cold_bucket: impl FnMut() -> TokenBucket,
     ) {
-        let many = whole || entries.len() > FEW;
-        if many {
+        let rebuild = whole || entries.len() > MAX_SINGLE_UPDATES;
+        if rebuild {
             self.clear();
         }
         if whole {
             self.slots.iter_mut().for_each(|(_, entry)| entry.server.listing.status = ServerStatus::Gone);
         }
         for listing in entries {
-            let cold = cold();
-            let slot = match self.numbers.get(&listing.server) {
+            let cold_bucket = cold_bucket();
+            let slot = match self.slot_by_id.get(&listing.server) {
                 Some(slot) => *slot,
                 None => {
                     let server =
-                        Server::new(&ListedServer { status: ServerStatus::Gone, ..*listing }, 0, cold);
-                    self.enter(server, turn(listing))
+                        Server::new(&ListedServer { status: ServerStatus::Gone, ..*listing }, 0, cold_bucket);
+                    self.insert(server, position(listing))
                 }
             };
-            let before = if many { Part::default() } else { self.part(slot) };
-            if !many {
-                self.off_ring(slot);
+            let before = if rebuild { Contribution::default() } else { self.contribution(slot) };
+            if !rebuild {
+                self.remove_from_ring(slot);
             }
             let known = &mut self.slots[slot].server;
             if listing.started > known.listing.started {
-                *known = Server::new(listing, known.out, cold);
+                *known = Server::new(listing, known.in_flight, cold_bucket);
             }
             known.listing = listing.clone();
-            self.slots[slot].turn = (turn(listing), listing.server);
-            if !many {
-                self.on_ring(slot);
-                self.recount(before, slot);
+            self.slots[slot].position = (position(listing), listing.server);
+            if !rebuild {
+                self.insert_into_ring(slot);
+                self.update_totals(before, slot);
             }
         }
-        if many {
+        if rebuild {
             self.ring = self
                 .slots
                 .iter()
-                .filter(|(_, entry)| entry.ready())
-                .map(|(slot, entry)| (entry.turn, slot))
+                .filter(|(_, entry)| entry.is_ready())
+                .map(|(slot, entry)| (entry.position, slot))
                 .collect();
             self.ring.sort_unstable();
             let slots: Vec<usize> = self.slots.iter().map(|(slot, _)| slot).collect();
-            slots.into_iter().for_each(|slot| self.recount(Part::default(), slot));
+            slots.into_iter().for_each(|slot| self.update_totals(Contribution::default(), slot));
         }
-        let gone = |server: &&Server| server.listing.status == ServerStatus::Gone && server.out == 0;
-        let gone: Vec<ServerId> = match many {
+        let gone = |server: &&Server| server.listing.status == ServerStatus::Gone && server.in_flight == 0;
+        let gone: Vec<ServerId> = match rebuild {
             true => self.all().filter(gone).map(|server| server.listing.server).collect(),
             false => entries
                 .iter()
@@ -301,256 +319,278 @@
         gone.into_iter().for_each(|id| self.remove(id));
     }
 
-    /// Draws our part of the ring: from `start` on, as many as it takes for `wanted` of room, as `room` has it.
-    pub fn redraw(&mut self, start: usize, wanted: f64, room: impl Fn(&Server) -> f64) {
-        self.redraws += 1;
-        let before = std::mem::take(&mut self.circle);
-        (self.first, self.room) = (start.min(self.ring.len()), 0.0);
+    /// Rebuilds the subset: from the ring index `start` on, as many servers as are needed for a total
+    /// capacity of `wanted`, where `capacity` tells that of each server.
+    pub fn rebuild_subset(&mut self, start: usize, wanted: f64, capacity: impl Fn(&Server) -> f64) {
+        self.generation += 1;
+        let before = std::mem::take(&mut self.subset);
+        (self.subset_start, self.subset_capacity) = (start.min(self.ring.len()), 0.0);
         for (_, entry) in &mut self.slots {
-            entry.room = room(&entry.server);
+            entry.capacity = capacity(&entry.server);
         }
-        self.extend(wanted);
+        self.extend_subset(wanted);
         for slot in before {
-            if self.slots.get(slot).is_some_and(|entry| entry.around && entry.redrawn != self.redraws) {
-                self.leave(slot);
+            if self
+                .slots
+                .get(slot)
+                .is_some_and(|entry| entry.in_subset && entry.generation != self.generation)
+            {
+                self.unmark(slot);
             }
         }
-        // Sums of fractions are made anew: guards against drift over days.
-        self.record = self.around().map(|server| server.record).sum();
+        // Floating-point sums are computed anew, so that they do not drift over days.
+        self.outcomes = self.subset().map(|server| server.outcomes).sum();
     }
 
-    /// As [`Fleet::redraw`] does, for a part that little has happened to.
-    pub fn refit(&mut self, start: usize, wanted: f64, changed: &[ServerId], room: impl Fn(&Server) -> f64) {
+    /// Has the same result as [`Fleet::rebuild_subset`], and is faster if little has changed.
+    pub fn adjust_subset(
+        &mut self, start: usize, wanted: f64, changed: &[ServerId], capacity: impl Fn(&Server) -> f64,
+    ) {
         let all = self.ring.len();
-        for slot in changed.iter().filter_map(|id| self.numbers.get(id).copied()) {
-            let new = room(&self.slots[slot].server);
-            let old = std::mem::replace(&mut self.slots[slot].room, new);
-            self.room += if self.slots[slot].around { new - old } else { 0.0 };
+        for slot in changed.iter().filter_map(|id| self.slot_by_id.get(id).copied()) {
+            let new = capacity(&self.slots[slot].server);
+            let old = std::mem::replace(&mut self.slots[slot].capacity, new);
+            self.subset_capacity += if self.slots[slot].in_subset { new - old } else { 0.0 };
         }
         let (ahead, behind) = if all == 0 {
             (0, 0)
         } else {
-            ((start + all - self.first) % all, (self.first + all - start) % all)
+            ((start + all - self.subset_start) % all, (self.subset_start + all - start) % all)
         };
-        if ahead.min(behind) > FEW || self.circle.is_empty() {
-            return self.redraw(start, wanted, room);
+        if ahead.min(behind) > MAX_SINGLE_UPDATES || self.subset.is_empty() {
+            return self.rebuild_subset(start, wanted, capacity);
         }
-        self.redraws += 1;
+        self.generation += 1;
         if ahead <= behind {
             for _ in 0..ahead {
-                if let Some(slot) = self.circle.pop_front() {
-                    self.part_with(slot);
+                if let Some(slot) = self.subset.pop_front() {
+                    self.leave_subset(slot);
                 }
             }
         } else {
             for step in 1..=behind {
-                if self.circle.len() == all {
+                if self.subset.len() == all {
                     self.drop_last();
                 }
-                let slot = self.ring[(self.first + all - step) % all].1;
-                self.circle.push_front(slot);
-                self.join(slot);
+                let slot = self.ring[(self.subset_start + all - step) % all].1;
+                self.subset.push_front(slot);
+                self.join_subset(slot);
             }
         }
-        self.first = start;
-        while self.circle.back().is_some_and(|slot| self.room - self.slots[*slot].room >= wanted) {
+        self.subset_start = start;
+        while self
+            .subset
+            .back()
+            .is_some_and(|slot| self.subset_capacity - self.slots[*slot].capacity >= wanted)
+        {
             self.drop_last();
         }
-        self.extend(wanted);
+        self.extend_subset(wanted);
     }
 
     fn drop_last(&mut self) {
-        if let Some(slot) = self.circle.pop_back() {
-            self.part_with(slot);
+        if let Some(slot) = self.subset.pop_back() {
+            self.leave_subset(slot);
         }
     }
 
-    fn extend(&mut self, wanted: f64) {
-        while self.room < wanted && self.circle.len() < self.ring.len() {
-            let slot = self.ring[(self.first + self.circle.len()) % self.ring.len()].1;
-            self.circle.push_back(slot);
-            self.join(slot);
+    fn extend_subset(&mut self, wanted: f64) {
+        while self.subset_capacity < wanted && self.subset.len() < self.ring.len() {
+            let slot = self.ring[(self.subset_start + self.subset.len()) % self.ring.len()].1;
+            self.subset.push_back(slot);
+            self.join_subset(slot);
         }
     }
 
-    fn join(&mut self, slot: usize) {
-        self.room += self.slots[slot].room;
-        self.slots[slot].redrawn = self.redraws;
-        if !self.slots[slot].around {
-            let before = self.part(slot);
-            self.slots[slot].around = true;
-            self.recount(before, slot);
+    /// Counts a server that was put into the subset.
+    fn join_subset(&mut self, slot: usize) {
+        self.subset_capacity += self.slots[slot].capacity;
+        self.slots[slot].generation = self.generation;
+        if !self.slots[slot].in_subset {
+            let before = self.contribution(slot);
+            self.slots[slot].in_subset = true;
+            self.update_totals(before, slot);
         }
     }
 
-    fn part_with(&mut self, slot: usize) {
-        self.room -= self.slots[slot].room;
-        self.leave(slot);
+    /// Stops counting a server that was taken out of the subset.
+    fn leave_subset(&mut self, slot: usize) {
+        self.subset_capacity -= self.slots[slot].capacity;
+        self.unmark(slot);
     }
 
-    fn leave(&mut self, slot: usize) {
-        let before = self.part(slot);
-        self.slots[slot].around = false;
-        self.recount(before, slot);
+    fn unmark(&mut self, slot: usize) {
+        let before = self.contribution(slot);
+        self.slots[slot].in_subset = false;
+        self.update_totals(before, slot);
     }
 
-    fn enter(&mut self, server: Server, turn: (u64, u64)) -> usize {
+    fn insert(&mut self, server: Server, position: (u64, u64)) -> usize {
         let id = server.listing.server;
-        let fresh = Entry {
+        let entry = Entry {
             server,
-            turn: (turn, id),
-            around: false,
-            room: 0.0,
+            position: (position, id),
+            in_subset: false,
+            capacity: 0.0,
             class: None,
-            parked: None,
-            redrawn: 0,
+            blocked_until: None,
+            generation: 0,
         };
-        let slot = self.slots.insert(fresh);
-        self.numbers.insert(id, slot);
+        let slot = self.slots.insert(entry);
+        self.slot_by_id.insert(id, slot);
         slot
     }
 
-    /// Takes a server off the ring, and out of our part of it.
-    fn off_ring(&mut self, slot: usize) {
+    /// Takes a server off the ring and out of the subset.
+    fn remove_from_ring(&mut self, slot: usize) {
         let entry = &self.slots[slot];
-        let Some(at) = entry.ready().then(|| self.ring.binary_search(&(entry.turn, slot)).ok()).flatten()
+        let Some(at) =
+            entry.is_ready().then(|| self.ring.binary_search(&(entry.position, slot)).ok()).flatten()
         else {
             return;
         };
         let all = self.ring.len();
-        let offset = (at + all - self.first) % all;
+        let offset = (at + all - self.subset_start) % all;
         self.ring.remove(at);
-        if offset < self.circle.len() {
-            self.circle.remove(offset);
-            self.room -= self.slots[slot].room;
-            self.slots[slot].around = false;
+        if offset < self.subset.len() {
+            self.subset.remove(offset);
+            self.subset_capacity -= self.slots[slot].capacity;
+            self.slots[slot].in_subset = false;
         }
-        self.first -= usize::from(at < self.first);
-        self.first = if self.first >= all - 1 { 0 } else { self.first };
+        self.subset_start -= usize::from(at < self.subset_start);
+        self.subset_start = if self.subset_start >= all - 1 { 0 } else { self.subset_start };
     }
 
-    /// Puts a server on the ring, and into our part of it where it comes to stand inside that.
-    fn on_ring(&mut self, slot: usize) {
+    /// Puts a server on the ring, and into the subset if its position is inside it.
+    fn insert_into_ring(&mut self, slot: usize) {
         let entry = &self.slots[slot];
-        if !entry.ready() {
+        if !entry.is_ready() {
             return;
         }
-        let key = (entry.turn, slot);
+        let key = (entry.position, slot);
         let at = self.ring.partition_point(|one| *one < key);
         self.ring.insert(at, key);
-        self.first += usize::from(at <= self.first && self.ring.len() > 1);
-        let offset = (at + self.ring.len() - self.first) % self.ring.len();
-        if offset < self.circle.len() {
-            self.circle.insert(offset, slot);
-            self.room += self.slots[slot].room;
-            self.slots[slot].around = true;
+        self.subset_start += usize::from(at <= self.subset_start && self.ring.len() > 1);
+        let offset = (at + self.ring.len() - self.subset_start) % self.ring.len();
+        if offset < self.subset.len() {
+            self.subset.insert(offset, slot);
+            self.subset_capacity += self.slots[slot].capacity;
+            self.slots[slot].in_subset = true;
         }
     }
 
     // ---- totals and classes ----
 
-    fn part(&self, slot: usize) -> Part {
-        let Entry { server, around, .. } = &self.slots[slot];
-        let (usable, around) = (server.usable(), *around);
-        Part {
+    fn contribution(&self, slot: usize) -> Contribution {
+        let Entry { server, in_subset, .. } = &self.slots[slot];
+        let (usable, in_subset) = (server.is_usable(), *in_subset);
+        Contribution {
             usable,
-            around,
-            size: (server.listing.weight * PARTS).round().max(0.0) as u128,
-            ease: server.ease.to_bits(),
-            stuck: if server.trust == Trust::Fit { 0 } else { server.out },
-            answered: server.answered.then_some(server.out),
-            record: server.record,
+            in_subset,
+            weight: (server.listing.weight * UNITS_PER_WEIGHT).round().max(0.0) as u128,
+            weight_factor: server.weight_factor.to_bits(),
+            unhealthy_in_flight: if server.health == Health::Healthy { 0 } else { server.in_flight },
+            answered_in_flight: server.has_answered.then_some(server.in_flight),
+            outcomes: server.outcomes,
         }
     }
 
+    /// Empties the ring, the subset, the classes and the totals; the servers stay.
     fn clear(&mut self) {
         for (_, entry) in &mut self.slots {
-            (entry.around, entry.class, entry.parked) = (false, None, None);
+            (entry.in_subset, entry.class, entry.blocked_until) = (false, None, None);
         }
         self.ring.clear();
-        self.circle.clear();
-        self.parked.clear();
+        self.subset.clear();
+        self.blocked.clear();
         self.classes.iter_mut().for_each(Vec::clear);
-        self.eases.clear();
-        (self.usable, self.size, self.size_around, self.first, self.room) = (0, 0, 0, 0, 0.0);
-        (self.stuck, self.answered, self.answered_out, self.record) = (0, 0, 0, OutcomeCounts::default());
-    }
-
-    fn recount(&mut self, before: Part, slot: usize) {
-        let after = self.part(slot);
+        self.weight_factors.clear();
+        (
+            self.usable_count,
+            self.usable_weight,
+            self.subset_weight,
+            self.subset_start,
+            self.subset_capacity,
+        ) = (0, 0, 0, 0, 0.0);
+        (self.unhealthy_in_flight, self.answered_count, self.answered_in_flight, self.outcomes) =
+            (0, 0, 0, OutcomeCounts::default());
+    }
+
+    fn update_totals(&mut self, before: Contribution, slot: usize) {
+        let after = self.contribution(slot);
         if before != after {
-            self.take_out(before);
-            self.put_in(after);
+            self.subtract(before);
+            self.add(after);
         }
-        self.class_anew(slot);
+        self.reclassify(slot);
     }
 
-    fn take_out(&mut self, part: Part) {
+    fn subtract(&mut self, part: Contribution) {
         if part.usable {
-            self.usable -= 1;
-            self.size -= part.size;
+            self.usable_count -= 1;
+            self.usable_weight -= part.weight;
         }
-        if !part.around {
+        if !part.in_subset {
             return;
         }
         if part.usable {
-            self.size_around -= part.size;
-            if let Some(count) = self.eases.get_mut(&part.ease) {
+            self.subset_weight -= part.weight;
+            if let Some(count) = self.weight_factors.get_mut(&part.weight_factor) {
                 *count -= 1;
                 if *count == 0 {
-                    self.eases.remove(&part.ease);
+                    self.weight_factors.remove(&part.weight_factor);
                 }
             }
         }
-        self.stuck -= part.stuck;
-        if let Some(out) = part.answered {
-            self.answered -= 1;
-            self.answered_out -= out;
+        self.unhealthy_in_flight -= part.unhealthy_in_flight;
+        if let Some(in_flight) = part.answered_in_flight {
+            self.answered_count -= 1;
+            self.answered_in_flight -= in_flight;
         }
-        self.record.good -= part.record.good;
-        self.record.bad -= part.record.bad;
+        self.outcomes.good -= part.outcomes.good;
+        self.outcomes.bad -= part.outcomes.bad;
     }
 
-    fn put_in(&mut self, part: Part) {
+    fn add(&mut self, part: Contribution) {
         if part.usable {
-            self.usable += 1;
-            self.size += part.size;
+            self.usable_count += 1;
+            self.usable_weight += part.weight;
         }
-        if !part.around {
+        if !part.in_subset {
             return;
         }
         if part.usable {
-            self.size_around += part.size;
-            *self.eases.entry(part.ease).or_default() += 1;
-        }
-        self.stuck += part.stuck;
-        if let Some(out) = part.answered {
-            self.answered += 1;
-            self.answered_out += out;
-        }
-        self.record.good += part.record.good;
-        self.record.bad += part.record.bad;
-    }
-
-    /// Puts a server where it belongs by now: into a class, among those that rest, or nowhere.
-    fn class_anew(&mut self, slot: usize) {
-        let Entry { server, around, class, parked, .. } = &self.slots[slot];
-        let barred = server.trust != Trust::Fit && server.out > 0;
-        let able = *around && server.listing.status == ServerStatus::Ready && !barred;
-        let near = self.near.is_none_or(|near| near == server.listing.zone);
-        let rests = able && server.rest > self.now;
-        let wanted = (able && !rests).then_some(match (server.out, server.answered, near) {
-            (1.., ..) => Class::Busy,
-            (0, true, true) => Class::IdleNear,
-            (0, true, false) => Class::IdleFar,
-            (0, false, true) => Class::NewNear,
-            (0, false, false) => Class::NewFar,
+            self.subset_weight += part.weight;
+            *self.weight_factors.entry(part.weight_factor).or_default() += 1;
+        }
+        self.unhealthy_in_flight += part.unhealthy_in_flight;
+        if let Some(in_flight) = part.answered_in_flight {
+            self.answered_count += 1;
+            self.answered_in_flight += in_flight;
+        }
+        self.outcomes.good += part.outcomes.good;
+        self.outcomes.bad += part.outcomes.bad;
+    }
+
+    /// Moves a server to where it belongs now: a class, the blocked servers, or neither.
+    fn reclassify(&mut self, slot: usize) {
+        let Entry { server, in_subset, class, blocked_until, .. } = &self.slots[slot];
+        let barred = server.health != Health::Healthy && server.in_flight > 0;
+        let eligible = *in_subset && server.listing.status == ServerStatus::Ready && !barred;
+        let local = self.local_zone.is_none_or(|local| local == server.listing.zone);
+        let blocked = eligible && server.blocked_until > self.now;
+        let wanted = (eligible && !blocked).then_some(match (server.in_flight, server.has_answered, local) {
+            (1.., ..) => ServerClass::Busy,
+            (0, true, true) => ServerClass::IdleLocal,
+            (0, true, false) => ServerClass::IdleRemote,
+            (0, false, true) => ServerClass::NewLocal,
+            (0, false, false) => ServerClass::NewRemote,
         });
-        let (rest, class, parked) = (rests.then_some(server.rest), *class, *parked);
-        if parked != rest {
-            parked.map(|at| self.parked.remove(&(at, slot)));
-            rest.map(|at| self.parked.insert((at, slot)));
-            self.slots[slot].parked = rest;
+        let (until, class, known) = (blocked.then_some(server.blocked_until), *class, *blocked_until);
+        if known != until {
+            known.map(|at| self.blocked.remove(&(at, slot)));
+            until.map(|at| self.blocked.insert((at, slot)));
+            self.slots[slot].blocked_until = until;
         }
         if class.map(|(class, _)| class) == wanted {
             return;
@@ -570,7 +610,7 @@
 }
 
 impl Entry {
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.server.listing.status == ServerStatus::Ready
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,131 +1,169 @@
-//! What one instance remembers: plain records of API calls, servers and figures. Nothing is decided here.
+//! The state that a balancer keeps of calls, servers and latency, and the statistics derived from it. The
+//! decisions are in [`crate::rules`].
 use crate::types::*;
-use crate::{Allowance, Bins, OutcomeCounts};
+use crate::{CoarseHistogram, OutcomeCounts, TokenBucket};
 use std::collections::BTreeMap;
 
-/// Where an API call stands.
+/// The state of an API call.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum State {
-    Fresh,
+pub enum CallState {
+    New,
     Queued,
-    Out,
-    Raced,
-    Over,
+    /// One hop is open.
+    InFlight,
+    /// Two hops are open.
+    Hedged,
+    /// The call has its answer or was withdrawn; hops may still be open.
+    Done,
 }
 
-/// How far a server is trusted.
+/// Whether calls are sent to a server.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Trust {
-    Fit,
-    Aside,
-    Trial,
+pub enum Health {
+    Healthy,
+    /// No calls are sent until its ejection ends.
+    Ejected,
+    /// One call is sent, and its outcome decides.
+    Probation,
 }
 
+impl Health {
+    /// The word that log lines print.
+    pub fn log_name(self) -> &'static str {
+        match self {
+            Health::Healthy => "Fit",
+            Health::Ejected => "Aside",
+            Health::Probation => "Trial",
+        }
+    }
+}
+
+/// One try of a call at a server.
 pub struct Hop {
     pub server: ServerId,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub sent: Micros,
-    pub ended: Option<Outcome>,
-    pub outlived: bool,
-    pub copy: bool,
+    pub sent_at: Micros,
+    pub outcome: Option<Outcome>,
+    /// Whether it took longer than the hedging threshold.
+    pub past_threshold: bool,
+    pub is_hedge: bool,
 }
 
 impl Hop {
-    pub fn open(&self) -> bool {
-        self.ended.is_none()
+    pub fn is_open(&self) -> bool {
+        self.outcome.is_none()
     }
 
     pub fn may_have_run(&self) -> bool {
-        !self.ended.is_some_and(Outcome::proves_not_run)
+        !self.outcome.is_some_and(Outcome::proves_not_run)
     }
 }
 
+/// An API call that is not finished.
 pub struct Call {
     pub workload: usize,
-    pub state: State,
-    pub turn: (u32, u64), // its place in the queue: dearest first, then oldest
-    pub key: Option<u64>, // where servers are quicker with one they know
-    pub abandon: Micros,
-    pub patience: Micros,
-    pub max_hops: usize, // as the place had it when the call came
+    pub state: CallState,
+    /// Its key in the queue: the highest priority first, then the oldest.
+    pub queue_key: (u32, u64),
+    /// Set only where servers work faster with a known key.
+    pub affinity_key: Option<u64>,
+    pub deadline: Micros,
+    /// When it leaves the queue and is refused.
+    pub queue_deadline: Micros,
+    /// The limit that was configured when the call arrived.
+    pub max_hops: usize,
     pub hops: Vec<Hop>,
 }
 
+/// A server, as this balancer sees it.
 pub struct Server {
     pub listing: ListedServer,
-    pub out: u32,
-    pub answered: bool,
-    pub trust: Trust,
-    /// Until then it may not be sent to: set aside, or cold with its part spent.
-    pub rest: Micros,
-    pub until: Micros,
-    pub asides: u32,
-    pub record: OutcomeCounts,
-    pub unreached: bool,
-    pub ease: f64,
-    /// How much longer a call took there than at an idle server, as it last told, and when.
+    /// Open hops of this balancer at the server.
+    pub in_flight: u32,
+    pub has_answered: bool,
+    pub health: Health,
+    /// No calls may be sent before this time: the server is ejected, or cold with its tokens spent.
+    pub blocked_until: Micros,
+    pub ejected_until: Micros,
+    /// Ejections in a row.
+    pub ejections: u32,
+    pub outcomes: OutcomeCounts,
+    /// Whether the last hop was not executed (refused, or no connection) and no load is known that explains
+    /// it.
+    pub unreachable: bool,
+    /// The factor on the listed weight; less than 1 if the server was slow.
+    pub weight_factor: f64,
+    /// The last known latency relative to that of the idle server, and when it became known.
     pub slowdown: f64,
-    pub heard: Micros,
-    pub cold: Allowance,
+    pub slowdown_at: Micros,
+    /// Limits the calls to the server while it is cold.
+    pub cold_bucket: TokenBucket,
 }
 
 impl Server {
-    pub fn new(listing: &ListedServer, out: u32, cold: Allowance) -> Server {
+    pub fn new(listing: &ListedServer, in_flight: u32, cold_bucket: TokenBucket) -> Server {
         Server {
             listing: listing.clone(),
-            out,
-            answered: false,
-            trust: Trust::Fit,
-            rest: Micros(0),
-            until: Micros(0),
-            asides: 0,
-            record: OutcomeCounts::default(),
-            unreached: false,
-            ease: 1.0,
+            in_flight,
+            has_answered: false,
+            health: Health::Healthy,
+            blocked_until: Micros(0),
+            ejected_until: Micros(0),
+            ejections: 0,
+            outcomes: OutcomeCounts::default(),
+            unreachable: false,
+            weight_factor: 1.0,
             slowdown: 1.0,
-            heard: Micros(0),
-            cold,
+            slowdown_at: Micros(0),
+            cold_bucket,
         }
     }
 
-    /// Its part of the work: the listed size, less where it has been slow.
-    pub fn weight(&self) -> f64 {
-        self.listing.weight.max(0.01) * self.ease
+    /// The server's share of the work: the listed weight, reduced if it was slow.
+    pub fn effective_weight(&self) -> f64 {
+        self.listing.weight.max(0.01) * self.weight_factor
     }
 
-    pub fn answer(&mut self, slow: bool) {
-        self.answered = true;
-        self.ease = if slow { (self.ease * 0.93).max(0.3) } else { (self.ease + 0.03).min(1.0) };
+    /// Records an answer; `slow` tells whether it took longer than usual.
+    pub fn record_answer(&mut self, slow: bool) {
+        self.has_answered = true;
+        self.weight_factor =
+            if slow { (self.weight_factor * 0.93).max(0.3) } else { (self.weight_factor + 0.03).min(1.0) };
     }
 
-    /// Its strain by now: what it told counts for less the older it is.
-    pub fn strained(&self, now: Micros) -> f64 {
-        1.0 + (self.slowdown - 1.0) / (1.0 + 0.1 * (now - self.heard).secs())
+    /// The slowdown, weighted less the older it is.
+    pub fn current_slowdown(&self, now: Micros) -> f64 {
+        1.0 + (self.slowdown - 1.0) / (1.0 + 0.1 * (now - self.slowdown_at).secs())
     }
 
-    pub fn usable(&self) -> bool {
-        self.listing.status == ServerStatus::Ready && self.trust == Trust::Fit
+    pub fn is_usable(&self) -> bool {
+        self.listing.status == ServerStatus::Ready && self.health == Health::Healthy
     }
 }
 
-/// What the place's terms come down to.
+/// Values derived from the [`BalancerConfig`].
 #[derive(Default)]
-pub struct Figures {
+pub struct DerivedConfig {
     pub workloads: Vec<Workload>,
-    pub shares: Vec<f64>, // API calls a second that each customer may send through this sidecar alone
-    pub all_shares: f64,  // never 0
+    /// Calls per second that each tenant may send through this balancer.
+    pub tenant_rates: Vec<f64>,
+    /// Their sum, which is never 0.
+    pub total_tenant_rate: f64,
     pub overage_payoff: f64,
-    pub dearest: f64,
-    pub lifted: f64,
+    pub max_payoff: f64,
+    /// The share of calls that get the priority of the highest payoff.
+    pub promoted_share: f64,
     pub max_hops: usize,
     pub may_cancel: bool,
     pub may_hedge: bool,
     pub max_retry_after: Micros,
-    pub ask_again: Micros, // half of the time within which the list must be asked for again
-    pub my_part: f64,
-    pub my_number: f64,
-    pub near: Option<ZoneId>,
+    /// Half of the time within which a lost subscription must be renewed.
+    pub resubscribe_interval: Micros,
+    /// This balancer's share of the tier's calls: 1 / number of balancers.
+    pub instance_share: f64,
+    pub instance_index: f64,
+    pub local_zone: Option<ZoneId>,
     pub load_reports: bool,
     pub peer_messages: bool,
     pub key_affinity: bool,
@@ -134,36 +172,36 @@
     pub collapse_window: Micros,
 }
 
-impl Figures {
-    pub fn new(terms: &BalancerConfig) -> Figures {
-        let instances = f64::from(terms.instances.max(1));
-        Figures {
-            workloads: terms.workloads.clone(),
-            shares: terms.tenant_quotas.iter().map(|rate| rate / instances).collect(),
-            all_shares: terms.tenant_quotas.iter().sum::<f64>().max(0.001) / instances,
-            overage_payoff: terms.overage_payoff,
-            dearest: terms.workloads.iter().map(|workload| workload.payoff).fold(0.0, f64::max),
-            lifted: terms.worst_workload_weight,
-            max_hops: terms.max_hops as usize,
-            may_cancel: terms.may_cancel,
-            may_hedge: terms.may_hedge,
-            max_retry_after: terms.max_retry_after,
-            ask_again: terms.resubscribe_within.times(0.5),
-            my_part: 1.0 / instances,
-            my_number: f64::from(terms.instance_index) % instances,
-            near: terms.local_zone,
-            load_reports: terms.load_reports,
-            peer_messages: terms.peer_messages,
-            key_affinity: terms.key_affinity,
-            cold_capacity: terms.cold_capacity,
-            warm_up_time: terms.warm_up_time,
-            collapse_window: terms.collapse_window,
+impl DerivedConfig {
+    pub fn new(config: &BalancerConfig) -> DerivedConfig {
+        let instances = f64::from(config.instances.max(1));
+        DerivedConfig {
+            workloads: config.workloads.clone(),
+            tenant_rates: config.tenant_quotas.iter().map(|rate| rate / instances).collect(),
+            total_tenant_rate: config.tenant_quotas.iter().sum::<f64>().max(0.001) / instances,
+            overage_payoff: config.overage_payoff,
+            max_payoff: config.workloads.iter().map(|workload| workload.payoff).fold(0.0, f64::max),
+            promoted_share: config.worst_workload_weight,
+            max_hops: config.max_hops as usize,
+            may_cancel: config.may_cancel,
+            may_hedge: config.may_hedge,
+            max_retry_after: config.max_retry_after,
+            resubscribe_interval: config.resubscribe_within.times(0.5),
+            instance_share: 1.0 / instances,
+            instance_index: f64::from(config.instance_index) % instances,
+            local_zone: config.local_zone,
+            load_reports: config.load_reports,
+            peer_messages: config.peer_messages,
+            key_affinity: config.key_affinity,
+            cold_capacity: config.cold_capacity,
+            warm_up_time: config.warm_up_time,
+            collapse_window: config.collapse_window,
         }
     }
 }
 
-impl Figures {
-    /// The part of its full capacity that a cold server has by now at the least; none once it is warm.
+impl DerivedConfig {
+    /// The share of its full capacity that a cold server has now at least; none if the server is warm.
     pub fn cold_share(&self, server: &Server, now: Micros) -> Option<f64> {
         let (started, from) = (server.listing.started, self.cold_capacity);
         let age = now - started;
@@ -172,170 +210,181 @@
     }
 }
 
-/// A server that reports less of its cores busy has some to be had.
-const CORES_TO_BE_HAD: f64 = 0.9;
+/// A server with a lower reported CPU utilization has cores to spare.
+const SPARE_CPU_BELOW: f64 = 0.9;
 
-/// How long calls take in the long run, and while nothing is crowded.
+/// The latency of calls while the servers are not congested.
 #[derive(Default)]
-pub struct Level {
-    pub long: Bins,
-    pub level: Option<f64>, // in microseconds
+pub struct LatencyBaseline {
+    pub histogram: CoarseHistogram,
+    pub baseline_us: Option<f64>,
 }
 
-impl Level {
-    /// Takes one answer's time. The level is the long-run median: it follows lower ones a fifth of the way and rises
-    /// by a thousandth at a time, so that a long crowd can't become what counts as uncrowded.
-    fn add(&mut self, elapsed: Micros, first: f64) {
-        self.long.add(elapsed);
-        if self.long.total >= 128.0 {
-            let long = self.median();
-            self.level = self.level.zip(long).map(|(old, long)| (0.8 * old + 0.2 * long).min(1.001 * old));
-            self.long.halve();
+impl LatencyBaseline {
+    /// Records the latency of one answer. The baseline is a long-run median. It follows a lower median by a
+    /// fifth of the difference and rises by a thousandth at a time, so that a long overload does not become
+    /// the baseline.
+    fn record(&mut self, elapsed: Micros, min_answers: f64) {
+        self.histogram.record(elapsed);
+        if self.histogram.total >= 128.0 {
+            let median = self.median();
+            self.baseline_us =
+                self.baseline_us.zip(median).map(|(old, median)| (0.8 * old + 0.2 * median).min(1.001 * old));
+            self.histogram.halve();
         }
-        self.begin(first);
+        self.initialize(min_answers);
     }
 
-    /// A first level, once so many answers have come.
-    fn begin(&mut self, least: f64) {
-        if self.level.is_none() && self.long.total >= least {
-            self.level = self.median();
+    /// Sets the first baseline once there are enough answers.
+    fn initialize(&mut self, min_answers: f64) {
+        if self.baseline_us.is_none() && self.histogram.total >= min_answers {
+            self.baseline_us = self.median();
         }
     }
 
     fn median(&self) -> Option<f64> {
-        self.long.median().map(|long| long.0 as f64)
+        self.histogram.median().map(|median| median.0 as f64)
     }
 }
 
-/// What is known of one workload.
+/// Statistics of one workload.
 #[derive(Default)]
-pub struct Own {
-    level: Level,
-    /// Its hops in flight.
-    pub held: u32,
-    /// How many of late came within the threshold, or outlived it.
-    pub late: OutcomeCounts,
+pub struct WorkloadStats {
+    latency: LatencyBaseline,
+    /// Its open hops.
+    pub in_flight: u32,
+    /// Recent hops: good if they ended within the hedging threshold, bad if they took longer.
+    pub timeliness: OutcomeCounts,
 }
 
-/// Answers that make a level: over all workloads, and of one.
-const FIRST: f64 = 48.0;
-const FIRST_OF_ONE: f64 = 32.0;
-/// And at a beat, where more take long to come. Not for each answer, since among the first few the short ones come
-/// before the long.
-const FIRST_AT_BEAT: f64 = 16.0;
-/// What stands in the ratios for a call that takes as long as its workload's level.
-const AS_LONG: f64 = 100_000.0;
-
-/// How crowded the servers are, as our own latency shows it.
+/// Answers from which a first baseline is set: over all workloads, and of one workload.
+const MIN_ANSWERS: f64 = 48.0;
+const MIN_ANSWERS_OF_WORKLOAD: f64 = 32.0;
+/// The same at a tick, for balancers with few answers. It is not checked at each answer: among the first few
+/// answers the short calls are over-represented, since they end first.
+const MIN_ANSWERS_AT_TICK: f64 = 16.0;
+/// The histogram of latency ratios records a ratio of 1 as this many microseconds.
+const RATIO_SCALE: f64 = 100_000.0;
+
+/// How congested the servers are, as seen in the latency of this balancer's calls, and the limits that follow
+/// from it.
 #[derive(Default)]
-pub struct Crowding {
-    pub recent: Bins,
-    pub all: Level,
-    pub own: Vec<Own>,
-    /// Recent answers' times over their own workload's level: guards against a change of mix alone, where workloads
-    /// differ in work, that reads as a crowd.
-    ratios: Bins,
-    pub width: f64,
-    pub crowded: bool,
-    pub steady: bool,
-    pub fleet: f64,
-    /// Calls held for each busy core while cores are to be had, as reports have it: the sums behind the mean.
-    pub idle_held: f64,
-    pub idle_busy: f64,
-    /// The part of what is offered that is turned away at once, the least worth first.
-    pub thinned: f64,
-    /// What was offered of late, by its worth.
-    pub offered: BTreeMap<u32, f64>,
+pub struct Congestion {
+    pub recent: CoarseHistogram,
+    pub all: LatencyBaseline,
+    pub workloads: Vec<WorkloadStats>,
+    /// Recent latencies divided by the baseline of their workload. Where workloads differ in work, a change
+    /// of the mix alone would otherwise look like congestion.
+    ratios: CoarseHistogram,
+    /// The limit on calls in flight.
+    pub concurrency_limit: f64,
+    pub congested: bool,
+    /// Whether there has been congestion yet; until then the limit grows faster.
+    pub was_congested: bool,
+    /// The largest recent weight of the usable servers, decaying slowly.
+    pub fleet_weight: f64,
+    /// Decayed sums of the calls and of the CPU utilization in load reports of servers with CPU to spare.
+    /// Their quotient estimates how many calls a server works on at full utilization.
+    pub unloaded_calls: f64,
+    pub unloaded_cpu: f64,
+    /// The share of arriving calls that is refused at once, the lowest priority first.
+    pub shed_share: f64,
+    /// Counts of recent arrivals by priority.
+    pub arrivals: BTreeMap<u32, f64>,
 }
 
-impl Crowding {
-    /// Takes one more call that is offered; tells how large a part of what came of late is worth less. Its like
-    /// are told apart by `lot`, from 0 to 1.
-    pub fn rank(&mut self, worth: u32, lot: f64) -> f64 {
-        let below: f64 = self.offered.range(..worth).map(|(_, count)| count).sum();
-        let like = self.offered.entry(worth).or_default();
-        *like += 1.0;
-        let reached = below + lot * *like;
-        let all: f64 = self.offered.values().sum();
+impl Congestion {
+    /// Counts an arrival; returns the share of recent arrivals with a lower priority. Arrivals of the same
+    /// priority are spread by `tie_breaker`, from 0 to 1.
+    pub fn priority_rank(&mut self, priority: u32, tie_breaker: f64) -> f64 {
+        let below: f64 = self.arrivals.range(..priority).map(|(_, count)| count).sum();
+        let equal = self.arrivals.entry(priority).or_default();
+        *equal += 1.0;
+        let reached = below + tie_breaker * *equal;
+        let all: f64 = self.arrivals.values().sum();
         if all >= 128.0 {
-            self.offered.values_mut().for_each(|count| *count *= 0.5);
+            self.arrivals.values_mut().for_each(|count| *count *= 0.5);
         }
         reached / all
     }
 
-    /// How much longer a call takes at a server than at an idle one, by what it reports: the calls it holds for
-    /// each that it works on.
-    pub fn slowdown(&mut self, report: &ServerLoad) -> Option<f64> {
-        let held = report.open_calls?;
-        let at_work = match (report.queued_calls, report.cpu_utilization) {
-            (Some(waiting), _) => held - waiting,
-            (None, Some(busy)) if busy < CORES_TO_BE_HAD => {
-                (self.idle_held, self.idle_busy) =
-                    (0.98 * self.idle_held + held, 0.98 * self.idle_busy + busy);
+    /// A server's slowdown according to its load report: the calls in the server for each call that it works
+    /// on.
+    pub fn reported_slowdown(&mut self, load: &ServerLoad) -> Option<f64> {
+        let open = load.open_calls?;
+        let working = match (load.queued_calls, load.cpu_utilization) {
+            (Some(queued), _) => open - queued,
+            (None, Some(cpu)) if cpu < SPARE_CPU_BELOW => {
+                (self.unloaded_calls, self.unloaded_cpu) =
+                    (0.98 * self.unloaded_calls + open, 0.98 * self.unloaded_cpu + cpu);
                 return Some(1.0);
             }
-            (None, Some(_)) if self.idle_busy > 0.0 => self.idle_held / self.idle_busy,
+            (None, Some(_)) if self.unloaded_cpu > 0.0 => self.unloaded_calls / self.unloaded_cpu,
             _ => return None,
         };
-        Some((held / at_work.max(1.0)).max(1.0))
+        Some((open / working.max(1.0)).max(1.0))
     }
 
-    /// Takes one answer's time; tells the recent median and the uncrowded level, in microseconds.
-    pub fn measure(&mut self, elapsed: Micros, workload: WorkloadId) -> Option<(f64, f64)> {
-        self.recent.add(elapsed);
-        self.all.add(elapsed, FIRST);
-        let own = &mut self.of(workload).level;
-        own.add(elapsed, FIRST_OF_ONE);
-        if let Some(level) = own.level {
-            self.ratios.add(Micros((elapsed.0 as f64 / level.max(1.0) * AS_LONG) as u64));
+    /// Records the latency of an answer; returns the recent median and the uncongested baseline, in
+    /// microseconds.
+    pub fn record_latency(&mut self, elapsed: Micros, workload: WorkloadId) -> Option<(f64, f64)> {
+        self.recent.record(elapsed);
+        self.all.record(elapsed, MIN_ANSWERS);
+        let own = &mut self.workload(workload).latency;
+        own.record(elapsed, MIN_ANSWERS_OF_WORKLOAD);
+        if let Some(baseline) = own.baseline_us {
+            self.ratios.record(Micros((elapsed.0 as f64 / baseline.max(1.0) * RATIO_SCALE) as u64));
         }
         let median = self.recent.median()?.0 as f64;
-        for bins in [&mut self.recent, &mut self.ratios] {
-            if bins.total >= 24.0 {
-                bins.halve();
+        for histogram in [&mut self.recent, &mut self.ratios] {
+            if histogram.total >= 24.0 {
+                histogram.halve();
             }
         }
-        Some((median, self.all.level.or_else(|| self.all.median())?))
+        Some((median, self.all.baseline_us.or_else(|| self.all.median())?))
     }
 
-    pub fn of(&mut self, workload: WorkloadId) -> &mut Own {
-        if self.own.len() <= workload.0 {
-            self.own.resize_with(workload.0 + 1, Own::default);
+    pub fn workload(&mut self, workload: WorkloadId) -> &mut WorkloadStats {
+        if self.workloads.len() <= workload.0 {
+            self.workloads.resize_with(workload.0 + 1, WorkloadStats::default);
         }
-        &mut self.own[workload.0]
+        &mut self.workloads[workload.0]
     }
 
-    /// What a call of this workload takes by now: its own level, by so much longer as all calls take. Guards against a
-    /// short one among long ones that is held against what those take, and never waits.
-    pub fn usual(&self, workload: WorkloadId) -> Micros {
-        let level = self.own.get(workload.0).and_then(|own| own.level.level);
-        let own = level.map(|level| Micros((level * self.strained()) as u64));
+    /// The latency to expect for a call of this workload: its own baseline times the present latency ratio.
+    /// Measured by the latency of all calls, a short call among long ones would never be queued.
+    pub fn expected_latency(&self, workload: WorkloadId) -> Micros {
+        let baseline = self.workloads.get(workload.0).and_then(|own| own.latency.baseline_us);
+        let own = baseline.map(|baseline| Micros((baseline * self.latency_ratio()) as u64));
         own.or(self.recent.median()).unwrap_or_default()
     }
 
-    /// All calls of late, in time or not.
-    pub fn late(&self) -> OutcomeCounts {
-        self.own.iter().map(|own| own.late).sum()
+    /// The timeliness of recent hops of all workloads.
+    pub fn timeliness(&self) -> OutcomeCounts {
+        self.workloads.iter().map(|own| own.timeliness).sum()
     }
 
-    /// The one workload of whose calls more than this part are late, and of the others' under half as large a part.
-    pub fn alone_late(&self, part: f64) -> Option<WorkloadId> {
-        let all = self.late();
-        let alone = |own: &Own| {
-            let others = OutcomeCounts { good: all.good - own.late.good, bad: all.bad - own.late.bad };
-            let known = own.late.bad >= 3.0 && others.good >= 3.0;
-            known && own.late.rate() > part && others.rate() < 0.5 * part
+    /// The one workload of which more than this share of hops is late, while of the others less than half
+    /// that share is.
+    pub fn only_late_workload(&self, share: f64) -> Option<WorkloadId> {
+        let all = self.timeliness();
+        let alone = |own: &WorkloadStats| {
+            let others =
+                OutcomeCounts { good: all.good - own.timeliness.good, bad: all.bad - own.timeliness.bad };
+            let known = own.timeliness.bad >= 3.0 && others.good >= 3.0;
+            known && own.timeliness.bad_share() > share && others.bad_share() < 0.5 * share
         };
-        self.own.iter().position(alone).map(WorkloadId)
+        self.workloads.iter().position(alone).map(WorkloadId)
     }
 
-    /// How much longer recent calls took than others of their workload do while nothing is crowded.
-    pub fn strained(&self) -> f64 {
-        self.ratios.median().map_or(1.0, |median| median.0 as f64 / AS_LONG)
+    /// The median latency of recent calls, relative to the baseline of their workload.
+    pub fn latency_ratio(&self) -> f64 {
+        self.ratios.median().map_or(1.0, |median| median.0 as f64 / RATIO_SCALE)
     }
 
-    pub fn settle(&mut self) {
-        let levels = self.own.iter_mut().map(|own| &mut own.level).chain([&mut self.all]);
-        levels.for_each(|level| level.begin(FIRST_AT_BEAT));
+    /// Sets first baselines where there are enough answers; called at each tick.
+    pub fn initialize_baselines(&mut self) {
+        let baselines = self.workloads.iter_mut().map(|own| &mut own.latency).chain([&mut self.all]);
+        baselines.for_each(|latency| latency.initialize(MIN_ANSWERS_AT_TICK));
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,225 +1,283 @@
-//! Every decision of one sidecar: build a [`Balancer`] from the place's [`BalancerConfig`] and a seed, hand each event
-//! to [`Balancer::on`] with the present time, carry out the actions it appends, in order. It reads no clock.
-//! `docs/design.md` says what is kept of the design and when each departure acts.
-use crate::fleet::{Class, Fleet};
+//! All decisions of a balancer. Build a [`Balancer`] from a [`BalancerConfig`] and a seed, pass each event
+//! with the present time to [`Balancer::on`], and execute the actions that it appends, in their order. It
+//! reads no clock. `docs/design.md` lists the rules of the design and the departures from it.
+use crate::fleet::{Fleet, ServerClass};
 use crate::records::*;
 use crate::types::*;
-use crate::{Allowance, OutcomeCounts, Pace, SeededRng, Slices, Sliding};
+use crate::{OutcomeCounts, RetryBudgetWindow, SeededRng, SmoothedRate, TokenBucket, WindowedQuantile};
 use fnv::FnvHashMap;
 use std::collections::BTreeMap;
+use CallState::*;
 use Effect::*;
 use Input::*;
-use State::*;
-
-const WINDOW: Micros = Micros::millis(30_000); // the design's, in four slices
-const QUANTILE: f64 = 0.95; // a hop that outlives this share of recent answers may be copied
-const MINIMUM_SAMPLES: u32 = 20;
-const BUDGET_SHARE: f64 = 0.2; // copies and retries for each first send
-const BUDGET_DEPTH: f64 = 8.0; // unspent budget kept, so that a burst of failures can be met
-const CHEAP_PART: f64 = 0.5; // the part of a bound on hops that a call of next to no payoff may use
-const HOP_SPREAD: f64 = 0.25; // in this part of the bound's window at most half of it is spent
-const TRIP_FLOOR: f64 = 0.05; // copies pause at the trip rate itself: the design's SuppressAt is 1
-const MINIMUM_CALLS: f64 = 10.0;
-const CROWDED: f64 = 1.65; // latency over its workload's uncrowded level that counts as crowding
-const EASED: f64 = 1.45; // and the one below which it is over
-const JAMMED: f64 = 2.4; // and the one from which the width leaves no room for scatter
-const DRAGS: f64 = 0.6; // so much of one workload outlives the threshold, and under half that of others
-const DRAGGED: f64 = 0.25; // what such a workload may hold, as a part of the width and beside it
-const SHOWS_CROWD: f64 = 24.0; // answers that show a crowd: who has them in a second sees one soon
-const PATIENCE: f64 = 0.6; // the part of the quoted time that may be spent in our own queue
-const REPEAT_WORTH: f64 = 0.1; // a repeat, which has lost part of its quoted time, against a first try
-const ASIDE: Micros = Micros::millis(1_500); // first time a server is set aside; doubled each time
-const POKE: Micros = Micros::millis(25); // while calls wait, how often room is looked for without an event
-const BEAT: Micros = Micros::millis(1_000);
-const CIRCLE_LEAST: f64 = 5.0; // servers a sidecar looks at even when it has next to nothing to send
-const FAR: f64 = 0.1; // how often a server of another place stands where one of ours could
-const A_HOME_IN: usize = 30; // one server in so many is a home for a key, one at the least
-const SHARE_ROOM: f64 = 1.2; // a customer's share over what it usually sends
-const HELP: f64 = 3.0; // how much lighter a server must be that takes a key's call from its homes
-const CROSSING: f64 = 1.2; // how much heavier a server of another place counts, where crossing is priced
-const NEWS: f64 = 1.0; // doublings or halvings of a server's strain that the others are told of
-const STRAINED: f64 = 2.2; // how much longer than idle a call may take at the servers before we turn any away
-const THINS: f64 = 0.1; // how fast an answer moves the part that is turned away
-const STRAIN_FULL: f64 = 4.0; // a server that turns calls away unseen
-const CIRCLES_A_SERVER: f64 = 4.0; // sidecars that look at each server, at the least: their parts even out
-
-/// What happens to an API call, and what is done about it.
+
+/// The window over which the hedging threshold is measured.
+const LATENCY_WINDOW: Micros = Micros::millis(30_000);
+/// A hop may be hedged once it takes longer than this quantile of recent answers.
+const HEDGE_QUANTILE: f64 = 0.95;
+const MIN_LATENCY_SAMPLES: u32 = 20;
+/// Tokens for hedges and retries that each first hop adds.
+const RETRY_TOKENS_PER_CALL: f64 = 0.2;
+/// The limit on saved tokens: enough to retry through a burst of failures.
+const MAX_RETRY_TOKENS: f64 = 8.0;
+/// The share of the configured retry budget that a call with almost no payoff may use.
+const MIN_BUDGET_SHARE: f64 = 0.5;
+/// Within this share of the retry budget's window at most half of the budget is spent.
+const BUDGET_BURST_SHARE: f64 = 0.25;
+/// Hedging pauses above a failure rate of twice the long-run rate, at least this. The design's SuppressAt
+/// factor is 1.
+const MIN_TRIP_RATE: f64 = 0.05;
+const MIN_OUTCOMES: f64 = 10.0;
+/// Latency relative to the workload's baseline above which servers count as congested ...
+const CONGESTED_RATIO: f64 = 1.65;
+/// ... below which they no longer do ...
+const RECOVERED_RATIO: f64 = 1.45;
+/// ... and above which the concurrency limit leaves no room for scatter.
+const SEVERE_RATIO: f64 = 2.4;
+/// A workload is slow if this share of its hops is past the hedging threshold, and less than half that share
+/// of others.
+const SLOW_WORKLOAD_SHARE: f64 = 0.6;
+/// The limit of a slow workload, as a share of the concurrency limit and in addition to it.
+const SLOW_WORKLOAD_LIMIT: f64 = 0.25;
+/// Answers needed to detect congestion: a balancer that gets so many per second detects it within a second.
+const ANSWERS_TO_DETECT: f64 = 24.0;
+/// The share of the quoted time that a call may spend in the queue.
+const QUEUE_TIME_SHARE: f64 = 0.6;
+/// Priority factor of clients' retries, which have lost part of their quoted time already, and of slow
+/// workloads.
+const LOW_PRIORITY: f64 = 0.1;
+/// The duration of a server's first ejection; each further one is twice as long.
+const FIRST_EJECTION: Micros = Micros::millis(1_500);
+/// While calls are queued, how often free capacity is looked for without any other event.
+const QUEUE_POLL_INTERVAL: Micros = Micros::millis(25);
+/// The period of [`Balancer::tick`].
+const TICK: Micros = Micros::millis(1_000);
+/// The least capacity of the subset, in servers, for a balancer that sends almost nothing.
+const MIN_SUBSET: f64 = 5.0;
+/// How often a server of another zone stands before one of the local zone on the ring, relative to an even
+/// order.
+const REMOTE_ZONE_WEIGHT: f64 = 0.1;
+/// One server in so many is a home of a key, at least one.
+const SERVERS_PER_HOME: usize = 30;
+/// How much a tenant's rate may exceed its share of this balancer's usual traffic.
+const TENANT_HEADROOM: f64 = 1.2;
+/// How many times less loaded than the homes another server must be to take a key's call.
+const OVERFLOW_LOAD_RATIO: f64 = 3.0;
+/// The factor on the load of a server in another zone, where traffic between zones has a cost.
+const REMOTE_ZONE_LOAD: f64 = 1.2;
+/// The change of a slowdown that is reported to the other balancers, in doublings or halvings.
+const REPORTED_CHANGE: f64 = 1.0;
+/// The slowdown at the servers above which calls are shed.
+const TARGET_SLOWDOWN: f64 = 2.2;
+/// How much one answer changes the share of calls that is shed.
+const SHED_GAIN: f64 = 0.1;
+/// The slowdown assumed of a server that refuses a call without executing it.
+const REFUSAL_SLOWDOWN: f64 = 4.0;
+/// Each server is in the subsets of so many balancers at least, so that differences between balancers even
+/// out.
+const MIN_SUBSETS_PER_SERVER: f64 = 4.0;
+
+/// What happens to an API call.
 #[rustfmt::skip]
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Input { Room, Crowd, Hopeless, Outlived, Answered, LostOne, LostAgain, LostAll, Left }
+enum Input { CapacityFree, NoCapacity, Rejected, HedgeDue, Answered, OneHopFailed, RetryableFailure, FinalFailure, Withdrawn }
+/// What the balancer does about it.
 #[rustfmt::skip]
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Effect { Send, Enqueue, Copy, Resend, TurnAway, Drop, Nothing }
-
-/// The life of an API call. What is not listed here leaves it as it is.
-const CALLS: &[(State, Input, State, Effect)] = &[
-    (Fresh, Room, Out, Send),
-    (Fresh, Crowd, Queued, Enqueue),
-    (Fresh, Hopeless, Over, TurnAway),
-    (Queued, Room, Out, Send),
-    (Queued, Hopeless, Over, TurnAway),
-    (Queued, Left, Over, Drop),
-    (Out, Outlived, Raced, Copy),
-    (Out, Answered, Over, Drop),
-    (Out, LostAgain, Out, Resend),
-    (Out, Crowd, Queued, Enqueue),
-    (Out, LostAll, Over, TurnAway),
-    (Out, Left, Over, Drop),
-    (Raced, LostOne, Out, Nothing),
-    (Raced, Answered, Over, Drop),
-    (Raced, Left, Over, Drop),
+enum Effect { Send, Enqueue, Hedge, Retry, Refuse, CancelHops, Nothing }
+
+/// The state machine of an API call. An input without a row is ignored.
+const CALL_TRANSITIONS: &[(CallState, Input, CallState, Effect)] = &[
+    (New, CapacityFree, InFlight, Send),
+    (New, NoCapacity, Queued, Enqueue),
+    (New, Rejected, Done, Refuse),
+    (Queued, CapacityFree, InFlight, Send),
+    (Queued, Rejected, Done, Refuse),
+    (Queued, Withdrawn, Done, CancelHops),
+    (InFlight, HedgeDue, Hedged, Hedge),
+    (InFlight, Answered, Done, CancelHops),
+    (InFlight, RetryableFailure, InFlight, Retry),
+    (InFlight, NoCapacity, Queued, Enqueue),
+    (InFlight, FinalFailure, Done, Refuse),
+    (InFlight, Withdrawn, Done, CancelHops),
+    (Hedged, OneHopFailed, InFlight, Nothing),
+    (Hedged, Answered, Done, CancelHops),
+    (Hedged, Withdrawn, Done, CancelHops),
 ];
 
-/// What changes how far a server is trusted.
+/// What changes a server's health.
 #[rustfmt::skip]
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Sign { Condemned, Due, Good, Bad }
+enum HealthEvent { Condemned, EjectionOver, ProbationPassed, ProbationFailed }
 
-const SERVERS: &[(Trust, Sign, Trust)] = &[
-    (Trust::Fit, Sign::Condemned, Trust::Aside),
-    (Trust::Aside, Sign::Due, Trust::Trial),
-    (Trust::Trial, Sign::Good, Trust::Fit),
-    (Trust::Trial, Sign::Bad, Trust::Aside),
+const HEALTH_TRANSITIONS: &[(Health, HealthEvent, Health)] = &[
+    (Health::Healthy, HealthEvent::Condemned, Health::Ejected),
+    (Health::Ejected, HealthEvent::EjectionOver, Health::Probation),
+    (Health::Probation, HealthEvent::ProbationPassed, Health::Healthy),
+    (Health::Probation, HealthEvent::ProbationFailed, Health::Ejected),
 ];
 
-/// Which servers are drawn from first, second and last. Those never answered count at the others' mean: where
-/// that is half a call or more, they stand among the busy ones.
-const RANKS_CALM: [&[Class]; 3] =
-    [&[Class::IdleNear, Class::NewNear], &[Class::IdleFar, Class::NewFar], &[Class::Busy]];
-const RANKS_HELD: [&[Class]; 3] =
-    [&[Class::IdleNear], &[Class::IdleFar], &[Class::Busy, Class::NewNear, Class::NewFar]];
+/// The classes of servers that are tried first, second and last. Servers that have never answered count as
+/// loaded like the mean of the others: if that is half a call or more, they rank with the busy servers.
+const RANKS_LOW_LOAD: [&[ServerClass]; 3] = [
+    &[ServerClass::IdleLocal, ServerClass::NewLocal],
+    &[ServerClass::IdleRemote, ServerClass::NewRemote],
+    &[ServerClass::Busy],
+];
+const RANKS_LOADED: [&[ServerClass]; 3] = [
+    &[ServerClass::IdleLocal],
+    &[ServerClass::IdleRemote],
+    &[ServerClass::Busy, ServerClass::NewLocal, ServerClass::NewRemote],
+];
 
-/// One instance of the decisions.
+/// One instance of the decision module.
 #[derive(Default)]
 pub struct Balancer {
     now: Micros,
-    figures: Figures,
-    chance: SeededRng,
-    lots: SeededRng, // for the pick alone, which draws as often as it must
+    config: DerivedConfig,
+    rng: SeededRng,
+    /// For picking servers alone, where the number of draws varies.
+    pick_rng: SeededRng,
     pub(crate) fleet: Fleet,
-    dither: f64, // which way a part of a call is rounded, for this beat
-    peak: f64,   // the most of our calls in flight of late
+    /// Added to the concurrency limit, which is then rounded down; changes with each tick.
+    rounding: f64,
+    /// The highest recent number of hops in flight, decaying slowly.
+    peak_in_flight: f64,
     calls: FnvHashMap<CallId, Call>,
     queue: BTreeMap<(u32, u64), CallId>,
     arrivals: u64,
-    out: u32,
-    purses: Vec<Allowance>,
-    slices: Slices,
-    crowd: Crowding,
-    dragging: Option<WorkloadId>, // whose calls alone are late, wherever they are sent
-    budget: f64,
-    retry_budget: Option<Sliding>, // where the place bounds the hops beyond calls' first
-    outcomes: OutcomeCounts,
-    long_run: OutcomeCounts,
-    suppressed: bool,
-    sends: Pace,
-    warm_served: Pace,
+    /// Open hops.
+    in_flight: u32,
+    /// Each tenant's quota.
+    tenant_buckets: Vec<TokenBucket>,
+    latency: WindowedQuantile,
+    congestion: Congestion,
+    /// The workload whose calls alone are late, on all servers.
+    slow_workload: Option<WorkloadId>,
+    /// Tokens for hedges and retries.
+    retry_tokens: f64,
+    /// The configured retry budget, if there is one.
+    retry_budget: Option<RetryBudgetWindow>,
+    recent_outcomes: OutcomeCounts,
+    long_run_outcomes: OutcomeCounts,
+    hedging_paused: bool,
+    send_rate: SmoothedRate,
+    /// Successful answers per warm server.
+    warm_server_rate: SmoothedRate,
     subscribed: bool,
-    failed_asks: u32,
-    ask_at: Micros,
-    poked: bool,
+    failed_subscriptions: u32,
+    subscribe_at: Micros,
+    queue_poll_set: bool,
 }
 
-// Timers carry the API call in the upper bits and what they are for in the lower two.
-const COPY: u64 = 0;
-const PATIENT: u64 = 1;
-const OWN: u64 = 3;
-const POKED: TimerToken = TimerToken(OWN);
-const ASK: TimerToken = TimerToken(4 + OWN);
-const HEART: TimerToken = TimerToken(8 + OWN);
+// A timer token has the call in the upper bits and the timer's purpose in the lower two.
+const HEDGE_TIMER: u64 = 0;
+const QUEUE_TIMER: u64 = 1;
+const GLOBAL_TIMER: u64 = 3;
+const QUEUE_POLL: TimerToken = TimerToken(GLOBAL_TIMER);
+const SUBSCRIBE: TimerToken = TimerToken(4 + GLOBAL_TIMER);
+const TICK_TIMER: TimerToken = TimerToken(8 + GLOBAL_TIMER);
 
 impl Balancer {
-    pub fn new(terms: &BalancerConfig, seed: u64, now: Micros, out: &mut Vec<Action>) -> Balancer {
-        let figures = Figures::new(terms);
-        let mut sidecar = Balancer {
+    /// Appends its first actions to `out`.
+    pub fn new(config: &BalancerConfig, seed: u64, now: Micros, out: &mut Vec<Action>) -> Balancer {
+        let derived = DerivedConfig::new(config);
+        let mut balancer = Balancer {
             now,
-            chance: SeededRng::new(seed),
-            lots: SeededRng::new(!seed),
-            fleet: Fleet::new(terms.local_zone),
-            purses: figures.shares.iter().map(|share| Allowance { left: 2.0 * share, seen: now }).collect(),
-            retry_budget: terms.retry_budget.map(Sliding::new),
-            figures,
-            slices: Slices::new(WINDOW, QUANTILE, MINIMUM_SAMPLES),
-            budget: 2.0,
-            subscribed: !terms.must_subscribe,
+            rng: SeededRng::new(seed),
+            pick_rng: SeededRng::new(!seed),
+            fleet: Fleet::new(config.local_zone),
+            tenant_buckets: derived
+                .tenant_rates
+                .iter()
+                .map(|rate| TokenBucket { tokens: 2.0 * rate, updated: now })
+                .collect(),
+            retry_budget: config.retry_budget.map(RetryBudgetWindow::new),
+            config: derived,
+            latency: WindowedQuantile::new(LATENCY_WINDOW, HEDGE_QUANTILE, MIN_LATENCY_SAMPLES),
+            retry_tokens: 2.0,
+            subscribed: !config.must_subscribe,
             ..Balancer::default()
         };
-        out.push(Action::SetTimer { after: BEAT, token: HEART });
-        sidecar.ask(out);
-        sidecar
+        out.push(Action::SetTimer { after: TICK, token: TICK_TIMER });
+        balancer.subscribe_if_due(out);
+        balancer
     }
 
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::ListReceived { kind, entries } => self.listed(kind, entries, out),
-            Event::CallArrived(arrival) => self.arrived(arrival, out),
+            Event::ListReceived { kind, entries } => self.list_received(kind, entries, out),
+            Event::CallArrived(arrival) => self.call_arrived(arrival, out),
             Event::AnswerStarted { call, hop } => {
-                // The answer has begun: that hop belongs to the client now.
-                self.calls.entry(call).and_modify(|call| call.state = Over);
-                self.drop_rest(call, Some(hop), out);
+                // From now on this hop's answer is the call's answer.
+                self.calls.entry(call).and_modify(|call| call.state = Done);
+                self.cancel_hops(call, Some(hop), out);
             }
-            Event::HopEnded(ending) => self.ended(ending, out),
-            Event::CallWithdrawn { call } => self.step(call, Left, out),
-            Event::PeerReported { server, slowdown } => self.heard(server, slowdown),
-            Event::ConfigChanged(terms) => return self.retuned(terms),
-            Event::ShutdownBegun(by) => self.answer_by(by, out),
-            Event::TimerFired(POKED) => self.poked = false,
-            Event::TimerFired(ASK) => self.ask(out),
-            Event::TimerFired(HEART) => self.beat(out),
+            Event::HopEnded(result) => self.hop_ended(result, out),
+            Event::CallWithdrawn { call } => self.advance(call, Withdrawn, out),
+            Event::PeerReported { server, slowdown } => self.set_slowdown(server, slowdown),
+            Event::ConfigChanged(config) => return self.config_changed(config),
+            Event::ShutdownBegun(by) => self.shutdown_begun(by, out),
+            Event::TimerFired(QUEUE_POLL) => self.queue_poll_set = false,
+            Event::TimerFired(SUBSCRIBE) => self.subscribe_if_due(out),
+            Event::TimerFired(TICK_TIMER) => self.tick(out),
             Event::TimerFired(TimerToken(token)) => match (CallId((token >> 2) as u32), token & 3) {
-                (call, COPY) => self.outlived(call, out),
-                (call, PATIENT) => self.step(call, Hopeless, out),
+                (call, HEDGE_TIMER) => self.hedge_timer_fired(call, out),
+                (call, QUEUE_TIMER) => self.advance(call, Rejected, out),
                 _ => {}
             },
         }
-        self.pump(out);
+        self.send_queued(out);
     }
 
-    /// The short loop that reads the table: an input, the row for it, its effect, the next input.
-    fn step(&mut self, id: CallId, input: Input, out: &mut Vec<Action>) {
+    /// Runs a call's state machine: applies the input, then each input that an effect returns.
+    fn advance(&mut self, id: CallId, input: Input, out: &mut Vec<Action>) {
         let mut next = Some(input);
         while let Some(input) = next.take() {
             let Some(call) = self.calls.get_mut(&id) else { return };
-            let row = CALLS.iter().find(|(state, given, ..)| *state == call.state && *given == input);
+            let row =
+                CALL_TRANSITIONS.iter().find(|(state, given, ..)| *state == call.state && *given == input);
             let Some(&(_, _, state, effect)) = row else { return };
             if call.state == Queued {
-                self.queue.remove(&call.turn);
+                self.queue.remove(&call.queue_key);
             }
             call.state = state;
             next = match effect {
                 Send => self.send(id, false, out),
-                Copy => self.send(id, true, out),
-                Resend if self.budget < 1.0 => Some(LostAll),
-                Resend => self.send(id, false, out),
+                Hedge => self.send(id, true, out),
+                Retry if self.retry_tokens < 1.0 => Some(FinalFailure),
+                Retry => self.send(id, false, out),
                 Enqueue => self.enqueue(id, out),
-                TurnAway => self.turn_away(id, out),
-                Drop => self.drop_rest(id, None, out),
+                Refuse => self.refuse(id, out),
+                CancelHops => self.cancel_hops(id, None, out),
                 Nothing => None,
             };
         }
     }
 
-    fn remind(call: CallId, what: u64, after: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after, token: TimerToken(u64::from(call.0) << 2 | what) });
+    fn set_call_timer(call: CallId, purpose: u64, after: Micros, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer { after, token: TimerToken(u64::from(call.0) << 2 | purpose) });
     }
 
-    fn retuned(&mut self, terms: &BalancerConfig) {
-        self.figures = Figures::new(terms);
-        self.retry_budget = Sliding::retuned(self.retry_budget.take(), terms.retry_budget, self.now);
+    fn config_changed(&mut self, config: &BalancerConfig) {
+        self.config = DerivedConfig::new(config);
+        self.retry_budget =
+            RetryBudgetWindow::reconfigured(self.retry_budget.take(), config.retry_budget, self.now);
     }
 
-    /// This instance ends soon. Guards against an end that finds a call sent on, or waiting, for longer.
-    fn answer_by(&mut self, by: Micros, out: &mut Vec<Action>) {
-        for (id, call) in self.calls.iter_mut().filter(|(_, call)| call.abandon > by) {
-            (call.abandon, call.patience) = (by, call.patience.min(by));
-            Self::remind(*id, PATIENT, by - self.now, out);
+    /// Shortens the deadlines of open calls, so that none is queued or sent again beyond the shutdown.
+    fn shutdown_begun(&mut self, by: Micros, out: &mut Vec<Action>) {
+        for (id, call) in self.calls.iter_mut().filter(|(_, call)| call.deadline > by) {
+            (call.deadline, call.queue_deadline) = (by, call.queue_deadline.min(by));
+            Self::set_call_timer(*id, QUEUE_TIMER, by - self.now, out);
         }
     }
 
     // ---- API calls ----
 
-    fn arrived(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
+    fn call_arrived(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
         let Arrival {
             call: id,
             workload: WorkloadId(workload),
@@ -228,273 +286,324 @@
             client_retry,
             affinity_key,
         } = arrival;
-        let lifted = self.chance.uniform() < self.figures.lifted;
-        let terms = &self.figures.workloads[workload];
-        // Guards against starving the cheapest workload: a part of each is ranked with the dearest.
-        let mut worth = if lifted { self.figures.dearest } else { terms.payoff };
-        // Streams are uneven: with more than the even part of the usual traffic goes as much more of a share.
-        let part = (SHARE_ROOM * self.sends.a_second / self.figures.all_shares).max(1.0);
-        let share = self.figures.shares.get(tenant.0).map_or(f64::INFINITY, |share| share * part);
-        let purse = self.purses.get_mut(tenant.0);
-        if purse.is_some_and(|purse| !purse.take(share, 2.0 * share.max(1.0), self.now)) {
-            worth *= self.figures.overage_payoff;
-        }
-        let drags = self.dragging == Some(WorkloadId(workload));
-        worth *= if client_retry || drags { REPEAT_WORTH } else { 1.0 };
-        let worth = (worth * 1000.0) as u32; // in thousandths, as the queue orders it
+        let promoted = self.rng.uniform() < self.config.promoted_share;
+        let settings = &self.config.workloads[workload];
+        // A share of each workload's calls ranks with the highest payoff, so that the cheapest workload is
+        // not starved.
+        let mut priority = if promoted { self.config.max_payoff } else { settings.payoff };
+        // Traffic is spread unevenly over balancers: one that gets more than the even share grants tenants as
+        // much more.
+        let factor = (TENANT_HEADROOM * self.send_rate.per_second / self.config.total_tenant_rate).max(1.0);
+        let rate = self.config.tenant_rates.get(tenant.0).map_or(f64::INFINITY, |rate| rate * factor);
+        let bucket = self.tenant_buckets.get_mut(tenant.0);
+        if bucket.is_some_and(|bucket| !bucket.try_take(rate, 2.0 * rate.max(1.0), self.now)) {
+            priority *= self.config.overage_payoff;
+        }
+        let slow = self.slow_workload == Some(WorkloadId(workload));
+        priority *= if client_retry || slow { LOW_PRIORITY } else { 1.0 };
+        let priority = (priority * 1000.0) as u32; // in thousandths, an integer for the queue's order
         self.arrivals += 1;
-        self.retry_budget.iter_mut().for_each(|hops| hops.take(self.now));
-        let (hope, usual) = (terms.quoted_time.min(time_left), self.crowd.usual(WorkloadId(workload)));
+        self.retry_budget.iter_mut().for_each(|window| window.count_call(self.now));
+        let (time_allowed, expected) =
+            (settings.quoted_time.min(time_left), self.congestion.expected_latency(WorkloadId(workload)));
         let call = Call {
             workload,
-            state: Fresh,
-            turn: (u32::MAX - worth, self.arrivals),
-            key: affinity_key.filter(|_| self.figures.key_affinity),
-            abandon: self.now + time_left,
-            patience: self.now + hope.times(PATIENCE).min(hope - usual.times(2.0)),
-            max_hops: self.figures.max_hops,
+            state: New,
+            queue_key: (u32::MAX - priority, self.arrivals),
+            affinity_key: affinity_key.filter(|_| self.config.key_affinity),
+            deadline: self.now + time_left,
+            queue_deadline: self.now
+                + time_allowed.times(QUEUE_TIME_SHARE).min(time_allowed - expected.times(2.0)),
+            max_hops: self.config.max_hops,
             hops: Vec::new(),
         };
-        // A small sidecar's calls are too few for a queue: of a told crowd it turns away its part, by worth.
-        let told = self.figures.load_reports;
-        let thinned = told && self.crowd.rank(worth, self.chance.uniform()) < self.crowd.thinned;
+        // A small balancer has too few calls for its queue to show congestion. If servers report it, the
+        // balancer sheds its share of the calls by priority.
+        let load_reports = self.config.load_reports;
+        let shed = load_reports
+            && self.congestion.priority_rank(priority, self.rng.uniform()) < self.congestion.shed_share;
         self.calls.insert(id, call);
-        let room = self.queue.is_empty() && self.has_width() && self.pick(id).is_some();
-        let input = if room { Room } else { Crowd };
-        let thinned = thinned || drags && f64::from(self.dragged()) >= (DRAGGED * self.crowd.width).max(1.0);
-        self.step(id, if thinned || self.fleet.ready() == 0 { Hopeless } else { input }, out);
+        let free = self.queue.is_empty() && self.is_below_limit() && self.pick_server(id).is_some();
+        let input = if free { CapacityFree } else { NoCapacity };
+        let shed = shed
+            || slow
+                && f64::from(self.slow_workload_in_flight())
+                    >= (SLOW_WORKLOAD_LIMIT * self.congestion.concurrency_limit).max(1.0);
+        self.advance(id, if shed || self.fleet.ready_count() == 0 { Rejected } else { input }, out);
     }
 
-    /// Hops stuck at servers set aside don't count, or hung servers would fill the width with silence. A part
-    /// of a call is rounded by chance where sidecars outnumber servers: guards against all rounding up.
-    fn has_width(&self) -> bool {
-        let width = (self.crowd.width * self.left_of_fleet()).max(2.0) + self.dither;
-        f64::from(self.out.saturating_sub(self.fleet.stuck() + self.dragged())) + 1.0 <= width
+    /// Whether one more hop fits the concurrency limit. Hops at ejected servers are not counted, or hung
+    /// servers would use up the limit. The limit is rounded randomly where balancers outnumber servers:
+    /// rounded up by all of them, it would be too high in total.
+    fn is_below_limit(&self) -> bool {
+        let limit = (self.congestion.concurrency_limit * self.remaining_fleet()).max(2.0) + self.rounding;
+        f64::from(
+            self.in_flight.saturating_sub(self.fleet.unhealthy_in_flight() + self.slow_workload_in_flight()),
+        ) + 1.0
+            <= limit
     }
 
-    fn dragged(&self) -> u32 {
-        self.dragging.and_then(|workload| self.crowd.own.get(workload.0)).map_or(0, |own| own.held)
+    fn slow_workload_in_flight(&self) -> u32 {
+        self.slow_workload
+            .and_then(|workload| self.congestion.workloads.get(workload.0))
+            .map_or(0, |own| own.in_flight)
     }
 
-    /// One workload's calls drag everywhere, so that no server is at fault: they stand beside the width, are
-    /// few, last and not copied. Guards against a width full of them. Harms one that is slow by nature.
-    fn weigh_drag(&mut self, out: &mut Vec<Action>) {
-        let found = self.crowd.alone_late(DRAGS);
-        if found != self.dragging {
-            let text =
-                format!("drags everywhere: {found:?}, {:.2} of all calls late", self.crowd.late().rate());
+    /// Detects a workload whose calls are late on all servers, so that no server is at fault. Its calls do
+    /// not count against the concurrency limit, which they would use up: they have a small limit of their
+    /// own, the lowest priority and no hedges. A workload that is slow by nature is treated the same.
+    fn detect_slow_workload(&mut self, out: &mut Vec<Action>) {
+        let found = self.congestion.only_late_workload(SLOW_WORKLOAD_SHARE);
+        if found != self.slow_workload {
+            let text = format!(
+                "slow on all servers: {found:?}, {:.2} of all calls late",
+                self.congestion.timeliness().bad_share()
+            );
             out.push(Action::log(text));
-            self.dragging = found;
+            self.slow_workload = found;
         }
     }
 
-    /// The one gate that every send passes: the call's kind, time and hop count allow it, and the pick has
-    /// found a server that is ready, trusted, not crowded and within its cold budget.
-    fn send(&mut self, id: CallId, copy: bool, out: &mut Vec<Action>) -> Option<Input> {
-        if !self.may_add(id) {
-            return Some(if copy { LostOne } else { LostAll });
+    /// Sends a hop; every hop passes here. The call's idempotency, deadline and hop count must allow it, and
+    /// [`Balancer::pick_server`] must find a server that is ready, healthy, not overloaded and, if cold, has
+    /// a token left.
+    fn send(&mut self, id: CallId, hedge: bool, out: &mut Vec<Action>) -> Option<Input> {
+        if !self.retry_budget_allows(id) {
+            return Some(if hedge { OneHopFailed } else { FinalFailure });
         }
-        let Some(server) = self.pick(id) else {
-            // Guards against parking a call that no server may take any more: it is answered at once.
+        let Some(server) = self.pick_server(id) else {
+            // A call that no server may take any more is answered at once instead of queued.
             let call = &self.calls[&id];
-            let waits = match self.bound_to(call) {
-                Some(cell) => self.fleet.cell(cell).any(|server| self.open_to(call, server)),
-                None => self.fleet.around().any(|server| self.open_to(call, server)),
+            let may_wait = match self.required_cell(call) {
+                Some(cell) => self.fleet.in_cell(cell).any(|server| self.may_send_to(call, server)),
+                None => self.fleet.subset().any(|server| self.may_send_to(call, server)),
             };
-            return Some(if waits { Crowd } else { LostAll }).filter(|_| !copy).or(Some(LostOne));
+            return Some(if may_wait { NoCapacity } else { FinalFailure })
+                .filter(|_| !hedge)
+                .or(Some(OneHopFailed));
         };
         let now = self.now;
         let target = self.fleet.get(server)?;
-        let cold = self.figures.cold_share(target, now).map(|share| self.cold_left(target, share) - 1.0);
-        let (zone, cell, trust) = (target.listing.zone, target.listing.cell, target.trust);
+        let cold = self.config.cold_share(target, now).map(|share| self.cold_tokens(target, share) - 1.0);
+        let (zone, cell, health) = (target.listing.zone, target.listing.cell, target.health);
         let call = self.calls.get_mut(&id)?;
-        let timeout = call.abandon - now;
+        let timeout = call.deadline - now;
         let extra = !call.hops.is_empty();
         if extra {
-            self.retry_budget.iter_mut().for_each(|hops| hops.spend(now));
+            self.retry_budget.iter_mut().for_each(|window| window.count_hop(now));
         }
-        self.budget = if extra { self.budget - 1.0 } else { (self.budget + BUDGET_SHARE).min(BUDGET_DEPTH) };
-        call.hops.push(Hop { server, zone, cell, sent: now, ended: None, outlived: false, copy });
+        self.retry_tokens = if extra {
+            self.retry_tokens - 1.0
+        } else {
+            (self.retry_tokens + RETRY_TOKENS_PER_CALL).min(MAX_RETRY_TOKENS)
+        };
+        call.hops.push(Hop {
+            server,
+            zone,
+            cell,
+            sent_at: now,
+            outcome: None,
+            past_threshold: false,
+            is_hedge: hedge,
+        });
         out.push(Action::Send { call: id, server, timeout });
-        self.out += 1;
-        self.crowd.of(WorkloadId(call.workload)).held += 1;
-        self.peak = self.peak.max(f64::from(self.out));
-        self.sends.seen += 1.0;
-        self.fleet.change(server, |target| {
-            target.out += 1;
-            target.cold = cold.map_or(target.cold, |left| Allowance { left, seen: now });
+        self.in_flight += 1;
+        self.congestion.workload(WorkloadId(call.workload)).in_flight += 1;
+        self.peak_in_flight = self.peak_in_flight.max(f64::from(self.in_flight));
+        self.send_rate.count += 1.0;
+        self.fleet.update(server, |target| {
+            target.in_flight += 1;
+            target.cold_bucket =
+                cold.map_or(target.cold_bucket, |tokens| TokenBucket { tokens, updated: now });
         });
         if cold.is_some() {
-            self.settle(server);
+            self.update_blocked_until(server);
         }
-        if trust == Trust::Aside {
-            self.sign(server, Sign::Due, "its time aside is over".into(), out);
+        if health == Health::Ejected {
+            self.change_health(server, HealthEvent::EjectionOver, "its time aside is over".into(), out);
         }
-        if !copy {
-            let threshold = self.slices.quantile(now).unwrap_or(timeout);
-            Self::remind(id, COPY, threshold.min(timeout), out);
+        if !hedge {
+            let threshold = self.latency.get(now).unwrap_or(timeout);
+            Self::set_call_timer(id, HEDGE_TIMER, threshold.min(timeout), out);
         }
         None
     }
 
-    /// Rule five: a hop beyond the first fits the place's bound. The less a call is worth the sooner it
-    /// stops, and no short while takes all: guards against a first moment of trouble that leaves nothing.
-    fn may_add(&mut self, id: CallId) -> bool {
-        let (Some(hops), Some(call)) = (&mut self.retry_budget, self.calls.get(&id)) else { return true };
+    /// Whether the configured retry budget allows another hop. The lower a call's payoff, the smaller the
+    /// part of the budget that it may use, and a short time may not use it all: otherwise the first moment of
+    /// trouble would leave nothing for later.
+    fn retry_budget_allows(&mut self, id: CallId) -> bool {
+        let (Some(window), Some(call)) = (&mut self.retry_budget, self.calls.get(&id)) else { return true };
         if call.hops.is_empty() {
             return true;
         }
-        let dearness = self.figures.workloads[call.workload].payoff / self.figures.dearest.max(1e-9);
-        let (allowed, now) = (hops.allowed(self.now), self.now);
-        let mine = allowed * (CHEAP_PART + (1.0 - CHEAP_PART) * dearness);
-        let of_late = hops.spent_within(hops.bound.window.times(HOP_SPREAD), now) as f64;
-        hops.spent(now) as f64 + 1.0 <= mine && of_late + 1.0 <= (0.5 * allowed).max(1.0)
+        let relative_payoff = self.config.workloads[call.workload].payoff / self.config.max_payoff.max(1e-9);
+        let (allowed, now) = (window.allowed(self.now), self.now);
+        let share = allowed * (MIN_BUDGET_SHARE + (1.0 - MIN_BUDGET_SHARE) * relative_payoff);
+        let recent = window.used_within(window.budget.window.times(BUDGET_BURST_SHARE), now) as f64;
+        window.used(now) as f64 + 1.0 <= share && recent + 1.0 <= (0.5 * allowed).max(1.0)
     }
 
     fn enqueue(&mut self, id: CallId, out: &mut Vec<Action>) -> Option<Input> {
         let call = &self.calls[&id];
-        if self.now >= call.patience {
-            return Some(Hopeless);
+        if self.now >= call.queue_deadline {
+            return Some(Rejected);
         }
-        self.queue.insert(call.turn, id);
-        Self::remind(id, PATIENT, call.patience - self.now, out);
-        // Answers leave at about width / latency a second, half of them to dearer calls, if any come: guards
-        // against holding a call only to turn it away. Who would wait past its patience is told at once.
+        self.queue.insert(call.queue_key, id);
+        Self::set_call_timer(id, QUEUE_TIMER, call.queue_deadline - self.now, out);
+        // A call that would miss its queue deadline is refused at once instead of later. The estimate: slots
+        // become free at a rate of limit / latency, and half of them go to new calls of higher priority, if
+        // there can be any.
         while let Some((_, &last)) = self.queue.iter().next_back() {
-            let each = self.crowd.recent.median().unwrap_or_default().times(1.0 / self.crowd.width.max(1.0));
+            let per_call = self
+                .congestion
+                .recent
+                .median()
+                .unwrap_or_default()
+                .times(1.0 / self.congestion.concurrency_limit.max(1.0));
             let call = &self.calls[&last];
-            let passed =
-                if call.turn.0 == u32::MAX - (self.figures.dearest * 1000.0) as u32 { 1.0 } else { 2.0 };
-            if self.now + each.times(passed * self.queue.len() as f64) <= call.patience {
+            let overtaken = if call.queue_key.0 == u32::MAX - (self.config.max_payoff * 1000.0) as u32 {
+                1.0
+            } else {
+                2.0
+            };
+            if self.now + per_call.times(overtaken * self.queue.len() as f64) <= call.queue_deadline {
                 break;
             }
             if last == id {
-                return Some(Hopeless);
+                return Some(Rejected);
             }
-            self.step(last, Hopeless, out);
+            self.advance(last, Rejected, out);
         }
         None
     }
 
-    fn pump(&mut self, out: &mut Vec<Action>) {
-        while self.has_width() {
-            let waiting: Vec<CallId> = self.queue.values().copied().take(4).collect();
-            let Some(id) = waiting.into_iter().find(|&id| self.pick(id).is_some()) else { break };
-            self.step(id, Room, out);
+    /// Sends queued calls while the concurrency limit allows it.
+    fn send_queued(&mut self, out: &mut Vec<Action>) {
+        while self.is_below_limit() {
+            let first: Vec<CallId> = self.queue.values().copied().take(4).collect();
+            let Some(id) = first.into_iter().find(|&id| self.pick_server(id).is_some()) else { break };
+            self.advance(id, CapacityFree, out);
         }
-        if !self.queue.is_empty() && !self.poked {
-            self.poked = true;
-            out.push(Action::SetTimer { after: POKE, token: POKED });
+        if !self.queue.is_empty() && !self.queue_poll_set {
+            self.queue_poll_set = true;
+            out.push(Action::SetTimer { after: QUEUE_POLL_INTERVAL, token: QUEUE_POLL });
         }
     }
 
-    fn turn_away(&mut self, id: CallId, out: &mut Vec<Action>) -> Option<Input> {
+    /// Answers a call without success: refuses it if the client may safely repeat it, else fails it.
+    fn refuse(&mut self, id: CallId, out: &mut Vec<Action>) -> Option<Input> {
         let call = &self.calls[&id];
-        let harmless = match self.figures.workloads[call.workload].idempotency {
+        let repeatable = match self.config.workloads[call.workload].idempotency {
             Idempotency::Idempotent | Idempotency::ByKey { scope: DedupScope::All, .. } => true,
             _ => !call.hops.iter().any(Hop::may_have_run),
         };
-        if harmless {
+        if repeatable {
             let soon =
-                self.figures.workloads[call.workload].quoted_time.times(0.05 + 0.1 * self.chance.uniform());
-            let retry_after = soon.min(self.figures.max_retry_after);
+                self.config.workloads[call.workload].quoted_time.times(0.05 + 0.1 * self.rng.uniform());
+            let retry_after = soon.min(self.config.max_retry_after);
             out.push(Action::Refuse { call: id, retry_after });
         } else {
             out.push(Action::Fail { call: id });
         }
-        self.drop_rest(id, None, out)
+        self.cancel_hops(id, None, out)
     }
 
-    /// Whatever is still out for a call that is over is cancelled, where that is allowed, and tells nothing.
-    fn drop_rest(&mut self, id: CallId, keep: Option<HopNo>, out: &mut Vec<Action>) -> Option<Input> {
+    /// Cancels the open hops of a finished call, if cancelling is allowed; their ends are not counted as
+    /// outcomes.
+    fn cancel_hops(&mut self, id: CallId, keep: Option<HopNo>, out: &mut Vec<Action>) -> Option<Input> {
         let hops = self.calls.get(&id)?.hops.iter().zip(0..);
-        let open: Vec<HopNo> = hops.filter(|(hop, _)| hop.open()).map(|(_, no)| HopNo(no)).collect();
+        let open: Vec<HopNo> = hops.filter(|(hop, _)| hop.is_open()).map(|(_, no)| HopNo(no)).collect();
         if open.is_empty() {
             self.calls.remove(&id);
-        } else if self.figures.may_cancel {
-            let losers = open.into_iter().filter(|no| keep != Some(*no));
-            out.extend(losers.map(|hop| Action::Cancel { call: id, hop }));
+        } else if self.config.may_cancel {
+            let superfluous = open.into_iter().filter(|no| keep != Some(*no));
+            out.extend(superfluous.map(|hop| Action::Cancel { call: id, hop }));
         }
         None
     }
 
-    fn outlived(&mut self, id: CallId, out: &mut Vec<Action>) {
-        let threshold = self.slices.quantile(self.now);
+    fn hedge_timer_fired(&mut self, id: CallId, out: &mut Vec<Action>) {
+        let threshold = self.latency.get(self.now);
         let (Some(threshold), Some(call)) = (threshold, self.calls.get_mut(&id)) else { return };
-        let left = call.abandon - self.now;
-        if call.state != Out || left.0 == 0 {
+        let left = call.deadline - self.now;
+        if call.state != InFlight || left.0 == 0 {
             return;
         }
-        let Some(hop) = call.hops.last_mut().filter(|hop| hop.open() && !hop.copy) else { return };
-        let age = self.now - hop.sent;
+        let Some(hop) = call.hops.last_mut().filter(|hop| hop.is_open() && !hop.is_hedge) else { return };
+        let age = self.now - hop.sent_at;
         if age < threshold {
-            return Self::remind(id, COPY, (threshold - age).min(left), out);
+            return Self::set_call_timer(id, HEDGE_TIMER, (threshold - age).min(left), out);
         }
         let (server, workload) = (hop.server, WorkloadId(call.workload));
-        if !std::mem::replace(&mut hop.outlived, true) {
-            self.crowd.of(workload).late.add(false);
-            if self.dragging != Some(workload) {
-                self.judge(server, false, out);
+        if !std::mem::replace(&mut hop.past_threshold, true) {
+            self.congestion.workload(workload).timeliness.add(false);
+            if self.slow_workload != Some(workload) {
+                self.record_outcome(server, false, out);
             }
         }
-        // Guards against copying nearly everything when all servers slow together: the slice's threshold is
-        // stale then, but the crowding measure is not. A hop at a server set aside is rescued all the same.
-        let stuck = self.fleet.get(server).is_some_and(|server| server.trust != Trust::Fit);
-        let calm = !self.crowd.crowded && self.queue.is_empty() && self.has_width();
-        let may = self.figures.may_hedge && (calm || stuck) && !self.suppressed;
-        let may = may && self.dragging != Some(workload);
-        if may && self.budget >= 1.0 && self.may_add(id) && self.pick(id).is_some() {
-            self.step(id, Outlived, out);
+        // No hedges under congestion: if all servers slow down together, the threshold is out of date and
+        // nearly every call would be hedged, but the congestion measure reacts at once. A hop at an ejected
+        // server is hedged anyway.
+        let stuck = self.fleet.get(server).is_some_and(|server| server.health != Health::Healthy);
+        let calm = !self.congestion.congested && self.queue.is_empty() && self.is_below_limit();
+        let may = self.config.may_hedge && (calm || stuck) && !self.hedging_paused;
+        let may = may && self.slow_workload != Some(workload);
+        if may && self.retry_tokens >= 1.0 && self.retry_budget_allows(id) && self.pick_server(id).is_some() {
+            self.advance(id, HedgeDue, out);
         } else {
-            Self::remind(id, COPY, threshold.min(left), out);
+            Self::set_call_timer(id, HEDGE_TIMER, threshold.min(left), out);
         }
     }
 
-    fn ended(&mut self, ending: HopResult, out: &mut Vec<Action>) {
-        let HopResult { call: id, hop: HopNo(no), outcome, call_over, .. } = ending;
+    fn hop_ended(&mut self, result: HopResult, out: &mut Vec<Action>) {
+        let HopResult { call: id, hop: HopNo(no), outcome, call_over, .. } = result;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let many = self.figures.workloads[call.workload].idempotency != Idempotency::NonIdempotent;
+        let repeatable = self.config.workloads[call.workload].idempotency != Idempotency::NonIdempotent;
         let workload = WorkloadId(call.workload);
-        let (state, abandon, more) = (call.state, call.abandon, call.hops.len() < call.max_hops);
-        let Some(hop) = call.hops.get_mut(no as usize).filter(|hop| hop.open()) else { return };
-        hop.ended = Some(outcome);
-        let (server, outlived) = (hop.server, hop.outlived);
-        let open = call.hops.iter().any(Hop::open);
-        self.out -= 1;
-        self.crowd.of(workload).held -= 1;
-        self.fleet.change(server, |known| known.out -= 1);
-        let left = |known: &Server| known.out == 0 && known.listing.status == ServerStatus::Gone;
-        if self.fleet.get(server).is_some_and(left) {
+        let (state, deadline, hops_left) = (call.state, call.deadline, call.hops.len() < call.max_hops);
+        let Some(hop) = call.hops.get_mut(no as usize).filter(|hop| hop.is_open()) else { return };
+        hop.outcome = Some(outcome);
+        let (server, past_threshold) = (hop.server, hop.past_threshold);
+        let any_open = call.hops.iter().any(Hop::is_open);
+        self.in_flight -= 1;
+        self.congestion.workload(workload).in_flight -= 1;
+        self.fleet.update(server, |known| known.in_flight -= 1);
+        let gone = |known: &Server| known.in_flight == 0 && known.listing.status == ServerStatus::Gone;
+        if self.fleet.get(server).is_some_and(gone) {
             self.fleet.remove(server);
         }
-        // A loser, and whatever ends after its call, is no evidence.
-        if state != Over && outcome != Outcome::Cancelled && outcome != Outcome::NotSent {
-            self.evidence(server, workload, &ending, outlived, out);
+        // A cancelled hop, or one that ends after its call, says nothing about the server.
+        if state != Done && outcome != Outcome::Cancelled && outcome != Outcome::NotSent {
+            self.record_hop(server, workload, &result, past_threshold, out);
         }
-        if state == Over && !open {
+        if state == Done && !any_open {
             self.calls.remove(&id);
         }
         let input = match outcome {
             Outcome::Succeeded => Answered,
-            _ if call_over => Left,
-            _ if open => LostOne,
-            _ if more && (many || outcome.proves_not_run()) && self.now < abandon => LostAgain,
-            _ => LostAll,
+            _ if call_over => Withdrawn,
+            _ if any_open => OneHopFailed,
+            _ if hops_left && (repeatable || outcome.proves_not_run()) && self.now < deadline => {
+                RetryableFailure
+            }
+            _ => FinalFailure,
         };
-        self.step(id, input, out);
+        self.advance(id, input, out);
     }
 
     // ---- servers ----
 
-    /// Rules two and three: is the server ready, new to this call, and one where a repeat does no harm?
-    fn open_to(&self, call: &Call, server: &Server) -> bool {
+    /// Whether the server is ready, got no hop of this call yet, and a hop to it can not cause a
+    /// second execution that matters.
+    fn may_send_to(&self, call: &Call, server: &Server) -> bool {
         let ListedServer { server: id, zone, cell, status, .. } = server.listing;
-        let idempotency = self.figures.workloads[call.workload].idempotency;
+        let idempotency = self.config.workloads[call.workload].idempotency;
         let harmless = |hop: &Hop| match idempotency {
             _ if !hop.may_have_run() => true,
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
-            Idempotency::ByKey { window, .. } if self.now >= hop.sent + window => false,
+            Idempotency::ByKey { window, .. } if self.now >= hop.sent_at + window => false,
             Idempotency::ByKey { scope: DedupScope::All, .. } => true,
             Idempotency::ByKey { scope: DedupScope::Zone, .. } => hop.zone == zone,
             Idempotency::ByKey { scope: DedupScope::Cell, .. } => hop.cell == cell,
@@ -502,367 +611,420 @@
         status == ServerStatus::Ready && call.hops.iter().all(|hop| hop.server != id && harmless(hop))
     }
 
-    /// The one cell in which a tagged call may go out again.
-    fn bound_to(&self, call: &Call) -> Option<CellId> {
-        let idempotency = self.figures.workloads[call.workload].idempotency;
+    /// The only cell to which the call may be sent again, if its idempotency key is known in one cell only.
+    fn required_cell(&self, call: &Call) -> Option<CellId> {
+        let idempotency = self.config.workloads[call.workload].idempotency;
         let bound = matches!(idempotency, Idempotency::ByKey { scope: DedupScope::Cell, .. });
         call.hops.iter().find(|hop| bound && hop.may_have_run()).map(|hop| hop.cell)
     }
 
-    /// A random server holding none of our calls, in our own place first where crossing is priced, else the
-    /// lighter of two random ones. A new one counts at the others' mean until it first answers.
-    fn pick(&mut self, id: CallId) -> Option<ServerId> {
-        while let Some(rested) = self.fleet.rouse(self.now) {
-            self.settle(rested);
+    /// Picks a random server that holds none of this balancer's calls, first in the local zone if traffic
+    /// between zones has a cost; if there is none, the less loaded of two random servers. A server that has
+    /// never answered counts as loaded like the mean of the others.
+    fn pick_server(&mut self, id: CallId) -> Option<ServerId> {
+        while let Some(unblocked) = self.fleet.next_unblocked(self.now) {
+            self.update_blocked_until(unblocked);
         }
         let call = self.calls.get(&id)?;
-        if call.hops.len() >= call.max_hops || self.now >= call.abandon {
+        if call.hops.len() >= call.max_hops || self.now >= call.deadline {
             return None;
         }
-        let (per_unit, mean, cell) = (self.per_unit(), self.fleet.mean_out(), self.bound_to(call));
-        let load = |server: &Server| f64::from(server.out) + if server.answered { 0.0 } else { mean };
-        let away = |server: &Server| self.figures.near.is_some_and(|near| near != server.listing.zone);
-        let burden = |server: &Server| {
-            let heavier = server.strained(self.now) * if away(server) { CROSSING } else { 1.0 };
-            (load(server) + 1.0) * heavier / server.weight()
+        let (limit_per_weight, mean, cell) =
+            (self.limit_per_weight(), self.fleet.mean_in_flight(), self.required_cell(call));
+        let in_flight =
+            |server: &Server| f64::from(server.in_flight) + if server.has_answered { 0.0 } else { mean };
+        let remote =
+            |server: &Server| self.config.local_zone.is_some_and(|local| local != server.listing.zone);
+        let load = |server: &Server| {
+            let factor =
+                server.current_slowdown(self.now) * if remote(server) { REMOTE_ZONE_LOAD } else { 1.0 };
+            (in_flight(server) + 1.0) * factor / server.effective_weight()
         };
-        let fits = |server: &Server| self.open_to(call, server) && self.takes(server, per_unit);
-        let mut lots = self.lots.clone();
-        let home = call.key.and_then(|key| self.home(key, &mut lots, &fits, &burden));
-        let mut draw = |classes| self.fleet.draw(classes, cell, &mut lots, &fits);
-        let [near, far, busy]: [&[Class]; 3] = if mean < 0.5 { RANKS_CALM } else { RANKS_HELD };
+        let suitable =
+            |server: &Server| self.may_send_to(call, server) && self.has_capacity(server, limit_per_weight);
+        let mut rng = self.pick_rng.clone();
+        let home = call.affinity_key.and_then(|key| self.pick_home(key, &mut rng, &suitable, &load));
+        let mut draw = |classes| self.fleet.pick_random(classes, cell, &mut rng, &suitable);
+        let [first, second, last]: [&[ServerClass]; 3] =
+            if mean < 0.5 { RANKS_LOW_LOAD } else { RANKS_LOADED };
         let mut of = |classes, two: bool| {
             let one = draw(classes)?;
-            Some(lighter(one, if two { draw(classes)? } else { one }, &burden))
+            Some(less_loaded(one, if two { draw(classes)? } else { one }, &load))
         };
-        let told = self.figures.load_reports;
-        let found = home.or_else(|| of(near, told)).or_else(|| of(far, told)).or_else(|| of(busy, true));
+        let load_reports = self.config.load_reports;
+        let found = home
+            .or_else(|| of(first, load_reports))
+            .or_else(|| of(second, load_reports))
+            .or_else(|| of(last, true));
         debug_assert!({
-            let rank = |server: &Server| if load(server) < 0.5 { u8::from(away(server)) } else { 2 };
-            let best = self.fleet.around().filter(|server| fits(server)).map(rank).min();
+            let rank = |server: &Server| if in_flight(server) < 0.5 { u8::from(remote(server)) } else { 2 };
+            let best = self.fleet.subset().filter(|server| suitable(server)).map(rank).min();
             home.is_some() || best == found.map(rank)
         });
         let found = found.map(|server| server.listing.server);
-        self.lots = lots;
+        self.pick_rng = rng;
         found
     }
 
-    /// Where servers are quicker with a key they met lately: the lighter of two of the first few in an order
-    /// that is the same for all. Guards against a key too dear for those: one far lighter helps.
-    fn home<'a>(
-        &'a self, key: u64, lots: &mut SeededRng, fits: &impl Fn(&Server) -> bool,
-        burden: &impl Fn(&Server) -> f64,
+    /// Where servers work faster with a key they know: picks the less loaded of two of the key's home
+    /// servers, which are the first in an order that is the same at every balancer. If both are overloaded
+    /// and another server is far less loaded, that one takes the call, for keys with more calls than their
+    /// homes can take.
+    fn pick_home<'a>(
+        &'a self, key: u64, rng: &mut SeededRng, suitable: &impl Fn(&Server) -> bool,
+        load: &impl Fn(&Server) -> f64,
     ) -> Option<&'a Server> {
-        let most = (self.fleet.ready() / A_HOME_IN).max(1);
-        let homes = self.fleet.in_order_of(key, 2 * most + 1, fits);
-        let (first, next) = homes.split_at(most.min(homes.len()));
-        let mut draw = |among: &[&'a Server]| (!among.is_empty()).then(|| among[lots.below(among.len())]);
-        let home = lighter(draw(first)?, draw(first)?, burden);
-        let help = draw(next).zip(draw(next)).map(|(one, other)| lighter(one, other, burden));
-        let help = help.filter(|help| burden(home) >= STRAINED && burden(help) * HELP < burden(home));
-        Some(help.unwrap_or(home))
-    }
-
-    /// When a server may be sent to again: its time aside is over, and its cold part allows a call. It may be
-    /// told too early, and is looked at anew then, but never too late.
-    fn settle(&mut self, id: ServerId) {
+        let homes = (self.fleet.ready_count() / SERVERS_PER_HOME).max(1);
+        let servers = self.fleet.preferred_for_key(key, 2 * homes + 1, suitable);
+        let (first, next) = servers.split_at(homes.min(servers.len()));
+        let mut draw = |among: &[&'a Server]| (!among.is_empty()).then(|| among[rng.below(among.len())]);
+        let home = less_loaded(draw(first)?, draw(first)?, load);
+        let other = draw(next).zip(draw(next)).map(|(one, other)| less_loaded(one, other, load));
+        let other = other
+            .filter(|other| load(home) >= TARGET_SLOWDOWN && load(other) * OVERFLOW_LOAD_RATIO < load(home));
+        Some(other.unwrap_or(home))
+    }
+
+    /// Computes when the server may be sent to again: its ejection is over and, if it is cold, it has a
+    /// token. The time may be too early, and is computed again when it comes, but never too late.
+    fn update_blocked_until(&mut self, id: ServerId) {
         let Some(server) = self.fleet.get(id) else { return };
-        let aside = if server.trust == Trust::Aside { server.until } else { Micros(0) };
+        let ejected = if server.health == Health::Ejected { server.ejected_until } else { Micros(0) };
         let due = |share| {
-            let lack = 1.0 - self.cold_left(server, share);
-            let wait = if lack > 0.0 { lack / self.cold_pace(share).0 } else { 0.0 };
-            (self.now + Micros((wait * 1e6) as u64)).min(server.listing.started + self.figures.warm_up_time)
+            let missing = 1.0 - self.cold_tokens(server, share);
+            let wait = if missing > 0.0 { missing / self.cold_rate_and_burst(share).0 } else { 0.0 };
+            (self.now + Micros((wait * 1e6) as u64)).min(server.listing.started + self.config.warm_up_time)
         };
-        let cold = self.figures.cold_share(server, self.now).map_or(Micros(0), |share| {
-            let late = due(share).max(self.now);
-            due(self.figures.cold_share(server, late).unwrap_or(1.0))
+        let cold = self.config.cold_share(server, self.now).map_or(Micros(0), |share| {
+            let latest = due(share).max(self.now);
+            due(self.config.cold_share(server, latest).unwrap_or(1.0))
         });
-        self.fleet.change(id, |server| server.rest = aside.max(cold));
+        self.fleet.update(id, |server| server.blocked_until = ejected.max(cold));
     }
 
-    /// Our own calls that one server may hold for each unit of its weight: half more than its even part. Ease
-    /// is relative, so that servers slow together lose nothing by it.
-    fn per_unit(&self) -> f64 {
+    /// The limit on open hops at one server, per unit of its effective weight: half more than its even share.
+    /// Weight factors are relative to the highest one, so that nothing is lost if all servers slow down
+    /// together.
+    fn limit_per_weight(&self) -> f64 {
         let fleet = &self.fleet;
-        1.5 * self.crowd.width * self.left_of_fleet() / fleet.size_around() / fleet.easiest()
-    }
-
-    /// The part of the fleet of the last while that is still ready and fit. The fleet's size fades slowly:
-    /// guards against pouring the width of many servers into the few that are left.
-    fn left_of_fleet(&self) -> f64 {
-        let fit = self.fleet.usable_size();
-        fit / self.crowd.fleet.max(fit)
-    }
-
-    /// Each sidecar keeps to its part of a ring: guards against connections from all to all, and knowing next
-    /// to nothing of each. Nearly a server for each of our calls at the peak, cold ones by what they bear;
-    /// it reaches past those set aside. Drawn anew at each beat, fitted to what has `changed` between.
-    fn draw_circle(&mut self, changed: Option<&[ServerId]>) {
-        let (all, part, figures, now) = (self.fleet.ready(), self.figures.my_part, &self.figures, self.now);
-        let wanted = (0.8 * self.peak).max(CIRCLE_LEAST).max(CIRCLES_A_SERVER * all as f64 * part);
-        let wanted = if figures.key_affinity { all as f64 } else { wanted };
-        let start = figures.near.map_or(all as f64 * part * figures.my_number, |_| 0.0) as usize;
-        let room = |server: &Server| match server.trust {
-            Trust::Fit => figures.cold_share(server, now).unwrap_or(1.0),
+        1.5 * self.congestion.concurrency_limit * self.remaining_fleet()
+            / fleet.subset_weight()
+            / fleet.max_weight_factor()
+    }
+
+    /// The share of the recent fleet that is still ready and healthy. The recent weight decays slowly, so
+    /// that the concurrency limit of many servers is not applied to the few that are left.
+    fn remaining_fleet(&self) -> f64 {
+        let usable = self.fleet.usable_weight();
+        usable / self.congestion.fleet_weight.max(usable)
+    }
+
+    /// Chooses the balancer's subset of the ring: with all servers, every balancer would hold connections to
+    /// each of them and know next to nothing about each. The subset has a capacity of nearly one server per
+    /// call in flight at the peak. Cold servers count by their capacity and ejected ones not at all, so that
+    /// the subset extends past them. It is rebuilt at each tick and adjusted to `changed` servers in between.
+    fn update_subset(&mut self, changed: Option<&[ServerId]>) {
+        let (all, share, config, now) =
+            (self.fleet.ready_count(), self.config.instance_share, &self.config, self.now);
+        let wanted =
+            (0.8 * self.peak_in_flight).max(MIN_SUBSET).max(MIN_SUBSETS_PER_SERVER * all as f64 * share);
+        let wanted = if config.key_affinity { all as f64 } else { wanted };
+        let start = config.local_zone.map_or(all as f64 * share * config.instance_index, |_| 0.0) as usize;
+        let capacity = |server: &Server| match server.health {
+            Health::Healthy => config.cold_share(server, now).unwrap_or(1.0),
             _ => 0.0,
         };
         match changed {
-            Some(changed) => self.fleet.refit(start, wanted, changed, room),
-            None => self.fleet.redraw(start, wanted, room),
+            Some(changed) => self.fleet.adjust_subset(start, wanted, changed, capacity),
+            None => self.fleet.rebuild_subset(start, wanted, capacity),
         }
     }
 
-    fn takes(&self, server: &Server, per_unit: f64) -> bool {
-        let per_server = (per_unit * server.weight()).ceil().max(1.0);
-        let trusted = match server.trust {
-            Trust::Fit => true,
-            Trust::Aside => self.now >= server.until && server.out == 0,
-            Trust::Trial => server.out == 0,
+    /// Whether the server may get one more hop, by its health, its share of the concurrency limit and, if it
+    /// is cold, its tokens.
+    fn has_capacity(&self, server: &Server, limit_per_weight: f64) -> bool {
+        let limit = (limit_per_weight * server.effective_weight()).ceil().max(1.0);
+        let health_allows = match server.health {
+            Health::Healthy => true,
+            Health::Ejected => self.now >= server.ejected_until && server.in_flight == 0,
+            Health::Probation => server.in_flight == 0,
         };
-        let holds = |most: f64| trusted && f64::from(server.out) < most;
-        let Some(share) = self.figures.cold_share(server, self.now) else { return holds(per_server) };
-        self.cold_left(server, share) >= 1.0 && holds((per_server * share).floor().max(1.0))
+        let below = |limit: f64| health_allows && f64::from(server.in_flight) < limit;
+        let Some(share) = self.config.cold_share(server, self.now) else { return below(limit) };
+        self.cold_tokens(server, share) >= 1.0 && below((limit * share).floor().max(1.0))
     }
 
-    /// Rule four: a cold server gets its part of what a warm one serves us; without that a few calls in the
-    /// span in which it could fall, all sidecars together. Returns the rate and the burst.
-    fn cold_pace(&self, share: f64) -> (f64, f64) {
-        let span = self.figures.collapse_window.secs();
-        let rate = (self.warm_served.a_second * share).max(4.0 * self.figures.my_part / span);
-        (rate, rate * span * 0.5)
+    /// A cold server gets its share of the calls that this balancer sends to a warm one, and at least a few
+    /// calls per collapse window from all balancers together. Returns the rate of its token bucket and the
+    /// burst.
+    fn cold_rate_and_burst(&self, share: f64) -> (f64, f64) {
+        let window = self.config.collapse_window.secs();
+        let rate = (self.warm_server_rate.per_second * share).max(4.0 * self.config.instance_share / window);
+        (rate, rate * window * 0.5)
     }
 
-    /// What a cold server may be sent by now. Half a span's worth may be saved up; a call lapses after one
-    /// span where that is less than one: guards against a thousand sidecars that have saved up one each.
-    fn cold_left(&self, server: &Server, share: f64) -> f64 {
-        let (rate, burst) = self.cold_pace(share);
-        let cold = &server.cold;
+    /// The calls that may be sent to a cold server now. Half a collapse window's worth may be saved. If that
+    /// is less than one call, a saved call expires after one window, so that a thousand balancers do not each
+    /// send a saved call at once.
+    fn cold_tokens(&self, server: &Server, share: f64) -> f64 {
+        let (rate, burst) = self.cold_rate_and_burst(share);
+        let bucket = &server.cold_bucket;
         if burst < 1.0 {
-            cold.lapsing(rate, 1.0 + 2.0 * burst, self.now)
+            bucket.available_expiring(rate, 1.0 + 2.0 * burst, self.now)
         } else {
-            cold.at(rate, burst, self.now)
+            bucket.available(rate, burst, self.now)
         }
     }
 
-    fn evidence(
-        &mut self, id: ServerId, workload: WorkloadId, ending: &HopResult, outlived: bool,
+    /// Updates all statistics with a hop that ended before its call.
+    fn record_hop(
+        &mut self, id: ServerId, workload: WorkloadId, result: &HopResult, past_threshold: bool,
         out: &mut Vec<Action>,
     ) {
-        let HopResult { outcome, elapsed, .. } = *ending;
+        let HopResult { outcome, elapsed, .. } = *result;
         let good = outcome == Outcome::Succeeded;
-        self.outcomes.add(good);
-        self.long_run.add(good);
-        // A server slower than the level for most of our calls holds fewer of them: it would tip first.
-        let slow = elapsed.0 as f64 > CROWDED * self.crowd.all.level.unwrap_or(f64::INFINITY);
-        let full = Some(STRAIN_FULL).filter(|_| outcome == Outcome::Full);
-        let slowdown = full.or_else(|| ending.load.and_then(|report| self.crowd.slowdown(&report)));
-        let slowdown = slowdown.filter(|_| self.figures.load_reports);
+        self.recent_outcomes.add(good);
+        self.long_run_outcomes.add(good);
+        // A server that is slower than the baseline for most calls gets fewer of them: it would be the first
+        // to become overloaded.
+        let slow =
+            elapsed.0 as f64 > CONGESTED_RATIO * self.congestion.all.baseline_us.unwrap_or(f64::INFINITY);
+        let refused = Some(REFUSAL_SLOWDOWN).filter(|_| outcome == Outcome::Full);
+        let slowdown =
+            refused.or_else(|| result.load.and_then(|load| self.congestion.reported_slowdown(&load)));
+        let slowdown = slowdown.filter(|_| self.config.load_reports);
         if let Some((slowdown, known)) = slowdown.zip(self.fleet.get(id).map(|server| server.slowdown)) {
-            let news = self.figures.peer_messages && (slowdown / known).log2().abs() >= NEWS;
-            out.extend(news.then_some(Action::TellPeers { server: id, slowdown }));
-            self.heard(id, slowdown);
+            let report = self.config.peer_messages && (slowdown / known).log2().abs() >= REPORTED_CHANGE;
+            out.extend(report.then_some(Action::TellPeers { server: id, slowdown }));
+            self.set_slowdown(id, slowdown);
         }
-        let warm = self.fleet.change(id, |server| {
-            server.unreached = outcome.proves_not_run() && slowdown.is_none(); // full by its load is not ill
+        let warm = self.fleet.update(id, |server| {
+            // A server that is full by its reported load is not faulty.
+            server.unreachable = outcome.proves_not_run() && slowdown.is_none();
             if good {
-                server.answer(slow);
+                server.record_answer(slow);
             }
-            self.figures.cold_share(server, self.now).is_none()
+            self.config.cold_share(server, self.now).is_none()
         });
-        let more = slowdown.map_or(0.0, |slowdown| THINS * (slowdown.min(STRAIN_FULL) / STRAINED).ln());
-        self.crowd.thinned = (self.crowd.thinned + more).clamp(0.0, 0.9);
-        self.warm_served.seen += f64::from(u8::from(good && warm == Some(true)));
-        if good && !outlived {
-            self.crowd.of(workload).late.add(true);
-        }
-        if good && self.dragging != Some(workload) {
-            self.slices.add(self.now, elapsed);
-            self.weigh_width(elapsed, workload, out);
-        }
-        if !(good && outlived) {
-            self.judge(id, good, out);
-        }
-        self.gate(out);
-    }
-
-    fn heard(&mut self, id: ServerId, slowdown: f64) {
-        self.fleet.change(id, |server| (server.slowdown, server.heard) = (slowdown.max(1.0), self.now));
-    }
-
-    /// Copies pause while errors run past SuppressAt times the trip rate.
-    fn gate(&mut self, out: &mut Vec<Action>) {
-        let trip = (2.0 * self.long_run.rate()).max(TRIP_FLOOR);
-        let rate = self.outcomes.rate();
-        let known = self.outcomes.total() >= MINIMUM_CALLS && self.outcomes.bad >= 2.0;
-        let shut = known && rate > trip;
-        if shut != self.suppressed {
-            self.suppressed = shut;
-            let word = if shut { "paused" } else { "resumed" };
-            out.push(Action::log(format!("copies {word}: {rate:.3} of hops failed, trip rate {trip:.3}")));
-        }
-    }
-
-    /// Our own calls in flight are bounded by what latency shows: past a multiple of its uncrowded level,
-    /// more only wait in servers, and tip them into the slow state. Never under what our usual rate needs.
-    fn weigh_width(&mut self, elapsed: Micros, workload: WorkloadId, out: &mut Vec<Action>) {
-        let (usable, left) = (self.fleet.usable(), self.left_of_fleet());
-        let crowd = &mut self.crowd;
-        let Some((median, level)) = crowd.measure(elapsed, workload) else { return };
-        let strained = crowd.strained();
-        let shown = strained > if crowd.crowded { EASED } else { CROWDED };
-        let crowded = if self.figures.load_reports { crowd.thinned > 0.0 } else { shown };
-        // Little's law asks for the mean, and its scatter besides: guards against turning away, in calm, what
-        // a few long calls leave no room for. Told load acts on what is offered, and the width stands wider.
-        let (told, quick) = (self.figures.load_reports, (self.sends.a_second / SHOWS_CROWD).min(1.0));
-        let skew = if told { 1.0 } else { crowd.all.long.skew().clamp(1.0, 4.0) };
-        let needed = self.sends.a_second * level / 1e6 * left * skew;
-        let usual = if told { 1.0 + 2.4 * needed + 3.0 * needed.sqrt() } else { needed };
-        let floor = usual.max(2.0 * usable * self.figures.my_part).max(2.0);
-        // Few answers a second show a crowd late: guards against the sum of many bounds that open meanwhile.
-        let scatter = if told { 0.0 } else { needed.sqrt() * quick };
-        let ceiling = floor * (1.0 + self.sends.a_second / 80.0).min(1.5) + 0.5 + scatter;
-        if crowded {
-            crowd.steady = true;
-            let least = if strained > JAMMED { floor } else { floor + scatter };
-            crowd.width = (crowd.width * 0.97).max(least);
-        } else if crowd.width < ceiling && f64::from(self.out) + 1.0 >= crowd.width * 0.8 {
-            crowd.width += if crowd.steady { 2.0 / crowd.width } else { 0.1 };
-        }
-        if crowded != crowd.crowded {
-            crowd.crowded = crowded;
-            let word = if crowded { "crowded" } else { "calm" };
-            let (now, then, width) = (median / 1e3, level / 1e3, crowd.width);
+        let change = slowdown
+            .map_or(0.0, |slowdown| SHED_GAIN * (slowdown.min(REFUSAL_SLOWDOWN) / TARGET_SLOWDOWN).ln());
+        self.congestion.shed_share = (self.congestion.shed_share + change).clamp(0.0, 0.9);
+        self.warm_server_rate.count += f64::from(u8::from(good && warm == Some(true)));
+        if good && !past_threshold {
+            self.congestion.workload(workload).timeliness.add(true);
+        }
+        if good && self.slow_workload != Some(workload) {
+            self.latency.record(self.now, elapsed);
+            self.update_concurrency_limit(elapsed, workload, out);
+        }
+        if !(good && past_threshold) {
+            self.record_outcome(id, good, out);
+        }
+        self.update_hedging_pause(out);
+    }
+
+    fn set_slowdown(&mut self, id: ServerId, slowdown: f64) {
+        self.fleet.update(id, |server| (server.slowdown, server.slowdown_at) = (slowdown.max(1.0), self.now));
+    }
+
+    /// Pauses hedging while the failure rate is above the trip rate.
+    fn update_hedging_pause(&mut self, out: &mut Vec<Action>) {
+        let trip = (2.0 * self.long_run_outcomes.bad_share()).max(MIN_TRIP_RATE);
+        let rate = self.recent_outcomes.bad_share();
+        let known = self.recent_outcomes.total() >= MIN_OUTCOMES && self.recent_outcomes.bad >= 2.0;
+        let pause = known && rate > trip;
+        if pause != self.hedging_paused {
+            self.hedging_paused = pause;
+            let word = if pause { "paused" } else { "resumed" };
+            out.push(Action::log(format!("hedging {word}: {rate:.3} of hops failed, trip rate {trip:.3}")));
+        }
+    }
+
+    /// Adapts the concurrency limit to the latency of an answer. If latency is above a multiple of its
+    /// baseline, more calls in flight would only queue in the servers and overload them. The limit is never
+    /// lower than the usual rate needs.
+    fn update_concurrency_limit(&mut self, elapsed: Micros, workload: WorkloadId, out: &mut Vec<Action>) {
+        let (usable, remaining) = (self.fleet.usable_count(), self.remaining_fleet());
+        let congestion = &mut self.congestion;
+        let Some((median, baseline)) = congestion.record_latency(elapsed, workload) else { return };
+        let ratio = congestion.latency_ratio();
+        let by_latency = ratio > if congestion.congested { RECOVERED_RATIO } else { CONGESTED_RATIO };
+        let congested = if self.config.load_reports { congestion.shed_share > 0.0 } else { by_latency };
+        // By Little's law the calls in flight are the rate times the mean latency, with a scatter of its
+        // square root. A limit without either would refuse calls under normal load, when a few long calls use
+        // it up. With load reports it is arrivals that are limited, by shedding, and the concurrency limit is
+        // wider.
+        let (load_reports, detection) =
+            (self.config.load_reports, (self.send_rate.per_second / ANSWERS_TO_DETECT).min(1.0));
+        let mean_factor =
+            if load_reports { 1.0 } else { congestion.all.histogram.mean_to_median().clamp(1.0, 4.0) };
+        let needed = self.send_rate.per_second * baseline / 1e6 * remaining * mean_factor;
+        let usual = if load_reports { 1.0 + 2.4 * needed + 3.0 * needed.sqrt() } else { needed };
+        let floor = usual.max(2.0 * usable * self.config.instance_share).max(2.0);
+        // A balancer with few answers per second detects congestion late: many such limits, opened wide in
+        // the meantime, would add up.
+        let scatter = if load_reports { 0.0 } else { needed.sqrt() * detection };
+        let ceiling = floor * (1.0 + self.send_rate.per_second / 80.0).min(1.5) + 0.5 + scatter;
+        if congested {
+            congestion.was_congested = true;
+            let least = if ratio > SEVERE_RATIO { floor } else { floor + scatter };
+            congestion.concurrency_limit = (congestion.concurrency_limit * 0.97).max(least);
+        } else if congestion.concurrency_limit < ceiling
+            && f64::from(self.in_flight) + 1.0 >= congestion.concurrency_limit * 0.8
+        {
+            congestion.concurrency_limit +=
+                if congestion.was_congested { 2.0 / congestion.concurrency_limit } else { 0.1 };
+        }
+        if congested != congestion.congested {
+            congestion.congested = congested;
+            let word = if congested { "crowded" } else { "calm" };
+            let (now, then, limit) = (median / 1e3, baseline / 1e3, congestion.concurrency_limit);
             let text = format!(
-                "{word}: {strained:.2} of the level, median {now:.0} against {then:.0} ms, width {width:.1}"
+                "{word}: latency {ratio:.2} times the baseline, median {now:.0} against {then:.0} ms, concurrency limit {limit:.1}"
             );
             out.push(Action::log(text));
         }
     }
 
-    /// Health is relative: a server is condemned by its own record against the others', never more than half.
-    fn judge(&mut self, id: ServerId, good: bool, out: &mut Vec<Action>) {
-        let others = self.fleet.peers(id).rate();
-        let ready = self.fleet.ready() as f64;
-        let aside = ready - self.fleet.usable();
-        let judged = self.fleet.change(id, |server| {
-            server.record.add(good);
-            let rate = server.record.rate();
-            let worse = server.record.bad >= 3.0 && rate > 0.6 && rate > 3.0 * others;
-            if server.record.total() > 16.0 {
-                server.record.fade(0.5);
+    /// Records whether a hop was good, and ejects the server if its outcomes are much worse than those of the
+    /// others. Never more than half of the ready servers are ejected.
+    fn record_outcome(&mut self, id: ServerId, good: bool, out: &mut Vec<Action>) {
+        let others = self.fleet.outcomes_of_others(id).bad_share();
+        let ready = self.fleet.ready_count() as f64;
+        let ejected = ready - self.fleet.usable_count();
+        let recorded = self.fleet.update(id, |server| {
+            server.outcomes.add(good);
+            let rate = server.outcomes.bad_share();
+            let worse = server.outcomes.bad >= 3.0 && rate > 0.6 && rate > 3.0 * others;
+            if server.outcomes.total() > 16.0 {
+                server.outcomes.decay(0.5);
             }
-            (rate, worse || server.unreached, server.trust)
+            (rate, worse || server.unreachable, server.health)
         });
-        let Some((rate, bad, trust)) = judged else { return };
-        let condemned = bad && 2.0 * (aside + 1.0) <= ready;
-        let sign = match (trust, good) {
-            (Trust::Fit, false) if condemned => Sign::Condemned,
-            (Trust::Trial, true) => Sign::Good,
-            (Trust::Trial, false) => Sign::Bad,
+        let Some((rate, bad, health)) = recorded else { return };
+        let condemned = bad && 2.0 * (ejected + 1.0) <= ready;
+        let event = match (health, good) {
+            (Health::Healthy, false) if condemned => HealthEvent::Condemned,
+            (Health::Probation, true) => HealthEvent::ProbationPassed,
+            (Health::Probation, false) => HealthEvent::ProbationFailed,
             _ => return,
         };
-        self.sign(id, sign, format!("{rate:.2} of its hops bad, {others:.2} of the others'"), out);
+        self.change_health(id, event, format!("{rate:.2} of its hops bad, {others:.2} of the others'"), out);
     }
 
-    fn sign(&mut self, id: ServerId, sign: Sign, why: String, out: &mut Vec<Action>) {
+    fn change_health(&mut self, id: ServerId, event: HealthEvent, reason: String, out: &mut Vec<Action>) {
         let now = self.now;
-        let step = |server: &mut Server| {
-            let row = SERVERS.iter().find(|(trust, given, _)| *trust == server.trust && *given == sign);
-            let &(_, _, trust) = row?;
-            server.trust = trust;
-            if trust == Trust::Aside {
-                // Guards against knocking again and again where others hold all connections.
-                let doubled = server.asides.min(3) + if server.answered { 0 } else { 3 };
-                server.until = now + ASIDE.times(f64::from(1 << doubled));
-                server.asides += 1;
-            } else if trust == Trust::Fit {
-                (server.record, server.asides) = (OutcomeCounts { good: 1.0, bad: 0.0 }, 0);
+        let change = |server: &mut Server| {
+            let row = HEALTH_TRANSITIONS
+                .iter()
+                .find(|(health, given, _)| *health == server.health && *given == event);
+            let &(_, _, health) = row?;
+            server.health = health;
+            if health == Health::Ejected {
+                // A server that has never answered is ejected for longer: other balancers may hold all its
+                // connections.
+                let doublings = server.ejections.min(3) + if server.has_answered { 0 } else { 3 };
+                server.ejected_until = now + FIRST_EJECTION.times(f64::from(1 << doublings));
+                server.ejections += 1;
+            } else if health == Health::Healthy {
+                (server.outcomes, server.ejections) = (OutcomeCounts { good: 1.0, bad: 0.0 }, 0);
             }
-            Some(trust)
+            Some(health)
         };
-        let Some(trust) = self.fleet.change(id, step).flatten() else { return };
-        self.settle(id);
-        out.push(Action::Log { text: format!("server {trust:?}: {why}"), server: Some(id) });
-        self.draw_circle(Some(&[id]));
+        let Some(health) = self.fleet.update(id, change).flatten() else { return };
+        self.update_blocked_until(id);
+        out.push(Action::Log { text: format!("server {}: {reason}", health.log_name()), server: Some(id) });
+        self.update_subset(Some(&[id]));
     }
 
-    // ---- the list ----
+    // ---- the server list ----
 
-    /// Rule three: stay subscribed. An ask that is never answered is repeated too.
-    fn ask(&mut self, out: &mut Vec<Action>) {
-        if !self.subscribed && self.now >= self.ask_at {
-            self.ask_at = self.now + self.figures.ask_again;
+    /// Keeps the subscription to the server list. A request that gets no response is repeated as well.
+    fn subscribe_if_due(&mut self, out: &mut Vec<Action>) {
+        if !self.subscribed && self.now >= self.subscribe_at {
+            self.subscribe_at = self.now + self.config.resubscribe_interval;
             out.push(Action::Subscribe);
         }
     }
 
-    fn listed(&mut self, kind: ListKind, entries: &[ListedServer], out: &mut Vec<Action>) {
+    fn list_received(&mut self, kind: ListKind, entries: &[ListedServer], out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            (self.subscribed, self.failed_asks) = (false, self.failed_asks + 1);
-            let longest = Micros::millis(250 << self.failed_asks.min(6)).min(self.figures.ask_again);
-            let after = longest.times(0.5 + 0.5 * self.chance.uniform());
-            self.ask_at = self.now + after;
-            let text = || Action::log(format!("list failed, asking again in {:.2} s", after.secs()));
-            out.extend((self.failed_asks == 1).then(text));
-            return out.push(Action::SetTimer { after, token: ASK });
+            (self.subscribed, self.failed_subscriptions) = (false, self.failed_subscriptions + 1);
+            let longest =
+                Micros::millis(250 << self.failed_subscriptions.min(6)).min(self.config.resubscribe_interval);
+            let after = longest.times(0.5 + 0.5 * self.rng.uniform());
+            self.subscribe_at = self.now + after;
+            let text = || Action::log(format!("list failed, subscribing again in {:.2} s", after.secs()));
+            out.extend((self.failed_subscriptions == 1).then(text));
+            return out.push(Action::SetTimer { after, token: SUBSCRIBE });
         }
         if kind != ListKind::Cached {
-            (self.subscribed, self.failed_asks) = (true, 0);
+            (self.subscribed, self.failed_subscriptions) = (true, 0);
         }
-        // Spreads the first sends of many sidecars, so that they don't meet a cold server at once.
-        let cold = || Allowance { left: 1.0 - self.chance.uniform(), seen: self.now };
+        // The random first fill spreads the first sends of many balancers, so that they do not reach a cold
+        // server at once.
+        let cold_bucket = || TokenBucket { tokens: 1.0 - self.rng.uniform(), updated: self.now };
         let whole = kind != ListKind::Changes;
-        self.fleet.list(whole, entries, |listing| turn(&self.figures, listing), cold);
+        self.fleet.apply_list(whole, entries, |listing| ring_position(&self.config, listing), cold_bucket);
         let changed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
-        self.draw_circle(Some(&changed).filter(|_| !whole).map(Vec::as_slice));
-        changed.into_iter().for_each(|id| self.settle(id));
-        self.crowd.fleet = self.crowd.fleet.max(self.fleet.usable_size());
-        if !self.crowd.steady {
-            self.crowd.width =
-                self.crowd.width.max(4.0 * self.fleet.usable() * self.figures.my_part).max(2.0);
-        }
-    }
-
-    fn beat(&mut self, out: &mut Vec<Action>) {
-        self.peak *= 0.98;
-        let to_two_servers = 0.5 / self.figures.my_part / self.fleet.usable().max(1.0);
-        self.dither = 0.999 - self.chance.uniform() * to_two_servers.min(1.0);
-        self.draw_circle(None);
-        let warm = |server: &&Server| server.usable() && self.figures.cold_share(server, self.now).is_none();
-        let warm = self.fleet.around().filter(warm).count() as f64;
+        self.update_subset(Some(&changed).filter(|_| !whole).map(Vec::as_slice));
+        changed.into_iter().for_each(|id| self.update_blocked_until(id));
+        self.congestion.fleet_weight = self.congestion.fleet_weight.max(self.fleet.usable_weight());
+        if !self.congestion.was_congested {
+            self.congestion.concurrency_limit = self
+                .congestion
+                .concurrency_limit
+                .max(4.0 * self.fleet.usable_count() * self.config.instance_share)
+                .max(2.0);
+        }
+    }
+
+    /// Periodic work: decays statistics, rebuilds the subset and renews the subscription.
+    fn tick(&mut self, out: &mut Vec<Action>) {
+        self.peak_in_flight *= 0.98;
+        let to_two_servers = 0.5 / self.config.instance_share / self.fleet.usable_count().max(1.0);
+        self.rounding = 0.999 - self.rng.uniform() * to_two_servers.min(1.0);
+        self.update_subset(None);
+        let warm =
+            |server: &&Server| server.is_usable() && self.config.cold_share(server, self.now).is_none();
+        let warm = self.fleet.subset().filter(warm).count() as f64;
         if warm > 0.0 {
-            self.warm_served.seen /= warm;
-            self.warm_served.beat(BEAT, 0.25);
+            self.warm_server_rate.count /= warm;
+            self.warm_server_rate.end_period(TICK, 0.25);
         }
-        let cold = |server: &&Server| self.figures.cold_share(server, self.now).is_some();
+        let cold = |server: &&Server| self.config.cold_share(server, self.now).is_some();
         let cold: Vec<_> = self.fleet.all().filter(cold).map(|server| server.listing.server).collect();
-        cold.into_iter().for_each(|id| self.settle(id));
-        // Guards against a spiral: what a crowd lets through must not become the measure of what is usual.
-        let part = if self.crowd.crowded { 0.0 } else { 0.1 };
-        self.sends.beat(BEAT, part);
-        self.crowd.fleet *= 0.99;
-        self.crowd.settle();
-        self.crowd.own.iter_mut().for_each(|own| own.late.fade(0.8));
-        self.weigh_drag(out);
-        self.outcomes.fade(0.9);
-        if self.long_run.total() > 2000.0 {
-            self.long_run.fade(0.5);
-        }
-        self.gate(out);
-        self.ask(out);
-        out.push(Action::SetTimer { after: BEAT, token: HEART });
+        cold.into_iter().for_each(|id| self.update_blocked_until(id));
+        // The reduced rate under congestion must not become the usual rate, or the limit would shrink step by
+        // step.
+        let weight = if self.congestion.congested { 0.0 } else { 0.1 };
+        self.send_rate.end_period(TICK, weight);
+        self.congestion.fleet_weight *= 0.99;
+        self.congestion.initialize_baselines();
+        self.congestion.workloads.iter_mut().for_each(|own| own.timeliness.decay(0.8));
+        self.detect_slow_workload(out);
+        self.recent_outcomes.decay(0.9);
+        if self.long_run_outcomes.total() > 2000.0 {
+            self.long_run_outcomes.decay(0.5);
+        }
+        self.update_hedging_pause(out);
+        self.subscribe_if_due(out);
+        out.push(Action::SetTimer { after: TICK, token: TICK_TIMER });
     }
 }
 
-/// Where a server stands on our ring. Where crossing is priced the order is our own, by lot, and a server of
-/// another place comes before one of ours only now and then.
-fn turn(figures: &Figures, listing: &ListedServer) -> (u64, u64) {
-    let Some(near) = figures.near else { return listing.turn() };
-    listing.turn_by_lot(figures.my_number as u64, if listing.zone == near { 1.0 } else { FAR })
+/// A server's position on the ring. If traffic between zones has a cost, the ring is one of this balancer
+/// alone, in a pseudo-random order in which servers of other zones rarely come before local ones.
+fn ring_position(config: &DerivedConfig, listing: &ListedServer) -> (u64, u64) {
+    let Some(local) = config.local_zone else { return listing.ring_position() };
+    listing.private_ring_position(
+        config.instance_index as u64,
+        if listing.zone == local { 1.0 } else { REMOTE_ZONE_WEIGHT },
+    )
 }
 
-fn lighter<'a>(one: &'a Server, other: &'a Server, burden: &impl Fn(&Server) -> f64) -> &'a Server {
-    if burden(one) > burden(other) {
+fn less_loaded<'a>(one: &'a Server, other: &'a Server, load: &impl Fn(&Server) -> f64) -> &'a Server {
+    if load(one) > load(other) {
         other
     } else {
         one
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,9 +1,9 @@
-//! The interface of the decision module: ids, times, what a place tells a sidecar at start, events and actions.
-//! Nothing is decided here, and nothing here knows a wire.
-use crate::scatter;
+//! The interface of the decision module: ids, times, the configuration, events and actions. It contains no
+//! decisions and no wire format.
+use crate::mix64;
 use std::ops::{Add, Sub};
 
-/// A point in time or a length of time, in whole microseconds.
+/// A point in time or a duration, in whole microseconds. Addition and subtraction saturate.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
 pub struct Micros(pub u64);
 
@@ -29,7 +29,6 @@
 
 impl Sub for Micros {
     type Output = Micros;
-    /// Never below zero: a time that has passed is simply no time left.
     fn sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
@@ -43,48 +42,58 @@
 }
 
 ids! {
-    /// One API call, as one sidecar knows it.
+    /// An API call; unique within one balancer.
     CallId(u32);
-    /// Which hop of its API call: 0, 1, 2 ... in the order sent.
+    /// A hop of an API call, numbered from 0 in the order of sending.
     HopNo(u32);
-    /// A server, by whatever numbering the host keeps for this instance.
+    /// A server; the host assigns the numbers, for each balancer on its own.
     ServerId(u32);
-    /// A place (zone, site, data centre).
+    /// A zone, site or data centre.
     ZoneId(u32);
-    /// A small set of servers that share what they remember of tagged API calls.
+    /// A cell: a small set of servers that share their record of idempotency keys.
     CellId(u32);
-    /// A workload, by its position in [`BalancerConfig::workloads`].
+    /// A workload, by its index in [`BalancerConfig::workloads`].
     WorkloadId(usize);
-    /// A customer, by its position in [`BalancerConfig::tenant_quotas`].
+    /// A tenant, by its index in [`BalancerConfig::tenant_quotas`].
     TenantId(usize);
-    /// A timer; given back unchanged.
+    /// Identifies a timer; [`Event::TimerFired`] returns it unchanged.
     TimerToken(u64);
 }
 
-/// Which servers drop a repeat of a tagged API call.
+/// Which servers recognise a repeated idempotency key and drop the repeat.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DedupScope {
     All,
+    /// The servers of the zone that received the first hop.
     Zone,
+    /// The servers of the cell that received the first hop.
     Cell,
 }
 
-/// What a repeat of an API call may do.
+/// Whether an API call may be executed more than once.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Idempotency {
     Idempotent,
-    ByKey { scope: DedupScope, window: Micros },
+    /// Servers within `scope` drop a repeat with the same key for the time `window` after the first.
+    ByKey {
+        scope: DedupScope,
+        window: Micros,
+    },
     NonIdempotent,
 }
 
+/// A class of API calls.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Workload {
     pub idempotency: Idempotency,
+    /// The response time promised to clients.
     pub quoted_time: Micros,
+    /// The value of a call answered in time, relative to other workloads.
     pub payoff: f64,
 }
 
-/// In any window of this length, hops beyond calls' first are at most `few` and `share` of the calls taken in it.
+/// A bound on hops beyond each call's first: in any window of this length at most `base`, and `ratio` times
+/// the calls accepted in the window.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RetryBudget {
     pub base: f64,
@@ -92,51 +101,60 @@
     pub window: Micros,
 }
 
-/// What the place lays down for one instance at its start.
+/// The configuration of one balancer.
 #[derive(Clone, Debug)]
 pub struct BalancerConfig {
-    /// Sidecars in this tier, this one included.
+    /// Balancers in this tier, this one included.
     pub instances: u32,
-    /// Which of them this one is, from 0 up.
+    /// The number of this balancer among them, from 0.
     pub instance_index: u32,
-    /// Our own place, where leaving it has a price.
+    /// The balancer's own zone, if traffic to other zones has a cost; else none.
     pub local_zone: Option<ZoneId>,
     pub workloads: Vec<Workload>,
-    /// API calls a second within each customer's share, over all sidecars.
+    /// Calls per second that each tenant may send, over all balancers.
     pub tenant_quotas: Vec<f64>,
-    /// What an API call beyond its customer's share is worth, as a part of its payoff.
+    /// Factor on the payoff of a call that exceeds its tenant's quota.
     pub overage_payoff: f64,
-    /// How much of the result hangs on the worst-served workload.
+    /// How much the worst-served workload counts in the overall result, from 0 to 1.
     pub worst_workload_weight: f64,
     pub max_hops: u32,
-    /// The bound on hops beyond each call's first, where there is one.
+    /// The bound on hops beyond each call's first, if there is one.
     pub retry_budget: Option<RetryBudget>,
     pub may_cancel: bool,
+    /// Whether two hops of a call may be open at the same time.
     pub may_hedge: bool,
-    /// The longest cool-down that clients are told of; zero where none is passed on.
+    /// The longest retry-after time sent to clients; 0 if none is sent.
     pub max_retry_after: Micros,
     /// Whether servers report their load with every answer.
     pub load_reports: bool,
-    /// Whether sidecars may tell each other what they learn.
+    /// Whether balancers may send each other what they observe.
     pub peer_messages: bool,
-    /// Whether a server does less work for a key that it met lately.
+    /// Whether a server does less work for a key that it has processed recently.
     pub key_affinity: bool,
-    /// Whether changes of the list must be asked for.
+    /// Whether the balancer must subscribe to changes of the server list.
     pub must_subscribe: bool,
+    /// The time within which a lost subscription must be renewed.
     pub resubscribe_within: Micros,
+    /// The share of its full capacity that a server has when it starts.
     pub cold_capacity: f64,
+    /// The time after which a started server has its full capacity.
     pub warm_up_time: Micros,
+    /// The time over which calls to a cold server are counted: if it gets more than its capacity within it,
+    /// it collapses.
     pub collapse_window: Micros,
 }
 
+/// A server's status in the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ServerStatus {
     Ready,
+    /// Finishes its open calls and takes no new ones.
     Draining,
+    /// Not in the list any more.
     Gone,
 }
 
-/// One line of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     pub server: ServerId,
@@ -144,39 +162,42 @@
     pub cell: CellId,
     pub status: ServerStatus,
     pub weight: f64,
-    /// A number without meaning that every sidecar has for this server alike.
+    /// A hash of the server's name, the same at every balancer.
     pub name_hash: u64,
-    /// When it last started; zero for long ago.
+    /// When the server last started; 0 for long ago.
     pub started: Micros,
 }
 
 impl ListedServer {
-    /// Where it stands in the order that all sidecars share: cells spread evenly however many there are.
-    pub fn turn(&self) -> (u64, u64) {
-        (Self::cell_turn(self.cell), self.name_hash)
+    /// The server's position on the ring that all balancers share. The servers of a cell stand together, and
+    /// cells are spread evenly, however many there are.
+    pub fn ring_position(&self) -> (u64, u64) {
+        (Self::cell_ring_position(self.cell), self.name_hash)
     }
 
-    /// Where it stands in an order of one's own, by lot: twice the weight, twice as often before another.
-    pub fn turn_by_lot(&self, own: u64, weight: f64) -> (u64, u64) {
-        let even = (scatter(self.name_hash ^ scatter(own + 1)) >> 11) as f64 / (1u64 << 53) as f64;
-        ((-even.max(1e-12).ln() / weight * 1e12) as u64, self.name_hash)
+    /// The server's position on a ring of one balancer alone, in a weighted pseudo-random order: a server
+    /// with twice the weight comes before another twice as often.
+    pub fn private_ring_position(&self, instance: u64, weight: f64) -> (u64, u64) {
+        let uniform = (mix64(self.name_hash ^ mix64(instance + 1)) >> 11) as f64 / (1u64 << 53) as f64;
+        ((-uniform.max(1e-12).ln() / weight * 1e12) as u64, self.name_hash)
     }
 
-    /// Where a cell stands in that order.
-    pub fn cell_turn(cell: CellId) -> u64 {
+    /// The position of a cell on the shared ring.
+    pub fn cell_ring_position(cell: CellId) -> u64 {
         u64::from(cell.0).wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15)
     }
 }
 
+/// What a received server list contains.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// Everything there is: who is missing is gone.
+    /// The complete list: a server that is missing is gone.
     Whole,
-    /// The whole list as somebody once saw it.
+    /// A complete list from an earlier time.
     Cached,
-    /// A request failed or the subscription broke.
+    /// Nothing: the request failed or the subscription broke.
     Failed,
 }
 
@@ -184,70 +205,77 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Outcome {
     Succeeded,
+    /// The server answered with an error.
     Errored,
+    /// The server was overloaded and refused the call without executing it.
     Full,
     TimedOut,
+    /// No connection to the server could be opened.
     NoConnection,
+    /// The connection broke before the answer was complete.
     Broken,
+    /// Cancelled by this balancer.
     Cancelled,
+    /// The host did not send it.
     NotSent,
 }
 
 impl Outcome {
-    /// The server is known not to have run it.
+    /// Whether the server certainly did not execute the call.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// An API call that comes in: from now on one final answer is owed.
+/// A new API call. It gets exactly one final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub call: CallId,
     pub workload: WorkloadId,
-    /// Until the client abandons this try.
+    /// The time until the client stops waiting.
     pub time_left: Micros,
     pub tenant: TenantId,
-    /// The client has tried before and marked this try so.
+    /// Whether the client marked this call as a retry of an earlier one.
     pub client_retry: bool,
-    /// What it is about, where that is told: the same number at every sidecar.
+    /// A hash of the data that the call is about, if known; the same at every balancer.
     pub affinity_key: Option<u64>,
 }
 
-/// What a server tells of its load with an answer: late, and a little noisy.
+/// The load that a server reports with an answer. It is delayed and a little noisy.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct ServerLoad {
-    /// API calls that it holds, those that wait included.
+    /// Calls in the server, including queued ones.
     pub open_calls: Option<f64>,
-    /// API calls that wait.
+    /// Calls that wait in the server's queue.
     pub queued_calls: Option<f64>,
-    /// How busy its cores are, 1 at most.
+    /// From 0 to 1, over all cores.
     pub cpu_utilization: Option<f64>,
 }
 
 impl ServerLoad {
-    /// Past this a figure is a fault and not a load.
-    const MOST: f64 = 1e6;
+    /// A larger figure is an error of the server.
+    const MAX_FIGURE: f64 = 1e6;
 
-    /// A figure that means something, if it is one.
+    /// Returns the figure if it can be a load: not negative, not NaN and not above the maximum.
     pub fn plausible(figure: f64) -> Option<f64> {
-        (0.0..=Self::MOST).contains(&figure).then_some(figure)
+        (0.0..=Self::MAX_FIGURE).contains(&figure).then_some(figure)
     }
 }
 
-/// How a hop ended, and whether its API call is over by that or by something earlier.
+/// The end of a hop.
 #[derive(Clone, Copy, Debug)]
 pub struct HopResult {
     pub call: CallId,
     pub hop: HopNo,
     pub outcome: Outcome,
-    /// From the send until now.
+    /// The time since the hop was sent.
     pub elapsed: Micros,
+    /// Whether the call has its final answer, by this hop or by something earlier, or was withdrawn.
     pub call_over: bool,
     pub load: Option<ServerLoad>,
 }
 
-/// `Heard` is what another sidecar found of a server's strain.
+/// What the host reports to the decision module.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     ListReceived {
@@ -255,41 +283,70 @@
         entries: &'a [ListedServer],
     },
     CallArrived(Arrival),
+    /// The first bytes of a streamed answer came; that hop's answer goes to the client.
     AnswerStarted {
         call: CallId,
         hop: HopNo,
     },
     HopEnded(HopResult),
+    /// The client stopped waiting for the call.
     CallWithdrawn {
         call: CallId,
     },
     TimerFired(TimerToken),
+    /// Another balancer reported a server's slowdown: latency relative to that of the idle server.
     PeerReported {
         server: ServerId,
         slowdown: f64,
     },
-    /// This instance ends soon: whatever is open is answered by then.
+    /// The balancer shuts down: all open calls must have their answers by this time.
     ShutdownBegun(Micros),
-    /// The place lays down something else from now on; workloads keep their numbers. A whole list must follow, by which
-    /// servers are measured anew.
+    /// The configuration changed; workloads keep their numbers. A whole list must follow, from which the
+    /// subset of servers and their limits are computed anew.
     ConfigChanged(&'a BalancerConfig),
 }
 
-/// `Tell` is for all other sidecars, where they may tell each other; it may be lost.
+/// What the host must do.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    Send { call: CallId, server: ServerId, timeout: Micros },
-    Cancel { call: CallId, hop: HopNo },
-    Refuse { call: CallId, retry_after: Micros },
-    Fail { call: CallId },
-    SetTimer { after: Micros, token: TimerToken },
+    /// Send the call's next hop.
+    Send {
+        call: CallId,
+        server: ServerId,
+        timeout: Micros,
+    },
+    Cancel {
+        call: CallId,
+        hop: HopNo,
+    },
+    /// Answer the call with a refusal: it was not executed, or repeating it does no harm.
+    Refuse {
+        call: CallId,
+        retry_after: Micros,
+    },
+    /// Answer the call with an error: it may have been executed.
+    Fail {
+        call: CallId,
+    },
+    SetTimer {
+        after: Micros,
+        token: TimerToken,
+    },
+    /// Subscribe to the server list.
     Subscribe,
-    TellPeers { server: ServerId, slowdown: f64 },
-    Log { text: String, server: Option<ServerId> },
+    /// Send a server's slowdown to all other balancers, where peer messages are allowed; it may get lost.
+    TellPeers {
+        server: ServerId,
+        slowdown: f64,
+    },
+    Log {
+        text: String,
+        server: Option<ServerId>,
+    },
 }
 
 impl Action {
-    /// A log line about no one server.
+    /// A log line that does not concern a single server.
     pub fn log(text: String) -> Action {
         Action::Log { text, server: None }
     }
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -5,7 +5,7 @@
 
 use oakhollow::rules::Balancer;
 use oakhollow::types::*;
-use oakhollow::{SeededRng, Sliding};
+use oakhollow::{RetryBudgetWindow, SeededRng};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cmp::Reverse;
@@ -337,20 +337,20 @@
     ) {
         let window = Micros::millis(window);
         let bound = RetryBudget { base: f64::from(base), ratio, window };
-        let mut hops = Sliding::new(bound);
+        let mut hops = RetryBudgetWindow::new(bound);
         let (mut now, mut taken, mut added) = (Micros::millis(5_000), Vec::new(), Vec::new());
         for (at, (gap, calls)) in gaps.into_iter().enumerate() {
             if at == change {
                 // Another process, beside one that sends no more.
-                hops = Sliding::new(RetryBudget { base: 0.0, ratio: 0.0, ..bound });
+                hops = RetryBudgetWindow::new(RetryBudget { base: 0.0, ratio: 0.0, ..bound });
             } else if at == change + 50 {
-                hops.retune(bound, now); // the one before has parted
+                hops.set_budget(bound, now); // the one before has parted
             }
             now = now + Micros(gap);
-            (0..calls).for_each(|_| { hops.take(now); taken.push(now); });
+            (0..calls).for_each(|_| { hops.count_call(now); taken.push(now); });
             let inside = |times: &[Micros], length: Micros| times.iter().filter(|at| **at + length > now).count();
-            while hops.spent(now) as f64 + 1.0 <= hops.allowed(now) {
-                hops.spend(now);
+            while hops.used(now) as f64 + 1.0 <= hops.allowed(now) {
+                hops.count_hop(now);
                 added.push(now);
                 let most = bound.base + ratio * inside(&taken, window) as f64;
                 prop_assert!(inside(&added, window) as f64 <= most);
