--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -474,7 +474,7 @@
         }
         info!(self.parts.log, "{} {} by hand, at another instance", name, if out { "out" } else { "back" });
         self.parts.peers.tell(&mark, None);
-        self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark, done)).await;
+        self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 
     fn kept(&self) -> String {
--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -213,7 +213,7 @@
         }
         info!(self.log, "{} {} by hand", name, if *out { "out" } else { "back" });
         let applied = async {
-            self.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark.clone(), done)).await;
+            self.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark.clone(), done)).await;
             true
         };
         let kept = async {
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -72,13 +72,13 @@
     pub answer: Option<A>,
     pub load_report: LoadReport,
     /// How long the server took, where that is not all the time since the send.
-    pub latency: Option<Micros>,
+    pub elapsed: Option<Micros>,
 }
 
 /// The one final answer of an API call.
 pub enum RequestOutcome<A> {
     Served(A),
-    Refused { cool_down: Micros },
+    Refused { retry_after: Micros },
     Failed,
 }
 
@@ -86,12 +86,12 @@
 pub struct RequestParams {
     pub workload: WorkloadId,
     pub class: ClassId,
-    pub customer: TenantId,
+    pub tenant: TenantId,
     pub client_retry: bool,
     pub deadline: Micros,
     pub max_attempts: usize,
     /// What it is about, where servers are quicker with what they know.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
 }
 
 /// An API call as it is taken in.
@@ -112,7 +112,7 @@
     },
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
     /// A server is out by hand, or back; the sender is dropped when that holds.
-    ApplyMark(Mark, Sender<()>),
+    ApplyMaintenance(Mark, Sender<()>),
     /// What holds from now on, what is left of workloads that no more do, and who waits for it.
     ApplySettings(Box<BalancerConfig>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
     /// Whom others' lists let drain; the sender is dropped when that holds.
@@ -329,8 +329,15 @@
         self.look();
         match note {
             DispatcherMessage::NewRequest(Taken { call, ask, content, verdict }) => {
-                let RequestParams { workload, class, customer, client_retry, deadline, max_attempts, key } =
-                    ask;
+                let RequestParams {
+                    workload,
+                    class,
+                    tenant,
+                    client_retry,
+                    deadline,
+                    max_attempts,
+                    affinity_key,
+                } = ask;
                 // One taken before the end was known may come here after it.
                 let deadline = deadline.min(self.answer_by);
                 let left = deadline - self.desk.clock.now();
@@ -342,9 +349,9 @@
                     call,
                     workload,
                     time_left: left,
-                    tenant: customer,
+                    tenant,
                     client_retry,
-                    affinity_key: key,
+                    affinity_key,
                 }));
             }
             DispatcherMessage::Withdrawn(call) => {
@@ -358,7 +365,7 @@
             DispatcherMessage::AttemptEnded {
                 call,
                 hop,
-                end: AttemptEnd { outcome, answer, load_report, latency },
+                end: AttemptEnd { outcome, answer, load_report, elapsed },
             } => {
                 let running = self.calls.get_mut(&call).and_then(|known| known.hops.get_mut(hop.0 as usize));
                 // One cancelled a moment ago has been counted as that.
@@ -368,7 +375,7 @@
                         self.answer(call, RequestOutcome::Served(answer));
                     }
                     let report = self.weigh(load_report);
-                    self.ended(call, hop, outcome, (report, latency));
+                    self.ended(call, hop, outcome, (report, elapsed));
                     self.settle();
                 }
             }
@@ -430,7 +437,7 @@
                 self.listed(ListKind::Cached, told);
                 drop(done);
             }
-            DispatcherMessage::ApplyMark(mark, done) => {
+            DispatcherMessage::ApplyMaintenance(mark, done) => {
                 let told = self.endpoints.mark(&mark);
                 // Nothing was heard from discovery by this.
                 self.listed(ListKind::Cached, told);
@@ -553,9 +560,9 @@
                 Action::Cancel { call, hop } => {
                     self.end_hop(call, hop, Outcome::Cancelled);
                 }
-                Action::Refuse { call, retry_after: cool_down } => {
+                Action::Refuse { call, retry_after } => {
                     self.refused(call);
-                    self.answer(call, RequestOutcome::Refused { cool_down });
+                    self.answer(call, RequestOutcome::Refused { retry_after });
                     self.clear(call);
                 }
                 Action::Fail { call } => {
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -246,7 +246,7 @@
             if mark.out { "out" } else { "back" }
         );
         self.peers.tell(&mark, Some(from));
-        self.orders.send_and_wait(|done| WorkerCommand::ApplyMark(mark, done)).await;
+        self.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 }
 
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -81,10 +81,10 @@
     fn from(verdict: RequestOutcome<Reply>) -> Answer {
         match verdict {
             RequestOutcome::Served(answer) => Answer::Passed(answer),
-            RequestOutcome::Refused { cool_down } => Answer::Worded {
+            RequestOutcome::Refused { retry_after } => Answer::Worded {
                 status: 503,
                 text: "dismissed: trying again is harmless".into(),
-                retry_after: Some(cool_down).filter(|time| time.0 > 0),
+                retry_after: Some(retry_after).filter(|time| time.0 > 0),
             },
             RequestOutcome::Failed => Answer::plain(502, "errored"),
         }
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -238,7 +238,7 @@
     };
     let end = future::or(exchange, late).await;
     let since = progress.fully_sent_at.get().filter(|_| content.upload.is_some());
-    AttemptEnd { latency: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
+    AttemptEnd { elapsed: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
 }
 
 async fn exchange(
@@ -391,7 +391,7 @@
 
 /// A hop that brought no answer.
 fn ended(outcome: Outcome) -> AttemptEnd<Reply> {
-    AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, latency: None }
+    AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, elapsed: None }
 }
 
 fn judge(answer: Reply, reads_load_reports: bool) -> AttemptEnd<Reply> {
@@ -402,5 +402,5 @@
         Ok(503 | 504) if not_started(&answer.head) => (Outcome::Full, None),
         _ => (Outcome::Errored, None),
     };
-    AttemptEnd { outcome, answer, load_report, latency: None }
+    AttemptEnd { outcome, answer, load_report, elapsed: None }
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -386,10 +386,10 @@
             workload: names.workload_ids[workload].buffered,
             class: names.classes[workload],
             max_attempts: names.max_attempts,
-            customer: TenantId(customer.and_then(known).unwrap_or(0)),
+            tenant: TenantId(customer.and_then(known).unwrap_or(0)),
             client_retry: head.only("Client-Retry")? == Some("1"),
             deadline: (came + left).min(self.shared.answer_deadline()),
-            key: if names.uses_affinity_keys { key(head.only("Request-Info")?) } else { None },
+            affinity_key: if names.uses_affinity_keys { key(head.only("Request-Info")?) } else { None },
         };
         Ok((ask, left, names.workload_ids[workload].streamed, identity))
     }
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -41,7 +41,7 @@
 pub enum WorkerCommand {
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
     /// Its sender is dropped when that holds.
-    ApplyMark(Mark, Sender<()>),
+    ApplyMaintenance(Mark, Sender<()>),
     /// Take callers in. Its sender is dropped when that holds.
     StartAccepting(Sender<()>),
     /// What the modules have learnt is asked for.
@@ -363,7 +363,9 @@
             WorkerCommand::ApplyList(kind, list, heard) => {
                 desk.send(DispatcherMessage::ApplyList(kind, list, heard)).await
             }
-            WorkerCommand::ApplyMark(mark, done) => desk.send(DispatcherMessage::ApplyMark(mark, done)).await,
+            WorkerCommand::ApplyMaintenance(mark, done) => {
+                desk.send(DispatcherMessage::ApplyMaintenance(mark, done)).await
+            }
             WorkerCommand::StartAccepting(done) => {
                 let accept_all = listener.clone().map(|listener| acceptor.clone().accept_all(listener));
                 accepting = accept_all.and_then(|taking| tasks.spawn(taking));
