--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -395,8 +395,10 @@
 
     /// Allows the servers on its list that a majority of lease servers has confirmed.
     fn apply_confirmed_names(&mut self, out: &mut Vec<Action>) {
-        let agreed = self.majority_value(|lease| lease.names_revision);
-        if let Some(agreed) = agreed.filter(|agreed| self.server_view.confirm_names(*agreed)) {
+        if let Some(agreed) = self
+            .majority_value(|lease| lease.names_revision)
+            .filter(|agreed| self.server_view.confirm_names(*agreed))
+        {
             // A lease from a lease server that does not publish facts about all of these servers no longer
             // counts.
             self.leases.retain(|_, lease| lease.names_revision >= agreed);
--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -1,15 +1,15 @@
-//! The list of servers as discovery words it.
+//! The endpoint list in the form that discovery sends it.
 use crate::stable_hash;
 use oakhollow::types::*;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::net::SocketAddr;
 
-/// Which state of the list was told.
+/// Identifies a state of the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct ListIndex(pub u64);
 
-/// One whole list, or the entries that changed since the one before.
+/// A snapshot of the list, or the entries that changed since the state before.
 ///
 /// ```
 /// use oakhollow_terms::{read_json, DiscoveryList};
@@ -32,7 +32,7 @@
     #[serde(default)]
     group: u32,
     status: Status,
-    #[serde(default = "one", deserialize_with = "from_zero")]
+    #[serde(default = "default_weight", deserialize_with = "from_zero")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
@@ -46,22 +46,22 @@
     Left,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Guards against a size that would make the fleet's less than nothing.
+/// A negative weight could make the total weight of all endpoints negative.
 fn from_zero<'de, D: Deserializer<'de>>(source: D) -> Result<f64, D::Error> {
-    let size = f64::deserialize(source)?;
-    if size >= 0.0 {
-        Ok(size)
+    let weight = f64::deserialize(source)?;
+    if weight >= 0.0 {
+        Ok(weight)
     } else {
         Err(D::Error::custom("must be a number from 0 up"))
     }
 }
 
 impl EndpointEntry {
-    /// Wants calls, as far as the list goes.
+    /// Whether the list says that it accepts requests.
     pub fn is_active(&self) -> bool {
         matches!(self.status, Status::Active)
     }
@@ -71,7 +71,7 @@
         self.since_ms
     }
 
-    /// The same as a time of its own unit; one that no clock reaches is the latest there is.
+    /// The start time in microseconds; saturates if the value is out of range.
     pub fn started_at(&self) -> Micros {
         Micros(self.since_ms.saturating_mul(1000))
     }
@@ -80,12 +80,12 @@
         matches!(self.status, Status::Left)
     }
 
-    /// What the module is told of it, under the number that the host has given the server.
+    /// The entry as the decision module takes it, with the server number that the host has assigned.
     pub fn to_listing(&self, server: ServerId, zones: &[String]) -> ListedServer {
-        let place = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
+        let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         ListedServer {
             server,
-            zone: ZoneId(place as u32),
+            zone: ZoneId(zone as u32),
             cell: CellId(self.group),
             status: match self.status {
                 Status::Active => ServerStatus::Ready,
--- /dev/null
+++ b/terms/src/maintenance.rs
@@ -0,0 +1,226 @@
+//! Which servers are in maintenance, and the state of a sidecar that outlives its process: as a file, or as
+//! the snapshot that a successor process receives.
+use crate::{read_json, to_json, DiscoveryList};
+use oakhollow::server_health::ServerHealth;
+use oakhollow::types::Micros;
+use oakhollow::OutcomeCounts;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// Maintenance marks by server name. They override the endpoint list.
+#[derive(Clone, PartialEq, Debug, Default)]
+pub struct MaintenanceMarks {
+    pub in_maintenance: BTreeSet<String>,
+    /// Servers that were put back in use, and when.
+    pub returned: BTreeMap<String, Micros>,
+}
+
+/// The serialised form. A file of another version or of another sidecar is rejected.
+#[derive(Serialize, Deserialize)]
+struct Snapshot {
+    version: u32,
+    listen: SocketAddr,
+    #[serde(rename = "out")]
+    in_maintenance: BTreeSet<String>,
+    #[serde(rename = "back")]
+    returned: BTreeMap<String, u64>,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    clock: Option<HostClock>,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    list: Option<DiscoveryList>,
+    #[serde(default, rename = "servers", skip_serializing_if = "Vec::is_empty")]
+    health: Vec<HealthRecord>,
+}
+
+/// The offset of a process's clock from the monotonic clock of its host, which all processes since one boot
+/// share.
+#[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub struct HostClock {
+    /// Identifies the boot of the host.
+    #[serde(rename = "boot")]
+    pub boot_id: String,
+    /// By how many microseconds the process's clock is ahead of the monotonic clock.
+    #[serde(rename = "ahead_us")]
+    pub offset_us: i64,
+}
+
+impl HostClock {
+    /// Converts a time of a process with the clock `writer` to our clock, which says `now`. If the boots
+    /// differ or are unknown, both clocks are taken as equal. The result is never later than `now`.
+    fn rebase(ours: Option<&HostClock>, writer: Option<&HostClock>, at: Micros, now: Micros) -> Micros {
+        let offset = match (ours, writer) {
+            (Some(ours), Some(writer)) if ours.boot_id == writer.boot_id => ours.offset_us - writer.offset_us,
+            _ => 0,
+        };
+        Micros(at.0.saturating_add_signed(offset)).min(now)
+    }
+}
+
+/// The health data of a server, in serialised form.
+#[derive(Clone, Serialize, Deserialize)]
+struct HealthRecord {
+    name: String,
+    #[serde(rename = "ease")]
+    weight_factor: f64,
+    good: f64,
+    bad: f64,
+    #[serde(rename = "answered")]
+    has_answered: bool,
+    #[serde(rename = "asides")]
+    ejections: u32,
+    #[serde(rename = "aside_us")]
+    ejected_until_us: Option<u64>,
+}
+
+/// The health data that one worker has learned, by server name.
+pub type LearnedHealth = Vec<(String, ServerHealth)>;
+
+/// What a successor process receives in addition to the maintenance marks.
+#[derive(Clone, Default, Debug)]
+pub struct HandoverState {
+    pub list: Option<DiscoveryList>,
+    pub learned: LearnedHealth,
+}
+
+impl HealthRecord {
+    fn from_health((name, health): &(String, ServerHealth)) -> HealthRecord {
+        HealthRecord {
+            name: name.clone(),
+            weight_factor: health.weight_factor,
+            good: health.outcomes.good,
+            bad: health.outcomes.bad,
+            has_answered: health.has_answered,
+            ejections: health.ejections,
+            ejected_until_us: health.ejected_until.map(|until| until.0),
+        }
+    }
+
+    /// `None` if a value is out of range.
+    fn read(self) -> Option<(String, ServerHealth)> {
+        let in_range = |value: f64| (0.0..1e9).contains(&value);
+        let valid = (0.01..=1.0).contains(&self.weight_factor) && in_range(self.good) && in_range(self.bad);
+        let outcomes = OutcomeCounts { good: self.good, bad: self.bad };
+        let (has_answered, ejections, ejected_until) =
+            (self.has_answered, self.ejections, self.ejected_until_us.map(Micros));
+        valid.then_some((
+            self.name,
+            ServerHealth {
+                weight_factor: self.weight_factor,
+                outcomes,
+                has_answered,
+                ejections,
+                ejected_until,
+            },
+        ))
+    }
+}
+
+/// A maintenance mark as one process sends it to the other.
+#[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub struct MaintenanceChange {
+    pub name: String,
+    #[serde(rename = "out")]
+    pub in_maintenance: bool,
+    #[serde(rename = "at_us")]
+    pub set_at_us: u64,
+}
+
+/// The messages between two processes of the same sidecar, one per line.
+#[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum HandoverMessage {
+    #[serde(rename = "mark")]
+    MaintenanceChange(MaintenanceChange),
+    /// It accepts no more connections.
+    #[serde(rename = "parting")]
+    StoppedAccepting,
+}
+
+impl HandoverMessage {
+    pub fn to_json(&self) -> String {
+        to_json(self)
+    }
+}
+
+const FORMAT_VERSION: u32 = 1;
+
+impl MaintenanceMarks {
+    /// The most maintenance marks, and the most returns that are remembered, so that neither the file nor
+    /// memory grows without bound.
+    pub const MAX_ENTRIES: usize = 4_096;
+    /// How long a return is remembered: longer than the slow start of any server.
+    const RETURN_MEMORY: Micros = Micros::millis(600_000);
+
+    pub fn set(&mut self, name: &str, in_maintenance: bool, at: Micros) {
+        if in_maintenance {
+            self.in_maintenance.insert(name.into());
+            self.returned.remove(name);
+            return;
+        }
+        self.in_maintenance.remove(name);
+        self.returned.retain(|_, returned_at| *returned_at + Self::RETURN_MEMORY > at);
+        if self.returned.len() < Self::MAX_ENTRIES {
+            self.returned.insert(name.into(), at);
+        }
+    }
+
+    /// `state` is included for a successor only; `clock` is that of this process.
+    pub fn to_json(&self, listen: SocketAddr, state: HandoverState, clock: Option<HostClock>) -> String {
+        let returned = self.returned.iter().map(|(name, at)| (name.clone(), at.0)).collect();
+        let health = state.learned.iter().map(HealthRecord::from_health).collect();
+        let snapshot = Snapshot {
+            version: FORMAT_VERSION,
+            listen,
+            in_maintenance: self.in_maintenance.clone(),
+            returned,
+            clock,
+            list: state.list,
+            health,
+        };
+        to_json(&snapshot)
+    }
+
+    /// `ours` is the clock of this process, which says `now`; the times are converted to it.
+    ///
+    /// ```
+    /// use oakhollow::types::Micros;
+    /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearnedHealth};
+    /// let (here, there) = ("127.0.0.1:70".parse().unwrap(), "127.0.0.1:71".parse().unwrap());
+    /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, Micros::millis(9));
+    /// let mut marks = MaintenanceMarks::default();
+    /// marks.in_maintenance.insert("s-1".into());
+    /// assert_eq!(read(marks.to_json(here, HandoverState::default(), None), here).unwrap().0, marks);
+    /// let learned: LearnedHealth = vec![("s-2".into(), oakhollow::server_health::ServerHealth { weight_factor: 0.5, ..Default::default() })];
+    /// let state = HandoverState { learned: learned.clone(), ..HandoverState::default() };
+    /// assert_eq!(read(marks.to_json(here, state, None), here).unwrap().1.learned, learned);
+    /// assert!(read(marks.to_json(here, HandoverState::default(), None), there).unwrap_err().starts_with("listen: "));
+    ///
+    /// // Put back 2 ms ago by a clock that was 5 ms ahead of ours.
+    /// let clock = |ahead_us| Some(HostClock { boot_id: "one".into(), offset_us: ahead_us });
+    /// marks.set("s-3", false, Micros::millis(12));
+    /// let json = marks.to_json(here, HandoverState::default(), clock(5_000));
+    /// let ours = MaintenanceMarks::from_json(json.as_bytes(), here, clock(0).as_ref(), Micros::millis(9)).unwrap().0;
+    /// assert_eq!(ours.returned["s-3"], Micros::millis(7));
+    /// assert_eq!(read(json, here).unwrap().0.returned["s-3"], Micros::millis(9));
+    /// ```
+    pub fn from_json(
+        json: &[u8], listen: SocketAddr, ours: Option<&HostClock>, now: Micros,
+    ) -> Result<(MaintenanceMarks, HandoverState), String> {
+        let snapshot: Snapshot = read_json(json)?;
+        if snapshot.version != FORMAT_VERSION {
+            return Err(format!("version: {} is not supported", snapshot.version));
+        }
+        if snapshot.listen != listen {
+            return Err(format!("listen: {} belongs to another sidecar", snapshot.listen));
+        }
+        let writer = snapshot.clock;
+        let to_our_clock = |at| HostClock::rebase(ours, writer.as_ref(), Micros(at), now);
+        let returned = snapshot.returned.into_iter().map(|(name, at)| (name, to_our_clock(at))).collect();
+        let learned = snapshot.health.into_iter().filter_map(HealthRecord::read).collect();
+        Ok((
+            MaintenanceMarks { in_maintenance: snapshot.in_maintenance, returned },
+            HandoverState { list: snapshot.list, learned },
+        ))
+    }
+}
--- /dev/null
+++ b/terms/src/operator_config.rs
@@ -0,0 +1,208 @@
+//! The operator's file: features that are turned on in addition to the settings. Every key is optional.
+use crate::SitePlanConfig;
+use oakhollow_sites::Plan;
+use serde::Deserialize;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+
+/// The content of the operator's file.
+///
+/// ```
+/// use oakhollow_terms::OperatorConfig;
+/// assert_eq!(OperatorConfig::from_toml("", 8).unwrap().workers, 1);
+/// let error = |text: &str| OperatorConfig::from_toml(text, 8).unwrap_err();
+/// assert_eq!(error("workers = 0"), "line 1: workers: must be a whole number from 1 to 32 (four for each of 8 cores), not 0");
+/// assert_eq!(error("\nworker = 2"), "line 2: unknown field `worker`, expected one of `workers`, `accord`, `plan`");
+/// assert!(error("workers = \"many\"").starts_with("line 1: workers: invalid type: string \"many\""));
+/// ```
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct OperatorConfig {
+    /// Worker threads, each with its own listener and its own instance of the decision module.
+    pub workers: usize,
+    /// How instances agree on settings; without it each instance acts on its own file alone.
+    pub accord: Option<AccordConfig>,
+    /// The plan for the loss of whole sites.
+    plan: Option<SitePlanConfig>,
+}
+
+impl Default for OperatorConfig {
+    fn default() -> OperatorConfig {
+        OperatorConfig { workers: 1, accord: None, plan: None }
+    }
+}
+
+/// The instances that agree on settings, and how.
+///
+/// ```
+/// use oakhollow_terms::OperatorConfig;
+/// let error = |keepers: &str, within: &str| {
+///     let text = format!("[accord]\nwithin = {within}\nkeepers = [{keepers}]\ninstances = {{ a = \"127.0.0.1:1\", b = \"127.0.0.1:2\", c = \"127.0.0.1:3\" }}");
+///     OperatorConfig::from_toml(&text, 8).map(|_| ()).unwrap_err()
+/// };
+/// assert_eq!(error(r#""a", "b""#, "2.0"), "line 3: accord.keepers: must be 1, 3 or 5 of the instances, not 2");
+/// assert_eq!(error(r#""a", "b", "a""#, "2.0"), "line 3: accord.keepers: \"a\" appears twice");
+/// assert_eq!(error(r#""a", "b", "d""#, "2.0"), "line 3: accord.keepers: \"d\" is not one of the instances");
+/// let listed = error(r#""a", "b", "c""#, "2.0\nscope = \"listed\"\nunsure = \"hold\"");
+/// assert_eq!(listed, "line 3: accord.scope: \"listed\" requires lists = \"drains\" and unsure = \"refuse\"");
+/// assert_eq!(error(r#""a", "b", "c""#, "0.01"), "line 2: accord.within: must be from 0.2 to 60 seconds, not 0.01");
+/// ```
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct AccordConfig {
+    /// By the `name` in the instance's file, the address of its lease server as seen from this instance.
+    pub instances: BTreeMap<String, SocketAddr>,
+    /// The instances that run a lease server.
+    pub keepers: Vec<String>,
+    /// How long two instances may act on different versions, in seconds: twice the length of a lease.
+    #[serde(rename = "within")]
+    pub max_divergence_s: f64,
+    #[serde(default, rename = "unsure")]
+    pub no_lease_policy: NoLeasePolicy,
+    #[serde(default, rename = "lists")]
+    pub list_sharing: ListSharing,
+    #[serde(default)]
+    pub scope: Scope,
+    /// Whether a maintenance mark that is set at one instance applies to all.
+    #[serde(default, rename = "marks")]
+    pub share_maintenance: bool,
+}
+
+/// What instances share of their endpoint lists.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum ListSharing {
+    /// Servers that drain or were removed.
+    #[default]
+    Drains,
+    /// All entries. An instance whose discovery fails then continues with the entries of the others;
+    /// addresses must mean the same for all instances.
+    Whole,
+}
+
+/// The servers that an instance receives facts about.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Scope {
+    /// All servers.
+    #[default]
+    All,
+    /// The servers on its own list. A server that is new on the list gets requests once a majority of lease
+    /// servers has confirmed it.
+    Listed,
+}
+
+/// What an instance does without valid leases from a majority of lease servers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum NoLeasePolicy {
+    /// It refuses all requests at once.
+    #[default]
+    Refuse,
+    /// It sends first attempts only, and none to a server in slow start.
+    Strictest,
+    /// It continues with the last settings it knew, which may contradict those of other instances.
+    Hold,
+}
+
+impl AccordConfig {
+    /// Shorter leases would expire in an ordinary scheduling pause of a busy machine.
+    const MIN_DIVERGENCE_S: f64 = 0.2;
+    const MAX_DIVERGENCE_S: f64 = 60.0;
+
+    /// The invalid key, and the reason.
+    fn invalid_key(&self) -> Option<(&'static str, String)> {
+        let AccordConfig { instances, keepers, max_divergence_s, .. } = self;
+        let listed_only = self.scope == Scope::Listed;
+        let duplicate = keepers.iter().enumerate().find(|(at, keeper)| keepers[..*at].contains(keeper));
+        let unknown = keepers.iter().find(|keeper| !instances.contains_key(*keeper));
+        match () {
+            _ if !(Self::MIN_DIVERGENCE_S..=Self::MAX_DIVERGENCE_S).contains(max_divergence_s) => {
+                let reason = format!(
+                    "must be from {} to {} seconds, not {max_divergence_s}",
+                    Self::MIN_DIVERGENCE_S,
+                    Self::MAX_DIVERGENCE_S
+                );
+                Some(("within", reason))
+            }
+            _ if duplicate.is_some() => Some(("keepers", format!("{:?} appears twice", duplicate?.1))),
+            _ if unknown.is_some() => {
+                Some(("keepers", format!("{:?} is not one of the instances", unknown?)))
+            }
+            _ if ![1, 3, 5].contains(&keepers.len()) => {
+                Some(("keepers", format!("must be 1, 3 or 5 of the instances, not {}", keepers.len())))
+            }
+            // With this scope an instance receives no entries of other lists, and a held-back server needs a
+            // valid lease to be released.
+            _ if listed_only
+                && (self.list_sharing, self.no_lease_policy)
+                    != (ListSharing::Drains, NoLeasePolicy::Refuse) =>
+            {
+                let reason = "\"listed\" requires lists = \"drains\" and unsure = \"refuse\"";
+                Some(("scope", reason.into()))
+            }
+            _ => None,
+        }
+    }
+}
+
+impl OperatorConfig {
+    /// More worker threads for each core would only compete for it.
+    const MAX_WORKERS_PER_CORE: usize = 4;
+
+    /// The plan, which was checked when the file was read.
+    pub fn site_plan(&self) -> Option<Plan> {
+        self.plan.as_ref().and_then(|plan| plan.plan().ok())
+    }
+
+    /// Reads the file. An error message is one line with the file, the line and the key.
+    pub fn from_file(path: &Path, cores: usize) -> Result<OperatorConfig, String> {
+        let in_file = |error: String| format!("{}: {error}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|error| in_file(error.to_string()))?;
+        OperatorConfig::from_toml(&text, cores).map_err(in_file)
+    }
+
+    /// `cores` is the number of cores of the machine.
+    pub fn from_toml(text: &str, cores: usize) -> Result<OperatorConfig, String> {
+        let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
+        let message = |at: Option<usize>, key: &str, reason: &str| {
+            let reason = reason.trim().replace('\n', " ");
+            let position = at.map(|at| format!("line {}: ", line(at))).unwrap_or_default();
+            let key = if key.is_empty() || key == "." { String::new() } else { format!("{key}: ") };
+            format!("{position}{key}{reason}")
+        };
+        let source = toml::Deserializer::parse(text);
+        let source =
+            source.map_err(|error| message(error.span().map(|span| span.start), "", error.message()))?;
+        let read: OperatorConfig = serde_path_to_error::deserialize(source).map_err(|error| {
+            let (key, inner) = (error.path().to_string(), error.inner());
+            let key = if inner.message().starts_with("unknown field") { String::new() } else { key };
+            message(inner.span().map(|span| span.start), &key, inner.message())
+        })?;
+        let position_of = |key: &str| {
+            let at = text.lines().position(|line| line.trim_start().starts_with(key));
+            at.map(|at| text.lines().take(at).map(|line| line.len() + 1).sum())
+        };
+        if let Some((key, reason)) = read.accord.as_ref().and_then(AccordConfig::invalid_key) {
+            return Err(message(position_of(key), &format!("accord.{key}"), &reason));
+        }
+        if let Some((key, reason)) = read.plan.as_ref().and_then(|plan| plan.plan().err()) {
+            // A key below sites and calls is on the line of its name, in a table of its own or inline.
+            let name = key.get(1).or(key.first()).map_or("", String::as_str);
+            let tables = [name.to_string(), format!("[plan.{}.{name}", key[0])];
+            let at = tables.iter().find_map(|name| position_of(name));
+            return Err(message(at, &format!("plan.{}", key.join(".")), &reason));
+        }
+        let max_workers = Self::MAX_WORKERS_PER_CORE * cores.max(1);
+        if !(1..=max_workers).contains(&read.workers) {
+            let at = position_of("workers");
+            let reason = format!(
+                "must be a whole number from 1 to {max_workers} (four for each of {cores} cores), not {}",
+                read.workers
+            );
+            return Err(message(at, "workers", &reason));
+        }
+        Ok(read)
+    }
+}
--- a/terms/src/place.rs
+++ b/terms/src/settings.rs
@@ -1,38 +1,39 @@
-//! The settings object: what the place lays down, as the module's [`BalancerConfig`] and as figures for the host.
+//! The settings object, converted to the decision module's [`BalancerConfig`] and to the values that the host
+//! needs.
 use oakhollow::types::*;
 use serde::Deserialize;
 
-/// What the place lays down for one instance.
+/// The settings of one instance.
 ///
 /// ```
 /// let json = r#"{"me":0,"balancers":2,"bounds":{"most_hops":3},"rules":{"cold_from":0.5,"fall_s":1,"warm_within_s":5},
 ///   "workloads":[{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":-1,"semantics":"read_like"}]}"#;
-/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
-/// assert_eq!(fault, "workloads[0].payoff: must be a number from 0 up");
+/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// assert_eq!(error, "workloads[0].payoff: must be a number from 0 up");
 /// let json = json.replace("-1", "1").replace("read_like", "sometimes");
-/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
-/// assert!(fault.starts_with("workloads[0].semantics: unknown variant `sometimes`"), "{fault}");
+/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// assert!(error.starts_with("workloads[0].semantics: unknown variant `sometimes`"), "{error}");
 /// let json = json.replace("sometimes", "idempotency_key");
-/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
-/// assert_eq!(fault, "workloads[0].group: must be all, zone or cell for idempotency_key, not \"\"");
+/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// assert_eq!(error, "workloads[0].group: must be all, zone or cell for idempotency_key, not \"\"");
 /// let part = json.replace("idempotency_key", "read_like").replace("fall_s", "spare_attempts\":3,\"budget_share\":0.1,\"fall_s");
-/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(part.as_bytes()).unwrap_err();
-/// assert!(fault.starts_with("rules.extra_window_s: must be set where another"), "{fault}");
-/// let fault = part.replace("fall_s", "extra_window_s\":-2,\"fall_s");
-/// let fault = oakhollow_terms::read_json::<oakhollow_terms::Settings>(fault.as_bytes()).unwrap_err();
-/// assert_eq!(fault, "rules.extra_window_s: must be over 0 and at most 3600");
-/// let place: oakhollow_terms::Settings = oakhollow_terms::read_json(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
-/// assert_eq!(place.balancer.max_hops, 3);
+/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(part.as_bytes()).unwrap_err();
+/// assert!(error.starts_with("rules.extra_window_s: must be set where another"), "{error}");
+/// let error = part.replace("fall_s", "extra_window_s\":-2,\"fall_s");
+/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(error.as_bytes()).unwrap_err();
+/// assert_eq!(error, "rules.extra_window_s: must be over 0 and at most 3600");
+/// let settings: oakhollow_terms::Settings = oakhollow_terms::read_json(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
+/// assert_eq!(settings.balancer.max_hops, 3);
 /// // A repeat may arrive as much later than it is decided on as its connection takes: a quarter of a second here.
 /// let json = json.replace("\"group\":\"cell\"", "").replace("idempotency_key", "idempotency_key\",\"group\":\"cell\",\"memory_span_s\":\"x")
 ///     .replace("\"x\"", "1.5").replace("\"most_hops\":3", "\"most_hops\":3,\"connect_timeout_s\":0.25");
-/// let place: oakhollow_terms::Settings = oakhollow_terms::read_json(json.as_bytes()).unwrap();
+/// let settings: oakhollow_terms::Settings = oakhollow_terms::read_json(json.as_bytes()).unwrap();
 /// let memory = oakhollow::types::Micros::millis(1_250);
-/// assert_eq!(place.balancer.workloads[0].idempotency, oakhollow::types::Idempotency::ByKey { scope: oakhollow::types::DedupScope::Cell, window: memory });
-/// assert_eq!(place.workloads[0].name, "view");
+/// assert_eq!(settings.balancer.workloads[0].idempotency, oakhollow::types::Idempotency::ByKey { scope: oakhollow::types::DedupScope::Cell, window: memory });
+/// assert_eq!(settings.workloads[0].name, "view");
 /// ```
 #[derive(Clone, Debug, Deserialize)]
-#[serde(try_from = "Told")]
+#[serde(try_from = "SettingsJson")]
 pub struct Settings {
     pub balancer: BalancerConfig,
     /// In the order of [`BalancerConfig::workloads`].
@@ -40,49 +41,49 @@
     /// In the order of [`BalancerConfig::tenant_quotas`].
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
-    /// Which tier's servers this instance sends to.
+    /// The tier whose servers this instance sends to.
     pub tier: String,
-    /// How long a server that drains may still be sent new hops.
+    /// For how long new attempts may still be sent to a server that drains.
     pub drain_grace: Micros,
     pub connect_timeout: Micros,
-    /// When a server closes a connection that has stood idle, at the latest.
+    /// The longest that a server keeps an idle connection open.
     pub server_idle_timeout: Micros,
-    /// What a program of its own must not take up, if anything; the simulator may send it.
+    /// Why a sidecar on sockets must reject these settings, if it must; the simulator may use them.
     pub inconsistency: Option<String>,
 }
 
-/// What the host needs of a workload.
+/// What the host needs to know of a workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadSettings {
     pub name: String,
     /// The longest that a client waits.
     pub max_client_wait: Micros,
-    /// Calls of it carry a key of their own.
+    /// Whether its requests carry an idempotency key.
     pub has_idempotency_key: bool,
 }
 
-/// Seconds as the settings have them.
+/// Converts seconds, the unit of the settings.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     Micros((seconds * 1e6).round().max(0.0) as u64)
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct SettingsJson {
     me: u32,
     balancers: u32,
-    bounds: Bounds,
-    discovery: Option<Discovery>,
+    bounds: BoundsJson,
+    discovery: Option<DiscoveryMode>,
     #[serde(default)]
-    goal: Goal,
+    goal: GoalJson,
     #[serde(default = "one")]
     overage_payoff: f64,
     #[serde(default)]
-    family_info: Family,
+    family_info: FamilyInfoJson,
     #[serde(default)]
-    prices: Prices,
+    prices: PricesJson,
     #[serde(default)]
-    report: Reporting,
-    rules: Rules,
+    report: ReportJson,
+    rules: RulesJson,
     #[serde(default)]
     stages: Vec<String>,
     #[serde(default)]
@@ -92,8 +93,8 @@
     #[serde(default)]
     zones: Vec<String>,
     #[serde(default)]
-    tenants: Vec<Tenant>,
-    workloads: Vec<Class>,
+    tenants: Vec<TenantJson>,
+    workloads: Vec<WorkloadJson>,
 }
 
 fn one() -> f64 {
@@ -109,7 +110,7 @@
 }
 
 #[derive(Deserialize)]
-struct Bounds {
+struct BoundsJson {
     #[serde(default)]
     cancel: bool,
     #[serde(default = "one_second")]
@@ -129,40 +130,40 @@
 
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum Discovery {
+enum DiscoveryMode {
     Pushed,
     OnRequest,
 }
 
 #[derive(Deserialize, Default)]
-struct Goal {
+struct GoalJson {
     #[serde(default)]
     worst_class: f64,
 }
 
 #[derive(Deserialize, Default)]
-struct Prices {
+struct PricesJson {
     #[serde(default)]
     cross_zone: f64,
 }
 
 #[derive(Deserialize, Default)]
-struct Family {
+struct FamilyInfoJson {
     #[serde(default)]
     warm_keys: bool,
 }
 
 #[derive(Deserialize, Default)]
-struct Reporting {
+struct ReportJson {
     #[serde(default)]
     columns: Vec<String>,
     #[serde(default)]
-    source: Source,
+    source: LoadReportSource,
 }
 
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum Source {
+enum LoadReportSource {
     #[default]
     None,
     Probe,
@@ -170,7 +171,7 @@
 }
 
 #[derive(Deserialize)]
-struct Rules {
+struct RulesJson {
     #[serde(default)]
     ask_within_s: f64,
     budget_share: Option<f64>,
@@ -183,34 +184,34 @@
     warm_within_s: f64,
 }
 
-/// The longest window of a bound on hops: an hour. One beyond it is a slip of units.
-const LONGEST_WINDOW_S: f64 = 3_600.0;
-/// The most hops that a bound may grant on top of its share.
-const MOST_SPARE: f64 = 1e6;
+/// The longest window of a retry budget: one hour. A longer one is most likely a wrong unit.
+const MAX_RETRY_WINDOW_S: f64 = 3_600.0;
+/// The most retries that a retry budget may allow in addition to its share.
+const MAX_SPARE_ATTEMPTS: f64 = 1e6;
 
-impl Rules {
-    /// The bound on hops beyond each call's first: all three keys, or none.
-    fn beyond_first(&self) -> Result<Option<RetryBudget>, String> {
-        let Rules { budget_share, spare_attempts, extra_window_s, .. } = self;
+impl RulesJson {
+    /// The retry budget: all three keys, or none.
+    fn retry_budget(&self) -> Result<Option<RetryBudget>, String> {
+        let RulesJson { budget_share, spare_attempts, extra_window_s, .. } = self;
         if budget_share.is_none() && spare_attempts.is_none() && extra_window_s.is_none() {
             return Ok(None);
         }
-        let within = |key: &str, figure: &Option<f64>, sound: fn(f64) -> bool, what: &str| {
-            match figure {
+        let checked = |key: &str, value: &Option<f64>, is_valid: fn(f64) -> bool, requirement: &str| {
+            match value {
             None => Err(format!(
                 ".rules.{key}: must be set where another of budget_share, spare_attempts and extra_window_s is"
             )),
-            Some(figure) if sound(*figure) => Ok(*figure),
-            Some(_) => Err(format!(".rules.{key}: must be {what}")),
+            Some(value) if is_valid(*value) => Ok(*value),
+            Some(_) => Err(format!(".rules.{key}: must be {requirement}")),
         }
         };
-        let share = |figure| (0.0..=1.0).contains(&figure);
-        let few = |figure: f64| (0.0..=MOST_SPARE).contains(&figure) && figure.fract() == 0.0;
-        let window = |figure| figure > 0.0 && figure <= LONGEST_WINDOW_S;
+        let share = |value| (0.0..=1.0).contains(&value);
+        let spare = |value: f64| (0.0..=MAX_SPARE_ATTEMPTS).contains(&value) && value.fract() == 0.0;
+        let window = |value| value > 0.0 && value <= MAX_RETRY_WINDOW_S;
         Ok(Some(RetryBudget {
-            ratio: within("budget_share", budget_share, share, "a number from 0 to 1")?,
-            base: within("spare_attempts", spare_attempts, few, "a whole number from 0 to 1000000")?,
-            window: micros_from_seconds(within(
+            ratio: checked("budget_share", budget_share, share, "a number from 0 to 1")?,
+            base: checked("spare_attempts", spare_attempts, spare, "a whole number from 0 to 1000000")?,
+            window: micros_from_seconds(checked(
                 "extra_window_s",
                 extra_window_s,
                 window,
@@ -221,7 +222,7 @@
 }
 
 #[derive(Deserialize)]
-struct Tenant {
+struct TenantJson {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -229,7 +230,7 @@
 }
 
 #[derive(Deserialize)]
-struct Class {
+struct WorkloadJson {
     #[serde(default)]
     name: String,
     quoted_time_s: f64,
@@ -238,7 +239,7 @@
     payoff: f64,
     semantics: Semantics,
     #[serde(default)]
-    group: String, // means something for tagged ones only
+    group: String, // used for idempotency_key only
     #[serde(default)]
     memory_span_s: f64,
 }
@@ -251,39 +252,39 @@
     NonIdempotent,
 }
 
-impl TryFrom<Told> for Settings {
+impl TryFrom<SettingsJson> for Settings {
     type Error = String;
 
-    fn try_from(told: Told) -> Result<Settings, String> {
-        told.check()?;
-        let Told { bounds, rules, .. } = &told;
-        let mut kinds = Vec::new();
-        for (at, class) in told.workloads.iter().enumerate() {
-            let kind = class.kind(bounds.connect_timeout_s).ok_or_else(|| {
+    fn try_from(json: SettingsJson) -> Result<Settings, String> {
+        json.check_ranges()?;
+        let SettingsJson { bounds, rules, .. } = &json;
+        let mut workloads = Vec::new();
+        for (at, workload) in json.workloads.iter().enumerate() {
+            let idempotency = workload.idempotency(bounds.connect_timeout_s).ok_or_else(|| {
                 format!(
                     ".workloads[{at}].group: must be all, zone or cell for idempotency_key, not {:?}",
-                    class.group
+                    workload.group
                 )
             })?;
-            let (quoted_time, payoff) = (micros_from_seconds(class.quoted_time_s), class.payoff);
-            kinds.push(Workload { idempotency: kind, quoted_time, payoff });
+            let (quoted_time, payoff) = (micros_from_seconds(workload.quoted_time_s), workload.payoff);
+            workloads.push(Workload { idempotency, quoted_time, payoff });
         }
-        let named = |class: &Class| WorkloadSettings {
-            name: class.name.clone(),
-            max_client_wait: micros_from_seconds(class.abandon_time_s),
-            has_idempotency_key: matches!(class.semantics, Semantics::IdempotencyKey),
+        let workload_settings = |workload: &WorkloadJson| WorkloadSettings {
+            name: workload.name.clone(),
+            max_client_wait: micros_from_seconds(workload.abandon_time_s),
+            has_idempotency_key: matches!(workload.semantics, Semantics::IdempotencyKey),
         };
         Ok(Settings {
             balancer: BalancerConfig {
-                instances: told.balancers,
-                instance_index: told.me,
-                local_zone: (told.prices.cross_zone > 0.0).then_some(ZoneId(told.zone)),
-                workloads: kinds,
-                tenant_quotas: told.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
-                overage_payoff: told.overage_payoff,
-                worst_workload_weight: told.goal.worst_class,
+                instances: json.balancers,
+                instance_index: json.me,
+                local_zone: (json.prices.cross_zone > 0.0).then_some(ZoneId(json.zone)),
+                workloads,
+                tenant_quotas: json.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
+                overage_payoff: json.overage_payoff,
+                worst_workload_weight: json.goal.worst_class,
                 max_hops: bounds.most_hops,
-                retry_budget: rules.beyond_first()?,
+                retry_budget: rules.retry_budget()?,
                 may_cancel: bounds.cancel,
                 may_hedge: bounds.parallel_tries,
                 max_retry_after: if bounds.retry_after {
@@ -291,72 +292,74 @@
                 } else {
                     Micros(0)
                 },
-                load_reports: told.report.tells_load(),
+                load_reports: json.report.has_load_columns(),
                 peer_messages: bounds.peer_messages,
-                key_affinity: told.family_info.warm_keys,
-                must_subscribe: told.discovery == Some(Discovery::OnRequest),
+                key_affinity: json.family_info.warm_keys,
+                must_subscribe: json.discovery == Some(DiscoveryMode::OnRequest),
                 resubscribe_within: micros_from_seconds(rules.ask_within_s),
                 cold_capacity: rules.cold_from,
                 warm_up_time: micros_from_seconds(rules.warm_within_s),
                 collapse_window: micros_from_seconds(rules.fall_s),
             },
-            workloads: told.workloads.iter().map(named).collect(),
-            tenants: told.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-            tier: told.stages.get(told.tier).cloned().unwrap_or_default(),
+            workloads: json.workloads.iter().map(workload_settings).collect(),
+            tenants: json.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+            tier: json.stages.get(json.tier).cloned().unwrap_or_default(),
             drain_grace: micros_from_seconds(rules.stop_sending_within_s),
             connect_timeout: micros_from_seconds(bounds.connect_timeout_s),
             server_idle_timeout: micros_from_seconds(bounds.idle_close_s),
-            inconsistency: told.mixed(),
-            zones: told.zones,
+            inconsistency: json.find_inconsistency(),
+            zones: json.zones,
         })
     }
 }
 
-impl Told {
-    /// Settings that are each sound and don't go together, told by the key. A list is asked for where answers tell no
-    /// load. It may be pushed with or without: guards against refusing a fleet whose servers tell nothing. Keys and
-    /// messages belong to the shape that has both.
-    fn mixed(&self) -> Option<String> {
-        let Reporting { columns, source } = &self.report;
-        let tells = *source == Source::Answers;
-        let pushed = self.discovery.as_ref().map_or(tells, |discovery| *discovery == Discovery::Pushed);
+impl SettingsJson {
+    /// Settings that are valid one by one but not together, as an error message that names the key. With load
+    /// reports in answers the list is pushed; without them it may be pushed or requested, so that servers
+    /// without load reports are supported too. Affinity keys and peer messages need both a pushed list and
+    /// load reports.
+    fn find_inconsistency(&self) -> Option<String> {
+        let ReportJson { columns, source } = &self.report;
+        let has_reports = *source == LoadReportSource::Answers;
+        let pushed =
+            self.discovery.as_ref().map_or(has_reports, |discovery| *discovery == DiscoveryMode::Pushed);
         if let Some(at) = columns.iter().position(|column| !LOAD_REPORT_COLUMNS.contains(&column.as_str())) {
-            let (odd, all) = (&columns[at], LOAD_REPORT_COLUMNS.join(", "));
-            return Some(format!("report.columns[{at}]: unknown value {odd:?}, known are {all}"));
+            let (unknown, all) = (&columns[at], LOAD_REPORT_COLUMNS.join(", "));
+            return Some(format!("report.columns[{at}]: unknown value {unknown:?}, known are {all}"));
         }
-        let why = match () {
-            _ if *source == Source::None && !columns.is_empty() => {
+        let message = match () {
+            _ if *source == LoadReportSource::None && !columns.is_empty() => {
                 "report.source: must be answers or probe where report.columns names values"
             }
-            _ if tells && !self.report.tells_load() => {
+            _ if has_reports && !self.report.has_load_columns() => {
                 "report.columns: must name busy_reqs, and pending or cpu_share, where report.source is answers"
             }
-            _ if !pushed && tells => "report.source: must not be answers where discovery is on_request",
+            _ if !pushed && has_reports => "report.source: must not be answers where discovery is on_request",
             _ if !pushed && self.family_info.warm_keys => {
                 "family_info.warm_keys: must not be set where discovery is on_request"
             }
             _ if !pushed && self.bounds.peer_messages => {
                 "bounds.peer_messages: must not be set where discovery is on_request"
             }
-            _ if !tells && self.family_info.warm_keys => {
+            _ if !has_reports && self.family_info.warm_keys => {
                 "family_info.warm_keys: must not be set where report.source is not answers"
             }
-            _ if !tells && self.bounds.peer_messages => {
+            _ if !has_reports && self.bounds.peer_messages => {
                 "bounds.peer_messages: must not be set where report.source is not answers"
             }
             _ => return None,
         };
-        Some(why.into())
+        Some(message.into())
     }
 
-    /// Figures that would parse and mean nothing.
-    fn check(&self) -> Result<(), String> {
-        let Told { bounds, rules, .. } = self;
-        let from_zero = |key: String, figure: f64| match figure >= 0.0 {
+    /// Checks values that parse but are out of range.
+    fn check_ranges(&self) -> Result<(), String> {
+        let SettingsJson { bounds, rules, .. } = self;
+        let from_zero = |key: String, value: f64| match value >= 0.0 {
             true => Ok(()),
             false => Err(format!("{key}: must be a number from 0 up")),
         };
-        let over_zero = |key: String, figure: f64| match figure > 0.0 {
+        let over_zero = |key: String, value: f64| match value > 0.0 {
             true => Ok(()),
             false => Err(format!("{key}: must be over 0")),
         };
@@ -370,17 +373,18 @@
         from_zero(".rules.fall_s".into(), rules.fall_s)?;
         from_zero(".rules.stop_sending_within_s".into(), rules.stop_sending_within_s)?;
         from_zero(".rules.warm_within_s".into(), rules.warm_within_s)?;
-        for (at, class) in self.workloads.iter().enumerate() {
+        for (at, workload) in self.workloads.iter().enumerate() {
             let key = |name: &str| format!(".workloads[{at}].{name}");
-            over_zero(key("quoted_time_s"), class.quoted_time_s)?;
-            over_zero(key("abandon_time_s"), class.abandon_time_s)?;
-            from_zero(key("payoff"), class.payoff)?;
-            from_zero(key("memory_span_s"), class.memory_span_s)?;
+            over_zero(key("quoted_time_s"), workload.quoted_time_s)?;
+            over_zero(key("abandon_time_s"), workload.abandon_time_s)?;
+            from_zero(key("payoff"), workload.payoff)?;
+            from_zero(key("memory_span_s"), workload.memory_span_s)?;
         }
-        let mut named = self.workloads.iter().enumerate().filter(|(_, class)| !class.name.is_empty());
-        let twice = |at: usize, name: &str| self.workloads[..at].iter().any(|other| other.name == name);
-        if let Some((at, class)) = named.find(|(at, class)| twice(*at, &class.name)) {
-            return Err(format!(".workloads[{at}].name: {:?} stands twice", class.name));
+        let mut with_names =
+            self.workloads.iter().enumerate().filter(|(_, workload)| !workload.name.is_empty());
+        let duplicate = |at: usize, name: &str| self.workloads[..at].iter().any(|other| other.name == name);
+        if let Some((at, workload)) = with_names.find(|(at, workload)| duplicate(*at, &workload.name)) {
+            return Err(format!(".workloads[{at}].name: {:?} appears twice", workload.name));
         }
         for (at, tenant) in self.tenants.iter().enumerate() {
             from_zero(format!(".tenants[{at}].quota_per_s"), tenant.quota_per_s)?;
@@ -394,24 +398,27 @@
     }
 }
 
-/// Values that a load report may hold.
+/// The values that a load report may contain.
 pub const LOAD_REPORT_COLUMNS: [&str; 6] =
     ["busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"];
 
-impl Reporting {
-    /// Whether each answer comes with what the module reads: calls held, and calls waiting or busy cores.
-    fn tells_load(&self) -> bool {
-        let tells = |name| self.columns.iter().any(|column| column == name);
-        self.source == Source::Answers && tells("busy_reqs") && (tells("pending") || tells("cpu_share"))
+impl ReportJson {
+    /// Whether answers report what the decision module needs: requests in progress, and waiting requests or
+    /// busy cores.
+    fn has_load_columns(&self) -> bool {
+        let has_column = |name| self.columns.iter().any(|column| column == name);
+        self.source == LoadReportSource::Answers
+            && has_column("busy_reqs")
+            && (has_column("pending") || has_column("cpu_share"))
     }
 }
 
-impl Class {
-    /// A repeat arrives later than it is decided on, by as much as its connection takes: guards against one that comes up
-    /// when its server remembers no more.
-    fn kind(&self, connect_timeout_s: f64) -> Option<Idempotency> {
-        let memory = micros_from_seconds(self.memory_span_s - connect_timeout_s);
-        let group = match self.group.as_str() {
+impl WorkloadJson {
+    /// A retry arrives later than it was decided on, by up to the connect timeout. The window is shorter by
+    /// that, so that a retry does not arrive after its server has forgotten the key.
+    fn idempotency(&self, connect_timeout_s: f64) -> Option<Idempotency> {
+        let window = micros_from_seconds(self.memory_span_s - connect_timeout_s);
+        let scope = match self.group.as_str() {
             "all" => Some(DedupScope::All),
             "zone" => Some(DedupScope::Zone),
             "cell" => Some(DedupScope::Cell),
@@ -420,9 +427,7 @@
         match self.semantics {
             Semantics::ReadLike => Some(Idempotency::Idempotent),
             Semantics::NonIdempotent => Some(Idempotency::NonIdempotent),
-            Semantics::IdempotencyKey => {
-                group.map(|group| Idempotency::ByKey { scope: group, window: memory })
-            }
+            Semantics::IdempotencyKey => scope.map(|scope| Idempotency::ByKey { scope, window }),
         }
     }
 }
--- a/terms/src/agreed.rs
+++ b/terms/src/shared_settings.rs
@@ -1,28 +1,28 @@
-//! Settings as instances agree on them: the part that is the same for all, as text, and each instance's own on top of it.
+//! The settings that instances agree on, as text, and the settings that each instance keeps for itself.
 use crate::{read_json, stable_hash, stricter, to_json, Settings, SidecarConfig};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// What of the settings is an instance's own.
-const OWN: [&str; 3] = ["me", "tier", "zone"];
+/// The keys that belong to a single instance.
+const LOCAL_KEYS: [&str; 3] = ["me", "tier", "zone"];
 
-/// An instance's own part of the settings.
+/// The part of the settings that belongs to a single instance.
 ///
 /// ```
 /// use oakhollow_terms::LocalSettings;
 /// let of = |me: u32, hops: u32| format!(r#"{{"me":{me},"balancers":2,"bounds":{{"most_hops":{hops}}},
 ///   "rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5}},
 ///   "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":1,"semantics":"read_like"}}]}}"#);
-/// let (own, first) = LocalSettings::split(&of(1, 3)).unwrap();
+/// let (local, first) = LocalSettings::split(&of(1, 3)).unwrap();
 /// let (_, second) = LocalSettings::split(&of(0, 2)).unwrap();
 /// assert_eq!(first, LocalSettings::split(&of(0, 3)).unwrap().1);
-/// let place = own.merge(&[first.text.as_str(), &second.text]).unwrap();
-/// assert_eq!((place.balancer.instance_index, place.balancer.max_hops), (1, 2));
+/// let settings = local.merge(&[first.text.as_str(), &second.text]).unwrap();
+/// assert_eq!((settings.balancer.instance_index, settings.balancer.max_hops), (1, 2));
 /// ```
 #[derive(Clone, Default, Debug)]
 pub struct LocalSettings(Map<String, Value>);
 
-/// The part that is the same for all.
+/// The part of the settings that all instances share.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SharedSettings {
     pub text: String,
@@ -30,19 +30,20 @@
 }
 
 impl LocalSettings {
-    /// Parts settings as text.
+    /// Splits the text of the settings into the instance's own part and the shared part.
     pub fn split(settings: &str) -> Result<(LocalSettings, SharedSettings), String> {
         let mut all: Map<String, Value> = read_json(settings.as_bytes())?;
-        let own = OWN.iter().filter_map(|key| Some((key.to_string(), all.remove(*key)?))).collect();
+        let local = LOCAL_KEYS.iter().filter_map(|key| Some((key.to_string(), all.remove(*key)?))).collect();
         let text = Value::Object(all).to_string();
-        Ok((LocalSettings(own), SharedSettings { hash: stable_hash(&text), text }))
+        Ok((LocalSettings(local), SharedSettings { hash: stable_hash(&text), text }))
     }
 
-    /// The strictest of what is common, with this instance's own; the earliest comes first.
-    pub fn merge(&self, common: &[&str]) -> Result<Settings, String> {
-        let mut each = common.iter().map(|text| read_json::<Value>(text.as_bytes()));
-        let first = each.next().unwrap_or(Ok(Value::Null))?;
-        let mut all = each.try_fold(first, |all, one| stricter(&all, &one?))?;
+    /// The strictest combination of the shared settings, the earliest first, together with this instance's
+    /// own part.
+    pub fn merge(&self, shared: &[&str]) -> Result<Settings, String> {
+        let mut versions = shared.iter().map(|text| read_json::<Value>(text.as_bytes()));
+        let first = versions.next().unwrap_or(Ok(Value::Null))?;
+        let mut all = versions.try_fold(first, |all, next| stricter(&all, &next?))?;
         if let Value::Object(all) = &mut all {
             all.extend(self.0.clone());
         }
@@ -50,14 +51,14 @@
     }
 }
 
-/// What an instance says first on a link to a keeper.
+/// The first message of an instance on a connection to a lease server.
 ///
 /// ```
 /// use oakhollow_terms::Greeting;
 /// let greeting = Greeting::new("n1", 7);
 /// assert_eq!(Greeting::read(greeting.to_json().as_bytes()), Ok(greeting.clone()));
 /// let newer = greeting.to_json().replace("\"accord\":2", "\"accord\":1");
-/// assert_eq!(Greeting::read(newer.as_bytes()).unwrap_err(), "accord: 1 is not read");
+/// assert_eq!(Greeting::read(newer.as_bytes()).unwrap_err(), "accord: version 1 is not supported");
 /// ```
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Greeting {
@@ -71,8 +72,8 @@
 impl Greeting {
     const VERSION: u32 = 2;
 
-    pub fn new(name: &str, life: u64) -> Greeting {
-        Greeting { protocol_version: Self::VERSION, name: name.into(), incarnation: life }
+    pub fn new(name: &str, incarnation: u64) -> Greeting {
+        Greeting { protocol_version: Self::VERSION, name: name.into(), incarnation }
     }
 
     pub fn to_json(&self) -> String {
@@ -83,7 +84,7 @@
         let greeting: Greeting = read_json(line)?;
         match greeting.protocol_version {
             Self::VERSION => Ok(greeting),
-            other => Err(format!("accord: {other} is not read")),
+            other => Err(format!("accord: version {other} is not supported")),
         }
     }
 }
--- /dev/null
+++ b/terms/src/sidecar_config.rs
@@ -0,0 +1,177 @@
+//! The file that a sidecar on sockets starts with.
+use crate::{read_json, DiscoveryList, KeySet, Settings};
+use oakhollow::types::Micros;
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::Path;
+
+/// The content of the file.
+///
+/// ```
+/// use oakhollow_terms::{read_json, SidecarConfig};
+/// let error = read_json::<SidecarConfig>(br#"{"listen":"127.0.0.1:70000"}"#).unwrap_err();
+/// assert!(error.starts_with("listen: "), "{error}");
+/// ```
+#[derive(Clone, Debug, Deserialize)]
+pub struct SidecarConfig {
+    #[serde(default)]
+    pub name: String,
+    pub listen: SocketAddr,
+    pub discovery: SocketAddr,
+    /// The address of the operators' console; there is no console without it.
+    #[serde(default)]
+    pub console: Option<SocketAddr>,
+    #[serde(deserialize_with = "seed")]
+    pub seed: u64,
+    #[serde(default)]
+    pub limits: Limits,
+    #[serde(default, rename = "known")]
+    pub known_list: DiscoveryList,
+    #[serde(rename = "settings")]
+    pub settings: Settings,
+    /// The version of the settings; required if instances agree on settings.
+    #[serde(default, rename = "version")]
+    pub settings_version: Option<SettingsVersion>,
+    /// The text of the settings in the file.
+    #[serde(skip)]
+    pub settings_text: String,
+    /// The keys that the file contains.
+    #[serde(skip)]
+    pub keys: KeySet,
+}
+
+/// The number that the author of the settings gave them. An author that restarts its numbers begins a higher
+/// epoch.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct SettingsVersion {
+    #[serde(default)]
+    pub epoch: u64,
+    pub number: u64,
+}
+
+/// The limits of the machine.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(default)]
+pub struct Limits {
+    pub memory_mb: f64,
+    pub sockets: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits { memory_mb: 192.0, sockets: 1024 }
+    }
+}
+
+impl SidecarConfig {
+    /// The fewest file descriptors that a sidecar can work with.
+    const MIN_SOCKETS: usize = 64;
+    /// The longest interval between two list requests, half of the time within which the decision module has
+    /// to make one. Whatever the settings allow, a change must take effect within 6 s of being available at a
+    /// reachable discovery: two such intervals, one of them for a request that failed, and one second for a
+    /// request that succeeds and for a slow machine.
+    pub const MAX_LIST_REQUEST_INTERVAL: Micros = Micros::millis(2_500);
+    /// How long the list may go without a list request, if the settings don't say, or allow more.
+    const MAX_LIST_REQUEST_GAP: Micros = Micros(2 * Self::MAX_LIST_REQUEST_INTERVAL.0);
+    /// The shortest interval between two list requests, however short the drain grace, so that failing
+    /// requests don't follow each other without a pause.
+    const MIN_LIST_REQUEST_INTERVAL: Micros = Micros::millis(50);
+    const MIN_MEMORY_MB: f64 = 16.0;
+
+    /// Reads a replacement of a file that had these keys, all of which the new file must have.
+    pub fn from_replacement_file(before: &KeySet, path: &Path) -> Result<SidecarConfig, String> {
+        let config = SidecarConfig::from_file(path)?;
+        match config.keys.missing_key(before) {
+            Some(key) => Err(format!("{}: {key}: missing", path.display())),
+            None => Ok(config),
+        }
+    }
+
+    /// Reads the file. An error message is one line with the file and the key.
+    pub fn from_file(path: &Path) -> Result<SidecarConfig, String> {
+        let in_file = |error: String| format!("{}: {}", path.display(), error.replace('\n', " "));
+        let json = std::fs::read(path).map_err(|error| in_file(error.to_string()))?;
+        let mut config: SidecarConfig = read_json(&json).map_err(in_file)?;
+        config.keys = KeySet::of(&json);
+        config.settings =
+            Self::on_sockets(config.settings).map_err(|error| in_file(format!("settings.{error}")))?;
+        let json: serde_json::Value = read_json(&json).map_err(in_file)?;
+        config.settings_text = json["settings"].to_string();
+        match () {
+            _ if config.limits.sockets < Self::MIN_SOCKETS => {
+                Err(in_file(format!("limits.sockets: must be {} or more", Self::MIN_SOCKETS)))
+            }
+            _ if config.limits.memory_mb < Self::MIN_MEMORY_MB => {
+                Err(in_file(format!("limits.memory_mb: must be {} or more", Self::MIN_MEMORY_MB)))
+            }
+            _ => Ok(config),
+        }
+    }
+
+    /// Adapts the settings to a sidecar on sockets.
+    pub(crate) fn on_sockets(mut settings: Settings) -> Result<Settings, String> {
+        // On sockets the list is never pushed unrequested: the sidecar must open a watch, also where the
+        // simulator would push the list.
+        let balancer = &mut settings.balancer;
+        if balancer.resubscribe_within.0 == 0 || balancer.resubscribe_within > Self::MAX_LIST_REQUEST_GAP {
+            balancer.resubscribe_within = Self::MAX_LIST_REQUEST_GAP;
+        }
+        // The settings count a change of a pushed list as known even while no watch is open. The sidecar must
+        // not be without a watch for longer than requests may still be sent to a draining server.
+        if !std::mem::replace(&mut balancer.must_subscribe, true) && settings.drain_grace.0 > 0 {
+            balancer.resubscribe_within =
+                balancer.resubscribe_within.min(settings.drain_grace.max(Self::MIN_LIST_REQUEST_INTERVAL));
+        }
+        if let Some(inconsistency) = &settings.inconsistency {
+            return Err(inconsistency.clone());
+        }
+        match settings.workloads.iter().position(|workload| workload.name.is_empty()) {
+            Some(at) => Err(format!("workloads[{at}].name: missing")),
+            None => Ok(settings),
+        }
+    }
+}
+
+fn seed<'de, D: serde::Deserializer<'de>>(source: D) -> Result<u64, D::Error> {
+    let text = String::deserialize(source)?;
+    let invalid = || serde::de::Error::custom(format!("must be up to 16 hexadecimal digits, not {text:?}"));
+    u64::from_str_radix(&text, 16).map_err(|_| invalid())
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn a_pushed_list_is_requested_again_within_the_drain_grace() {
+        let resubscribe_within = |discovery: &str, rest: &str| {
+            let json = format!(
+                r#"{{"me":0,"balancers":1,"discovery":"{discovery}","bounds":{{"most_hops":2}},"rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5{rest}}},
+                "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"semantics":"read_like"}}]}}"#
+            );
+            let balancer = SidecarConfig::on_sockets(read_json(json.as_bytes()).expect("settings"))
+                .expect("valid settings")
+                .balancer;
+            assert!(balancer.must_subscribe);
+            balancer.resubscribe_within
+        };
+        assert_eq!(resubscribe_within("pushed", r#","stop_sending_within_s":0.15"#), Micros::millis(150));
+        assert_eq!(
+            resubscribe_within("pushed", r#","stop_sending_within_s":0.01"#),
+            SidecarConfig::MIN_LIST_REQUEST_INTERVAL
+        );
+        assert_eq!(resubscribe_within("pushed", r#","ask_within_s":3"#), Micros::millis(3_000));
+        assert_eq!(
+            resubscribe_within("on_request", r#","stop_sending_within_s":0.15,"ask_within_s":3"#),
+            Micros::millis(3_000)
+        );
+        assert_eq!(
+            resubscribe_within("on_request", r#","stop_sending_within_s":0.15"#),
+            SidecarConfig::MAX_LIST_REQUEST_GAP
+        );
+        // Whatever the settings allow, two intervals leave one second of the 6 s within which a change must
+        // take effect.
+        assert_eq!(resubscribe_within("on_request", r#","ask_within_s":60"#), Micros::millis(5_000));
+    }
+}
