--- a/guard/src/budget.rs
+++ b/guard/src/budget.rs
@@ -1,50 +1,50 @@
-//! Attempts beyond each request's first, within a window of time.
+//! The retry budget: a limit on attempts beyond each request's first, within a sliding window.
 use oakhollow::types::Micros;
 use std::collections::VecDeque;
 
-/// How many attempts beyond requests' first are allowed in any window.
+/// How many attempts beyond the first of each request are allowed in any window.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RetryBudget {
-    /// So many in any case.
+    /// The fixed number of attempts that is always allowed.
     pub base: f64,
-    /// And so many for each request that is accepted in the window.
+    /// The attempts allowed in addition for each request accepted in the window.
     pub ratio: f64,
-    /// How long the window is.
+    /// The length of the window.
     pub window: Micros,
 }
 
-/// Counts what the budget is about, over the last window.
+/// Counts accepted requests and extra attempts in the last window.
 #[derive(Default, Debug)]
-pub(crate) struct Spending {
+pub(crate) struct BudgetUsage {
     accepted: VecDeque<Micros>,
-    beyond_first: VecDeque<Micros>,
+    extra_attempts: VecDeque<Micros>,
 }
 
-impl Spending {
-    pub fn accept(&mut self, now: Micros) {
+impl BudgetUsage {
+    pub fn record_accepted(&mut self, now: Micros) {
         self.accepted.push_back(now);
     }
 
-    /// Counts an attempt beyond a first one; false if that is one too many.
-    pub fn repeat(&mut self, now: Micros, budget: RetryBudget) -> bool {
-        self.beyond_first.push_back(now);
-        self.forget(now, budget.window);
-        self.beyond_first.len() as f64 <= budget.base + budget.ratio * self.accepted.len() as f64
+    /// Counts an attempt beyond the first of a request. Returns false if it exceeds the budget.
+    pub fn record_extra_attempt(&mut self, now: Micros, budget: RetryBudget) -> bool {
+        self.extra_attempts.push_back(now);
+        self.drop_expired(now, budget.window);
+        self.extra_attempts.len() as f64 <= budget.base + budget.ratio * self.accepted.len() as f64
     }
 
-    /// Attempts beyond a first one, in the last window.
+    /// The attempts beyond the first in the last window.
     pub fn used(&self) -> usize {
-        self.beyond_first.len()
+        self.extra_attempts.len()
     }
 
-    /// Forgets what was spent, and keeps what was accepted.
-    pub fn begin_anew(&mut self) {
-        self.beyond_first.clear();
+    /// Resets the used budget; accepted requests stay counted.
+    pub fn reset(&mut self) {
+        self.extra_attempts.clear();
     }
 
-    /// Drops what is older than the window: no more is kept than a window holds.
-    pub fn forget(&mut self, now: Micros, window: Micros) {
-        for times in [&mut self.accepted, &mut self.beyond_first] {
+    /// Drops entries older than the window, which also bounds the memory.
+    pub fn drop_expired(&mut self, now: Micros, window: Micros) {
+        for times in [&mut self.accepted, &mut self.extra_attempts] {
             while times.front().is_some_and(|at| *at + window < now) {
                 times.pop_front();
             }
--- a/guard/src/event.rs
+++ b/guard/src/event.rs
@@ -1,38 +1,38 @@
-//! What the guard is told, and the reasons for it.
+//! The events that the guard observes, and the reasons that they carry.
 use crate::server::Location;
 use oakhollow::types::{CallId, DedupScope, HopNo, Micros, Outcome, ServerId, ServerStatus};
 use std::fmt::{Display, Formatter, Result};
 use std::rc::Rc;
 
-/// What a request does at a server.
+/// Whether a request may be repeated at a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RepeatSafety {
-    /// Safe to repeat.
+    /// It may be repeated.
     Safe,
-    /// Servers of one group tell a repeat by its key, for that long.
+    /// Within the window, the servers in its scope recognise a repeat by its idempotency key.
     Keyed {
-        /// How long they remember it.
+        /// How long they remember the key.
         window: Micros,
-        /// Which servers share it.
+        /// The servers that share the memory of keys.
         scope: DedupScope,
     },
-    /// Unsafe to repeat.
+    /// It must not be repeated.
     Unsafe,
 }
 
 /// The kinds of final answer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum AnswerKind {
-    /// A server's.
+    /// The answer of a server.
     Served,
-    /// 429 or 503: nothing has run.
+    /// 429 or 503: no server has run the request.
     Refused,
-    /// Any other.
+    /// Any other answer.
     Failed,
 }
 
 impl AnswerKind {
-    /// The name by which it is counted.
+    /// The label under which it is counted.
     pub fn name(self) -> &'static str {
         match self {
             AnswerKind::Served => "served",
@@ -49,19 +49,19 @@
     ClientClosed,
     /// The client went away while its request waited.
     ClientGone,
-    /// Nothing was asked on it for as long as idle connections are kept.
+    /// No request arrived for as long as idle connections are kept.
     Idle,
-    /// A first request did not come in time.
+    /// The first request did not arrive in time.
     NoRequest,
-    /// Another connection needed its place.
+    /// Its place was needed for another connection.
     Evicted,
     /// The process is ending.
     ShuttingDown,
-    /// Its last answer was given: the client, a fault or the process wanted no further request on it.
+    /// It has had its last answer: the client, an error or the shutdown allows no further request on it.
     LastAnswer,
-    /// The client did not take its answer.
+    /// The client did not read its answer.
     AnswerNotTaken,
-    /// A long answer broke off at its server.
+    /// A streamed answer broke off at its server.
     AnswerBroken,
 }
 
@@ -79,7 +79,7 @@
         CloseReason::AnswerBroken,
     ];
 
-    /// The name by which it is counted.
+    /// The label under which it is counted.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientClosed => "client_closed",
@@ -95,22 +95,22 @@
     }
 }
 
-/// Something that has happened. Attempts are started and sent by [`crate::Guard::start_attempt`] and
+/// An event that the guard observes. Attempts are reported by [`crate::Guard::start_attempt`] and
 /// [`crate::Guard::send`] instead.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request was read whole, or its head was; one final answer is owed by `deadline`.
+    /// A request, or the head of a streamed one, was read; it must get one final answer by `deadline`.
     Accepted {
-        /// The sidecar's number for it.
+        /// The sidecar's number of the request.
         request: CallId,
-        /// The client's id for it.
+        /// The client's id of the request.
         request_id: Rc<str>,
-        /// What it does at a server.
+        /// Whether it may be repeated.
         repeat_safety: RepeatSafety,
-        /// When the client gives up.
+        /// When the client stops waiting.
         deadline: Micros,
     },
-    /// The decision module has the request.
+    /// The decision module has accepted the request.
     Queued {
         /// The request.
         request: CallId,
@@ -133,7 +133,7 @@
     },
     /// The client has closed its connection, or ended its sending.
     ClientGone {
-        /// The request that waited.
+        /// The request that was waiting.
         request: CallId,
     },
     /// The answer's first byte is about to be written.
@@ -143,37 +143,37 @@
         /// What kind of answer it is.
         kind: AnswerKind,
     },
-    /// The connection goes on, or is closed: the request is over.
+    /// The request is over: its connection is kept, or closed.
     Closed {
         /// The request.
         request: CallId,
-        /// Why its connection is closed; none where it is kept.
+        /// Why the connection is closed; `None` if it is kept.
         reason: Option<CloseReason>,
     },
-    /// What the list, or an operator, says of a server.
+    /// The status of a server changed, by the endpoint list or by an operator.
     ServerListed {
         /// The server.
         server: ServerId,
-        /// Whether it takes new requests.
+        /// Whether it accepts new requests.
         status: ServerStatus,
-        /// Where it stands.
+        /// The location of the server.
         location: Location,
     },
-    /// The process ends: open requests have their answers by then.
+    /// The process shuts down: open requests must be answered by the given time.
     ShutdownBegun {
         /// The last moment for an answer.
         answer_by: Micros,
     },
 }
 
-/// A step in a request's life, as it is kept for a violation's line.
+/// A step of a request, kept for the report of a violation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Transition {
     /// The request was read.
     Accepted,
-    /// The decision module has it.
+    /// The decision module has accepted it.
     Queued,
-    /// An attempt was decided on.
+    /// An attempt was started.
     AttemptStarted(HopNo, ServerId),
     /// An attempt's first byte was allowed.
     FirstByte(HopNo),
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -1,5 +1,5 @@
-//! The checks themselves.
-use crate::budget::{RetryBudget, Spending};
+//! The checks of all rules.
+use crate::budget::{BudgetUsage, RetryBudget};
 use crate::event::{AnswerKind, CloseReason, Event, RepeatSafety, Transition};
 use crate::permit::{AttemptPermit, Denial, SendConditions, SendPermit};
 use crate::request::{Attempt, Request};
@@ -8,46 +8,46 @@
 use fnv::FnvHashMap;
 use oakhollow::types::{CallId, HopNo, Micros, ServerId};
 
-/// By how much an answer may be late before it counts as lost.
+/// The tolerance before an answer counts as late.
 const ANSWER_SLACK: Micros = Micros::millis(500);
-/// By how much a server may be told more than what is left.
-const TOLD_SLACK: Micros = Micros::millis(150);
-/// How long after its client has gone an attempt may be started.
-const GONE_SLACK: Micros = Micros::millis(100);
-/// How much later than the grace of a drain a first byte may be written.
+/// By how much the timeout announced to a server may exceed the time that is left.
+const TIMEOUT_SLACK: Micros = Micros::millis(150);
+/// The tolerance for starting an attempt after the client has gone.
+const CLIENT_GONE_SLACK: Micros = Micros::millis(100);
+/// The tolerance after the drain grace for writing a first byte.
 const DRAIN_SLACK: Micros = Micros::millis(50);
 
-/// What the settings state.
+/// The limits that the settings give.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Limits {
-    /// How long a drain allows new attempts.
+    /// How long a server that drains may still get new attempts.
     pub drain_grace: Micros,
-    /// The budget of attempts beyond each request's first, where one is stated.
+    /// The retry budget, if the settings have one.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// The checks of one worker. See the crate's page.
+/// The checks of one worker; see the crate documentation.
 #[derive(Default, Debug)]
 pub struct Guard {
     limits: Limits,
     requests: FnvHashMap<CallId, Request>,
     servers: FnvHashMap<ServerId, Server>,
-    spending: Spending,
+    budget_usage: BudgetUsage,
     answer_by: Option<Micros>,
     violations: Vec<Violation>,
 }
 
 impl Guard {
-    /// Nothing is open, and no server is known.
+    /// Starts with no open request and no known server.
     pub fn new(limits: Limits) -> Guard {
         Guard { limits, ..Guard::default() }
     }
 
-    /// Other limits hold from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Limits) {
-        // What was spent by another budget is not held against this one.
+        // What was used of another budget does not count against the new one.
         if self.limits.retry_budget != limits.retry_budget {
-            self.spending.begin_anew();
+            self.budget_usage.reset();
         }
         self.limits = limits;
     }
@@ -57,54 +57,55 @@
         self.requests.len()
     }
 
-    /// How many attempts beyond requests' first there were in the last window, where a budget is stated.
+    /// How many attempts beyond the first of a request there were in the last window, if there is a retry
+    /// budget.
     pub fn retry_budget_used(&self) -> usize {
-        self.spending.used()
+        self.budget_usage.used()
     }
 
-    /// What was found since this was last asked.
+    /// The violations found since the last call of this method.
     pub fn take_violations(&mut self) -> Vec<Violation> {
         std::mem::take(&mut self.violations)
     }
 
-    /// Whether there is anything for [`Guard::take_violations`].
+    /// Whether [`Guard::take_violations`] would return any.
     pub fn has_violations(&self) -> bool {
         !self.violations.is_empty()
     }
 
-    /// Takes note of what has happened.
+    /// Records an event.
     pub fn observe(&mut self, now: Micros, event: Event) {
         match event {
-            Event::Accepted { request, request_id, repeat_safety: effect, deadline } => {
+            Event::Accepted { request, request_id, repeat_safety, deadline } => {
                 let deadline = self.answer_by.map_or(deadline, |by| by.min(deadline));
-                self.requests.insert(request, Request::new(request_id, effect, now, deadline));
+                self.requests.insert(request, Request::new(request_id, repeat_safety, now, deadline));
                 if let Some(budget) = self.limits.retry_budget {
-                    self.spending.accept(now);
-                    self.spending.forget(now, budget.window);
+                    self.budget_usage.record_accepted(now);
+                    self.budget_usage.drop_expired(now, budget.window);
                 }
             }
-            Event::Queued { request } => self.note(request, now, Transition::Queued),
+            Event::Queued { request } => self.record(request, now, Transition::Queued),
             Event::LastByteWritten { request, attempt } => {
-                self.note(request, now, Transition::LastByte(attempt));
-                self.change(request, attempt, |attempt| attempt.written = true);
+                self.record(request, now, Transition::LastByte(attempt));
+                self.update_attempt(request, attempt, |attempt| attempt.written = true);
             }
             Event::AttemptEnded { request, attempt, outcome } => {
-                self.note(request, now, Transition::AttemptEnded(attempt, outcome));
-                self.change(request, attempt, |attempt| attempt.outcome = Some(outcome));
+                self.record(request, now, Transition::AttemptEnded(attempt, outcome));
+                self.update_attempt(request, attempt, |attempt| attempt.outcome = Some(outcome));
             }
             Event::ClientGone { request } => {
-                self.note(request, now, Transition::ClientGone);
+                self.record(request, now, Transition::ClientGone);
                 if let Some(request) = self.requests.get_mut(&request) {
                     request.client_gone.get_or_insert(now);
                 }
             }
-            Event::AnswerBegun { request, kind } => self.answer(now, request, kind),
-            Event::Closed { request, reason } => self.close(now, request, reason),
-            Event::ServerListed { server, status: standing, location } => {
+            Event::AnswerBegun { request, kind } => self.record_answer(now, request, kind),
+            Event::Closed { request, reason } => self.record_close(now, request, reason),
+            Event::ServerListed { server, status, location } => {
                 let known = self.servers.entry(server);
                 known
-                    .and_modify(|server| server.list(standing, location, now))
-                    .or_insert_with(|| Server::new(standing, location, now));
+                    .and_modify(|server| server.update(status, location, now))
+                    .or_insert_with(|| Server::new(status, location, now));
             }
             Event::ShutdownBegun { answer_by } => {
                 self.answer_by = Some(answer_by);
@@ -115,128 +116,129 @@
         }
     }
 
-    /// A server is not known any more.
+    /// Forgets a server.
     pub fn forget_server(&mut self, server: ServerId) {
         self.servers.remove(&server);
     }
 
-    /// Whether an attempt may be made ready. Counts it where it may.
+    /// Whether an attempt may be started; counts it if so.
     pub fn start_attempt(
         &mut self, now: Micros, id: CallId, number: HopNo, server: ServerId,
     ) -> Result<AttemptPermit, Denial> {
         let Some(request) = self.requests.get(&id) else { return Err(Denial::RequestOver) };
         let location = self.servers.get(&server).map(|server| server.location);
         if request.answered {
-            self.violate(Rule::NoAttemptAfterAnswer, now, id, Some((number, server)));
+            self.report_violation(Rule::NoAttemptAfterAnswer, now, id, Some((number, server)));
             return Err(Denial::RequestOver);
         }
-        if request.client_gone.is_some_and(|gone| now > gone + GONE_SLACK) {
-            self.violate(Rule::NoAttemptAfterClientGone, now, id, Some((number, server)));
+        if request.client_gone.is_some_and(|gone| now > gone + CLIENT_GONE_SLACK) {
+            self.report_violation(Rule::NoAttemptAfterClientGone, now, id, Some((number, server)));
             return Err(Denial::ClientGone);
         }
         if now > request.deadline {
-            self.violate(Rule::NoAttemptAfterDeadline, now, id, Some((number, server)));
+            self.report_violation(Rule::NoAttemptAfterDeadline, now, id, Some((number, server)));
             return Err(Denial::OutOfTime);
         }
-        if let Some(rule) = broken_by_repeat(request, now, location) {
-            self.violate(rule, now, id, Some((number, server)));
+        if let Some(rule) = rule_against_repeat(request, now, location) {
+            self.report_violation(rule, now, id, Some((number, server)));
             return Err(Denial::MayHaveRun);
         }
-        let beyond_first = request
+        let is_extra = request
             .attempts
             .iter()
             .any(|attempt| !attempt.is_proven_not_run() || attempt.first_byte.is_some());
-        if let Some(budget) = self.limits.retry_budget.filter(|_| beyond_first) {
-            if !self.spending.repeat(now, budget) {
-                self.violate(Rule::RetryBudget, now, id, Some((number, server)));
+        if let Some(budget) = self.limits.retry_budget.filter(|_| is_extra) {
+            if !self.budget_usage.record_extra_attempt(now, budget) {
+                self.report_violation(Rule::RetryBudget, now, id, Some((number, server)));
             }
         }
         if let Some(request) = self.requests.get_mut(&id) {
             let attempt = Attempt { number, location, first_byte: None, written: false, outcome: None };
             request.attempts.push(attempt);
-            request.note(now, Transition::AttemptStarted(number, server));
+            request.record(now, Transition::AttemptStarted(number, server));
         }
         Ok(AttemptPermit { request: id, attempt: number, server })
     }
 
-    /// Whether the first byte of an attempt may be written, by what is known now.
+    /// Whether the first byte of an attempt may be written under the given conditions.
     pub fn send(
-        &mut self, now: Micros, permit: &AttemptPermit, look: SendConditions,
+        &mut self, now: Micros, permit: &AttemptPermit, conditions: SendConditions,
     ) -> Result<SendPermit, Denial> {
         let AttemptPermit { request: id, attempt: number, server } = *permit;
         let Some(request) = self.requests.get(&id) else { return Err(Denial::RequestOver) };
-        if !look.server_available {
+        if !conditions.server_available {
             return Err(Denial::ServerNotWanted);
         }
-        if !look.lease_valid {
+        if !conditions.lease_valid {
             return Err(Denial::LeaseLapsed);
         }
-        if !look.list_fresh {
+        if !conditions.list_fresh {
             return Err(Denial::ListStale);
         }
-        if look.client_gone || request.client_gone.is_some() {
+        if conditions.client_gone || request.client_gone.is_some() {
             return Err(Denial::ClientGone);
         }
-        if look.time_left.0 == 0 || now > request.deadline {
+        if conditions.time_left.0 == 0 || now > request.deadline {
             return Err(Denial::OutOfTime);
         }
         if request.answered {
             return Err(Denial::RequestOver);
         }
-        let told_too_much = look.announced_timeout > request.deadline - now + TOLD_SLACK;
-        let drained = self.servers.get(&server).and_then(|server| server.drained_for(now));
-        if drained.is_some_and(|drained| drained > self.limits.drain_grace + DRAIN_SLACK) {
-            self.violate(Rule::NothingToDrained, now, id, Some((number, server)));
+        let timeout_too_long = conditions.announced_timeout > request.deadline - now + TIMEOUT_SLACK;
+        let draining_for = self.servers.get(&server).and_then(|server| server.draining_for(now));
+        if draining_for.is_some_and(|duration| duration > self.limits.drain_grace + DRAIN_SLACK) {
+            self.report_violation(Rule::NothingToDrained, now, id, Some((number, server)));
             return Err(Denial::ServerNotWanted);
         }
-        if told_too_much {
-            self.violate(Rule::ToldTimeLeft, now, id, Some((number, server)));
+        if timeout_too_long {
+            self.report_violation(Rule::ToldTimeLeft, now, id, Some((number, server)));
         }
-        self.note(id, now, Transition::FirstByte(number));
-        self.change(id, number, |attempt| attempt.first_byte = Some(now));
+        self.record(id, now, Transition::FirstByte(number));
+        self.update_attempt(id, number, |attempt| attempt.first_byte = Some(now));
         Ok(SendPermit { _made_by_guard: () })
     }
 
-    fn answer(&mut self, now: Micros, id: CallId, kind: AnswerKind) {
+    fn record_answer(&mut self, now: Micros, id: CallId, kind: AnswerKind) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.note(now, Transition::AnswerBegun(kind));
+        request.record(now, Transition::AnswerBegun(kind));
         let second = std::mem::replace(&mut request.answered, true);
         let late = now > request.deadline + ANSWER_SLACK && request.client_gone.is_none();
-        let ran = request.effect != RepeatSafety::Safe && request.attempts.iter().any(Attempt::may_have_run);
+        let ran =
+            request.repeat_safety != RepeatSafety::Safe && request.attempts.iter().any(Attempt::may_have_run);
         if second {
-            self.violate(Rule::OneAnswer, now, id, None);
+            self.report_violation(Rule::OneAnswer, now, id, None);
         }
         if late {
-            self.violate(Rule::AnswerInTime, now, id, None);
+            self.report_violation(Rule::AnswerInTime, now, id, None);
         }
         if ran && kind == AnswerKind::Refused {
-            self.violate(Rule::RefusedOnlyIfNotRun, now, id, None);
+            self.report_violation(Rule::RefusedOnlyIfNotRun, now, id, None);
         }
     }
 
-    fn close(&mut self, now: Micros, id: CallId, reason: Option<CloseReason>) {
+    fn record_close(&mut self, now: Micros, id: CallId, reason: Option<CloseReason>) {
         let Some(request) = self.requests.get(&id) else { return };
         let excused = request.client_gone.is_some() || reason == Some(CloseReason::ClientGone);
         if !request.answered && !excused {
-            self.violate(Rule::AnswerBeforeClose, now, id, None);
+            self.report_violation(Rule::AnswerBeforeClose, now, id, None);
         }
         self.requests.remove(&id);
     }
 
-    fn note(&mut self, id: CallId, now: Micros, transition: Transition) {
+    fn record(&mut self, id: CallId, now: Micros, transition: Transition) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.note(now, transition);
+            request.record(now, transition);
         }
     }
 
-    fn change(&mut self, id: CallId, number: HopNo, change: impl FnOnce(&mut Attempt)) {
+    fn update_attempt(&mut self, id: CallId, number: HopNo, change: impl FnOnce(&mut Attempt)) {
         let attempt = self.requests.get_mut(&id).and_then(|request| request.attempt(number));
         if let Some(attempt) = attempt {
             change(attempt);
         }
     }
 
-    fn violate(&mut self, rule: Rule, at: Micros, id: CallId, attempt: Option<(HopNo, ServerId)>) {
+    fn report_violation(&mut self, rule: Rule, at: Micros, id: CallId, attempt: Option<(HopNo, ServerId)>) {
         let Some(request) = self.requests.get(&id) else { return };
         self.violations.push(Violation {
             rule,
@@ -250,21 +252,21 @@
     }
 }
 
-/// The rule that another attempt of a request would break, if there is one.
-fn broken_by_repeat(request: &Request, now: Micros, location: Option<Location>) -> Option<Rule> {
+/// The rule that another attempt of the request would break, if any.
+fn rule_against_repeat(request: &Request, now: Micros, location: Option<Location>) -> Option<Rule> {
     let unproven = || request.attempts.iter().filter(|attempt| !attempt.is_proven_not_run());
-    match request.effect {
+    match request.repeat_safety {
         RepeatSafety::Safe => None,
         RepeatSafety::Unsafe => unproven().next().map(|_| Rule::ProvenBeforeRepeat),
-        RepeatSafety::Keyed { window: memory, scope: group } => {
-            let shares = |attempt: &Attempt| match (attempt.location, location) {
-                (Some(one), Some(other)) => one.shares(other, group),
+        RepeatSafety::Keyed { window, scope } => {
+            let shares_keys = |attempt: &Attempt| match (attempt.location, location) {
+                (Some(one), Some(other)) => one.shares_keys(other, scope),
                 _ => false,
             };
-            let first = unproven().filter_map(|attempt| attempt.first_byte).min();
-            let too_late = first.is_some_and(|first| now > first + memory);
-            let elsewhere = unproven().any(|attempt| !shares(attempt));
-            (elsewhere || too_late).then_some(Rule::RepeatWithinMemory)
+            let first_sent = unproven().filter_map(|attempt| attempt.first_byte).min();
+            let window_over = first_sent.is_some_and(|first_sent| now > first_sent + window);
+            let out_of_scope = unproven().any(|attempt| !shares_keys(attempt));
+            (out_of_scope || window_over).then_some(Rule::RepeatWithinMemory)
         }
     }
 }
--- a/guard/src/lib.rs
+++ b/guard/src/lib.rs
@@ -1,10 +1,11 @@
-//! Run-time checks of what a sidecar owes its clients and servers. [`Guard`] is fed typed [`Event`]s in the order in which they
-//! happen, with the time of each, and answers whether an attempt may be started and its first byte written. What breaks a
-//! [`Rule`] comes back as a [`Violation`], with the ids and the last transitions of its request.
+//! Run-time checks of what a sidecar guarantees to its clients and servers. [`Guard`] receives typed
+//! [`Event`]s in the order in which they happen, each with its time, and decides whether an attempt may be
+//! started and whether its first byte may be written. A broken [`Rule`] is reported as a [`Violation`] with
+//! the ids and the last transitions of its request.
 //!
-//! Nothing here has I/O, a clock or threads: a test plays any sequence of events. The guard decides nothing that the decision
-//! module decides; it holds a second record of what was promised, made from events alone, so that a path which forgets a
-//! promise is seen.
+//! The guard has no I/O, clock or threads, so tests can replay any sequence of events. It makes none of the
+//! decisions of the decision module: it keeps a second, independent record of each request, from events
+//! alone, so that a code path that breaks a guarantee is detected.
 #![warn(missing_docs)]
 mod budget;
 mod event;
--- a/guard/src/permit.rs
+++ b/guard/src/permit.rs
@@ -1,7 +1,7 @@
-//! What allows an attempt to be started and its first byte to be written: only the guard can make these.
+//! Permits to start an attempt and to write its first byte. Only the guard can create them.
 use oakhollow::types::{CallId, HopNo, Micros, ServerId};
 
-/// Allows one attempt to be made ready: to wait for a connection.
+/// Permits one attempt to be prepared, which includes waiting for a connection.
 #[derive(PartialEq, Eq, Debug)]
 pub struct AttemptPermit {
     pub(crate) request: CallId,
@@ -10,56 +10,57 @@
 }
 
 impl AttemptPermit {
-    /// The request it is of.
+    /// The request that the attempt belongs to.
     pub fn request(&self) -> CallId {
         self.request
     }
 
-    /// Which attempt it is.
+    /// The number of the attempt.
     pub fn attempt(&self) -> HopNo {
         self.attempt
     }
 }
 
-/// Allows the first byte of one attempt, now.
+/// Permits the first byte of one attempt to be written now.
 #[derive(PartialEq, Eq, Debug)]
 pub struct SendPermit {
     pub(crate) _made_by_guard: (),
 }
 
-/// What is known at the last moment before an attempt's first byte, as the kernel tells it then.
+/// The conditions just before an attempt's first byte is written, including what the kernel reports at that
+/// moment.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SendConditions {
-    /// The server still takes new requests at that address.
+    /// The server still accepts new requests at that address.
     pub server_available: bool,
-    /// The lease, if there is one, has not run out.
+    /// The lease is valid, or none is needed.
     pub lease_valid: bool,
-    /// The list by which the server was chosen may still be used.
+    /// The endpoint list by which the server was chosen is not stale.
     pub list_fresh: bool,
     /// The client has closed its connection.
     pub client_gone: bool,
-    /// What is left of the attempt's time.
+    /// The time left for the attempt.
     pub time_left: Micros,
-    /// The time that the server will be told.
+    /// The timeout that is announced to the server.
     pub announced_timeout: Micros,
 }
 
-/// Why an attempt is not started, or not sent.
+/// Why an attempt may not be started or sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Denial {
-    /// The request has its answer, or is not known.
+    /// The request is answered or unknown.
     RequestOver,
     /// The client has gone.
     ClientGone,
     /// No time is left.
     OutOfTime,
-    /// The server takes nothing new.
+    /// The server does not accept new requests.
     ServerNotWanted,
-    /// The lease has run out.
+    /// The lease has expired.
     LeaseLapsed,
-    /// The list of servers has not been heard for too long.
+    /// The endpoint list is stale.
     ListStale,
-    /// An earlier attempt may have run, or still may.
+    /// An earlier attempt may have run at a server, or may still run.
     MayHaveRun,
 }
 
@@ -75,7 +76,7 @@
         Denial::MayHaveRun,
     ];
 
-    /// The name by which it is counted.
+    /// The label under which it is counted.
     pub fn name(self) -> &'static str {
         match self {
             Denial::RequestOver => "request_over",
--- a/guard/src/request.rs
+++ b/guard/src/request.rs
@@ -1,26 +1,26 @@
-//! What is known of one open request.
+//! The guard's record of one open request.
 use crate::event::{RepeatSafety, Transition};
 use crate::server::Location;
 use oakhollow::types::{HopNo, Micros, Outcome};
 use std::rc::Rc;
 
-/// Transitions that are kept of a request.
-const MOST_TRANSITIONS: usize = 8;
+/// The most transitions kept of a request.
+const MAX_TRANSITIONS: usize = 8;
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub number: HopNo,
-    /// Where its server stands, by which it may share what it remembers with others.
+    /// The location of its server, which decides which other servers know its idempotency key.
     pub location: Option<Location>,
-    /// When its first byte was allowed.
+    /// When the first byte was permitted.
     pub first_byte: Option<Micros>,
     pub written: bool,
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// The server may have run it, or still may.
+    /// The server may have run it, or may still run it.
     pub fn may_have_run(&self) -> bool {
         match self.outcome {
             Some(outcome) => !outcome.proves_not_run() && self.written,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// It has ended, with a proof that it has not run.
+    /// It has ended, and has provably not run.
     pub fn is_proven_not_run(&self) -> bool {
         match self.outcome {
             Some(outcome) => outcome.proves_not_run() || !self.written,
@@ -40,41 +40,41 @@
 #[derive(Debug)]
 pub(crate) struct Request {
     pub id: Rc<str>,
-    pub effect: RepeatSafety,
+    pub repeat_safety: RepeatSafety,
     pub accepted: Micros,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
     pub client_gone: Option<Micros>,
     pub answered: bool,
-    transitions: [Option<(Micros, Transition)>; MOST_TRANSITIONS],
-    steps: usize,
+    transitions: [Option<(Micros, Transition)>; MAX_TRANSITIONS],
+    transition_count: usize,
 }
 
 impl Request {
-    pub fn new(id: Rc<str>, effect: RepeatSafety, accepted: Micros, deadline: Micros) -> Request {
+    pub fn new(id: Rc<str>, repeat_safety: RepeatSafety, accepted: Micros, deadline: Micros) -> Request {
         let mut request = Request {
             id,
-            effect,
+            repeat_safety,
             accepted,
             deadline,
             attempts: Vec::new(),
             client_gone: None,
             answered: false,
-            transitions: [None; MOST_TRANSITIONS],
-            steps: 0,
+            transitions: [None; MAX_TRANSITIONS],
+            transition_count: 0,
         };
-        request.note(accepted, Transition::Accepted);
+        request.record(accepted, Transition::Accepted);
         request
     }
 
-    pub fn note(&mut self, at: Micros, transition: Transition) {
-        self.transitions[self.steps % MOST_TRANSITIONS] = Some((at - self.accepted, transition));
-        self.steps += 1;
+    pub fn record(&mut self, at: Micros, transition: Transition) {
+        self.transitions[self.transition_count % MAX_TRANSITIONS] = Some((at - self.accepted, transition));
+        self.transition_count += 1;
     }
 
-    /// What happened last, the oldest first.
+    /// The last transitions, the oldest first.
     pub fn transitions(&self) -> Vec<(Micros, Transition)> {
-        let (older, newer) = (self.steps % MOST_TRANSITIONS, self.transitions);
+        let (older, newer) = (self.transition_count % MAX_TRANSITIONS, self.transitions);
         newer[older..].iter().chain(&newer[..older]).flatten().copied().collect()
     }
 
--- a/guard/src/rule.rs
+++ b/guard/src/rule.rs
@@ -1,35 +1,36 @@
-//! The rules that are checked, and how a broken one is told.
+//! The rules, and the report of a violation.
 use crate::event::Transition;
 use oakhollow::types::{CallId, HopNo, Micros, ServerId};
 use std::fmt::{Display, Formatter, Result};
 use std::rc::Rc;
 
-/// What a sidecar promises, each under the name by which violations are counted.
+/// The guarantees of a sidecar. Violations are counted under the name of the rule.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Rule {
-    /// One final answer for each request.
+    /// A request gets one final answer.
     OneAnswer,
-    /// No connection is closed on a request that has no answer, unless its client has gone.
+    /// A connection is not closed before its request is answered, unless the client has gone.
     AnswerBeforeClose,
-    /// The answer begins by the request's deadline.
+    /// The answer begins before the request's deadline.
     AnswerInTime,
-    /// No attempt is started once the request has its answer.
+    /// No attempt is started after the request was answered.
     NoAttemptAfterAnswer,
-    /// No attempt is started, and no first byte written, past the request's deadline.
+    /// No attempt is started and no first byte is written after the request's deadline.
     NoAttemptAfterDeadline,
-    /// No attempt is started more than a moment after the client has gone.
+    /// No attempt is started later than a short tolerance after the client has gone.
     NoAttemptAfterClientGone,
-    /// A request that is unsafe to repeat is sent again only if every earlier attempt is proven not to have run.
+    /// A request that must not be repeated is sent again only if every earlier attempt has provably not run.
     ProvenBeforeRepeat,
-    /// A request with an idempotency key is sent again only to servers that share the memory of it, and within its span.
+    /// A request with an idempotency key is sent again only to servers that share the memory of the key, and
+    /// within its window.
     RepeatWithinMemory,
-    /// A request is refused only if no attempt of it may have run, unless it is safe to repeat.
+    /// A request is refused only if no attempt of it may have run, unless it may be repeated.
     RefusedOnlyIfNotRun,
-    /// Nothing is sent to a server that drains or has gone, past the grace.
+    /// Nothing is sent to a server that drains or is gone after the drain grace.
     NothingToDrained,
-    /// Attempts beyond each request's first keep within the stated budget.
+    /// Attempts beyond the first of each request stay within the retry budget.
     RetryBudget,
-    /// The time that a server is told is at most what is left to the client.
+    /// The timeout announced to a server is not longer than the time that the client still waits.
     ToldTimeLeft,
 }
 
@@ -50,7 +51,7 @@
         Rule::ToldTimeLeft,
     ];
 
-    /// The name by which it is counted.
+    /// The label under which it is counted.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one_answer",
@@ -69,22 +70,23 @@
     }
 }
 
-/// A broken rule, with what is known of the request.
+/// A broken rule, with the record of the request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Violation {
-    /// The rule that is broken.
+    /// The broken rule.
     pub rule: Rule,
-    /// When that was seen.
+    /// When it was detected.
     pub at: Micros,
-    /// The request, by the sidecar's number.
+    /// The sidecar's number of the request.
     pub request: CallId,
-    /// The request, by the client's id.
+    /// The client's id of the request.
     pub request_id: Rc<str>,
-    /// The attempt that breaks it, if it is an attempt.
+    /// The attempt that broke the rule, if an attempt did.
     pub attempt: Option<HopNo>,
-    /// The server concerned, if there is one.
+    /// The server concerned, if any.
     pub server: Option<ServerId>,
-    /// What happened to the request last, the oldest first, each with its time since the request was accepted.
+    /// The last transitions of the request, the oldest first, each with its time since the request was
+    /// accepted.
     pub transitions: Vec<(Micros, Transition)>,
 }
 
--- a/sidecar/src/planned.rs
+++ b/sidecar/src/planned.rs
@@ -44,7 +44,7 @@
     for (site, held) in plan.sites.iter().zip(&held.sites).filter(|(_, held)| !held.lost) {
         let (own, others) = (
             plan.total_work(&held.class_outcomes, |row| row.own),
-            plan.total_work(&held.class_outcomes, |row| row.others),
+            plan.total_work(&held.class_outcomes, |row| row.foreign),
         );
         let full = held.served_work / site.capacity;
         let _ = writeln!(
--- a/sites/src/lib.rs
+++ b/sites/src/lib.rs
@@ -1,23 +1,25 @@
-//! The loss of whole sites, reckoned beforehand: a [`Plan`] says what each site can carry, what it is offered, where its load
-//! goes when it is lost and what is refused first; [`Plan::simulate_loss`] what comes of that. No I/O, no clock.
-mod reckoning;
+//! A model of the loss of whole sites. A [`Plan`] gives the capacity and the load of each site, where its
+//! load goes if it is lost, and which requests are refused first; [`Plan::simulate_loss`] computes the
+//! outcome. No I/O and no clock.
+mod simulation;
 
-pub use reckoning::{ClassOutcome, LossOutcome, SiteOutcome};
+pub use simulation::{ClassOutcome, LossOutcome, SiteOutcome};
 
-/// A site by its position in the plan.
+/// A site, by its position in the plan.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct SiteId(pub usize);
 
-/// A class of calls by its position in the plan: a workload, or one customer's part of it.
+/// A class of requests, by its position in the plan: a workload, or one tenant's part of it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ClassId(pub usize);
 
-/// Where a lost site's load goes.
+/// Where the load of a lost site goes.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Failover {
-    /// To the others, by what each has left.
+    /// To the other sites, in proportion to their spare capacity.
     ByCapacity,
-    /// By parts that add up to one; the part of a site that is lost as well goes to the rest, by their parts.
+    /// To other sites in fixed shares that add up to one. The share of a site that is lost too is divided
+    /// among the rest, in proportion to their shares.
     Shares(Vec<(SiteId, f64)>),
     Drop,
 }
@@ -25,23 +27,23 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct Site {
     pub name: String,
-    /// Work a second that its servers carry.
+    /// The work per second that its servers can do.
     pub capacity: f64,
-    /// The part of that which others' load must leave free.
+    /// The fraction of the capacity that load from other sites must leave free.
     pub reserve: f64,
     pub failover: Failover,
-    /// Calls a second of each class from its own callers, at peak.
+    /// The peak load from the site's own clients, in requests per second of each class.
     pub load: Vec<f64>,
 }
 
-/// Calls that are refused alike.
+/// Requests that are refused with the same priority.
 #[derive(Clone, PartialEq, Debug)]
 pub struct TrafficClass {
     pub name: String,
     pub payoff: f64,
-    /// Work of one call, in the unit of rooms.
+    /// The work of one request, in the unit of capacities.
     pub work: f64,
-    /// The part of them that is served before any other's rest.
+    /// The fraction of the requests that is served before any other class gets more than its own floor.
     pub floor: f64,
 }
 
@@ -49,32 +51,35 @@
 pub struct Plan {
     pub sites: Vec<Site>,
     pub classes: Vec<TrafficClass>,
-    /// What is refused first, the first first, before all that is not named here.
+    /// The classes that are refused first, in this order, before all classes that are not listed here.
     pub refuse_first: Vec<ClassId>,
-    /// What a call loses of its payoff by going to another site.
+    /// The payoff that a request loses by going to another site.
     pub cross_site_cost: f64,
-    /// The part of a site's room that others' load may take.
+    /// The fraction of a site's capacity that load from other sites may take.
     pub max_foreign_share: f64,
 }
 
 impl Plan {
-    /// All classes, the first to be refused first: as stated, then by payoff for the work that a call takes.
+    /// All classes in the order in which they are refused: the listed ones, then by payoff per unit of work.
     pub fn refusal_order(&self) -> Vec<ClassId> {
         let mut rest: Vec<ClassId> = (0..self.classes.len()).map(ClassId).collect();
-        rest.retain(|calls| !self.refuse_first.contains(calls));
-        // Equal ones in the order of the plan, so that all who read it refuse alike.
-        rest.sort_by(|one, other| self.worth(*one).total_cmp(&self.worth(*other)));
+        rest.retain(|class| !self.refuse_first.contains(class));
+        // A stable sort keeps classes of equal value in the order of the plan, so that every reader of the
+        // plan gets the same order.
+        rest.sort_by(|one, other| self.value_per_work(*one).total_cmp(&self.value_per_work(*other)));
         self.refuse_first.iter().copied().chain(rest).collect()
     }
 
-    /// Payoff for the work that a call takes.
-    fn worth(&self, calls: ClassId) -> f64 {
-        let calls = &self.classes[calls.0];
-        calls.payoff / calls.work
+    /// The payoff per unit of work.
+    fn value_per_work(&self, class: ClassId) -> f64 {
+        let class = &self.classes[class.0];
+        class.payoff / class.work
     }
 
-    /// The work of so many calls of each class.
-    pub fn total_work<'a>(&self, rows: &'a [ClassOutcome], calls: impl Fn(&'a ClassOutcome) -> f64) -> f64 {
-        rows.iter().zip(&self.classes).map(|(row, of)| calls(row) * of.work).sum()
+    /// The total work of the requests that `rate` selects from the outcome of each class.
+    pub fn total_work<'a>(
+        &self, outcomes: &'a [ClassOutcome], rate: impl Fn(&'a ClassOutcome) -> f64,
+    ) -> f64 {
+        outcomes.iter().zip(&self.classes).map(|(outcome, class)| rate(outcome) * class.work).sum()
     }
 }
--- a/sites/tests/reckoning.rs
+++ b/sites/tests/reckoning.rs
@@ -31,14 +31,14 @@
     assert_eq!(whole.payoff, 600.0 * 5.0 + 600.0);
     let held = plan.simulate_loss(&[SiteId(0)], 1.0);
     // mb has 320 left of 800 less its reserve, kp 160: two thirds and one third of 600, of which 480 find room.
-    assert_eq!(held.sites[1].class_outcomes[0].others.round(), 200.0);
-    assert_eq!(held.sites[2].class_outcomes[1].others.round(), 100.0);
+    assert_eq!(held.sites[1].class_outcomes[0].foreign.round(), 200.0);
+    assert_eq!(held.sites[2].class_outcomes[1].foreign.round(), 100.0);
     let refused =
         |calls: usize| held.sites.iter().map(|site| site.class_outcomes[calls].refused()).sum::<f64>();
     assert!(refused(0) < 1e-6 && (refused(1) - 120.0).abs() < 1e-6, "{held:?}");
     // What goes nowhere is refused where it comes from, and what is bound for a site that is lost too goes on by the rest.
     assert_eq!(plan.simulate_loss(&[SiteId(2)], 1.0).dropped, [100.0, 100.0]);
-    assert_eq!(plan.simulate_loss(&[SiteId(0), SiteId(1)], 1.0).sites[2].class_outcomes[0].others, 500.0);
+    assert_eq!(plan.simulate_loss(&[SiteId(0), SiteId(1)], 1.0).sites[2].class_outcomes[0].foreign, 500.0);
 }
 
 #[test]
