--- a/guard/tests/rules.rs
+++ b/guard/tests/rules.rs
@@ -1,100 +1,100 @@
-//! Each rule is seen to be broken by a sequence that breaks it, and by none that keeps it.
+//! For each rule, a sequence of events that breaks it is reported, and one that keeps it is not.
 use oakhollow::types::{CallId, CellId, DedupScope, HopNo, Micros, Outcome, ServerId, ServerStatus, ZoneId};
 use oakhollow_guard::*;
 
 const DEADLINE: Micros = Micros::millis(1_000);
-const ONE: CallId = CallId(1);
+const REQUEST: CallId = CallId(1);
 const FIRST: HopNo = HopNo(0);
 const SECOND: HopNo = HopNo(1);
 const A: ServerId = ServerId(1);
 const B: ServerId = ServerId(2);
 
-/// A sequence of events by the millisecond, with one request open from the start.
-struct Play {
+/// A sequence of events at given milliseconds, with one request open from the start.
+struct Scenario {
     guard: Guard,
     now: Micros,
 }
 
-impl Play {
-    fn new(effect: RepeatSafety) -> Play {
-        Play::within(effect, Limits::default())
+impl Scenario {
+    fn new(repeat_safety: RepeatSafety) -> Scenario {
+        Scenario::with_limits(repeat_safety, Limits::default())
     }
 
-    fn within(effect: RepeatSafety, limits: Limits) -> Play {
-        let mut play = Play { guard: Guard::new(limits), now: Micros(0) };
+    fn with_limits(repeat_safety: RepeatSafety, limits: Limits) -> Scenario {
+        let mut scenario = Scenario { guard: Guard::new(limits), now: Micros(0) };
         for (server, cell) in [(A, 1), (B, 2)] {
-            play.lists(server, ServerStatus::Ready, cell);
+            scenario.list_server(server, ServerStatus::Ready, cell);
         }
-        play.accept(ONE, effect);
-        play
+        scenario.accept(REQUEST, repeat_safety);
+        scenario
     }
 
-    fn at(&mut self, milliseconds: u64) -> &mut Play {
+    fn at(&mut self, milliseconds: u64) -> &mut Scenario {
         self.now = Micros::millis(milliseconds);
         self
     }
 
-    fn on(&mut self, event: Event) -> &mut Play {
+    fn observe(&mut self, event: Event) -> &mut Scenario {
         self.guard.observe(self.now, event);
         self
     }
 
-    fn accept(&mut self, request: CallId, effect: RepeatSafety) {
+    fn accept(&mut self, request: CallId, repeat_safety: RepeatSafety) {
         let deadline = self.now + DEADLINE;
-        self.on(Event::Accepted {
+        self.observe(Event::Accepted {
             request,
             request_id: format!("id-{}", request.0).into(),
-            repeat_safety: effect,
+            repeat_safety,
             deadline,
         });
     }
 
-    fn lists(&mut self, server: ServerId, standing: ServerStatus, cell: u32) -> &mut Play {
+    fn list_server(&mut self, server: ServerId, status: ServerStatus, cell: u32) -> &mut Scenario {
         let location = Location { zone: ZoneId(0), cell: CellId(cell) };
-        self.on(Event::ServerListed { server, status: standing, location })
+        self.observe(Event::ServerListed { server, status, location })
     }
 
-    fn starts(&mut self, attempt: HopNo, server: ServerId) -> Result<AttemptPermit, Denial> {
-        self.guard.start_attempt(self.now, ONE, attempt, server)
+    fn start(&mut self, attempt: HopNo, server: ServerId) -> Result<AttemptPermit, Denial> {
+        self.guard.start_attempt(self.now, REQUEST, attempt, server)
     }
 
-    fn look(&self) -> SendConditions {
-        let left = DEADLINE - self.now;
+    fn conditions(&self) -> SendConditions {
+        let time_left = DEADLINE - self.now;
         SendConditions {
             server_available: true,
             lease_valid: true,
             list_fresh: true,
             client_gone: false,
-            time_left: left,
-            announced_timeout: left,
+            time_left,
+            announced_timeout: time_left,
         }
     }
 
-    fn may_send(&mut self, permit: &AttemptPermit) -> bool {
-        let (now, look) = (self.now, self.look());
-        self.guard.send(now, permit, look).is_ok()
+    fn permits_first_byte(&mut self, permit: &AttemptPermit) -> bool {
+        let (now, conditions) = (self.now, self.conditions());
+        self.guard.send(now, permit, conditions).is_ok()
     }
 
-    /// An attempt from its start to its last byte.
-    fn sends(&mut self, attempt: HopNo, server: ServerId) -> &mut Play {
-        let permit = self.starts(attempt, server).expect("allowed");
-        assert!(self.may_send(&permit));
-        self.on(Event::LastByteWritten { request: ONE, attempt })
+    /// Starts an attempt and writes it completely.
+    fn send_whole(&mut self, attempt: HopNo, server: ServerId) -> &mut Scenario {
+        let permit = self.start(attempt, server).expect("allowed");
+        assert!(self.permits_first_byte(&permit));
+        self.observe(Event::LastByteWritten { request: REQUEST, attempt })
     }
 
-    fn ends(&mut self, attempt: HopNo, outcome: Outcome) -> &mut Play {
-        self.on(Event::AttemptEnded { request: ONE, attempt, outcome })
+    fn end(&mut self, attempt: HopNo, outcome: Outcome) -> &mut Scenario {
+        self.observe(Event::AttemptEnded { request: REQUEST, attempt, outcome })
     }
 
-    fn answers(&mut self, kind: AnswerKind) -> &mut Play {
-        self.on(Event::AnswerBegun { request: ONE, kind })
+    fn answer(&mut self, kind: AnswerKind) -> &mut Scenario {
+        self.observe(Event::AnswerBegun { request: REQUEST, kind })
     }
 
-    fn closes(&mut self, reason: Option<CloseReason>) -> &mut Play {
-        self.on(Event::Closed { request: ONE, reason })
+    fn close(&mut self, reason: Option<CloseReason>) -> &mut Scenario {
+        self.observe(Event::Closed { request: REQUEST, reason })
     }
 
-    fn broken(&mut self) -> Vec<Rule> {
+    fn broken_rules(&mut self) -> Vec<Rule> {
         self.guard.take_violations().into_iter().map(|violation| violation.rule).collect()
     }
 }
@@ -104,32 +104,36 @@
 }
 
 #[test]
-fn an_ordinary_request_breaks_nothing_and_is_forgotten() {
-    for effect in [RepeatSafety::Safe, RepeatSafety::Unsafe, keyed()] {
-        let mut play = Play::new(effect);
-        play.on(Event::Queued { request: ONE }).at(2).sends(FIRST, A);
-        play.at(9).ends(FIRST, Outcome::Succeeded).answers(AnswerKind::Served).closes(None);
-        assert_eq!((play.broken(), play.guard.open_requests()), (vec![], 0), "{effect:?}");
+fn ordinary_request_breaks_no_rule_and_is_forgotten() {
+    for repeat_safety in [RepeatSafety::Safe, RepeatSafety::Unsafe, keyed()] {
+        let mut scenario = Scenario::new(repeat_safety);
+        scenario.observe(Event::Queued { request: REQUEST }).at(2).send_whole(FIRST, A);
+        scenario.at(9).end(FIRST, Outcome::Succeeded).answer(AnswerKind::Served).close(None);
+        assert_eq!(
+            (scenario.broken_rules(), scenario.guard.open_requests()),
+            (vec![], 0),
+            "{repeat_safety:?}"
+        );
     }
 }
 
 #[test]
-fn retries_after_a_proof_and_hedges_of_safe_requests_break_nothing() {
-    let mut play = Play::new(RepeatSafety::Unsafe);
-    play.sends(FIRST, A).ends(FIRST, Outcome::Full).at(5).sends(SECOND, B);
-    play.ends(SECOND, Outcome::Succeeded).answers(AnswerKind::Served).closes(None);
-    assert_eq!(play.broken(), []);
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.sends(FIRST, A).at(5).sends(SECOND, B).answers(AnswerKind::Served);
-    play.ends(FIRST, Outcome::Cancelled).closes(Some(CloseReason::LastAnswer));
-    assert_eq!(play.broken(), []);
+fn proven_retries_and_safe_hedges_break_no_rule() {
+    let mut scenario = Scenario::new(RepeatSafety::Unsafe);
+    scenario.send_whole(FIRST, A).end(FIRST, Outcome::Full).at(5).send_whole(SECOND, B);
+    scenario.end(SECOND, Outcome::Succeeded).answer(AnswerKind::Served).close(None);
+    assert_eq!(scenario.broken_rules(), []);
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.send_whole(FIRST, A).at(5).send_whole(SECOND, B).answer(AnswerKind::Served);
+    scenario.end(FIRST, Outcome::Cancelled).close(Some(CloseReason::LastAnswer));
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
-fn a_second_answer_is_counted_with_the_last_transitions() {
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.at(3).sends(FIRST, A).answers(AnswerKind::Served).answers(AnswerKind::Failed);
-    let found = play.guard.take_violations();
+fn second_answer_is_reported_with_last_transitions() {
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.at(3).send_whole(FIRST, A).answer(AnswerKind::Served).answer(AnswerKind::Failed);
+    let found = scenario.guard.take_violations();
     assert_eq!(found.iter().map(|found| found.rule).collect::<Vec<_>>(), [Rule::OneAnswer]);
     let line = found[0].to_string();
     assert!(line.starts_with("one_answer: request id-1 (1):"), "{line}");
@@ -140,55 +144,61 @@
 }
 
 #[test]
-fn a_close_without_an_answer_is_counted_unless_the_client_has_gone() {
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.closes(Some(CloseReason::Evicted));
-    assert_eq!(play.broken(), [Rule::AnswerBeforeClose]);
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.on(Event::ClientGone { request: ONE }).closes(Some(CloseReason::ClientGone));
-    assert_eq!(play.broken(), []);
+fn close_without_answer_is_reported_unless_client_is_gone() {
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.close(Some(CloseReason::Evicted));
+    assert_eq!(scenario.broken_rules(), [Rule::AnswerBeforeClose]);
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.observe(Event::ClientGone { request: REQUEST }).close(Some(CloseReason::ClientGone));
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
-fn an_answer_that_is_late_is_counted_also_by_the_end_of_the_process() {
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.at(1_490).answers(AnswerKind::Failed);
-    assert_eq!(play.broken(), []);
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.at(1_510).answers(AnswerKind::Failed);
-    assert_eq!(play.broken(), [Rule::AnswerInTime]);
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.on(Event::ShutdownBegun { answer_by: Micros::millis(200) }).at(800).answers(AnswerKind::Failed);
-    assert_eq!(play.broken(), [Rule::AnswerInTime]);
+fn late_answer_is_reported_also_during_shutdown() {
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.at(1_490).answer(AnswerKind::Failed);
+    assert_eq!(scenario.broken_rules(), []);
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.at(1_510).answer(AnswerKind::Failed);
+    assert_eq!(scenario.broken_rules(), [Rule::AnswerInTime]);
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario
+        .observe(Event::ShutdownBegun { answer_by: Micros::millis(200) })
+        .at(800)
+        .answer(AnswerKind::Failed);
+    assert_eq!(scenario.broken_rules(), [Rule::AnswerInTime]);
 }
 
 #[test]
-fn attempts_of_a_request_that_is_over_are_denied_and_counted() {
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.answers(AnswerKind::Refused);
+fn attempts_after_the_end_of_a_request_are_denied_and_reported() {
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.answer(AnswerKind::Refused);
     assert_eq!(
-        (play.starts(FIRST, A), play.broken()),
+        (scenario.start(FIRST, A), scenario.broken_rules()),
         (Err(Denial::RequestOver), vec![Rule::NoAttemptAfterAnswer])
     );
-    let mut play = Play::new(RepeatSafety::Safe);
-    let late = play.at(1_001).starts(FIRST, A);
-    assert_eq!((late, play.broken()), (Err(Denial::OutOfTime), vec![Rule::NoAttemptAfterDeadline]));
-    let mut play = Play::new(RepeatSafety::Safe);
-    play.at(10).on(Event::ClientGone { request: ONE });
-    assert!(play.at(60).starts(FIRST, A).is_ok());
-    let gone = play.at(111).starts(SECOND, A);
-    assert_eq!((gone, play.broken()), (Err(Denial::ClientGone), vec![Rule::NoAttemptAfterClientGone]));
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    let late = scenario.at(1_001).start(FIRST, A);
+    assert_eq!((late, scenario.broken_rules()), (Err(Denial::OutOfTime), vec![Rule::NoAttemptAfterDeadline]));
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    scenario.at(10).observe(Event::ClientGone { request: REQUEST });
+    assert!(scenario.at(60).start(FIRST, A).is_ok());
+    let gone = scenario.at(111).start(SECOND, A);
+    assert_eq!(
+        (gone, scenario.broken_rules()),
+        (Err(Denial::ClientGone), vec![Rule::NoAttemptAfterClientGone])
+    );
 }
 
 #[test]
-fn a_repeat_without_a_proof_is_denied_and_counted() {
+fn unproven_repeat_of_unsafe_request_is_denied_and_reported() {
     for outcome in [None, Some(Outcome::Broken), Some(Outcome::TimedOut), Some(Outcome::Errored)] {
-        let mut play = Play::new(RepeatSafety::Unsafe);
-        play.sends(FIRST, A);
-        outcome.map(|outcome| play.ends(FIRST, outcome));
-        let again = play.starts(SECOND, B);
+        let mut scenario = Scenario::new(RepeatSafety::Unsafe);
+        scenario.send_whole(FIRST, A);
+        outcome.map(|outcome| scenario.end(FIRST, outcome));
+        let again = scenario.start(SECOND, B);
         assert_eq!(
-            (again, play.broken()),
+            (again, scenario.broken_rules()),
             (Err(Denial::MayHaveRun), vec![Rule::ProvenBeforeRepeat]),
             "{outcome:?}"
         );
@@ -196,101 +206,104 @@
 }
 
 #[test]
-fn a_keyed_repeat_outside_its_cell_or_span_is_denied_and_counted() {
-    let mut play = Play::new(keyed());
-    play.sends(FIRST, A).ends(FIRST, Outcome::Broken);
-    assert!(play.at(299).starts(SECOND, A).is_ok());
-    let mut play = Play::new(keyed());
-    play.sends(FIRST, A);
+fn keyed_repeat_outside_its_cell_or_window_is_denied_and_reported() {
+    let mut scenario = Scenario::new(keyed());
+    scenario.send_whole(FIRST, A).end(FIRST, Outcome::Broken);
+    assert!(scenario.at(299).start(SECOND, A).is_ok());
+    let mut scenario = Scenario::new(keyed());
+    scenario.send_whole(FIRST, A);
     assert_eq!(
-        (play.starts(SECOND, B), play.broken()),
+        (scenario.start(SECOND, B), scenario.broken_rules()),
         (Err(Denial::MayHaveRun), vec![Rule::RepeatWithinMemory])
     );
-    let mut play = Play::new(keyed());
-    play.sends(FIRST, A).ends(FIRST, Outcome::TimedOut);
-    let late = play.at(301).starts(SECOND, A);
-    assert_eq!((late, play.broken()), (Err(Denial::MayHaveRun), vec![Rule::RepeatWithinMemory]));
+    let mut scenario = Scenario::new(keyed());
+    scenario.send_whole(FIRST, A).end(FIRST, Outcome::TimedOut);
+    let late = scenario.at(301).start(SECOND, A);
+    assert_eq!((late, scenario.broken_rules()), (Err(Denial::MayHaveRun), vec![Rule::RepeatWithinMemory]));
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_is_counted() {
-    for (outcome, broken) in [(Outcome::Full, vec![]), (Outcome::Broken, vec![Rule::RefusedOnlyIfNotRun])] {
-        let mut play = Play::new(RepeatSafety::Unsafe);
-        play.sends(FIRST, A).ends(FIRST, outcome).answers(AnswerKind::Refused);
-        assert_eq!(play.broken(), broken, "{outcome:?}");
+fn refusal_of_a_request_that_may_have_run_is_reported() {
+    for (outcome, broken_rules) in
+        [(Outcome::Full, vec![]), (Outcome::Broken, vec![Rule::RefusedOnlyIfNotRun])]
+    {
+        let mut scenario = Scenario::new(RepeatSafety::Unsafe);
+        scenario.send_whole(FIRST, A).end(FIRST, outcome).answer(AnswerKind::Refused);
+        assert_eq!(scenario.broken_rules(), broken_rules, "{outcome:?}");
     }
-    let mut play = Play::new(RepeatSafety::Unsafe);
-    play.sends(FIRST, A).answers(AnswerKind::Refused);
-    assert_eq!(play.broken(), [Rule::RefusedOnlyIfNotRun]);
+    let mut scenario = Scenario::new(RepeatSafety::Unsafe);
+    scenario.send_whole(FIRST, A).answer(AnswerKind::Refused);
+    assert_eq!(scenario.broken_rules(), [Rule::RefusedOnlyIfNotRun]);
 }
 
 #[test]
-fn a_first_byte_to_a_server_that_drains_past_the_grace_is_denied_and_counted() {
+fn first_byte_after_the_drain_grace_is_denied_and_reported() {
     let limits = Limits { drain_grace: Micros::millis(100), retry_budget: None };
-    let mut play = Play::within(RepeatSafety::Safe, limits);
-    let permit = play.starts(FIRST, A).expect("allowed");
-    play.lists(A, ServerStatus::Draining, 1);
-    assert!(play.at(140).may_send(&permit));
-    // Said again, it drains since it did first.
-    play.lists(A, ServerStatus::Gone, 1).at(160);
-    let (now, look) = (play.now, play.look());
-    assert_eq!(play.guard.send(now, &permit, look), Err(Denial::ServerNotWanted));
-    assert_eq!(play.broken(), [Rule::NothingToDrained]);
-    play.lists(A, ServerStatus::Ready, 1);
-    assert!(play.may_send(&permit));
+    let mut scenario = Scenario::with_limits(RepeatSafety::Safe, limits);
+    let permit = scenario.start(FIRST, A).expect("allowed");
+    scenario.list_server(A, ServerStatus::Draining, 1);
+    assert!(scenario.at(140).permits_first_byte(&permit));
+    // Listed as gone after draining, the grace still counts from when it began to drain.
+    scenario.list_server(A, ServerStatus::Gone, 1).at(160);
+    let (now, conditions) = (scenario.now, scenario.conditions());
+    assert_eq!(scenario.guard.send(now, &permit, conditions), Err(Denial::ServerNotWanted));
+    assert_eq!(scenario.broken_rules(), [Rule::NothingToDrained]);
+    scenario.list_server(A, ServerStatus::Ready, 1);
+    assert!(scenario.permits_first_byte(&permit));
 }
 
 #[test]
-fn what_the_last_look_forbids_is_denied() {
-    let mut play = Play::new(RepeatSafety::Safe);
-    let permit = play.starts(FIRST, A).expect("allowed");
-    let look = play.look();
+fn send_is_denied_if_a_condition_fails() {
+    let mut scenario = Scenario::new(RepeatSafety::Safe);
+    let permit = scenario.start(FIRST, A).expect("allowed");
+    let conditions = scenario.conditions();
     let forbidden = [
-        (SendConditions { server_available: false, ..look }, Denial::ServerNotWanted),
-        (SendConditions { lease_valid: false, ..look }, Denial::LeaseLapsed),
-        (SendConditions { list_fresh: false, ..look }, Denial::ListStale),
-        (SendConditions { client_gone: true, ..look }, Denial::ClientGone),
-        (SendConditions { time_left: Micros(0), ..look }, Denial::OutOfTime),
+        (SendConditions { server_available: false, ..conditions }, Denial::ServerNotWanted),
+        (SendConditions { lease_valid: false, ..conditions }, Denial::LeaseLapsed),
+        (SendConditions { list_fresh: false, ..conditions }, Denial::ListStale),
+        (SendConditions { client_gone: true, ..conditions }, Denial::ClientGone),
+        (SendConditions { time_left: Micros(0), ..conditions }, Denial::OutOfTime),
     ];
-    for (look, denial) in forbidden {
-        assert_eq!(play.guard.send(play.now, &permit, look), Err(denial));
+    for (conditions, denial) in forbidden {
+        assert_eq!(scenario.guard.send(scenario.now, &permit, conditions), Err(denial));
     }
-    assert_eq!(play.broken(), []);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
-fn a_time_told_that_is_more_than_what_is_left_is_counted() {
-    for (told, broken) in [(1_040, vec![]), (1_060, vec![Rule::ToldTimeLeft])] {
-        let mut play = Play::new(RepeatSafety::Safe);
-        let permit = play.at(100).starts(FIRST, A).expect("allowed");
-        let look = SendConditions { announced_timeout: Micros::millis(told), ..play.look() };
-        assert!(play.guard.send(play.now, &permit, look).is_ok());
-        assert_eq!(play.broken(), broken, "{told}");
+fn announced_timeout_beyond_the_deadline_is_reported() {
+    for (timeout, broken_rules) in [(1_040, vec![]), (1_060, vec![Rule::ToldTimeLeft])] {
+        let mut scenario = Scenario::new(RepeatSafety::Safe);
+        let permit = scenario.at(100).start(FIRST, A).expect("allowed");
+        let conditions =
+            SendConditions { announced_timeout: Micros::millis(timeout), ..scenario.conditions() };
+        assert!(scenario.guard.send(scenario.now, &permit, conditions).is_ok());
+        assert_eq!(scenario.broken_rules(), broken_rules, "{timeout}");
     }
 }
 
 #[test]
-fn attempts_beyond_the_budget_of_a_window_are_counted() {
+fn attempts_beyond_the_retry_budget_are_reported() {
     let budget = RetryBudget { base: 1.0, ratio: 0.1, window: Micros::millis(100) };
-    let mut play =
-        Play::within(RepeatSafety::Safe, Limits { retry_budget: Some(budget), ..Limits::default() });
-    play.sends(FIRST, A).sends(SECOND, B);
-    assert_eq!(play.broken(), []);
-    play.at(50).sends(HopNo(2), A);
-    assert_eq!(play.broken(), [Rule::RetryBudget]);
-    // The window moves on.
-    play.at(151).sends(HopNo(3), A);
-    assert_eq!(play.broken(), []);
+    let mut scenario =
+        Scenario::with_limits(RepeatSafety::Safe, Limits { retry_budget: Some(budget), ..Limits::default() });
+    scenario.send_whole(FIRST, A).send_whole(SECOND, B);
+    assert_eq!(scenario.broken_rules(), []);
+    scenario.at(50).send_whole(HopNo(2), A);
+    assert_eq!(scenario.broken_rules(), [Rule::RetryBudget]);
+    // The first two attempts have left the window.
+    scenario.at(151).send_whole(HopNo(3), A);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
-fn every_rule_and_reason_has_a_name_of_its_own() {
+fn rules_and_reasons_have_distinct_names() {
     let mut names: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
     names.extend(CloseReason::ALL.iter().map(|reason| reason.name()));
     names.extend(Denial::ALL.iter().map(|denial| denial.name()));
-    // A client that has gone denies an attempt, and closes a connection.
-    let mut once = names.clone();
-    once.sort_unstable();
-    once.dedup();
-    assert_eq!(once.len(), names.len() - 1);
+    // `client_gone` is both a denial and a reason to close a connection.
+    let mut distinct = names.clone();
+    distinct.sort_unstable();
+    distinct.dedup();
+    assert_eq!(distinct.len(), names.len() - 1);
 }
