--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -1,11 +1,12 @@
-//! The instances that agree on settings, on sockets: each dials the keepers, a line of JSON for each word, and keeps
-//! asking for leases. What is agreed is carried out before it is said to be known. The rules are those of the package
-//! `oakhollow_accord`; without `[accord]` in the operator's file nothing here runs.
-use crate::endpoint_list::Elsewhere;
-use crate::endpoint_registry::{lock, Mark, SharedRegistry};
+//! The agreement of instances on settings, on sockets. Each instance connects to the keepers, exchanges one line of
+//! JSON per message, and keeps renewing its leases. Agreed settings are applied before the instance reports that it
+//! knows them. The protocol itself is in the package `oakhollow_accord`; without `[accord]` in the operator's file
+//! nothing here runs.
+use crate::endpoint_list::PeerDrains;
+use crate::endpoint_registry::{lock, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::lease::Lease;
-use crate::lines::{line, say, within};
+use crate::lines::{read_line, within, write_line};
 use crate::maintenance_store::MaintenanceStore;
 use crate::start_time::ListArrival;
 use crate::timers::Clock;
@@ -21,7 +22,7 @@
     Version, MAX_PENDING_VERSIONS,
 };
 use oakhollow_terms::{
-    read_json, AccordConfig as Operated, DiscoveryList, EndpointEntry, Greeting, ListSharing, LocalSettings,
+    read_json, AccordConfig, DiscoveryList, EndpointEntry, Greeting, ListSharing, LocalSettings,
     NoLeasePolicy, Scope, SidecarConfig,
 };
 use slog::{info, warn, Logger};
@@ -31,51 +32,57 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The longest line that is taken: as many documents as may wait, or what is said of two whole lists.
-const MOST_LINE: u64 = 8 * 1024 * 1024;
-/// The longest document: guards against lines that nobody takes.
-const MOST_DOCUMENT: usize = MOST_LINE as usize / (4 * MAX_PENDING_VERSIONS);
-/// Words that may wait for one that does not read; what comes beyond them is lost, and asked for again.
-const MOST_WORDS: usize = 64;
-/// Words of all others that may wait for us.
-const MOST_INPUTS: usize = 1024;
-/// Words that one link may bring in a second: far beyond what an instance has to say.
-const MOST_A_SECOND: usize = 1_000;
-/// After a link that could not be made, or broke.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How long a foreign connection may take to say who it is.
-const GREETS: Duration = Duration::from_secs(1);
+/// The longest line accepted: it holds as many documents as may be pending, or the facts of two whole lists.
+const MAX_LINE_BYTES: u64 = 8 * 1024 * 1024;
+/// The longest document. A longer one could make a line that other instances reject.
+const MAX_DOCUMENT_BYTES: usize = MAX_LINE_BYTES as usize / (4 * MAX_PENDING_VERSIONS);
+/// Messages that may wait for a peer that does not read. Further ones are dropped; the protocol asks for them again.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Inputs that may wait for this task.
+const MAX_QUEUED_INPUTS: usize = 1024;
+/// Messages that one link may deliver in a second: far more than an instance sends.
+const MAX_MESSAGES_PER_SECOND: usize = 1_000;
+/// The delay before a failed or broken link is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long a new connection may take to send its greeting.
+const GREETING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Links that a keeper takes in: one for each instance, or two while a process replaces another, and some that have not said
-/// yet whose they are.
-fn most_links(instances: usize) -> usize {
+/// The number of links that a keeper accepts: one for each instance, two while one process replaces another, and some
+/// that have not sent their greeting yet.
+fn max_links(instances: usize) -> usize {
     2 * instances + 8
 }
 
-/// Descriptors that one instance needs for this: a link to each keeper, and as a keeper its listener and those it takes in.
-pub fn sockets(operated: &Operated, name: &str) -> usize {
-    let keeps = operated.keepers.iter().any(|keeper| keeper == name);
-    operated.keepers.len() + if keeps { 1 + most_links(operated.instances.len()) } else { 0 }
+/// The descriptors that an instance needs for this: a link to each keeper and, on a keeper, its listener and the
+/// links that it accepts.
+pub fn descriptors_needed(config: &AccordConfig, name: &str) -> usize {
+    let is_keeper = config.keepers.iter().any(|keeper| keeper == name);
+    config.keepers.len() + if is_keeper { 1 + max_links(config.instances.len()) } else { 0 }
 }
 
+/// What the agreement's task handles.
 enum Input {
-    /// This instance's file was read; whoever read it waits to hear why it is not taken, if it isn't.
-    Written(Box<SidecarConfig>, Sender<String>),
-    /// The own list has told something, or can't be had. Whoever waits hears that it is carried out.
-    Listed(Arc<DiscoveryList>, Option<Sender<()>>),
-    ListFails,
-    /// A mark was set by hand here.
-    Marked(Mark),
-    /// The console asks how it stands.
-    Asked(Sender<String>),
-    /// A member's link to our keeper stands, by this way, or is gone.
-    Linked(HolderId, Sender<Message>),
-    Gone(HolderId),
-    ToKeeper(HolderId, Message),
-    ToMember(InstanceId, Message),
+    /// This instance's configuration file was read. The sender reports why it is rejected, if it is.
+    ConfigRead(Box<SidecarConfig>, Sender<String>),
+    /// Discovery has sent something. The sender, if any, is notified once that is applied.
+    ListReceived(Arc<DiscoveryList>, Option<Sender<()>>),
+    /// The list can't be obtained from discovery.
+    ListUnavailable,
+    /// A maintenance mark was set at this instance.
+    MaintenanceChanged(MaintenanceMark),
+    /// The console asks for the status.
+    StatusRequested(Sender<String>),
+    /// A lease holder has connected to this instance's lease server; messages to it go to the sender.
+    HolderConnected(HolderId, Sender<Message>),
+    /// Its link is closed.
+    HolderDisconnected(HolderId),
+    /// A message to this instance's lease server.
+    ToLeaseServer(HolderId, Message),
+    /// A message from a keeper to this instance's lease holder.
+    ToLeaseHolder(InstanceId, Message),
 }
 
-/// The way for the console, and for a file that was read.
+/// How the console, the watch of the list and the reload of the configuration reach the agreement.
 #[derive(Clone)]
 pub struct AccordHandle {
     inputs: Sender<Input>,
@@ -83,139 +90,147 @@
 }
 
 impl AccordHandle {
-    /// Takes a file that was read; if it can't be one that instances agree on, all stays as it was.
-    pub async fn written(&self, start: SidecarConfig) -> Result<(), String> {
-        numbered(&start)?;
-        let (to, refused) = bounded(1);
-        let _ = self.inputs.send(Input::Written(Box::new(start), to)).await;
-        refused.recv().await.map_or(Ok(()), Err)
+    /// Proposes the settings of a configuration file. On an error the previous settings stay.
+    pub async fn propose(&self, config: SidecarConfig) -> Result<(), String> {
+        split_settings(&config)?;
+        let (to, rejection) = bounded(1);
+        let _ = self.inputs.send(Input::ConfigRead(Box::new(config), to)).await;
+        rejection.recv().await.map_or(Ok(()), Err)
     }
 
+    /// Reports what discovery has sent.
     pub async fn apply_list(&self, list: Arc<DiscoveryList>) {
-        let _ = self.inputs.send(Input::Listed(list, None)).await;
+        let _ = self.inputs.send(Input::ListReceived(list, None)).await;
     }
 
-    /// To be waited for before workers hear of that list: what it names and nobody tells of yet is held back by then. True if
-    /// that was needed; otherwise they come first.
+    /// Reports a list before the workers get it, and waits until the entries that no keeper has confirmed yet are
+    /// held back. Returns false where that is not needed; the workers then get the list first.
     pub async fn apply_list_before_workers(&self, list: &Arc<DiscoveryList>) -> bool {
         if self.scope == Scope::All {
             return false;
         }
         let (to, done) = bounded(1);
-        let _ = self.inputs.send(Input::Listed(list.clone(), Some(to))).await;
+        let _ = self.inputs.send(Input::ListReceived(list.clone(), Some(to))).await;
         let _ = done.recv().await;
         true
     }
 
+    /// Reports that discovery does not deliver the list.
     pub async fn list_unavailable(&self) {
-        let _ = self.inputs.send(Input::ListFails).await;
+        let _ = self.inputs.send(Input::ListUnavailable).await;
     }
 
-    pub async fn marked(&self, mark: Mark) {
-        let _ = self.inputs.send(Input::Marked(mark)).await;
+    /// Reports a maintenance mark that was set at this instance.
+    pub async fn apply_maintenance(&self, mark: MaintenanceMark) {
+        let _ = self.inputs.send(Input::MaintenanceChanged(mark)).await;
     }
 
-    /// Version by version and instance by instance, a line each.
+    /// The status as text, a line for each version and each instance.
     pub async fn status(&self) -> String {
         let (to, status) = bounded(1);
-        let _ = self.inputs.send(Input::Asked(to)).await;
+        let _ = self.inputs.send(Input::StatusRequested(to)).await;
         status.recv().await.unwrap_or_default()
     }
 }
 
-/// The common part of a file's settings as a document, and what is this instance's own.
-fn numbered(start: &SidecarConfig) -> Result<(LocalSettings, Document), String> {
-    let number = start.settings_version.ok_or("version: missing, and instances agree on settings")?;
+/// Splits the settings of a configuration file into this instance's own part and the common part, as a document.
+fn split_settings(config: &SidecarConfig) -> Result<(LocalSettings, Document), String> {
+    let number = config.settings_version.ok_or("version: missing, and instances agree on settings")?;
     let (own, common) =
-        LocalSettings::split(&start.settings_text).map_err(|fault| format!("settings.{fault}"))?;
-    if common.text.len() > MOST_DOCUMENT {
-        return Err(format!("settings: over {MOST_DOCUMENT} bytes, the most that is passed on"));
+        LocalSettings::split(&config.settings_text).map_err(|error| format!("settings.{error}"))?;
+    if common.text.len() > MAX_DOCUMENT_BYTES {
+        return Err(format!("settings: over {MAX_DOCUMENT_BYTES} bytes, the most that is passed on"));
     }
     let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
     Ok((own, Document { version, text: common.text.into() }))
 }
 
-/// What it works on.
+/// The parts of the rest of the process that the agreement uses.
 pub struct Parts {
-    pub operated: Operated,
+    pub config: AccordConfig,
     pub lease: Lease,
-    pub orders: CommandBroadcaster,
+    pub commands: CommandBroadcaster,
     pub registry: SharedRegistry,
-    /// Where marks are kept, and the other process of this sidecar, which is told of them.
+    /// Where maintenance marks are saved.
     pub store: Option<Arc<MaintenanceStore>>,
-    pub peers: HandoverLinks,
+    pub handover_links: HandoverLinks,
     pub clock: Clock,
     pub log: Logger,
 }
 
-struct Running {
+/// The task of the agreement.
+struct Agreement {
     parts: Parts,
-    names: Arc<[String]>,
-    me: InstanceId,
-    member: LeaseHolder,
+    instance_names: Arc<[String]>,
+    own_id: InstanceId,
+    lease_holder: LeaseHolder,
     own: Arc<Mutex<LocalSettings>>,
-    keeper: Option<LeaseServer>,
-    /// The ways to the keepers, and to those that our keeper has heard of.
+    lease_server: Option<LeaseServer>,
+    /// The queues to the keepers, and to the lease holders connected to this instance's lease server.
     to_keepers: HashMap<InstanceId, Sender<Message>>,
-    to_members: HashMap<HolderId, Sender<Message>>,
-    /// What was last said of acting or not.
-    acted: bool,
-    /// What is agreed can't be kept to.
-    unreadable: bool,
-    /// The own list can't be had.
-    cut_off: bool,
-    /// Whom others' lists let drain, as the workers were last told.
-    out: Elsewhere,
+    to_holders: HashMap<HolderId, Sender<Message>>,
+    /// Whether it was last logged that this instance may act.
+    was_acting: bool,
+    /// The agreed settings can't be read.
+    settings_unreadable: bool,
+    /// Discovery does not deliver the list.
+    list_unavailable: bool,
+    /// The endpoints that drain by other instances' lists, as last sent to the workers.
+    peer_drains: PeerDrains,
 }
 
-/// Begins to agree; the future that is given runs for as long as the program.
-pub fn begin(
-    start: &SidecarConfig, known: Arc<DiscoveryList>, parts: Parts,
+/// Starts the agreement. The future returned runs for as long as the process.
+pub fn start(
+    config: &SidecarConfig, known: Arc<DiscoveryList>, parts: Parts,
 ) -> Result<(AccordHandle, impl Future<Output = ()>), String> {
-    let (own, document) = numbered(start)?;
-    // Shared by all links to our keeper: one copy for each would grow by the square.
-    let names: Arc<[String]> = parts.operated.instances.keys().cloned().collect();
-    let id = |name: &String| names.iter().position(|other| other == name).map(|at| InstanceId(at as u32));
-    let me = id(&start.name).ok_or_else(|| format!("name: {:?} is not in accord.instances", start.name))?;
-    let keepers: Vec<InstanceId> = parts.operated.keepers.iter().filter_map(id).collect();
-    let within = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(
-        parts.operated.max_divergence_s,
-    ));
+    let (own, document) = split_settings(config)?;
+    // Shared by all links to this lease server: a copy for each would grow with the square of the number of
+    // instances.
+    let instance_names: Arc<[String]> = parts.config.instances.keys().cloned().collect();
+    let id =
+        |name: &String| instance_names.iter().position(|other| other == name).map(|at| InstanceId(at as u32));
+    let own_id =
+        id(&config.name).ok_or_else(|| format!("name: {:?} is not in accord.instances", config.name))?;
+    let keepers: Vec<InstanceId> = parts.config.keepers.iter().filter_map(id).collect();
+    let lease_length =
+        oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(parts.config.max_divergence_s));
     let own = Arc::new(Mutex::new(own));
-    let judge: Validator = {
+    let validator: Validator = {
         let own = own.clone();
-        Arc::new(move |texts: &[Arc<str>]| place(&own, texts).map(|_| ()))
+        Arc::new(move |texts: &[Arc<str>]| merge_settings(&own, texts).map(|_| ()))
     };
-    let (inputs, incoming) = bounded(MOST_INPUTS);
-    let running = Running {
-        keeper: keepers.contains(&me).then(|| LeaseServer::new(parts.clock.now(), within)),
-        member: match (parts.operated.list_sharing, parts.operated.scope) {
-            (ListSharing::Whole, _) => LeaseHolder::new(keepers.clone(), within, judge).with_full_lists(),
-            (ListSharing::Drains, Scope::All) => LeaseHolder::new(keepers.clone(), within, judge),
+    let (inputs, incoming) = bounded(MAX_QUEUED_INPUTS);
+    let agreement = Agreement {
+        lease_server: keepers.contains(&own_id).then(|| LeaseServer::new(parts.clock.now(), lease_length)),
+        lease_holder: match (parts.config.list_sharing, parts.config.scope) {
+            (ListSharing::Whole, _) => {
+                LeaseHolder::new(keepers.clone(), lease_length, validator).with_full_lists()
+            }
+            (ListSharing::Drains, Scope::All) => LeaseHolder::new(keepers.clone(), lease_length, validator),
             (ListSharing::Drains, Scope::Listed) => {
-                LeaseHolder::new(keepers.clone(), within, judge).with_subscription()
+                LeaseHolder::new(keepers.clone(), lease_length, validator).with_subscription()
             }
         },
-        names,
-        me,
+        instance_names,
+        own_id,
         own,
         to_keepers: HashMap::new(),
-        to_members: HashMap::new(),
-        acted: false,
-        unreadable: false,
-        cut_off: false,
-        out: Elsewhere::new(),
+        to_holders: HashMap::new(),
+        was_acting: false,
+        settings_unreadable: false,
+        list_unavailable: false,
+        peer_drains: PeerDrains::new(),
         parts,
     };
-    let accord = AccordHandle { inputs: inputs.clone(), scope: running.parts.operated.scope };
-    Ok((accord, running.run((document, known), keepers, (inputs, incoming))))
+    let accord = AccordHandle { inputs: inputs.clone(), scope: agreement.parts.config.scope };
+    Ok((accord, agreement.run((document, known), keepers, (inputs, incoming))))
 }
 
-/// What a list tells, in the words of the agreement; with how it words each entry only where that is passed on.
-fn told(list: &DiscoveryList, lists: ListSharing) -> ListUpdate {
+/// A list as facts for the agreement. The entries' own JSON is included only where whole lists are shared.
+fn list_update(list: &DiscoveryList, sharing: ListSharing) -> ListUpdate {
     let fact = |entry: &EndpointEntry| {
-        let worded = (lists == ListSharing::Whole).then(|| Arc::from(oakhollow_terms::to_json(entry)));
-        Fact { since: entry.since_ms(), excluded: !entry.is_active(), first_hand: true, entry: worded }
+        let json = (sharing == ListSharing::Whole).then(|| Arc::from(oakhollow_terms::to_json(entry)));
+        Fact { since: entry.since_ms(), excluded: !entry.is_active(), first_hand: true, entry: json }
     };
     let entries = list.endpoints.iter().map(|entry| {
         let fact = (!entry.has_left()).then(|| fact(entry));
@@ -224,292 +239,350 @@
     ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() }
 }
 
-fn place(own: &Mutex<LocalSettings>, texts: &[Arc<str>]) -> Result<oakhollow_terms::Settings, String> {
+/// Merges the common part of the settings, as documents, with this instance's own part.
+fn merge_settings(
+    own: &Mutex<LocalSettings>, texts: &[Arc<str>],
+) -> Result<oakhollow_terms::Settings, String> {
     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
     own.lock()
         .unwrap_or_else(PoisonError::into_inner)
         .merge(&texts)
-        .map_err(|fault| format!("settings.{fault}"))
+        .map_err(|error| format!("settings.{error}"))
 }
 
-impl Running {
+impl Agreement {
     async fn run(
         mut self, first: (Document, Arc<DiscoveryList>), keepers: Vec<InstanceId>,
         inputs: (Sender<Input>, Receiver<Input>),
     ) {
         let (inputs, incoming) = inputs;
-        let greeting = Greeting::new(&self.names[self.me.0 as usize], self.parts.clock.now().0).to_json();
-        let silence = Duration::from_secs_f64(self.parts.operated.max_divergence_s.max(1.0));
+        let greeting =
+            Greeting::new(&self.instance_names[self.own_id.0 as usize], self.parts.clock.now().0).to_json();
+        let silence_limit = Duration::from_secs_f64(self.parts.config.max_divergence_s.max(1.0));
         let mut links = Vec::new();
         for keeper in keepers {
-            let (to, words) = bounded(MOST_WORDS);
+            let (to, messages) = bounded(MAX_QUEUED_MESSAGES);
             self.to_keepers.insert(keeper, to);
-            let address = self.parts.operated.instances[&self.names[keeper.0 as usize]];
-            links.push(dial(keeper, address, greeting.clone(), words, inputs.clone(), silence));
+            let address = self.parts.config.instances[&self.instance_names[keeper.0 as usize]];
+            links.push(keep_connected(
+                keeper,
+                address,
+                greeting.clone(),
+                messages,
+                inputs.clone(),
+                silence_limit,
+            ));
         }
         let executor = async_executor::LocalExecutor::new();
         links.into_iter().for_each(|link| executor.spawn(link).detach());
-        if self.keeper.is_some() {
-            let at = self.parts.operated.instances[&self.names[self.me.0 as usize]];
-            let listening =
-                listen(at, self.names.clone(), inputs, self.parts.log.clone(), silence * 4, &executor);
-            future::or(listening, executor.run(self.agree(first, incoming))).await;
+        if self.lease_server.is_some() {
+            let at = self.parts.config.instances[&self.instance_names[self.own_id.0 as usize]];
+            let listening = accept_links(
+                at,
+                self.instance_names.clone(),
+                inputs,
+                self.parts.log.clone(),
+                silence_limit * 4,
+                &executor,
+            );
+            future::or(listening, executor.run(self.run_events(first, incoming))).await;
         } else {
-            executor.run(self.agree(first, incoming)).await;
+            executor.run(self.run_events(first, incoming)).await;
         }
     }
 
-    async fn agree(&mut self, (first, known): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>) {
+    /// Handles inputs and timers for as long as the process lives.
+    async fn run_events(
+        &mut self, (first, known): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>,
+    ) {
         let (mut actions, now) = (Vec::new(), self.parts.clock.now());
-        self.member.propose(now, first, &mut actions);
+        self.lease_holder.propose(now, first, &mut actions);
         if !known.endpoints.is_empty() {
-            self.member.handle_list_update(now, told(&known, self.parts.operated.list_sharing), &mut actions);
+            self.lease_holder.handle_list_update(
+                now,
+                list_update(&known, self.parts.config.list_sharing),
+                &mut actions,
+            );
         }
-        self.carry_out(actions).await;
+        self.execute_actions(actions).await;
         loop {
             let now = self.parts.clock.now();
-            let keeper = self.keeper.as_ref().and_then(|keeper| keeper.next_wakeup(now));
-            let lapses = Some(self.member.lease_valid_until()).filter(|until| *until > now);
-            let due =
-                [Some(self.member.next_wakeup()), keeper, lapses].into_iter().flatten().min().unwrap_or(now);
-            let woke = async {
+            let server_wakeup = self.lease_server.as_ref().and_then(|server| server.next_wakeup(now));
+            let lease_expiry = Some(self.lease_holder.lease_valid_until()).filter(|until| *until > now);
+            let due = [Some(self.lease_holder.next_wakeup()), server_wakeup, lease_expiry]
+                .into_iter()
+                .flatten()
+                .min()
+                .unwrap_or(now);
+            let timer = async {
                 Timer::at(self.parts.clock.instant_at(due)).await;
                 None
             };
-            let heard = async { Some(incoming.recv().await) };
-            match future::or(heard, woke).await {
+            let received = async { Some(incoming.recv().await) };
+            match future::or(received, timer).await {
                 Some(Err(_)) => return,
-                Some(Ok(input)) => self.take(Some(input)).await,
-                None => self.take(None).await,
+                Some(Ok(input)) => self.handle(Some(input)).await,
+                None => self.handle(None).await,
             }
         }
     }
 
-    /// Takes what has come, or that it is time for something.
-    async fn take(&mut self, input: Option<Input>) {
-        let (now, mut actions, mut out) = (self.parts.clock.now(), Vec::new(), Vec::new());
-        let mut waits = None;
+    /// Handles an input, or a timer if there is none.
+    async fn handle(&mut self, input: Option<Input>) {
+        let (now, mut actions, mut outgoing) = (self.parts.clock.now(), Vec::new(), Vec::new());
+        let mut applied = None;
         match input {
             None => {
-                self.member.handle_timer(now, &mut actions);
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.handle_timer(now, &mut out);
+                self.lease_holder.handle_timer(now, &mut actions);
+                if let Some(server) = &mut self.lease_server {
+                    server.handle_timer(now, &mut outgoing);
                 }
             }
-            Some(Input::Listed(list, done)) => {
-                (self.cut_off, waits) = (false, done);
-                self.member.handle_list_update(
+            Some(Input::ListReceived(list, done)) => {
+                (self.list_unavailable, applied) = (false, done);
+                self.lease_holder.handle_list_update(
                     now,
-                    told(&list, self.parts.operated.list_sharing),
+                    list_update(&list, self.parts.config.list_sharing),
                     &mut actions,
                 );
             }
-            Some(Input::ListFails) => {
-                self.cut_off = true;
+            Some(Input::ListUnavailable) => {
+                self.list_unavailable = true;
                 actions.push(Action::ApplyLists);
             }
-            Some(Input::Marked(mark)) if self.parts.operated.share_maintenance => {
-                self.member.handle_maintenance_change(now, (&mark.name, mark.out, mark.at.0), &mut actions);
+            Some(Input::MaintenanceChanged(mark)) if self.parts.config.share_maintenance => {
+                self.lease_holder.handle_maintenance_change(
+                    now,
+                    (&mark.name, mark.in_maintenance, mark.set_at.0),
+                    &mut actions,
+                );
             }
-            Some(Input::Marked(_)) => {}
-            Some(Input::Asked(to)) => _ = to.try_send(self.status()),
-            // It was read by the same check before.
-            Some(Input::Written(start, refused)) => {
-                if let Ok((own, document)) = numbered(&start) {
+            Some(Input::MaintenanceChanged(_)) => {}
+            Some(Input::StatusRequested(to)) => _ = to.try_send(self.status()),
+            // Always succeeds: the sender has made the same check.
+            Some(Input::ConfigRead(config, rejection)) => {
+                if let Ok((own, document)) = split_settings(&config) {
                     let lock = || self.own.lock().unwrap_or_else(PoisonError::into_inner);
-                    let before = std::mem::replace(&mut *lock(), own);
-                    if self.member.propose(now, document, &mut actions) {
-                        // Its own part may have changed alone.
+                    let previous = std::mem::replace(&mut *lock(), own);
+                    if self.lease_holder.propose(now, document, &mut actions) {
+                        // The file may have changed only in this instance's own part.
                         if !actions.contains(&Action::ApplyDocuments) {
                             actions.push(Action::ApplyDocuments);
                         }
                     } else {
-                        *lock() = before;
-                        // Said once by the member; whoever reads the file again is told all the same.
+                        *lock() = previous;
+                        // The lease holder logs a rejection only once, but every reload reports the reason.
                         let why = actions.iter().position(|action| matches!(action, Action::Log(_)));
-                        let _ = refused.try_send(match why.map(|at| actions.remove(at)) {
+                        let _ = rejection.try_send(match why.map(|at| actions.remove(at)) {
                             Some(Action::Log(why)) => why,
                             _ => "version: refused before, see the log".into(),
                         });
                     }
                 }
             }
-            Some(Input::Linked(holder, to)) => _ = self.to_members.insert(holder, to),
-            Some(Input::Gone(holder)) => {
-                // Unless it has come again by another way meanwhile.
-                if self.to_members.get(&holder).is_some_and(Sender::is_closed) {
-                    self.to_members.remove(&holder);
+            Some(Input::HolderConnected(holder, to)) => _ = self.to_holders.insert(holder, to),
+            Some(Input::HolderDisconnected(holder)) => {
+                // Unless it has connected again in the meantime.
+                if self.to_holders.get(&holder).is_some_and(Sender::is_closed) {
+                    self.to_holders.remove(&holder);
                 }
             }
-            Some(Input::ToKeeper(holder, word)) => {
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.handle_message(now, holder, word, &mut out);
+            Some(Input::ToLeaseServer(holder, message)) => {
+                if let Some(server) = &mut self.lease_server {
+                    server.handle_message(now, holder, message, &mut outgoing);
                 }
             }
-            Some(Input::ToMember(keeper, word)) => {
-                self.member.handle_message(now, keeper, word, &mut actions)
+            Some(Input::ToLeaseHolder(keeper, message)) => {
+                self.lease_holder.handle_message(now, keeper, message, &mut actions)
             }
         }
-        self.pass_on(out);
-        self.carry_out(actions).await;
-        waits.map(|done| done.try_send(()));
+        self.send_to_holders(outgoing);
+        self.execute_actions(actions).await;
+        applied.map(|done| done.try_send(()));
     }
 
-    fn pass_on(&self, out: Vec<(HolderId, Message)>) {
-        for (holder, word) in out {
-            self.to_members.get(&holder).map(|to| to.try_send(word));
+    /// Sends the lease server's messages.
+    fn send_to_holders(&self, outgoing: Vec<(HolderId, Message)>) {
+        for (holder, message) in outgoing {
+            self.to_holders.get(&holder).map(|to| to.try_send(message));
         }
     }
 
-    /// In order: what is kept to from now on holds at every worker before anybody is told that it is known.
-    async fn carry_out(&mut self, actions: Vec<Action>) {
+    /// Executes actions in order, so that settings are in use at every worker before this instance reports that it
+    /// knows them.
+    async fn execute_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(keeper, word) => {
-                    self.to_keepers.get(&keeper).map(|to| to.try_send(word));
+                Action::Send(keeper, message) => {
+                    self.to_keepers.get(&keeper).map(|to| to.try_send(message));
                 }
                 Action::ApplyDocuments => {
                     let texts: Vec<Arc<str>> =
-                        self.member.active_documents().map(|(_, text)| text.clone()).collect();
-                    match place(&self.own, &texts) {
-                        Ok(place) => {
-                            self.unreadable = false;
-                            let place = Arc::new(place);
+                        self.lease_holder.active_documents().map(|(_, text)| text.clone()).collect();
+                    match merge_settings(&self.own, &texts) {
+                        Ok(settings) => {
+                            self.settings_unreadable = false;
+                            let settings = Arc::new(settings);
                             self.parts
-                                .orders
-                                .send_and_wait(|done| WorkerCommand::ApplySettings(place, done))
+                                .commands
+                                .send_and_wait(|done| WorkerCommand::ApplySettings(settings, done))
                                 .await;
-                            info!(self.parts.log, "keeps to {}", self.kept());
+                            info!(self.parts.log, "keeps to {}", self.versions_in_use());
                         }
-                        // Each was judged with the others and alone before it was taken; what can't be kept to is not acted on.
-                        Err(fault) => {
-                            self.unreadable = true;
-                            warn!(self.parts.log, "agreed settings can't be read: {}", fault);
+                        // Not expected, since documents are checked before they are accepted. Settings that can't
+                        // be read are not acted on.
+                        Err(error) => {
+                            self.settings_unreadable = true;
+                            warn!(self.parts.log, "agreed settings can't be read: {}", error);
                         }
                     }
                 }
-                Action::ApplyLists => self.hear_lists().await,
-                Action::ApplyMaintenance { name, in_maintenance: out, set_at: at } => {
-                    self.mark(&name, out, at).await
+                Action::ApplyLists => self.apply_peer_lists().await,
+                Action::ApplyMaintenance { name, in_maintenance, set_at } => {
+                    self.apply_peer_maintenance(&name, in_maintenance, set_at).await
                 }
                 Action::Log(text) => info!(self.parts.log, "{}", text),
             }
         }
-        let until = match self.parts.operated.no_lease_policy {
-            // Once it has heard what holds, it goes on by that.
-            _ if self.unreadable => Micros(0),
-            NoLeasePolicy::Hold if self.member.committed().is_some() => Micros::NEVER,
-            _ => self.member.lease_valid_until(),
+        let until = match self.parts.config.no_lease_policy {
+            // With `Hold`, an instance that knows the agreed settings continues with them without a lease.
+            _ if self.settings_unreadable => Micros(0),
+            NoLeasePolicy::Hold if self.lease_holder.committed().is_some() => Micros::NEVER,
+            _ => self.lease_holder.lease_valid_until(),
         };
         self.parts.lease.set(until);
-        // Also said by one that acts all the same.
-        let acts = until.min(self.member.lease_valid_until()) > self.parts.clock.now();
-        if acts != self.acted {
-            self.acted = acts;
-            lock(&self.parts.registry).sure =
-                acts || self.parts.operated.no_lease_policy != NoLeasePolicy::Refuse;
-            match acts {
-                true => info!(self.parts.log, "sure: a majority's leases live, keeps to {}", self.kept()),
+        // Logged also by an instance that goes on without a lease.
+        let may_act = until.min(self.lease_holder.lease_valid_until()) > self.parts.clock.now();
+        if may_act != self.was_acting {
+            self.was_acting = may_act;
+            lock(&self.parts.registry).lease_ok =
+                may_act || self.parts.config.no_lease_policy != NoLeasePolicy::Refuse;
+            match may_act {
+                true => info!(
+                    self.parts.log,
+                    "sure: a majority's leases live, keeps to {}",
+                    self.versions_in_use()
+                ),
                 false => {
                     warn!(
                         self.parts.log,
-                        "unsure: no majority's leases, {:?}", self.parts.operated.no_lease_policy
+                        "unsure: no majority's leases, {:?}", self.parts.config.no_lease_policy
                     )
                 }
             }
-            self.parts.orders.send(WorkerCommand::RecheckDeadlines).await;
+            self.parts.commands.send(WorkerCommand::RecheckDeadlines).await;
         }
     }
 
-    /// Whom others' lists let drain; and whom they name that this one does not, while it can't be had.
-    async fn hear_lists(&mut self) {
-        let mut elsewhere = Elsewhere::new();
-        for (name, since) in self.member.unconfirmed_servers().chain(self.member.excluded_servers()) {
-            let known = elsewhere.entry(name.to_string()).or_insert(since);
+    /// Applies what other instances' lists say: which endpoints drain and, while discovery does not deliver the own
+    /// list, which endpoints it lacks.
+    async fn apply_peer_lists(&mut self) {
+        let mut drains = PeerDrains::new();
+        for (name, since) in
+            self.lease_holder.unconfirmed_servers().chain(self.lease_holder.excluded_servers())
+        {
+            let known = drains.entry(name.to_string()).or_insert(since);
             *known = since.max(*known);
         }
-        if self.out != elsewhere {
-            let (out, untold) =
-                (self.member.excluded_servers().len(), self.member.unconfirmed_servers().count());
+        if self.peer_drains != drains {
+            let (excluded, unconfirmed) =
+                (self.lease_holder.excluded_servers().len(), self.lease_holder.unconfirmed_servers().count());
             info!(
                 self.parts.log,
-                "by others' lists {} servers drain or have left, of {} none tells yet", out, untold
+                "by others' lists {} servers drain or have left, of {} none tells yet", excluded, unconfirmed
             );
-            self.out = elsewhere.clone();
-            let elsewhere = Arc::new(elsewhere);
-            self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyPeerDrains(elsewhere, done)).await;
+            self.peer_drains = drains.clone();
+            let drains = Arc::new(drains);
+            self.parts.commands.send_and_wait(|done| WorkerCommand::ApplyPeerDrains(drains, done)).await;
         }
-        if self.cut_off {
+        if self.list_unavailable {
             let entries = self
-                .member
+                .lease_holder
                 .foreign_entries()
                 .filter_map(|entry| read_json::<EndpointEntry>(entry.as_bytes()).ok());
             let entries: Vec<EndpointEntry> = entries.collect();
             if !entries.is_empty() {
-                let list = lock(&self.parts.registry).add(entries);
+                let list = lock(&self.parts.registry).add_from_peers(entries);
                 info!(self.parts.log, "discovery fails: {} servers by others' lists", list.endpoints.len());
-                self.member.handle_list_update(
+                self.lease_holder.handle_list_update(
                     self.parts.clock.now(),
-                    told(&list, self.parts.operated.list_sharing),
+                    list_update(&list, self.parts.config.list_sharing),
                     &mut Vec::new(),
                 );
                 self.parts
-                    .orders
+                    .commands
                     .send(WorkerCommand::ApplyList(ListKind::Cached, Arc::new(list), ListArrival::now()))
                     .await;
             }
         }
     }
 
-    /// A mark that was set by hand at another instance.
-    async fn mark(&self, name: &str, out: bool, at: u64) {
-        // By another host's clock: it has been by now.
-        let mark = Mark { name: name.into(), out, at: Micros(at).min(self.parts.clock.now()) };
+    /// Applies a maintenance mark that was set at another instance.
+    async fn apply_peer_maintenance(&self, name: &str, in_maintenance: bool, set_at: u64) {
+        // The time is by another host's clock: a mark can't have been set in the future.
+        let mark = MaintenanceMark {
+            name: name.into(),
+            in_maintenance,
+            set_at: Micros(set_at).min(self.parts.clock.now()),
+        };
         {
             let mut registry = lock(&self.parts.registry);
-            registry.set(&mark);
+            registry.apply_maintenance(&mark);
             if let Some(store) = &self.parts.store {
                 store.submit(registry.marks().clone(), &self.parts.log);
             }
         }
-        info!(self.parts.log, "{} {} by hand, at another instance", name, if out { "out" } else { "back" });
-        self.parts.peers.tell(&mark, None);
-        self.parts.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
+        info!(
+            self.parts.log,
+            "{} {} by hand, at another instance",
+            name,
+            if in_maintenance { "out" } else { "back" }
+        );
+        self.parts.handover_links.send_mark(&mark, None);
+        self.parts.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 
-    fn kept(&self) -> String {
-        self.member.active_documents().map(|(version, _)| version.to_string()).collect::<Vec<_>>().join(" ")
+    /// The versions of the settings in use.
+    fn versions_in_use(&self) -> String {
+        self.lease_holder
+            .active_documents()
+            .map(|(version, _)| version.to_string())
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 
+    /// The status for the console.
     fn status(&self) -> String {
-        let (now, name) = (self.parts.clock.now(), |id: InstanceId| &self.names[id.0 as usize]);
+        let (now, name) = (self.parts.clock.now(), |id: InstanceId| &self.instance_names[id.0 as usize]);
         let left = |until: Micros| format!("{:.2} s", (until - now).secs());
-        let holds = self.member.committed().map_or("nothing yet".to_string(), |base| base.to_string());
+        let committed =
+            self.lease_holder.committed().map_or("nothing yet".to_string(), |base| base.to_string());
         let mut text = format!(
-            "{} holds {holds}, keeps to {}, lease for {}\n",
-            name(self.me),
-            self.kept(),
-            left(self.member.lease_valid_until())
+            "{} holds {committed}, keeps to {}, lease for {}\n",
+            name(self.own_id),
+            self.versions_in_use(),
+            left(self.lease_holder.lease_valid_until())
         );
-        for (server, _) in self.member.excluded_servers() {
+        for (server, _) in self.lease_holder.excluded_servers() {
             text += &format!("out by others' lists: {server}\n");
         }
-        for (server, _) in self.member.unconfirmed_servers() {
+        for (server, _) in self.lease_holder.unconfirmed_servers() {
             text += &format!("held back until a majority of keepers tells of it: {server}\n");
         }
-        if let Some(keeper) = &self.keeper {
-            let cleared = keeper.committed().map_or("nothing yet".to_string(), |cleared| cleared.to_string());
-            text += &format!("keeper: {cleared} holds here\n");
-            for (holder, until, knows) in keeper.leases() {
-                let knows: Vec<String> = knows.map(|version| version.to_string()).collect();
+        if let Some(server) = &self.lease_server {
+            let committed =
+                server.committed().map_or("nothing yet".to_string(), |committed| committed.to_string());
+            text += &format!("keeper: {committed} holds here\n");
+            for (holder, until, known_versions) in server.leases() {
+                let known_versions: Vec<String> = known_versions.map(|version| version.to_string()).collect();
                 text += &format!(
                     "lease: {} for {}, knows {}\n",
                     name(holder.instance),
                     left(until),
-                    knows.join(" ")
+                    known_versions.join(" ")
                 );
             }
-            for waiting in keeper.pending_version(now).iter().flat_map(|(version, waiting)| {
+            for waiting in server.pending_version(now).iter().flat_map(|(version, waiting)| {
                 waiting.iter().map(move |one| {
                     let how = if one.rejects { "which refuses it" } else { "or its lease" };
                     format!(
@@ -526,119 +599,123 @@
     }
 }
 
-/// Carries words both ways until the link breaks, falls silent or says what makes no sense.
-async fn carry(
-    stream: Async<TcpStream>, words: &Receiver<Message>, silence: Duration, inputs: &Sender<Input>,
+/// Exchanges messages until the link breaks, falls silent or delivers a malformed message; returns the error of that.
+async fn exchange_messages(
+    stream: Async<TcpStream>, messages: &Receiver<Message>, silence_limit: Duration, inputs: &Sender<Input>,
     heard: impl Fn(Message) -> Input,
 ) -> Option<String> {
     let (reads, mut writes) = io::split(Uninterrupted(stream));
     let mut reads = BufReader::new(reads);
-    let hears = async {
+    let receives = async {
         let (mut since, mut count) = (Instant::now(), 0);
         loop {
-            let line = within(silence, line(&mut reads, MOST_LINE)).await?;
+            let line = within(silence_limit, read_line(&mut reads, MAX_LINE_BYTES)).await?;
             if since.elapsed() > Duration::from_secs(1) {
                 (since, count) = (Instant::now(), 0);
             }
             count += 1;
-            // Guards against one that floods us: the others' words wait no longer for it than that.
-            if count > MOST_A_SECOND {
+            // Limits a link that floods this instance, so that the messages of the others are not delayed.
+            if count > MAX_MESSAGES_PER_SECOND {
                 Timer::at(since + Duration::from_secs(1)).await;
             }
             match read_json::<Message>(line.trim().as_bytes()) {
-                Ok(word) => _ = inputs.send(heard(word)).await,
-                Err(fault) => return Some(fault),
+                Ok(message) => _ = inputs.send(heard(message)).await,
+                Err(error) => return Some(error),
             }
         }
     };
-    let says = async {
-        while let Ok(word) = words.recv().await {
-            if !say(&mut writes, &oakhollow_terms::to_json(&word)).await {
+    let sends = async {
+        while let Ok(message) = messages.recv().await {
+            if !write_line(&mut writes, &oakhollow_terms::to_json(&message)).await {
                 break;
             }
         }
         None
     };
-    future::or(hears, says).await
+    future::or(receives, sends).await
 }
 
-/// A link to a keeper, made again for as long as the program lives.
-async fn dial(
-    keeper: InstanceId, at: SocketAddr, greeting: String, words: Receiver<Message>, inputs: Sender<Input>,
-    silence: Duration,
+/// Keeps a link to a keeper, and connects again whenever it breaks.
+async fn keep_connected(
+    keeper: InstanceId, at: SocketAddr, greeting: String, messages: Receiver<Message>, inputs: Sender<Input>,
+    silence_limit: Duration,
 ) {
     loop {
         let linked = async {
             let mut stream = Async::<TcpStream>::connect(at).await.ok()?;
             let _ = stream.get_ref().set_nodelay(true);
-            // What waited for a link that broke is old.
-            while words.try_recv().is_ok() {}
-            say(&mut stream, &greeting).await.then_some(stream)
+            // Messages queued for a link that broke are outdated.
+            while messages.try_recv().is_ok() {}
+            write_line(&mut stream, &greeting).await.then_some(stream)
         };
-        if let Some(stream) = within(silence, linked).await {
-            carry(stream, &words, silence, &inputs, |word| Input::ToMember(keeper, word)).await;
+        if let Some(stream) = within(silence_limit, linked).await {
+            exchange_messages(stream, &messages, silence_limit, &inputs, |message| {
+                Input::ToLeaseHolder(keeper, message)
+            })
+            .await;
         }
-        Timer::after(PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
     }
 }
 
-/// Takes in the links of members to our keeper.
-async fn listen(
-    at: SocketAddr, names: Arc<[String]>, inputs: Sender<Input>, log: Logger, silence: Duration,
-    executor: &async_executor::LocalExecutor<'_>,
+/// Accepts the links of lease holders to this instance's lease server.
+async fn accept_links(
+    at: SocketAddr, instance_names: Arc<[String]>, inputs: Sender<Input>, log: Logger,
+    silence_limit: Duration, executor: &async_executor::LocalExecutor<'_>,
 ) {
-    let mut said = false;
+    let mut logged = false;
     let listener = loop {
-        // The process before this one may have it still: its keeper serves us too.
+        // The predecessor may still have the address; until it ends, its lease server serves this instance too.
         match Async::<TcpListener>::bind(at) {
             Ok(listener) => break listener,
-            Err(fault) if !std::mem::replace(&mut said, true) => {
-                warn!(log, "accord: {}: {}, trying on", at, fault);
+            Err(error) if !std::mem::replace(&mut logged, true) => {
+                warn!(log, "accord: {}: {}, retrying", at, error);
             }
             Err(_) => {}
         }
-        Timer::after(PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
     };
-    let mut foreign = BTreeSet::new();
+    let mut logged_causes = BTreeSet::new();
     let open = Arc::new(());
-    let (strangers, tell) = bounded::<String>(MOST_WORDS);
+    let (rejections, tell) = bounded::<String>(MAX_QUEUED_MESSAGES);
     loop {
-        // Guards against links that take what callers and servers need.
-        if Arc::strong_count(&open) > most_links(names.len()) {
-            Timer::after(PAUSE).await;
+        // Links must not use up the descriptors that clients and endpoints need.
+        if Arc::strong_count(&open) > max_links(instance_names.len()) {
+            Timer::after(RETRY_DELAY).await;
             continue;
         }
-        while let Ok(stranger) = tell.try_recv() {
-            // Once for each, and not for ever more of them.
-            if foreign.len() < MOST_WORDS && foreign.insert(stranger.clone()) {
-                warn!(log, "accord: a link not taken: {}", stranger);
+        while let Ok(cause) = tell.try_recv() {
+            // Logged once for each cause, and for a limited number of causes.
+            if logged_causes.len() < MAX_QUEUED_MESSAGES && logged_causes.insert(cause.clone()) {
+                warn!(log, "accord: a link not taken: {}", cause);
             }
         }
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
             continue;
         };
-        let (names, inputs, strangers, open) =
-            (names.clone(), inputs.clone(), strangers.clone(), open.clone());
+        let (instance_names, inputs, rejections, open) =
+            (instance_names.clone(), inputs.clone(), rejections.clone(), open.clone());
         executor
             .spawn(async move {
                 let _open = open;
                 let _ = stream.get_ref().set_nodelay(true);
-                match welcome(stream, &names, &inputs, silence).await {
+                match serve_link(stream, &instance_names, &inputs, silence_limit).await {
                     Ok(()) => {}
-                    Err(why) => _ = strangers.try_send(why),
+                    Err(why) => _ = rejections.try_send(why),
                 }
             })
             .detach();
     }
 }
 
-async fn welcome(
-    stream: Async<TcpStream>, names: &[String], inputs: &Sender<Input>, silence: Duration,
+/// Reads the greeting of a new link and exchanges messages on it until it ends; returns an error of either.
+async fn serve_link(
+    stream: Async<TcpStream>, instance_names: &[String], inputs: &Sender<Input>, silence_limit: Duration,
 ) -> Result<(), String> {
     let mut greeting = Vec::new();
-    let greets = async {
-        // Byte by byte: what comes behind the greeting is for others to read.
+    let read_greeting = async {
+        // Byte by byte: what follows the greeting is read elsewhere.
         while greeting.last() != Some(&b'\n') && greeting.len() < 1024 {
             let mut byte = [0];
             if Uninterrupted(&stream).read(&mut byte).await.ok()? == 0 {
@@ -648,18 +725,21 @@
         }
         Some(())
     };
-    // Gone, or silent: nobody's.
-    if within(GREETS, greets).await.is_none() {
+    // Closed or silent before a greeting: ignored.
+    if within(GREETING_TIMEOUT, read_greeting).await.is_none() {
         return Ok(());
     }
     let greeting = Greeting::read(greeting.trim_ascii())?;
-    let at = names.iter().position(|name| *name == greeting.name);
+    let at = instance_names.iter().position(|name| *name == greeting.name);
     let at = at.ok_or_else(|| format!("name: {:?} is not in accord.instances", greeting.name))?;
     let holder = HolderId { instance: InstanceId(at as u32), incarnation: greeting.incarnation };
-    let (to, words) = bounded(MOST_WORDS);
-    let _ = inputs.send(Input::Linked(holder, to)).await;
-    let odd = carry(stream, &words, silence, inputs, |word| Input::ToKeeper(holder, word)).await;
-    words.close();
-    let _ = inputs.send(Input::Gone(holder)).await;
-    odd.map_or(Ok(()), |fault| Err(format!("{}: {fault}", greeting.name)))
+    let (to, messages) = bounded(MAX_QUEUED_MESSAGES);
+    let _ = inputs.send(Input::HolderConnected(holder, to)).await;
+    let malformed = exchange_messages(stream, &messages, silence_limit, inputs, |message| {
+        Input::ToLeaseServer(holder, message)
+    })
+    .await;
+    messages.close();
+    let _ = inputs.send(Input::HolderDisconnected(holder)).await;
+    malformed.map_or(Ok(()), |error| Err(format!("{}: {error}", greeting.name)))
 }
--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -1,12 +1,13 @@
-//! The second address, for operators alone: asks whether this process serves, and takes servers out by hand or puts them
-//! back. It has a thread, a reactor and descriptors of its own, so that it answers however busy the workers are.
+//! The console, a second HTTP address for operators: it reports health, metrics and the agreement's status, and puts
+//! endpoints into maintenance or takes them out of it. It has its own thread, reactor and descriptors, so that it
+//! answers however busy the workers are.
 use crate::accord::AccordHandle;
-use crate::endpoint_registry::{lock, Mark, Refused, SharedRegistry};
+use crate::endpoint_registry::{lock, MaintenanceMark, MarkError, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
 use crate::http1::head::{Head, HttpError};
 use crate::http1::messages::{Incoming, MessageKind, MessageParser};
-use crate::maintenance_store::{Kept, MaintenanceStore};
+use crate::maintenance_store::{MaintenanceStore, SaveResult};
 use crate::metrics::{GaugeValues, Metrics};
 use crate::reactor::{Async, Timer};
 use crate::tasks::Tasks;
@@ -25,63 +26,67 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Connections held at a time. The oldest gives way to one that comes.
-const CALLERS: usize = 12;
-/// Descriptors that the console may hold: its callers, one that comes, its listener and its reactor.
-pub const SOCKETS: usize = CALLERS + 4;
-/// How long a caller may take until its call is there whole, and to take its answer.
-const WITHIN: Duration = Duration::from_millis(2_500);
-/// How long the workers may take to apply a mark, and the disk to keep it: whoever asked waits for a second.
-const APPLIED: Duration = Duration::from_millis(900);
-/// After a failed accept.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Connections held at a time. A new one beyond that replaces the oldest.
+const MAX_CONNECTIONS: usize = 12;
+/// The descriptors that the console may hold: its connections, a new one, its listener and its reactor.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
+/// How long a client may take to send its request and read the answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long workers may take to apply a mark, and the disk to save it. The platform's client waits for 1 s.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(900);
+/// The pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
+/// The console, and the parts of the process that it reports on and changes.
 pub struct Console {
     pub registry: SharedRegistry,
-    pub orders: CommandBroadcaster,
+    pub commands: CommandBroadcaster,
     pub clock: Clock,
     pub log: Logger,
     pub store: Option<Arc<MaintenanceStore>>,
-    pub peers: HandoverLinks,
+    pub handover_links: HandoverLinks,
     pub accord: Option<AccordHandle>,
     pub metrics: Arc<Metrics>,
-    /// What each worker holds.
-    pub gauges: Vec<workers::Gauges>,
+    /// The gauges of each worker.
+    pub gauges: Vec<workers::WorkerGauges>,
 }
 
-/// What may be asked, as the paths have it.
-const HEALTH: &str = "/healthcheck";
-const ACCORD: &str = "/accord";
-const METRICS: &str = "/metrics";
-/// How often an address that another process has is tried again.
-const TRIES: Duration = Duration::from_millis(100);
-const SERVERS: &str = "/endpoints/";
+/// The paths of the requests.
+const HEALTH_PATH: &str = "/healthcheck";
+const ACCORD_PATH: &str = "/accord";
+const METRICS_PATH: &str = "/metrics";
+/// How often a bind is tried again, such as to an address that another process still has.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+const ENDPOINTS_PATH: &str = "/endpoints/";
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Call<'a> {
+enum Request<'a> {
     Health,
     Accord,
     Metrics,
-    Mark { name: &'a str, out: bool },
+    Maintenance { name: &'a str, in_maintenance: bool },
 }
 
-fn read_call<'a>(method: &str, path: &'a str) -> Result<Call<'a>, HttpError> {
-    let none = HttpError { status: 404, message: "there is no such call" };
-    let (call, wanted) = match path.strip_prefix(SERVERS).and_then(|rest| rest.rsplit_once('/')) {
-        Some((name, word @ ("maint" | "ready"))) if !name.is_empty() => {
-            (Call::Mark { name, out: word == "maint" }, "PUT")
-        }
-        _ if path == HEALTH => (Call::Health, "GET"),
-        _ if path == ACCORD => (Call::Accord, "GET"),
-        _ if path == METRICS => (Call::Metrics, "GET"),
-        _ => return Err(none),
-    };
-    let fits = method == wanted || (method == "HEAD" && wanted == "GET");
-    fits.then_some(call).ok_or(HttpError { status: 405, message: "this call has another method" })
+fn parse_request<'a>(method: &str, path: &'a str) -> Result<Request<'a>, HttpError> {
+    let not_found = HttpError { status: 404, message: "there is no such call" };
+    let (request, required_method) =
+        match path.strip_prefix(ENDPOINTS_PATH).and_then(|rest| rest.rsplit_once('/')) {
+            Some((name, word @ ("maint" | "ready"))) if !name.is_empty() => {
+                (Request::Maintenance { name, in_maintenance: word == "maint" }, "PUT")
+            }
+            _ if path == HEALTH_PATH => (Request::Health, "GET"),
+            _ if path == ACCORD_PATH => (Request::Accord, "GET"),
+            _ if path == METRICS_PATH => (Request::Metrics, "GET"),
+            _ => return Err(not_found),
+        };
+    let method_matches = method == required_method || (method == "HEAD" && required_method == "GET");
+    method_matches
+        .then_some(request)
+        .ok_or(HttpError { status: 405, message: "this call has another method" })
 }
 
-/// A name as a path has it, with `%41` and the like.
-fn plain(name: &str) -> Option<String> {
+/// Decodes percent-encoding, such as `%41`, in a name from a path.
+fn percent_decode(name: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(name.len());
     let mut rest = name.bytes();
     while let Some(byte) = rest.next() {
@@ -95,69 +100,69 @@
 }
 
 impl Console {
-    /// Listens, and answers from now on for as long as the program lives.
-    /// With `waits` the process before this one may have the address still: it is tried again until that has gone.
-    pub fn listen(self, at: SocketAddr, waits: bool) -> std::io::Result<()> {
+    /// Starts the console, which answers for as long as the process lives. With `retry_bind` the predecessor may
+    /// still have the address: the bind is tried again until that process has ended.
+    pub fn listen(self, at: SocketAddr, retry_bind: bool) -> std::io::Result<()> {
         let bound = match TcpListener::bind(at) {
-            Err(fault) if waits && fault.kind() == ErrorKind::AddrInUse => {
-                info!(self.log, "console: {}: {}, trying on", at, fault);
+            Err(error) if retry_bind && error.kind() == ErrorKind::AddrInUse => {
+                info!(self.log, "console: {}: {}, retrying", at, error);
                 None
             }
             bound => {
-                Some(bound.map_err(|fault| Error::new(fault.kind(), format!("console: {at}: {fault}")))?)
+                Some(bound.map_err(|error| Error::new(error.kind(), format!("console: {at}: {error}")))?)
             }
         };
-        Builder::new().name("console".into()).spawn(move || self.live(at, bound))?;
+        Builder::new().name("console".into()).spawn(move || self.run(at, bound))?;
         Ok(())
     }
 
-    /// Guards against a program whose console has gone for good by one error: whatever ends it, it listens again.
-    fn live(self, at: SocketAddr, mut bound: Option<TcpListener>) {
+    /// Runs the console, and restarts it whenever an error ends it.
+    fn run(self, at: SocketAddr, mut bound: Option<TcpListener>) {
         let console = Rc::new(self);
         loop {
             let listened = bound.take().map_or_else(|| TcpListener::bind(at), Ok).and_then(|listener| {
                 info!(console.log, "console at {}", listener.local_addr()?);
-                run_on_this_thread(|tasks| console.clone().answer_all(listener, tasks))
+                run_on_this_thread(|tasks| console.clone().accept_connections(listener, tasks))
             });
             match listened {
-                // The process before this one has the address still, as was said.
-                Err(fault) if fault.kind() == ErrorKind::AddrInUse => {}
-                Err(fault) => warn!(console.log, "console: {}: {}, trying on", at, fault),
-                Ok(()) => warn!(console.log, "console: {}: ended, trying on", at),
+                // The predecessor still has the address, as logged above.
+                Err(error) if error.kind() == ErrorKind::AddrInUse => {}
+                Err(error) => warn!(console.log, "console: {}: {}, retrying", at, error),
+                Ok(()) => warn!(console.log, "console: {}: ended, restarting", at),
             }
-            std::thread::sleep(TRIES);
+            std::thread::sleep(BIND_RETRY_DELAY);
         }
     }
 
-    async fn answer_all(self: Rc<Self>, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
         let (console, listener) = (self, Async::from_listener(listener)?);
-        let mut callers: VecDeque<Task<()>> = VecDeque::new();
+        let mut connections: VecDeque<Task<()>> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            callers.retain(|caller| !caller.is_finished());
-            // Guards against callers that finish no call shutting out one that does.
-            if callers.len() >= CALLERS {
-                callers.pop_front();
+            connections.retain(|connection| !connection.is_finished());
+            // Clients that finish no request must not shut out those that do.
+            if connections.len() >= MAX_CONNECTIONS {
+                connections.pop_front();
             }
             let console = console.clone();
-            callers.extend(tasks.spawn(async move { console.serve(stream).await }));
+            connections.extend(tasks.spawn(async move { console.serve(stream).await }));
         }
     }
 
     async fn serve(&self, stream: Async<TcpStream>) {
-        let late = async { _ = Timer::after(WITHIN).await };
+        let late = async { _ = Timer::after(REQUEST_TIMEOUT).await };
         let served = async {
-            let answer = match read(&stream).await {
+            let answer = match read_request(&stream).await {
                 Some(Ok(head)) => self.answer(&head).await.unwrap_or_else(Answer::from),
-                Some(Err(fault)) => fault.into(),
+                Some(Err(error)) => error.into(),
                 None => return,
             };
             if (&stream).write_all(&answer.bytes(false, answer.framing(true))).await.is_ok() {
                 let _ = stream.get_ref().shutdown(Shutdown::Write);
-                // Guards against a reset that eats the answer where more came than was read.
+                // Closing with unread bytes would reset the connection, and the client could lose the answer.
                 let mut rest = Vec::new();
                 while stream.read_buf(&mut rest).await.is_ok_and(|count| count > 0) && rest.len() < 1 << 16 {}
             }
@@ -167,96 +172,97 @@
 
     async fn answer(&self, head: &Head) -> Result<Answer, HttpError> {
         let (method, target, _) = head.request_line()?;
-        match read_call(method, target.split('?').next().unwrap_or_default())? {
-            Call::Health if lock(&self.registry).serves() => Ok(Answer::plain(200, "serving")),
-            Call::Health => Ok(Answer::plain(503, "not serving")),
-            Call::Accord => match &self.accord {
+        match parse_request(method, target.split('?').next().unwrap_or_default())? {
+            Request::Health if lock(&self.registry).is_serving() => Ok(Answer::plain(200, "serving")),
+            Request::Health => Ok(Answer::plain(503, "not serving")),
+            Request::Accord => match &self.accord {
                 Some(accord) => Ok(Answer::plain(200, accord.status().await)),
                 None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
             },
-            Call::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauges()))),
-            Call::Mark { name, out } => {
-                let name = plain(name).ok_or(HttpError { status: 400, message: "the name is malformed" })?;
-                self.mark(&name, out).await
+            Request::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauge_values()))),
+            Request::Maintenance { name, in_maintenance } => {
+                let name = percent_decode(name)
+                    .ok_or(HttpError { status: 400, message: "the name is malformed" })?;
+                self.set_maintenance(&name, in_maintenance).await
             }
         }
     }
 
-    fn gauges(&self) -> GaugeValues {
+    fn gauge_values(&self) -> GaugeValues {
         let registry = lock(&self.registry);
         GaugeValues {
-            requests: self.gauges.iter().map(|worker| worker.calls.get()).sum(),
+            requests: self.gauges.iter().map(|worker| worker.requests.get()).sum(),
             connections: self.gauges.iter().map(|worker| worker.connections.get()).sum(),
-            endpoints: registry.counts(),
+            endpoints: registry.endpoint_counts(),
             list_age: registry.last_heard.map(|heard| Micros(heard.elapsed().as_micros() as u64)),
             watch_open: registry.watch_open,
         }
     }
 
-    async fn mark(&self, name: &str, out: bool) -> Result<Answer, HttpError> {
-        let (marked, kept) = {
+    async fn set_maintenance(&self, name: &str, in_maintenance: bool) -> Result<Answer, HttpError> {
+        let (marked, saved) = {
             let mut registry = lock(&self.registry);
-            let marked = registry.mark(name, out, self.clock.now());
-            // Under the lock: states are submitted in the order in which they held.
+            let marked = registry.set_maintenance(name, in_maintenance, self.clock.now());
+            // Under the lock, so that states are submitted in the order in which they were set.
             let store = self.store.as_ref().filter(|_| marked.is_ok());
             (marked, store.map(|store| store.submit(registry.marks().clone(), &self.log)))
         };
         let mark = marked.map_err(|refused| match refused {
-            Refused::Unknown => HttpError { status: 404, message: "nobody has this name" },
-            Refused::TooMany => HttpError { status: 507, message: "too many are out by hand" },
+            MarkError::UnknownEndpoint => HttpError { status: 404, message: "nobody has this name" },
+            MarkError::TooMany => HttpError { status: 507, message: "too many are out by hand" },
         })?;
         let mark = &mark;
-        let Mark { name, out, .. } = mark;
-        self.peers.tell(mark, None);
+        let MaintenanceMark { name, in_maintenance, .. } = mark;
+        self.handover_links.send_mark(mark, None);
         if let Some(accord) = &self.accord {
-            accord.marked(mark.clone()).await;
+            accord.apply_maintenance(mark.clone()).await;
         }
-        info!(self.log, "{} {} by hand", name, if *out { "out" } else { "back" });
+        info!(self.log, "{} {} by hand", name, if *in_maintenance { "out" } else { "back" });
         let applied = async {
-            self.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark.clone(), done)).await;
+            self.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark.clone(), done)).await;
             true
         };
-        let kept = async {
-            match kept {
-                Some(kept) => kept.recv().await == Ok(Kept::Yes),
-                // The platform names no folder: nothing outlives this process, and nobody was promised that.
+        let saved = async {
+            match saved {
+                Some(saved) => saved.recv().await == Ok(SaveResult::Saved),
+                // The platform provides no folder, so marks are not expected to outlive this process.
                 None => true,
             }
         };
-        let (applied, kept) = future::zip(in_time(applied), in_time(kept)).await;
-        // It holds in a moment all the same, and may be said again.
+        let (applied, saved) = future::zip(within_apply_timeout(applied), within_apply_timeout(saved)).await;
+        // It will still be applied in a moment, and the client may repeat the request.
         if !applied {
             return Err(HttpError { status: 504, message: "not applied everywhere yet" });
         }
-        if !kept {
+        if !saved {
             return Err(HttpError {
                 status: 507,
                 message: "applied, but not kept yet: a restart may undo it",
             });
         }
-        Ok(Answer::plain(200, if *out { "out of use" } else { "in use" }))
+        Ok(Answer::plain(200, if *in_maintenance { "out of use" } else { "in use" }))
     }
 }
 
-/// False where it takes longer than whoever asked waits.
-async fn in_time(done: impl Future<Output = bool>) -> bool {
+/// False if it takes longer than [`APPLY_TIMEOUT`].
+async fn within_apply_timeout(done: impl Future<Output = bool>) -> bool {
     let late = async {
-        Timer::after(APPLIED).await;
+        Timer::after(APPLY_TIMEOUT).await;
         false
     };
     future::or(done, late).await
 }
 
-async fn read(stream: &Async<TcpStream>) -> Option<Result<Head, HttpError>> {
-    let mut inbox = MessageParser::new(MessageKind::Request);
+async fn read_request(stream: &Async<TcpStream>) -> Option<Result<Head, HttpError>> {
+    let mut parser = MessageParser::new(MessageKind::Request);
     loop {
-        match inbox.next_message() {
+        match parser.next_message() {
             Ok(Some(Incoming::Complete(request))) => return Some(Ok(request.head)),
             Ok(Some(Incoming::Partial(request))) => return Some(Ok(request.head)),
             Ok(None) => {}
-            Err(fault) => return Some(Err(fault)),
+            Err(error) => return Some(Err(error)),
         }
-        stream.read_buf(inbox.buffer()).await.ok().filter(|count| *count > 0)?;
+        stream.read_buf(parser.buffer()).await.ok().filter(|count| *count > 0)?;
     }
 }
 
@@ -266,16 +272,22 @@
 
     #[test]
     fn calls_are_read_by_path_and_method() {
-        let status = |method, path| read_call(method, path).map_err(|fault| fault.status);
-        assert_eq!(status("GET", "/healthcheck"), Ok(Call::Health));
-        assert_eq!(status("PUT", "/endpoints/s-1/maint"), Ok(Call::Mark { name: "s-1", out: true }));
-        assert_eq!(status("PUT", "/endpoints/s-1/ready"), Ok(Call::Mark { name: "s-1", out: false }));
+        let status = |method, path| parse_request(method, path).map_err(|error| error.status);
+        assert_eq!(status("GET", "/healthcheck"), Ok(Request::Health));
+        assert_eq!(
+            status("PUT", "/endpoints/s-1/maint"),
+            Ok(Request::Maintenance { name: "s-1", in_maintenance: true })
+        );
+        assert_eq!(
+            status("PUT", "/endpoints/s-1/ready"),
+            Ok(Request::Maintenance { name: "s-1", in_maintenance: false })
+        );
         assert_eq!(status("GET", "/endpoints/s-1/ready"), Err(405));
         assert_eq!(status("PUT", "/healthcheck"), Err(405));
         for path in ["/", "/endpoints/", "/endpoints//maint", "/endpoints/s-1", "/endpoints/s-1/gone"] {
             assert_eq!(status("PUT", path), Err(404), "{path}");
         }
-        assert_eq!(plain("s%2D1").as_deref(), Some("s-1"));
-        assert_eq!(plain("s%2"), None);
+        assert_eq!(percent_decode("s%2D1").as_deref(), Some("s-1"));
+        assert_eq!(percent_decode("s%2"), None);
     }
 }
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! The one task that owns the module. All else reaches it through a bounded queue of notes; it hands each to the
-//! module as an event, and carries out, in order, the actions that come back. It decides nothing itself, and
-//! knows no protocol but through [`Protocol`].
-use crate::endpoint_list::{self, Elsewhere, EndpointList};
-use crate::endpoint_registry::Mark;
-use crate::generations::{ClassId, Left};
+//! The task that owns one worker's decision module. All other code reaches it through a bounded queue of
+//! [`DispatcherMessage`]s. It passes each message to the module as an event and executes, in order, the actions that
+//! the module returns. It makes no decisions itself, and knows the protocol only through [`Protocol`].
+use crate::endpoint_list::{self, EndpointList, PeerDrains};
+use crate::endpoint_registry::MaintenanceMark;
+use crate::generations::{ClassId, Restriction};
 use crate::lease::Lease;
 use crate::limits::Gauge;
 use crate::list_deadline::ListDeadline;
@@ -31,58 +31,58 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What the module's task needs of a protocol.
+/// What the dispatcher needs of a protocol.
 pub trait Protocol: 'static {
-    /// What a caller sent, kept for as long as hops of it may go out.
+    /// A client's request as attempts send it, kept for as long as attempts may be started.
     type Content: 'static;
-    /// A server's answer, whole.
+    /// An endpoint's answer.
     type Answer: 'static;
 
-    /// Makes one attempt and waits for its end, until `by` at most. Dropping the future cancels it.
+    /// Makes one attempt and waits until it ends, no longer than until `deadline`. Dropping the future cancels it.
     fn attempt(
-        &self, permit: AttemptPermit, content: Rc<Self::Content>, to: SocketAddr, by: Instant,
+        &self, permit: AttemptPermit, content: Rc<Self::Content>, address: SocketAddr, deadline: Instant,
         progress: Rc<AttemptProgress>,
     ) -> impl Future<Output = AttemptEnd<Self::Answer>> + 'static;
 
-    /// Nothing new is wanted at this address.
-    fn retire(&self, at: SocketAddr);
+    /// Stops new attempts at this address.
+    fn retire(&self, address: SocketAddr);
 }
 
-/// How far a hop's request has come.
+/// How far an attempt has got with sending its request.
 #[derive(Default)]
 pub struct AttemptProgress {
-    /// Its first byte may be out: what forbids it from now on comes too late.
+    /// The first byte may have been written, so the attempt can no longer be forbidden.
     pub send_started: Cell<bool>,
-    /// When its last byte was written; until then no server has begun it.
+    /// When the last byte was written. Before that no server can have run the request.
     pub fully_sent_at: Cell<Option<Instant>>,
 }
 
-/// What a server tells of its load at the end of a hop.
+/// The load report that came with an attempt's answer.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum LoadReport {
     Absent,
     Valid(ServerLoad),
-    /// Something that can't be read; it counts as nothing.
+    /// A report that can't be parsed; it is counted, and otherwise treated as absent.
     Malformed,
 }
 
-/// How a hop ended.
+/// How an attempt ended.
 pub struct AttemptEnd<A> {
     pub outcome: Outcome,
     pub answer: Option<A>,
     pub load_report: LoadReport,
-    /// How long the server took, where that is not all the time since the send.
+    /// How long the server took, where that differs from the time since the attempt started.
     pub elapsed: Option<Micros>,
 }
 
-/// The one final answer of an API call.
+/// The final result of a request, from which the protocol makes its one answer.
 pub enum RequestOutcome<A> {
     Served(A),
     Refused { retry_after: Micros },
     Failed,
 }
 
-/// What the decisions need to know of an API call.
+/// What the decision module needs to know of a request.
 pub struct RequestParams {
     pub workload: WorkloadId,
     pub class: ClassId,
@@ -90,216 +90,232 @@
     pub client_retry: bool,
     pub deadline: Micros,
     pub max_attempts: usize,
-    /// What it is about, where servers are quicker with what they know.
+    /// The key of the data that the request is about, where servers answer known keys faster.
     pub affinity_key: Option<u64>,
 }
 
-/// An API call as it is taken in.
-pub struct Taken<P: Protocol> {
-    pub call: CallId,
-    pub ask: RequestParams,
+/// A request that a client connection hands to the dispatcher.
+pub struct NewRequest<P: Protocol> {
+    pub request: CallId,
+    pub params: RequestParams,
     pub content: Rc<P::Content>,
-    pub verdict: oneshot::Sender<RequestOutcome<P::Answer>>,
+    pub reply_to: oneshot::Sender<RequestOutcome<P::Answer>>,
 }
 
+/// What the dispatcher is told.
 pub enum DispatcherMessage<P: Protocol> {
-    NewRequest(Taken<P>),
+    /// A client has sent a request.
+    NewRequest(NewRequest<P>),
+    /// The client of a request has gone.
     Withdrawn(CallId),
-    AttemptEnded {
-        call: CallId,
-        hop: HopNo,
-        end: AttemptEnd<P::Answer>,
-    },
+    /// An attempt has ended.
+    AttemptEnded { request: CallId, attempt: HopNo, end: AttemptEnd<P::Answer> },
+    /// A list from discovery, or its failure.
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
-    /// A server is out by hand, or back; the sender is dropped when that holds.
-    ApplyMaintenance(Mark, Sender<()>),
-    /// What holds from now on, what is left of workloads that no more do, and who waits for it.
-    ApplySettings(Box<BalancerConfig>, FnvHashMap<ClassId, Left>, Option<Sender<()>>),
-    /// Whom others' lists let drain; the sender is dropped when that holds.
-    ApplyPeerDrains(Arc<Elsewhere>, Sender<()>),
-    /// The lease has begun or run out, or the list may not be used any more.
+    /// An endpoint was put into maintenance, or taken out of it. The sender is dropped once that is applied.
+    ApplyMaintenance(MaintenanceMark, Sender<()>),
+    /// New settings, and the restrictions on open requests of workloads that these change or drop. The sender is
+    /// dropped once they are applied.
+    ApplySettings(Box<BalancerConfig>, FnvHashMap<ClassId, Restriction>, Option<Sender<()>>),
+    /// The endpoints that drain by other instances' lists. The sender is dropped once that is applied.
+    ApplyPeerDrains(Arc<PeerDrains>, Sender<()>),
+    /// The lease has begun or expired, or the list may no longer be used.
     RecheckDeadlines,
-    /// What the module has learnt is asked for.
+    /// Asks for what the module has learned about the endpoints.
     ExportLearned(Sender<LearnedHealth>),
-    /// The program ends: calls have their answers by then.
+    /// The process is shutting down: every request is answered by then.
     SetAnswerDeadline(Micros),
-    /// That moment has come.
+    /// The time of [`DispatcherMessage::SetAnswerDeadline`] has come.
     AnswerDeadlinePassed,
 }
 
-/// How all else reaches the module.
+/// Sends messages to the dispatcher, and holds what its clients read without asking it.
 pub struct DispatcherHandle<P: Protocol> {
-    notes: Sender<DispatcherMessage<P>>,
+    messages: Sender<DispatcherMessage<P>>,
     pub clock: Clock,
-    calls: Cell<u32>,
-    /// API calls taken and not yet answered.
+    requests: Cell<u32>,
+    /// The number of requests submitted and not yet answered.
     pub open_requests: Gauge,
-    /// Whether the list names a server that may be sent to.
+    /// Whether the list has an endpoint that may be sent to.
     pub has_ready_endpoint: Cell<bool>,
 }
 
-/// Notes that may wait: socket code is held up when there are more.
-const MOST_NOTES: usize = 256;
-/// Notes taken in a row: guards against timers that wait for a queue which never empties.
-const MOST_AT_ONCE: usize = 32;
+/// Messages that may wait in the queue; senders wait when it is full.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Messages handled in a row before the timers are polled again, so that a queue that never empties can't starve
+/// them.
+const MAX_MESSAGES_IN_A_ROW: usize = 32;
 
 impl<P: Protocol> DispatcherHandle<P> {
-    /// `open_requests` is where the calls taken and not yet answered are counted.
+    /// `open_requests` counts the requests submitted and not yet answered.
     pub fn new(
         clock: Clock, open_requests: Gauge,
     ) -> (Rc<DispatcherHandle<P>>, Receiver<DispatcherMessage<P>>) {
-        let (notes, inbox) = bounded(MOST_NOTES);
-        let (calls, has_ready_endpoint) = (Cell::new(0), Cell::new(false));
-        (Rc::new(DispatcherHandle { notes, clock, calls, open_requests, has_ready_endpoint }), inbox)
+        let (messages, receiver) = bounded(MAX_QUEUED_MESSAGES);
+        let (requests, has_ready_endpoint) = (Cell::new(0), Cell::new(false));
+        (Rc::new(DispatcherHandle { messages, clock, requests, open_requests, has_ready_endpoint }), receiver)
     }
 
-    pub async fn send(&self, note: DispatcherMessage<P>) {
-        // The module's task ends last of all; what comes after it concerns nobody.
-        let _ = self.notes.send(note).await;
+    /// Sends a message; waits while the queue is full.
+    pub async fn send(&self, message: DispatcherMessage<P>) {
+        // The dispatcher ends last; a message after its end needs no handling.
+        let _ = self.messages.send(message).await;
     }
 
-    /// The number of the next request.
+    /// The id of the next request.
     pub fn next_request_id(&self) -> CallId {
-        CallId(self.calls.replace(self.calls.get().wrapping_add(1)))
+        CallId(self.requests.replace(self.requests.get().wrapping_add(1)))
     }
 
-    /// Takes a request under its number; its verdict comes from what this returns.
+    /// Submits a request; its outcome arrives at the receiver returned.
     pub async fn submit(
-        &self, call: CallId, ask: RequestParams, content: P::Content,
+        &self, request: CallId, params: RequestParams, content: P::Content,
     ) -> oneshot::Receiver<RequestOutcome<P::Answer>> {
-        let (verdict, answer) = oneshot();
+        let (reply_to, outcome) = oneshot();
         self.open_requests.increment();
-        self.send(DispatcherMessage::NewRequest(Taken { call, ask, content: Rc::new(content), verdict }))
-            .await;
-        answer
+        self.send(DispatcherMessage::NewRequest(NewRequest {
+            request,
+            params,
+            content: Rc::new(content),
+            reply_to,
+        }))
+        .await;
+        outcome
     }
 }
 
-struct Call<P: Protocol> {
+/// A request that is open, or has an attempt running.
+struct RequestState<P: Protocol> {
     class: ClassId,
     content: Rc<P::Content>,
     deadline: Micros,
     max_attempts: usize,
-    verdict: Option<oneshot::Sender<RequestOutcome<P::Answer>>>,
-    hops: Vec<Hop>,
+    /// Where the outcome goes; none once the request is answered or withdrawn.
+    reply_to: Option<oneshot::Sender<RequestOutcome<P::Answer>>>,
+    attempts: Vec<AttemptState>,
 }
 
-struct Hop {
-    sent: Micros,
-    went_out: bool,
+/// An attempt of a request.
+struct AttemptState {
+    started_at: Micros,
+    /// Whether it was started at all, and not forbidden or impossible.
+    spawned: bool,
     server: ServerId,
     progress: Rc<AttemptProgress>,
     kind: AttemptKind,
+    /// The task that makes the attempt, until it ends.
     running: Option<Task<()>>,
 }
 
+/// Owns a worker's decision module, its timers and the state of its requests.
 pub struct Dispatcher<P: Protocol> {
     protocol: Rc<P>,
-    desk: Rc<DispatcherHandle<P>>,
+    handle: Rc<DispatcherHandle<P>>,
     tasks: Tasks,
     log: Logger,
-    ask: Sender<()>,
+    subscribe: Sender<()>,
     endpoints: EndpointList,
     timers: Timers,
-    sidecar: Balancer,
-    calls: FnvHashMap<CallId, Call<P>>,
+    balancer: Balancer,
+    requests: FnvHashMap<CallId, RequestState<P>>,
     actions: Vec<Action>,
-    /// Ends of hops that carrying out an action has brought about; the module hears of them after it.
-    ends: VecDeque<(CallId, HopNo, Outcome)>,
-    /// Load reports that could not be read.
-    odd: u64,
+    /// Attempts that the execution of an action has ended. The module is told of them after that action.
+    pending_ends: VecDeque<(CallId, HopNo, Outcome)>,
+    /// The number of load reports that could not be parsed.
+    malformed_reports: u64,
     lease: Lease,
     list_deadline: ListDeadline,
-    /// The list may not be used until another has come.
+    /// The list may not be used until a new one arrives.
     list_stale: bool,
     monitor: Rc<Monitor>,
-    /// Nothing may be sent on, as the module was last told.
-    held_back: bool,
-    /// What calls of workloads that are offered no more, or otherwise, may still do.
-    left: FnvHashMap<ClassId, Left>,
-    most_hops: usize,
-    warm_within: Micros,
-    /// No API call may take longer than until then.
-    answer_by: Micros,
+    /// No attempt may be started, as the module was last told.
+    sending_suspended: bool,
+    /// The restrictions on open requests of workloads that the settings have changed or dropped.
+    restrictions: FnvHashMap<ClassId, Restriction>,
+    max_attempts: usize,
+    warm_up_time: Micros,
+    /// Every request must be answered by then.
+    answer_deadline: Micros,
 }
 
-/// What goes into the making of a [`Dispatcher`].
+/// The parts of a [`Dispatcher`].
 pub struct Parts<P: Protocol> {
     pub protocol: Rc<P>,
-    pub desk: Rc<DispatcherHandle<P>>,
+    pub handle: Rc<DispatcherHandle<P>>,
     pub tasks: Tasks,
     pub log: Logger,
-    /// Asks for a subscription to the list.
-    pub ask: Sender<()>,
+    /// Requests a subscription to the list.
+    pub subscribe: Sender<()>,
     pub lease: Lease,
-    /// Until when the list may be used.
+    /// The time until which the list may be used.
     pub list_deadline: ListDeadline,
-    /// What is told all that happens, and says whether an attempt may be started.
+    /// Records every event, and says whether an attempt may be started.
     pub monitor: Rc<Monitor>,
-    /// What another process learnt in our place.
-    pub taught: LearnedHealth,
+    /// What the predecessor process learned about the endpoints.
+    pub learned: LearnedHealth,
 }
 
 impl<P: Protocol> Dispatcher<P> {
+    /// A dispatcher that starts with a known list and marks.
     pub fn new(
-        place: &Settings, seed: u64, known: (&DiscoveryList, MaintenanceMarks), parts: Parts<P>,
+        settings: &Settings, seed: u64, known: (&DiscoveryList, MaintenanceMarks), parts: Parts<P>,
     ) -> Dispatcher<P> {
-        let Parts { protocol, desk, tasks, log, ask, lease, list_deadline, monitor, taught } = parts;
-        let (mut actions, now, (known, marks)) = (Vec::new(), desk.clock.now(), known);
+        let Parts { protocol, handle, tasks, log, subscribe, lease, list_deadline, monitor, learned } = parts;
+        let (mut actions, now, (known, marks)) = (Vec::new(), handle.clock.now(), known);
         let mut dispatcher = Dispatcher {
-            sidecar: Balancer::new(&place.balancer, seed, now, &mut actions),
-            timers: Timers::new(desk.clock),
-            endpoints: EndpointList::new(&place.zones, marks),
-            calls: FnvHashMap::default(),
-            ends: VecDeque::new(),
-            odd: 0,
+            balancer: Balancer::new(&settings.balancer, seed, now, &mut actions),
+            timers: Timers::new(handle.clock),
+            endpoints: EndpointList::new(&settings.zones, marks),
+            requests: FnvHashMap::default(),
+            pending_ends: VecDeque::new(),
+            malformed_reports: 0,
             lease,
             list_deadline,
             list_stale: false,
             monitor,
-            held_back: false,
-            left: FnvHashMap::default(),
-            most_hops: place.balancer.max_hops as usize,
-            warm_within: place.balancer.warm_up_time,
-            answer_by: Micros::NEVER,
+            sending_suspended: false,
+            restrictions: FnvHashMap::default(),
+            max_attempts: settings.balancer.max_hops as usize,
+            warm_up_time: settings.balancer.warm_up_time,
+            answer_deadline: Micros::NEVER,
             actions,
             protocol,
-            desk,
+            handle,
             tasks,
             log,
-            ask,
+            subscribe,
         };
-        dispatcher.carry_out();
-        let told = dispatcher.endpoints.take(known, StartWindow { latest: now, earliest: None });
-        dispatcher.listed(ListKind::Cached, told);
-        for (name, judged) in &taught {
-            if let Some(id) = dispatcher.endpoints.number(name) {
-                dispatcher.sidecar.restore_server_health(id, judged);
+        dispatcher.execute_actions();
+        let changes = dispatcher.endpoints.apply_list(known, StartWindow { latest: now, earliest: None });
+        dispatcher.apply_listings(ListKind::Cached, changes);
+        for (name, health) in &learned {
+            if let Some(id) = dispatcher.endpoints.id(name) {
+                dispatcher.balancer.restore_server_health(id, health);
             }
         }
-        let told = dispatcher.endpoints.all();
-        dispatcher.listed(ListKind::Cached, told);
-        // Guards against a start that says it is ready before it may act.
-        dispatcher.look();
+        let changes = dispatcher.endpoints.all_listings();
+        dispatcher.apply_listings(ListKind::Cached, changes);
+        // Otherwise the process could report that it is ready before it may send.
+        dispatcher.recheck_deadlines();
         dispatcher
     }
 
-    /// Runs until nobody is left to send a note.
-    pub async fn run(mut self, notes: Receiver<DispatcherMessage<P>>) {
+    /// Runs until every [`DispatcherHandle`] is dropped.
+    pub async fn run(mut self, messages: Receiver<DispatcherMessage<P>>) {
         loop {
             let due = async { self.timers.next().await.map(Ok) };
-            let note = async { notes.recv().await.ok().map(Err) };
-            match future::or(due, note).await {
+            let message = async { messages.recv().await.ok().map(Err) };
+            match future::or(due, message).await {
                 Some(Ok(token)) => {
-                    self.look();
-                    self.on(Event::TimerFired(token));
+                    self.recheck_deadlines();
+                    self.handle_event(Event::TimerFired(token));
                 }
-                Some(Err(note)) => {
-                    self.hear(note);
-                    // What came meanwhile, before the timers are looked at again.
-                    for _ in 0..MOST_AT_ONCE {
-                        let Ok(note) = notes.try_recv() else { break };
-                        self.hear(note);
+                Some(Err(message)) => {
+                    self.handle_message(message);
+                    // Handles the messages that are already queued before the timers are polled again.
+                    for _ in 0..MAX_MESSAGES_IN_A_ROW {
+                        let Ok(message) = messages.try_recv() else { break };
+                        self.handle_message(message);
                     }
                 }
                 None => return,
@@ -307,28 +323,28 @@
         }
     }
 
-    /// Has the module hold everything back, or no more, as the lease and the age of the list have it now: to it every server
-    /// drains meanwhile.
-    fn look(&mut self) {
-        let now = || self.desk.clock.now();
-        // Until another list has come, and not only until the deadline is set anew: that is done first.
+    /// Checks the lease and the list's deadline, and suspends or resumes sending accordingly. While sending is
+    /// suspended the module sees every endpoint as draining.
+    fn recheck_deadlines(&mut self) {
+        let now = || self.handle.clock.now();
+        // Stays set until a new list arrives: the deadline is moved before the new list is applied.
         self.list_stale |= self.list_deadline.has_passed(now);
-        let held_back = self.list_stale || self.lease.forbids_sending(now);
-        if held_back == self.held_back {
+        let sending_suspended = self.list_stale || self.lease.forbids_sending(now);
+        if sending_suspended == self.sending_suspended {
             return;
         }
-        self.held_back = held_back;
-        let told = self.endpoints.hold_back(held_back);
-        self.listed(ListKind::Cached, told);
+        self.sending_suspended = sending_suspended;
+        let changes = self.endpoints.set_sending_suspended(sending_suspended);
+        self.apply_listings(ListKind::Cached, changes);
         if self.list_stale {
             self.end_waiting_attempts(|_, _, _| true);
         }
     }
 
-    fn hear(&mut self, note: DispatcherMessage<P>) {
-        self.look();
-        match note {
-            DispatcherMessage::NewRequest(Taken { call, ask, content, verdict }) => {
+    fn handle_message(&mut self, message: DispatcherMessage<P>) {
+        self.recheck_deadlines();
+        match message {
+            DispatcherMessage::NewRequest(NewRequest { request, params, content, reply_to }) => {
                 let RequestParams {
                     workload,
                     class,
@@ -337,243 +353,260 @@
                     deadline,
                     max_attempts,
                     affinity_key,
-                } = ask;
-                // One taken before the end was known may come here after it.
-                let deadline = deadline.min(self.answer_by);
-                let left = deadline - self.desk.clock.now();
-                let known =
-                    Call { class, content, deadline, max_attempts, verdict: Some(verdict), hops: Vec::new() };
-                self.calls.insert(call, known);
-                self.monitor.queued(call);
-                self.on(Event::CallArrived(Arrival {
-                    call,
+                } = params;
+                // The request may have been submitted before the answer deadline was set.
+                let deadline = deadline.min(self.answer_deadline);
+                let time_left = deadline - self.handle.clock.now();
+                let state = RequestState {
+                    class,
+                    content,
+                    deadline,
+                    max_attempts,
+                    reply_to: Some(reply_to),
+                    attempts: Vec::new(),
+                };
+                self.requests.insert(request, state);
+                self.monitor.queued(request);
+                self.handle_event(Event::CallArrived(Arrival {
+                    call: request,
                     workload,
-                    time_left: left,
+                    time_left,
                     tenant,
                     client_retry,
                     affinity_key,
                 }));
             }
-            DispatcherMessage::Withdrawn(call) => {
-                if self.calls.get_mut(&call).is_some_and(|known| known.verdict.take().is_some()) {
-                    self.desk.open_requests.decrement();
-                    self.call_off(call);
-                    self.on(Event::CallWithdrawn { call });
-                    self.clear(call);
+            DispatcherMessage::Withdrawn(request) => {
+                if self.requests.get_mut(&request).is_some_and(|state| state.reply_to.take().is_some()) {
+                    self.handle.open_requests.decrement();
+                    self.cancel_unsent_attempts(request);
+                    self.handle_event(Event::CallWithdrawn { call: request });
+                    self.remove_if_finished(request);
                 }
             }
             DispatcherMessage::AttemptEnded {
-                call,
-                hop,
+                request,
+                attempt,
                 end: AttemptEnd { outcome, answer, load_report, elapsed },
             } => {
-                let running = self.calls.get_mut(&call).and_then(|known| known.hops.get_mut(hop.0 as usize));
-                // One cancelled a moment ago has been counted as that.
-                if let Some(kind) = running.and_then(|hop| hop.running.take().map(|_| hop.kind)) {
-                    self.monitor.attempt_ended(call, hop, kind, outcome);
+                let running = self
+                    .requests
+                    .get_mut(&request)
+                    .and_then(|state| state.attempts.get_mut(attempt.0 as usize));
+                // An attempt that was just cancelled has already been counted.
+                if let Some(kind) = running.and_then(|attempt| attempt.running.take().map(|_| attempt.kind)) {
+                    self.monitor.attempt_ended(request, attempt, kind, outcome);
                     if let Some(answer) = answer {
-                        self.answer(call, RequestOutcome::Served(answer));
+                        self.answer_request(request, RequestOutcome::Served(answer));
                     }
-                    let report = self.weigh(load_report);
-                    self.ended(call, hop, outcome, (report, elapsed));
-                    self.settle();
+                    let report = self.accept_load_report(load_report);
+                    self.attempt_ended(request, attempt, outcome, (report, elapsed));
+                    self.report_pending_ends();
                 }
             }
-            DispatcherMessage::ApplyList(kind, list, heard) => {
-                let clock = self.desk.clock;
-                let earliest = heard.complete_until.map(|until| clock.micros_at(until));
-                let told =
-                    self.endpoints.take(&list, StartWindow { latest: clock.micros_at(heard.at), earliest });
-                let after = heard.at.elapsed().as_millis();
+            DispatcherMessage::ApplyList(kind, list, arrival) => {
+                let clock = self.handle.clock;
+                let earliest = arrival.complete_until.map(|until| clock.micros_at(until));
+                let changes = self
+                    .endpoints
+                    .apply_list(&list, StartWindow { latest: clock.micros_at(arrival.at), earliest });
+                let after = arrival.at.elapsed().as_millis();
                 info!(
                     self.log,
                     "list applied: version {}, {:?}, {} ms after it came", list.index.0, kind, after
                 );
-                self.listed(kind, told);
+                self.apply_listings(kind, changes);
                 if kind != ListKind::Failed {
                     self.list_stale = false;
-                    self.look();
+                    self.recheck_deadlines();
                 }
             }
             DispatcherMessage::ExportLearned(to) => {
-                let named = |(id, judged)| (self.endpoints.name(id).to_string(), judged);
-                let servers = self.sidecar.server_health().map(named).collect();
+                let named = |(id, health)| (self.endpoints.name(id).to_string(), health);
+                let servers = self.balancer.server_health().map(named).collect();
                 let _ = to.try_send(servers);
             }
             DispatcherMessage::RecheckDeadlines => {}
-            DispatcherMessage::SetAnswerDeadline(by) => {
-                self.monitor.shutdown_begun(by);
-                self.answer_by = by;
-                self.calls.values_mut().for_each(|call| call.deadline = call.deadline.min(by));
-                let (desk, left) = (self.desk.clone(), duration(by - self.desk.clock.now()));
+            DispatcherMessage::SetAnswerDeadline(deadline) => {
+                self.monitor.shutdown_begun(deadline);
+                self.answer_deadline = deadline;
+                self.requests
+                    .values_mut()
+                    .for_each(|request| request.deadline = request.deadline.min(deadline));
+                let (handle, time_left) = (self.handle.clone(), duration(deadline - self.handle.clock.now()));
                 self.tasks.spawn_detached(async move {
-                    Timer::after(left).await;
-                    desk.send(DispatcherMessage::AnswerDeadlinePassed).await;
+                    Timer::after(time_left).await;
+                    handle.send(DispatcherMessage::AnswerDeadlinePassed).await;
                 });
-                self.on(Event::ShutdownBegun(by));
+                self.handle_event(Event::ShutdownBegun(deadline));
             }
             DispatcherMessage::AnswerDeadlinePassed => {
-                // Hops that are out were sent with more time: the module hears now that it is over.
-                let open = self.calls.iter().filter(|(_, call)| call.verdict.is_some());
+                // Running attempts were started with a later deadline, so they are ended here.
+                let open = self.requests.iter().filter(|(_, request)| request.reply_to.is_some());
                 let open: Vec<CallId> = open.map(|(id, _)| *id).collect();
                 for id in open {
-                    self.end_hops(id, |begun| {
-                        Some(if begun { Outcome::TimedOut } else { Outcome::NoConnection })
+                    self.end_attempts(id, |fully_sent| {
+                        Some(if fully_sent { Outcome::TimedOut } else { Outcome::NoConnection })
                     });
                 }
-                self.settle();
+                self.report_pending_ends();
             }
-            DispatcherMessage::ApplySettings(terms, left, done) => {
-                self.left = left;
-                (self.most_hops, self.warm_within) = (terms.max_hops as usize, terms.warm_up_time);
-                self.on(Event::ConfigChanged(&terms));
-                let told = self.endpoints.all();
-                self.listed(ListKind::Cached, told);
-                self.forbid();
-                drop(done);
+            DispatcherMessage::ApplySettings(config, restrictions, applied) => {
+                self.restrictions = restrictions;
+                (self.max_attempts, self.warm_up_time) = (config.max_hops as usize, config.warm_up_time);
+                self.handle_event(Event::ConfigChanged(&config));
+                let changes = self.endpoints.all_listings();
+                self.apply_listings(ListKind::Cached, changes);
+                self.end_forbidden_attempts();
+                drop(applied);
             }
-            DispatcherMessage::ApplyPeerDrains(elsewhere, done) => {
-                let told = self.endpoints.drain_elsewhere(elsewhere);
-                self.listed(ListKind::Cached, told);
-                drop(done);
+            DispatcherMessage::ApplyPeerDrains(drains, applied) => {
+                let changes = self.endpoints.apply_peer_drains(drains);
+                self.apply_listings(ListKind::Cached, changes);
+                drop(applied);
             }
-            DispatcherMessage::ApplyMaintenance(mark, done) => {
-                let told = self.endpoints.mark(&mark);
-                // Nothing was heard from discovery by this.
-                self.listed(ListKind::Cached, told);
-                drop(done);
+            DispatcherMessage::ApplyMaintenance(mark, applied) => {
+                let changes = self.endpoints.apply_maintenance(&mark);
+                // `Cached`, because nothing was heard from discovery.
+                self.apply_listings(ListKind::Cached, changes);
+                drop(applied);
             }
         }
     }
 
-    fn listed(&mut self, kind: ListKind, told: endpoint_list::Told) {
-        told.entries.iter().for_each(|listing| self.monitor.server_listed(listing));
-        self.on(Event::ListReceived { kind, entries: &told.entries });
-        told.retired.into_iter().for_each(|address| self.protocol.retire(address));
-        self.desk.has_ready_endpoint.set(self.endpoints.any_ready());
+    /// Tells the module and the protocol about changed endpoints.
+    fn apply_listings(&mut self, kind: ListKind, changes: endpoint_list::EndpointChanges) {
+        changes.listings.iter().for_each(|listing| self.monitor.server_listed(listing));
+        self.handle_event(Event::ListReceived { kind, entries: &changes.listings });
+        changes.retired.into_iter().for_each(|address| self.protocol.retire(address));
+        self.handle.has_ready_endpoint.set(self.endpoints.any_ready());
     }
 
-    fn on(&mut self, event: Event) {
-        self.sidecar.on(self.desk.clock.now(), event, &mut self.actions);
-        self.carry_out();
-        self.settle();
+    /// Passes an event to the module and executes the actions that it returns.
+    fn handle_event(&mut self, event: Event) {
+        self.balancer.on(self.handle.clock.now(), event, &mut self.actions);
+        self.execute_actions();
+        self.report_pending_ends();
     }
 
-    fn settle(&mut self) {
-        while let Some((call, hop, outcome)) = self.ends.pop_front() {
-            self.ended(call, hop, outcome, (None, None));
+    /// Tells the module of the attempts that its own actions have ended.
+    fn report_pending_ends(&mut self) {
+        while let Some((request, attempt, outcome)) = self.pending_ends.pop_front() {
+            self.attempt_ended(request, attempt, outcome, (None, None));
         }
     }
 
-    /// A report that can't be read is counted, and said of at the first, second, fourth, eighth ... one.
-    fn weigh(&mut self, told: LoadReport) -> Option<ServerLoad> {
-        match told {
+    /// Returns a valid load report. Malformed ones are counted, and logged at the first, second, fourth, eighth ...
+    /// one.
+    fn accept_load_report(&mut self, report: LoadReport) -> Option<ServerLoad> {
+        match report {
             LoadReport::Absent => None,
             LoadReport::Valid(report) => Some(report),
             LoadReport::Malformed => {
-                self.odd += 1;
-                if self.odd.is_power_of_two() {
-                    info!(self.log, "load report not read, {} so far", self.odd);
+                self.malformed_reports += 1;
+                if self.malformed_reports.is_power_of_two() {
+                    info!(self.log, "load report not read, {} so far", self.malformed_reports);
                 }
                 None
             }
         }
     }
 
-    fn ended(
-        &mut self, call: CallId, hop: HopNo, outcome: Outcome, told: (Option<ServerLoad>, Option<Micros>),
+    /// Tells the module that an attempt has ended.
+    fn attempt_ended(
+        &mut self, request: CallId, attempt: HopNo, outcome: Outcome,
+        measured: (Option<ServerLoad>, Option<Micros>),
     ) {
-        let (now, (report, waited)) = (self.desk.clock.now(), told);
-        let Some(known) = self.calls.get(&call) else { return };
-        let waited = waited.unwrap_or(now - known.hops[hop.0 as usize].sent);
-        let closed = known.verdict.is_none();
-        self.sidecar.on(
+        let (now, (load, elapsed)) = (self.handle.clock.now(), measured);
+        let Some(state) = self.requests.get(&request) else { return };
+        let elapsed = elapsed.unwrap_or(now - state.attempts[attempt.0 as usize].started_at);
+        let call_over = state.reply_to.is_none();
+        self.balancer.on(
             now,
-            Event::HopEnded(HopResult {
-                call,
-                hop,
-                outcome,
-                elapsed: waited,
-                call_over: closed,
-                load: report,
-            }),
+            Event::HopEnded(HopResult { call: request, hop: attempt, outcome, elapsed, call_over, load }),
             &mut self.actions,
         );
-        self.carry_out();
-        self.clear(call);
+        self.execute_actions();
+        self.remove_if_finished(request);
     }
 
-    /// Forgets an API call that is answered and has nothing out.
-    fn clear(&mut self, call: CallId) {
-        let known = self.calls.get(&call);
-        let over = known.is_some_and(|known| {
-            known.verdict.is_none() && known.hops.iter().all(|hop| hop.running.is_none())
+    /// Removes a request that is answered and has no running attempt.
+    fn remove_if_finished(&mut self, request: CallId) {
+        let state = self.requests.get(&request);
+        let over = state.is_some_and(|state| {
+            state.reply_to.is_none() && state.attempts.iter().all(|attempt| attempt.running.is_none())
         });
-        if over && !self.ends.iter().any(|(one, ..)| *one == call) {
-            self.calls.remove(&call);
+        if over && !self.pending_ends.iter().any(|(one, ..)| *one == request) {
+            self.requests.remove(&request);
         }
     }
 
-    fn answer(&mut self, call: CallId, verdict: RequestOutcome<P::Answer>) {
-        let Some(known) = self.calls.get_mut(&call) else { return };
-        if let Some(client) = known.verdict.take() {
-            self.desk.open_requests.decrement();
-            // A client that has gone says so by a note of its own.
-            client.send(verdict);
-            self.call_off(call);
+    /// Gives a request its outcome, unless it has one, and cancels its unsent attempts.
+    fn answer_request(&mut self, request: CallId, result: RequestOutcome<P::Answer>) {
+        let Some(state) = self.requests.get_mut(&request) else { return };
+        if let Some(reply_to) = state.reply_to.take() {
+            self.handle.open_requests.decrement();
+            // If the client has gone, its connection sends a `Withdrawn` message.
+            reply_to.send(result);
+            self.cancel_unsent_attempts(request);
         }
     }
 
-    /// Ends the hops of a call that is over which no server has begun. Guards against one that is still connecting, or has
-    /// its request half written, and is sent after the call's end where hops may not be cancelled.
-    fn call_off(&mut self, id: CallId) {
-        self.end_hops(id, |begun| (!begun).then_some(Outcome::Cancelled));
+    /// Cancels the attempts of a finished request that no server can have run yet. Otherwise, where attempts may
+    /// not be cancelled, one that is still connecting or has written half of its request would be sent after the
+    /// request's end.
+    fn cancel_unsent_attempts(&mut self, request: CallId) {
+        self.end_attempts(request, |fully_sent| (!fully_sent).then_some(Outcome::Cancelled));
     }
 
-    /// Ends a hop, if it is still out.
-    fn end_hop(&mut self, id: CallId, no: HopNo, outcome: Outcome) {
-        let hop = self.calls.get_mut(&id).and_then(|call| call.hops.get_mut(no.0 as usize));
-        if let Some(kind) = hop.and_then(|hop| hop.running.take().map(|_| hop.kind)) {
-            self.monitor.attempt_ended(id, no, kind, outcome);
-            self.ends.push_back((id, no, outcome));
+    /// Ends an attempt, if it is still running.
+    fn end_attempt(&mut self, request: CallId, attempt: HopNo, outcome: Outcome) {
+        let state =
+            self.requests.get_mut(&request).and_then(|state| state.attempts.get_mut(attempt.0 as usize));
+        if let Some(kind) = state.and_then(|state| state.running.take().map(|_| state.kind)) {
+            self.monitor.attempt_ended(request, attempt, kind, outcome);
+            self.pending_ends.push_back((request, attempt, outcome));
         }
     }
 
-    /// Ends the hops of a call that are still out, each with the outcome that it has by whether a server may have begun it;
-    /// one without an outcome goes on.
-    fn end_hops(&mut self, id: CallId, outcome: impl Fn(bool) -> Option<Outcome>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        for (hop, no) in call.hops.iter_mut().zip(0..) {
-            let Some(outcome) = outcome(hop.progress.fully_sent_at.get().is_some()) else { continue };
-            if hop.running.take().is_some() {
-                self.monitor.attempt_ended(id, HopNo(no), hop.kind, outcome);
-                self.ends.push_back((id, HopNo(no), outcome));
+    /// Ends the running attempts of a request. `outcome` gives the outcome of each by whether its request was
+    /// written in full, so that a server may have run it; an attempt without an outcome goes on.
+    fn end_attempts(&mut self, request: CallId, outcome: impl Fn(bool) -> Option<Outcome>) {
+        let Some(state) = self.requests.get_mut(&request) else { return };
+        for (attempt, number) in state.attempts.iter_mut().zip(0..) {
+            let Some(outcome) = outcome(attempt.progress.fully_sent_at.get().is_some()) else { continue };
+            if attempt.running.take().is_some() {
+                self.monitor.attempt_ended(request, HopNo(number), attempt.kind, outcome);
+                self.pending_ends.push_back((request, HopNo(number), outcome));
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    /// Executes the actions that the module has returned, in order.
+    fn execute_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { call, server, timeout } => self.send(call, server, timeout),
-                Action::Cancel { call, hop } => {
-                    self.end_hop(call, hop, Outcome::Cancelled);
+                Action::Send { call: request, server, timeout } => {
+                    self.start_attempt(request, server, timeout)
+                }
+                Action::Cancel { call: request, hop: attempt } => {
+                    self.end_attempt(request, attempt, Outcome::Cancelled);
                 }
-                Action::Refuse { call, retry_after } => {
-                    self.refused(call);
-                    self.answer(call, RequestOutcome::Refused { retry_after });
-                    self.clear(call);
+                Action::Refuse { call: request, retry_after } => {
+                    self.report_refusal(request);
+                    self.answer_request(request, RequestOutcome::Refused { retry_after });
+                    self.remove_if_finished(request);
                 }
-                Action::Fail { call } => {
-                    self.answer(call, RequestOutcome::Failed);
-                    self.clear(call);
+                Action::Fail { call: request } => {
+                    self.answer_request(request, RequestOutcome::Failed);
+                    self.remove_if_finished(request);
                 }
-                Action::SetTimer { after, token } => self.timers.set(self.desk.clock.now() + after, token),
-                // A full channel holds the same request already.
-                // The platform's protocol on sockets has no message between sidecars: told to nobody.
+                Action::SetTimer { after, token } => self.timers.set(self.handle.clock.now() + after, token),
+                // The platform's protocol on sockets has no messages between sidecars.
                 Action::TellPeers { .. } => {}
-                Action::Subscribe => _ = self.ask.try_send(()),
+                // A full channel already holds the same request.
+                Action::Subscribe => _ = self.subscribe.try_send(()),
                 Action::Log { text, server: None } => info!(self.log, "{}", text),
                 Action::Log { text, server: Some(server) } => {
                     info!(self.log, "{} {}", self.endpoints.name(server), text)
@@ -583,18 +616,20 @@
         self.actions = actions;
     }
 
-    /// Says why a call is refused, as far as that can be seen from here.
-    fn refused(&self, id: CallId) {
-        let Some(call) = self.calls.get(&id).filter(|call| call.verdict.is_some()) else { return };
+    /// Reports why a request is refused, as far as the dispatcher can tell.
+    fn report_refusal(&self, id: CallId) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.reply_to.is_some()) else {
+            return;
+        };
         let reason = if self.list_stale {
             RefusalReason::ListStale
-        } else if self.held_back {
+        } else if self.sending_suspended {
             RefusalReason::NoLease
         } else if !self.endpoints.any_ready() {
             RefusalReason::NoServer
-        } else if self.answer_by <= self.desk.clock.now() {
+        } else if self.answer_deadline <= self.handle.clock.now() {
             RefusalReason::ShuttingDown
-        } else if call.hops.is_empty() {
+        } else if request.attempts.is_empty() {
             RefusalReason::Overload
         } else {
             RefusalReason::AttemptsFailed
@@ -602,94 +637,105 @@
         self.monitor.refused(id, reason);
     }
 
-    /// Ends the hops that have not begun and are not allowed any more. Guards against one whose connection comes up after
-    /// others were told that what forbids it is kept to.
-    fn forbid(&mut self) {
-        if !self.lease.on() {
+    /// Ends the attempts that have not sent anything and are no longer allowed. Otherwise one whose connection
+    /// comes up late would be sent after other instances were told that the settings which forbid it are in use.
+    fn end_forbidden_attempts(&mut self) {
+        if !self.lease.is_enabled() {
             return;
         }
-        let now = self.desk.clock.now();
-        self.end_waiting_attempts(|dispatcher, call, no| {
-            !dispatcher.allowed(call, no, call.hops[no].server, now)
+        let now = self.handle.clock.now();
+        self.end_waiting_attempts(|dispatcher, request, index| {
+            !dispatcher.attempt_allowed(request, index, request.attempts[index].server, now)
         });
     }
 
-    /// Ends the attempts that have not begun and that a condition holds for, by their call and place in it.
-    fn end_waiting_attempts(&mut self, ends: impl Fn(&Self, &Call<P>, usize) -> bool) {
-        let waits = |hop: &Hop| hop.running.is_some() && !hop.progress.send_started.get();
+    /// Ends the attempts that have not sent anything and meet a condition, given their request and their index in it.
+    fn end_waiting_attempts(&mut self, condition: impl Fn(&Self, &RequestState<P>, usize) -> bool) {
+        let waits =
+            |attempt: &AttemptState| attempt.running.is_some() && !attempt.progress.send_started.get();
         let forbidden: Vec<(CallId, usize)> = self
-            .calls
+            .requests
             .iter()
-            .flat_map(|(id, call)| (0..call.hops.len()).map(move |no| (*id, call, no)))
-            .filter(|(_, call, no)| waits(&call.hops[*no]) && ends(self, call, *no))
-            .map(|(id, _, no)| (id, no))
+            .flat_map(|(id, request)| (0..request.attempts.len()).map(move |index| (*id, request, index)))
+            .filter(|(_, request, index)| {
+                waits(&request.attempts[*index]) && condition(self, request, *index)
+            })
+            .map(|(id, _, index)| (id, index))
             .collect();
-        for (id, no) in forbidden {
-            self.end_hop(id, HopNo(no as u32), Outcome::NotSent);
+        for (id, index) in forbidden {
+            self.end_attempt(id, HopNo(index as u32), Outcome::NotSent);
         }
-        self.settle();
+        self.report_pending_ends();
     }
 
-    /// Whether what all have agreed on allows this hop of a call, whatever held when the call began.
-    fn allowed(&self, call: &Call<P>, no: usize, server: ServerId, now: Micros) -> bool {
-        // No other has begun; of those that wait for their connections it is the first.
-        let before = |(at, hop): (usize, &Hop)| {
-            at != no && (hop.progress.send_started.get() || at < no && hop.went_out)
+    /// Whether the settings that all instances agreed on allow this attempt, whichever held when the request began.
+    fn attempt_allowed(
+        &self, request: &RequestState<P>, index: usize, server: ServerId, now: Micros,
+    ) -> bool {
+        // First means that index other attempt has sent anything, and of those still connecting none is older.
+        let is_earlier = |(other, attempt): (usize, &AttemptState)| {
+            other != index && (attempt.progress.send_started.get() || other < index && attempt.spawned)
         };
-        let first = !call.hops.iter().enumerate().any(before);
-        let left = match self.left.get(&call.class) {
+        let is_first = !request.attempts.iter().enumerate().any(is_earlier);
+        let unrestricted = match self.restrictions.get(&request.class) {
             None => true,
-            Some(Left::FirstHops) => first,
-            Some(Left::Nothing) => false,
+            Some(Restriction::FirstAttemptOnly) => is_first,
+            Some(Restriction::NoAttempts) => false,
         };
-        let sure = match self.lease.lapsed(|| now) {
+        let lease_allows = match self.lease.expired(|| now) {
             None | Some(NoLeasePolicy::Hold) => true,
             Some(NoLeasePolicy::Refuse) => false,
-            Some(NoLeasePolicy::Strictest) => first && !self.endpoints.cold(server, now, self.warm_within),
+            Some(NoLeasePolicy::Strictest) => {
+                is_first && !self.endpoints.is_cold(server, now, self.warm_up_time)
+            }
         };
-        left && sure && no < self.most_hops
+        unrestricted && lease_allows && index < self.max_attempts
     }
 
-    /// Sends a hop, as the simulator did: never one for a call that is over, out of time or out of hops.
-    fn send(&mut self, id: CallId, server: ServerId, give_up: Micros) {
-        let now = self.desk.clock.now();
-        let Some(call) = self.calls.get(&id) else { return };
-        let (no, left) = (HopNo(call.hops.len() as u32), call.deadline - now);
-        let sound = call.verdict.is_some() && left.0 > 0 && call.hops.len() < call.max_attempts;
-        let sound = sound && (!self.lease.on() || self.allowed(call, call.hops.len(), server, now));
-        let address = self.endpoints.address(server).filter(|_| sound);
+    /// Starts an attempt, but not for a request that is finished, out of time or out of attempts; the simulator
+    /// does the same.
+    fn start_attempt(&mut self, id: CallId, server: ServerId, timeout: Micros) {
+        let now = self.handle.clock.now();
+        let Some(request) = self.requests.get(&id) else { return };
+        let (number, time_left) = (HopNo(request.attempts.len() as u32), request.deadline - now);
+        let may_start =
+            request.reply_to.is_some() && time_left.0 > 0 && request.attempts.len() < request.max_attempts;
+        let may_start = may_start
+            && (!self.lease.is_enabled()
+                || self.attempt_allowed(request, request.attempts.len(), server, now));
+        let address = self.endpoints.address(server).filter(|_| may_start);
         let progress = Rc::<AttemptProgress>::default();
-        let kind = kind_of_next(&call.hops);
-        // Asked for last of all: what it allows is counted as started.
+        let kind = next_attempt_kind(&request.attempts);
+        // Asked last, because the guard counts an attempt that it allows as started.
         let allowed = address.and_then(|address| {
-            let permit = self.monitor.start_attempt(id, no, server, kind).ok()?;
+            let permit = self.monitor.start_attempt(id, number, server, kind).ok()?;
             Some((address, permit))
         });
         let running = allowed.and_then(|(address, permit)| {
-            let (desk, content) = (self.desk.clone(), call.content.clone());
-            let by = desk.clock.instant_at(now + give_up.min(left));
-            let hop = self.protocol.attempt(permit, content, address, by, progress.clone());
+            let (handle, content) = (self.handle.clone(), request.content.clone());
+            let deadline = handle.clock.instant_at(now + timeout.min(time_left));
+            let attempt = self.protocol.attempt(permit, content, address, deadline, progress.clone());
             self.tasks.spawn(async move {
-                let end = hop.await;
-                desk.send(DispatcherMessage::AttemptEnded { call: id, hop: no, end }).await;
+                let end = attempt.await;
+                handle.send(DispatcherMessage::AttemptEnded { request: id, attempt: number, end }).await;
             })
         });
         if running.is_none() {
-            self.monitor.attempt_ended(id, no, kind, Outcome::NotSent);
-            self.ends.push_back((id, no, Outcome::NotSent));
+            self.monitor.attempt_ended(id, number, kind, Outcome::NotSent);
+            self.pending_ends.push_back((id, number, Outcome::NotSent));
         }
-        let went_out = running.is_some();
-        if let Some(call) = self.calls.get_mut(&id) {
-            call.hops.push(Hop { sent: now, went_out, server, progress, kind, running });
+        let spawned = running.is_some();
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push(AttemptState { started_at: now, spawned, server, progress, kind, running });
         }
     }
 }
 
-/// What the next attempt is, after these.
-fn kind_of_next(hops: &[Hop]) -> AttemptKind {
-    if hops.iter().any(|hop| hop.running.is_some()) {
+/// The kind of the attempt that follows these.
+fn next_attempt_kind(attempts: &[AttemptState]) -> AttemptKind {
+    if attempts.iter().any(|attempt| attempt.running.is_some()) {
         AttemptKind::Hedge
-    } else if hops.iter().any(|hop| hop.went_out) {
+    } else if attempts.iter().any(|attempt| attempt.spawned) {
         AttemptKind::Retry
     } else {
         AttemptKind::First
--- a/sidecar/src/durable_file.rs
+++ b/sidecar/src/durable_file.rs
@@ -1,9 +1,9 @@
-//! Files that outlive a kill of the process and a loss of power.
+//! Files that survive a kill of the process and a loss of power.
 use std::fs::{self, File};
 use std::io::{ErrorKind, Result, Write};
 use std::path::Path;
 
-/// Replaces a file, whole or not at all. Once this is done it is on the disk, and so is its name.
+/// Replaces a file atomically. When this returns without an error, the contents and the name are on the disk.
 pub fn replace(path: &Path, bytes: &[u8]) -> Result<()> {
     let fresh = path.with_extension(format!("new-{}", std::process::id()));
     let written = write_synced(&fresh, bytes).and_then(|()| fs::rename(&fresh, path));
@@ -20,7 +20,7 @@
     file.sync_all()
 }
 
-/// A name is on the disk once its folder is.
+/// A file's name is on the disk once its folder is synced.
 fn sync_folder_of(path: &Path) -> Result<()> {
     match path.parent() {
         Some(folder) => File::open(folder)?.sync_all(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a file holds; none if there is none. Any other error says nothing of what it holds.
+/// Reads a file; none if it does not exist. Any other error says nothing about its contents.
 pub fn read(path: &Path) -> Result<Option<Vec<u8>>> {
     match fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! Which number and address each server of the list has at this sidecar.
-use crate::endpoint_registry::Mark;
+//! The endpoints as one worker knows them: the id that its decision module knows each by, its address, and whether it
+//! may be sent to by the list, the maintenance marks and other instances' lists.
+use crate::endpoint_registry::MaintenanceMark;
 use crate::start_time::StartWindow;
 use oakhollow::types::*;
 use oakhollow_terms::{DiscoveryList, EndpointEntry, MaintenanceMarks};
@@ -7,227 +8,241 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// The endpoints of one worker, by id and by address.
 #[derive(Default)]
 pub struct EndpointList {
     zones: Vec<String>,
-    numbers: HashMap<String, ServerId>,
-    known: HashMap<ServerId, Known>,
-    /// Who is at an address.
-    at: HashMap<SocketAddr, ServerId>,
-    ready: usize,
-    given: u32,
-    /// Out by hand, or back, over whatever the list says.
+    ids: HashMap<String, ServerId>,
+    endpoints: HashMap<ServerId, Endpoint>,
+    /// The endpoint at each address.
+    by_address: HashMap<SocketAddr, ServerId>,
+    ready_count: usize,
+    last_id: u32,
+    /// Maintenance marks; they override the list.
     marks: MaintenanceMarks,
-    /// Whom others' lists let drain, and in which life, by the time of its start in milliseconds.
-    elsewhere: Arc<Elsewhere>,
-    /// Nothing may be sent on: to the module every server drains.
-    held_back: bool,
+    /// The endpoints that drain by other instances' lists.
+    peer_drains: Arc<PeerDrains>,
+    /// No attempt may be started: the module sees every endpoint as draining.
+    sending_suspended: bool,
 }
 
-/// By name, when the server started that drains.
-pub type Elsewhere = BTreeMap<String, u64>;
+/// The endpoints that drain by other instances' lists, by name, each with the start time, in milliseconds, of the run
+/// that drains.
+pub type PeerDrains = BTreeMap<String, u64>;
 
-struct Known {
+struct Endpoint {
     entry: EndpointEntry,
-    /// When it started, as far as the list goes.
+    /// When it started by the list, within what this process can know; without the marks.
     started: Micros,
     listing: ListedServer,
 }
 
-impl Known {
-    fn ready(&self) -> bool {
+impl Endpoint {
+    fn is_ready(&self) -> bool {
         self.listing.status == ServerStatus::Ready
     }
 }
 
-/// What a list comes down to.
-pub struct Told {
-    pub entries: Vec<ListedServer>,
-    /// Addresses at which nothing new is wanted from now on.
+/// What a change to the list means for the module and for the protocol.
+pub struct EndpointChanges {
+    /// What the module is told.
+    pub listings: Vec<ListedServer>,
+    /// Addresses whose connections must not be used for new attempts.
     pub retired: Vec<SocketAddr>,
 }
 
 impl EndpointList {
+    /// No endpoints yet; `zones` are the names by which ids of zones are found.
     pub fn new(zones: &[String], marks: MaintenanceMarks) -> EndpointList {
         EndpointList { zones: zones.to_vec(), marks, ..EndpointList::default() }
     }
 
-    /// Takes a mark set by hand: all that is known, as it stands by that.
-    pub fn mark(&mut self, mark: &Mark) -> Told {
-        self.marks.set(&mark.name, mark.out, mark.at);
-        let (mut entries, mut retired) = (Vec::new(), Vec::new());
-        let known = self.numbers.get(&mark.name).and_then(|id| self.known.get(id));
-        if let Some(entry) = known.map(|known| known.entry.clone()) {
-            self.enter(&entry, None, &mut entries, &mut retired);
+    /// Applies a maintenance mark, and returns the listings of all endpoints.
+    pub fn apply_maintenance(&mut self, mark: &MaintenanceMark) -> EndpointChanges {
+        self.marks.set(&mark.name, mark.in_maintenance, mark.set_at);
+        let (mut listings, mut retired) = (Vec::new(), Vec::new());
+        let endpoint = self.ids.get(&mark.name).and_then(|id| self.endpoints.get(id));
+        if let Some(entry) = endpoint.map(|endpoint| endpoint.entry.clone()) {
+            self.update(&entry, None, &mut listings, &mut retired);
         }
-        Told { retired, ..self.all() }
+        EndpointChanges { retired, ..self.all_listings() }
     }
 
-    /// Holds everything back, or no more: all that is known, as it stands by that.
-    pub fn hold_back(&mut self, held_back: bool) -> Told {
-        self.held_back = held_back;
-        let known: Vec<EndpointEntry> = self.known.values().map(|known| known.entry.clone()).collect();
-        let mut entries = Vec::new();
-        // Connections to who stays are kept: what is retired was so when it was told.
-        known.iter().for_each(|entry| self.enter(entry, None, &mut entries, &mut Vec::new()));
-        self.forget_gone(&entries);
-        Told { entries, retired: Vec::new() }
+    /// Suspends or resumes sending, and returns the listings of all endpoints.
+    pub fn set_sending_suspended(&mut self, sending_suspended: bool) -> EndpointChanges {
+        self.sending_suspended = sending_suspended;
+        let entries: Vec<EndpointEntry> =
+            self.endpoints.values().map(|endpoint| endpoint.entry.clone()).collect();
+        let mut listings = Vec::new();
+        // Connections are kept: whatever has to be retired was retired when the list said so.
+        entries.iter().for_each(|entry| self.update(entry, None, &mut listings, &mut Vec::new()));
+        self.remove_gone(&listings);
+        EndpointChanges { listings, retired: Vec::new() }
     }
 
-    /// Takes whom others' lists let drain: all that is known, as it stands by that.
-    pub fn drain_elsewhere(&mut self, elsewhere: Arc<Elsewhere>) -> Told {
-        let before = std::mem::replace(&mut self.elsewhere, elsewhere);
-        let now = &self.elsewhere;
+    /// Applies what other instances' lists say drains, and returns the listings of all endpoints.
+    pub fn apply_peer_drains(&mut self, drains: Arc<PeerDrains>) -> EndpointChanges {
+        let before = std::mem::replace(&mut self.peer_drains, drains);
+        let now = &self.peer_drains;
         let named = before.keys().chain(now.keys()).filter(|name| before.get(*name) != now.get(*name));
-        let known = named.filter_map(|name| self.known.get(self.numbers.get(name)?));
-        let known: Vec<EndpointEntry> = known.map(|known| known.entry.clone()).collect();
-        let (mut entries, mut retired) = (Vec::new(), Vec::new());
-        known.iter().for_each(|entry| self.enter(entry, None, &mut entries, &mut retired));
-        self.forget_gone(&entries);
-        Told { retired, ..self.all() }
+        let endpoints = named.filter_map(|name| self.endpoints.get(self.ids.get(name)?));
+        let entries: Vec<EndpointEntry> = endpoints.map(|endpoint| endpoint.entry.clone()).collect();
+        let (mut listings, mut retired) = (Vec::new(), Vec::new());
+        entries.iter().for_each(|entry| self.update(entry, None, &mut listings, &mut retired));
+        self.remove_gone(&listings);
+        EndpointChanges { retired, ..self.all_listings() }
     }
 
-    /// Guards against names piling up through many deploys; one that comes back gets a new number.
-    fn forget_gone(&mut self, entries: &[ListedServer]) {
-        for entry in entries.iter().filter(|entry| entry.status == ServerStatus::Gone) {
-            self.forget(entry.server);
+    /// Removes the endpoints that are gone, so that names do not pile up over many deploys. One that returns gets a
+    /// new id.
+    fn remove_gone(&mut self, listings: &[ListedServer]) {
+        for listing in listings.iter().filter(|listing| listing.status == ServerStatus::Gone) {
+            self.remove(listing.server);
         }
     }
 
-    /// All that is known, as it stands.
-    pub fn all(&self) -> Told {
-        let entries = self.known.values().map(|known| known.listing.clone()).collect();
-        Told { entries, retired: Vec::new() }
+    /// The current listings of all endpoints.
+    pub fn all_listings(&self) -> EndpointChanges {
+        let listings = self.endpoints.values().map(|endpoint| endpoint.listing.clone()).collect();
+        EndpointChanges { listings, retired: Vec::new() }
     }
 
-    /// What the list says of a server, as it stands by the marks.
-    fn listing(&self, entry: &EndpointEntry, server: ServerId, started: Micros) -> ListedServer {
+    /// The listing of an endpoint, by the list, the marks and other instances' lists.
+    fn listing_of(&self, entry: &EndpointEntry, server: ServerId, started: Micros) -> ListedServer {
         let mut listing = ListedServer { started, ..entry.to_listing(server, &self.zones) };
-        let elsewhere = self.elsewhere.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
-        let out = self.held_back || elsewhere || self.marks.in_maintenance.contains(&entry.name);
-        if listing.status == ServerStatus::Ready && out {
+        let drains = self.peer_drains.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
+        let excluded = self.sending_suspended || drains || self.marks.in_maintenance.contains(&entry.name);
+        if listing.status == ServerStatus::Ready && excluded {
             listing.status = ServerStatus::Draining;
         }
-        // Whoever puts a server back has started it anew.
-        if let Some(back) = self.marks.returned.get(&entry.name) {
-            listing.started = listing.started.max(*back);
+        // An operator who ends the maintenance of an endpoint has restarted it, so it is cold.
+        if let Some(returned) = self.marks.returned.get(&entry.name) {
+            listing.started = listing.started.max(*returned);
         }
         listing
     }
 
-    /// Takes what the list tells. Servers that are new on it have started within `window`.
-    pub fn take(&mut self, list: &DiscoveryList, window: StartWindow) -> Told {
+    /// Applies a list from discovery. Endpoints that are new on it have started within `window`.
+    pub fn apply_list(&mut self, list: &DiscoveryList, window: StartWindow) -> EndpointChanges {
         let mut retired = Vec::new();
         if list.snapshot {
-            let named = list.endpoints.iter().filter_map(|entry| self.numbers.get(&entry.name));
-            let there: HashSet<ServerId> = named.copied().collect();
+            let named = list.endpoints.iter().filter_map(|entry| self.ids.get(&entry.name));
+            let listed: HashSet<ServerId> = named.copied().collect();
             let missing: Vec<ServerId> =
-                self.known.keys().copied().filter(|id| !there.contains(id)).collect();
-            retired.extend(missing.into_iter().filter_map(|id| self.forget(id)));
+                self.endpoints.keys().copied().filter(|id| !listed.contains(id)).collect();
+            retired.extend(missing.into_iter().filter_map(|id| self.remove(id)));
         }
-        let mut entries = Vec::new();
+        let mut listings = Vec::new();
         for entry in &list.endpoints {
-            self.enter(entry, Some(window), &mut entries, &mut retired);
+            self.update(entry, Some(window), &mut listings, &mut retired);
         }
-        self.forget_gone(&entries);
-        Told { entries, retired }
+        self.remove_gone(&listings);
+        EndpointChanges { listings, retired }
     }
 
-    /// When a server started, as far as the list goes. What was settled when that start was first heard of stands. Guards
-    /// against a clock that was stepped back: a later start has the later time, whatever the list says.
-    fn started(&self, entry: &EndpointEntry, server: ServerId, window: Option<StartWindow>) -> Micros {
+    /// When an endpoint started. The time determined when that start was first listed stays. If discovery's clock was
+    /// stepped back, a later start still gets a later time than the one before, whatever the list says.
+    fn start_time(&self, entry: &EndpointEntry, server: ServerId, window: Option<StartWindow>) -> Micros {
         let listed = entry.started_at();
-        match (self.known.get(&server), window) {
-            (Some(known), _) if known.entry.since_ms() == entry.since_ms() => known.started,
+        match (self.endpoints.get(&server), window) {
+            (Some(endpoint), _) if endpoint.entry.since_ms() == entry.since_ms() => endpoint.started,
             (_, None) => listed,
-            (Some(known), Some(window)) => match window.plausible_start(listed) {
-                started if started.0 > 0 && started <= known.started => window.latest,
+            (Some(endpoint), Some(window)) => match window.plausible_start(listed) {
+                started if started.0 > 0 && started <= endpoint.started => window.latest,
                 started => started,
             },
             (None, Some(window)) => window.plausible_start(listed),
         }
     }
 
-    fn enter(
-        &mut self, entry: &EndpointEntry, window: Option<StartWindow>, entries: &mut Vec<ListedServer>,
+    /// Enters an endpoint as its entry, the marks and other instances' lists have it, and adds to `listings` and
+    /// `retired` what that changes.
+    fn update(
+        &mut self, entry: &EndpointEntry, window: Option<StartWindow>, listings: &mut Vec<ListedServer>,
         retired: &mut Vec<SocketAddr>,
     ) {
-        let server = *self.numbers.entry(entry.name.clone()).or_insert_with(|| {
-            self.given += 1;
-            ServerId(self.given)
+        let server = *self.ids.entry(entry.name.clone()).or_insert_with(|| {
+            self.last_id += 1;
+            ServerId(self.last_id)
         });
-        let started = self.started(entry, server, window);
-        let (address, mut listing) = (entry.address, self.listing(entry, server, started));
-        let same = self.at.get(&address).filter(|id| **id != server);
-        let same = same.and_then(|id| Some((id, self.known.get(id)?)));
-        // Guards against sending to a server that is not there any more what another at its address would run: of
-        // two at one address the one that started last is there.
-        if let Some((_, other)) = same.filter(|_| listing.status == ServerStatus::Ready) {
-            if other.ready() && other.listing.started > listing.started {
+        let started = self.start_time(entry, server, window);
+        let (address, mut listing) = (entry.address, self.listing_of(entry, server, started));
+        let at_address = self.by_address.get(&address).filter(|id| **id != server);
+        let at_address = at_address.and_then(|id| Some((id, self.endpoints.get(id)?)));
+        // Of two endpoints at one address only the one that started last exists. A request meant for the other
+        // would be run by the wrong server.
+        if let Some((_, other)) = at_address.filter(|_| listing.status == ServerStatus::Ready) {
+            if other.is_ready() && other.listing.started > listing.started {
                 listing.status = ServerStatus::Gone;
             } else {
-                let gone = ListedServer { status: ServerStatus::Gone, ..other.listing.clone() };
-                self.forget(gone.server);
-                entries.push(gone);
+                let replaced = ListedServer { status: ServerStatus::Gone, ..other.listing.clone() };
+                self.remove(replaced.server);
+                listings.push(replaced);
             }
         }
-        let known = Known { entry: entry.clone(), started, listing: listing.clone() };
-        let before = self.drop_known(server);
-        self.ready += usize::from(known.ready());
-        // Of two at one address, one that is there no more must not take the other's place.
-        if known.listing.status != ServerStatus::Gone {
-            self.at.insert(address, server);
+        let endpoint = Endpoint { entry: entry.clone(), started, listing: listing.clone() };
+        let before = self.take_endpoint(server);
+        self.ready_count += usize::from(endpoint.is_ready());
+        // An endpoint that is gone must not replace the one that is now at its address.
+        if endpoint.listing.status != ServerStatus::Gone {
+            self.by_address.insert(address, server);
         }
-        self.known.insert(server, known);
+        self.endpoints.insert(server, endpoint);
         match before {
-            // Moved, or started again: what is open to it leads elsewhere, or to nobody.
+            // It moved or restarted: the open connections lead to another server, or to none.
             Some(before) if before.entry.address != address || before.listing.started != listing.started => {
                 retired.extend([before.entry.address, address]);
             }
             Some(_) => {}
-            // Guards against requests that go to the server which had this address before, and may be silent.
+            // A connection left over from the endpoint that had this address before may be dead without an error.
             None => retired.push(address),
         }
         if listing.status != ServerStatus::Ready {
             retired.push(address);
         }
-        entries.push(listing);
+        listings.push(listing);
     }
 
-    fn forget(&mut self, server: ServerId) -> Option<SocketAddr> {
-        let known = self.drop_known(server)?;
-        self.numbers.remove(&known.entry.name);
-        Some(known.entry.address)
+    /// Removes an endpoint and its id, and returns its address.
+    fn remove(&mut self, server: ServerId) -> Option<SocketAddr> {
+        let endpoint = self.take_endpoint(server)?;
+        self.ids.remove(&endpoint.entry.name);
+        Some(endpoint.entry.address)
     }
 
-    fn drop_known(&mut self, server: ServerId) -> Option<Known> {
-        let known = self.known.remove(&server)?;
-        self.ready -= usize::from(known.ready());
-        if self.at.get(&known.entry.address) == Some(&server) {
-            self.at.remove(&known.entry.address);
+    /// Removes an endpoint and keeps its id.
+    fn take_endpoint(&mut self, server: ServerId) -> Option<Endpoint> {
+        let endpoint = self.endpoints.remove(&server)?;
+        self.ready_count -= usize::from(endpoint.is_ready());
+        if self.by_address.get(&endpoint.entry.address) == Some(&server) {
+            self.by_address.remove(&endpoint.entry.address);
         }
-        Some(known)
+        Some(endpoint)
     }
 
-    pub fn number(&self, name: &str) -> Option<ServerId> {
-        self.numbers.get(name).copied()
+    /// The id of an endpoint.
+    pub fn id(&self, name: &str) -> Option<ServerId> {
+        self.ids.get(name).copied()
     }
 
+    /// Whether any endpoint may be sent to.
     pub fn any_ready(&self) -> bool {
-        self.ready > 0
+        self.ready_count > 0
     }
 
+    /// The address of an endpoint.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.known.get(&server).map(|known| known.entry.address)
+        self.endpoints.get(&server).map(|endpoint| endpoint.entry.address)
     }
 
-    /// Whether it is cold still, by how long servers take to warm up.
-    pub fn cold(&self, server: ServerId, now: Micros, warm_within: Micros) -> bool {
-        self.known.get(&server).is_some_and(|known| known.listing.started + warm_within > now)
+    /// Whether it is still cold, given how long servers take to warm up.
+    pub fn is_cold(&self, server: ServerId, now: Micros, warm_up_time: Micros) -> bool {
+        self.endpoints.get(&server).is_some_and(|endpoint| endpoint.listing.started + warm_up_time > now)
     }
 
+    /// The name of an endpoint, for the log.
     pub fn name(&self, server: ServerId) -> &str {
-        self.known.get(&server).map_or("a server that has left", |known| &known.entry.name)
+        self.endpoints.get(&server).map_or("a server that has left", |endpoint| &endpoint.entry.name)
     }
 }
 
@@ -237,7 +252,7 @@
     use oakhollow_terms::read_json;
 
     #[test]
-    fn who_was_replaced_while_all_was_held_back_is_told_to_be_gone() {
+    fn an_endpoint_replaced_while_sending_was_suspended_is_reported_gone() {
         let list = |name: &str, since: u64| -> DiscoveryList {
             let entry = format!(
                 r#"{{"name":"{name}","address":"127.0.0.1:70","status":"active","since_ms":{since}}}"#
@@ -247,22 +262,28 @@
         };
         let mut endpoints = EndpointList::new(&[], MaintenanceMarks::default());
         let window = StartWindow { latest: Micros::millis(10), earliest: None };
-        endpoints.take(&list("a", 1), window);
-        let held = endpoints.hold_back(true);
+        endpoints.apply_list(&list("a", 1), window);
+        let held = endpoints.set_sending_suspended(true);
         assert!(
-            !endpoints.any_ready() && held.entries.iter().all(|entry| entry.status == ServerStatus::Draining)
+            !endpoints.any_ready()
+                && held.listings.iter().all(|listing| listing.status == ServerStatus::Draining)
         );
         assert!(held.retired.is_empty());
-        let before = [endpoints.number("a"), {
-            endpoints.take(&list("b", 2), window).entries.first().map(|entry| entry.server)
+        let before = [endpoints.id("a"), {
+            endpoints.apply_list(&list("b", 2), window).listings.first().map(|listing| listing.server)
         }];
-        let told = endpoints.hold_back(false).entries;
-        // Whichever is entered first, the later one is there, and all numbers told before are ready or gone.
-        let last = |id: ServerId| told.iter().rfind(|entry| entry.server == id).map(|entry| entry.status);
-        assert_eq!(last(endpoints.number("b").expect("there")), Some(ServerStatus::Ready));
-        assert!(endpoints.number("a").is_none() && endpoints.any_ready());
+        let listings = endpoints.set_sending_suspended(false).listings;
+        // In whichever order they are entered, the later one is ready, and every id reported before is ready or gone.
+        let last = |id: ServerId| {
+            listings.iter().rfind(|listing| listing.server == id).map(|listing| listing.status)
+        };
+        assert_eq!(last(endpoints.id("b").expect("there")), Some(ServerStatus::Ready));
+        assert!(endpoints.id("a").is_none() && endpoints.any_ready());
         for id in before.into_iter().flatten() {
-            assert!(matches!(last(id), Some(ServerStatus::Ready | ServerStatus::Gone)), "{id:?}: {told:?}");
+            assert!(
+                matches!(last(id), Some(ServerStatus::Ready | ServerStatus::Gone)),
+                "{id:?}: {listings:?}"
+            );
         }
     }
 }
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -1,4 +1,5 @@
-//! What the whole program knows of servers by name: the list as last told, and which are out by hand. No sockets, no clock.
+//! What the whole process knows of endpoints by name: the list as last received, the maintenance marks, and whether
+//! the process can serve. Holds no sockets and reads no clock.
 use crate::metrics::EndpointCounts;
 use oakhollow::types::Micros;
 use oakhollow_terms::{DiscoveryList, EndpointEntry, ListIndex, MaintenanceMarks};
@@ -6,56 +7,59 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// A server taken out by hand, or put back, at that time.
+/// An operator's mark: an endpoint was put into maintenance, or taken out of it, at that time.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Mark {
+pub struct MaintenanceMark {
     pub name: String,
-    pub out: bool,
-    pub at: Micros,
+    pub in_maintenance: bool,
+    pub set_at: Micros,
 }
 
-/// Why a mark is not made.
+/// Why a mark is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Refused {
-    Unknown,
+pub enum MarkError {
+    UnknownEndpoint,
     TooMany,
 }
 
+/// The endpoints by name, the maintenance marks and the state that decides whether the process is serving.
 #[derive(Default, Debug)]
 pub struct EndpointRegistry {
     entries: BTreeMap<String, EndpointEntry>,
     version: ListIndex,
     marks: MaintenanceMarks,
-    /// The list was told by discovery, or discovery has failed to.
+    /// Discovery has sent the list, or has failed to.
     pub list_settled: bool,
-    /// When the list was last told, or said to be unchanged.
+    /// When discovery last sent the list, or said that it is unchanged.
     pub last_heard: Option<Instant>,
-    /// The watch of the list is open and has told something.
+    /// The watch of the list is open and has received something.
     pub watch_open: bool,
-    /// Workers take callers in, and the program is not leaving.
-    pub able: bool,
-    /// A majority's leases live, where instances agree on settings.
-    pub sure: bool,
-    /// The list was heard recently enough to be used.
+    /// The workers accept clients, and the process is not shutting down.
+    pub accepting: bool,
+    /// Where instances agree on settings: a majority's leases are held, or requests may be served without them.
+    pub lease_ok: bool,
+    /// The list was received recently enough to be used.
     pub list_fresh: bool,
 }
 
-/// The registry as the program's threads share it.
+/// The registry as the threads of the process share it.
 pub type SharedRegistry = Arc<Mutex<EndpointRegistry>>;
 
+/// Locks the registry, also after a thread that held the lock has panicked.
 pub fn lock(registry: &SharedRegistry) -> MutexGuard<'_, EndpointRegistry> {
     registry.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl EndpointRegistry {
+    /// A registry with the list and the marks known at the start.
     pub fn new(known: &DiscoveryList, marks: MaintenanceMarks) -> EndpointRegistry {
         let mut registry =
-            EndpointRegistry { marks, sure: true, list_fresh: true, ..EndpointRegistry::default() };
+            EndpointRegistry { marks, lease_ok: true, list_fresh: true, ..EndpointRegistry::default() };
         registry.apply(known);
         registry
     }
 
-    /// Takes what the list tells.
+    /// Applies a list from discovery.
     pub fn apply(&mut self, list: &DiscoveryList) {
         self.version = list.index;
         if list.snapshot {
@@ -70,64 +74,69 @@
         }
     }
 
-    /// Takes entries that others' lists tell, in between what the own one does. Gives them as changes of that.
-    pub fn add(&mut self, endpoints: Vec<EndpointEntry>) -> DiscoveryList {
+    /// Adds entries from other instances' lists, until the own list says otherwise. Returns them as changes to the
+    /// own list.
+    pub fn add_from_peers(&mut self, endpoints: Vec<EndpointEntry>) -> DiscoveryList {
         let list = DiscoveryList { index: self.version, snapshot: false, endpoints };
         self.apply(&list);
         list
     }
 
-    /// How many there are.
+    /// The number of endpoints.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All there are.
+    /// All endpoints, as a whole list.
     pub fn list(&self) -> DiscoveryList {
         let endpoints = self.entries.values().cloned().collect();
         DiscoveryList { index: self.version, snapshot: true, endpoints }
     }
 
+    /// The maintenance marks.
     pub fn marks(&self) -> &MaintenanceMarks {
         &self.marks
     }
 
-    /// A server is out, or back in use. Saying it again changes nothing; nobody's name is refused.
-    pub fn mark(&mut self, name: &str, out: bool, now: Micros) -> Result<Mark, Refused> {
-        let was_out = self.marks.in_maintenance.contains(name);
-        if !was_out && !self.entries.contains_key(name) {
-            return Err(Refused::Unknown);
+    /// Puts an endpoint into maintenance, or takes it out of it. Repeating a mark changes nothing; unknown names are
+    /// rejected.
+    pub fn set_maintenance(
+        &mut self, name: &str, in_maintenance: bool, now: Micros,
+    ) -> Result<MaintenanceMark, MarkError> {
+        let was_in_maintenance = self.marks.in_maintenance.contains(name);
+        if !was_in_maintenance && !self.entries.contains_key(name) {
+            return Err(MarkError::UnknownEndpoint);
         }
-        let mut mark = Mark { name: name.to_string(), out, at: now };
-        match (was_out, out) {
+        let mut mark = MaintenanceMark { name: name.to_string(), in_maintenance, set_at: now };
+        match (was_in_maintenance, in_maintenance) {
             (false, true) if self.marks.in_maintenance.len() >= MaintenanceMarks::MAX_ENTRIES => {
-                return Err(Refused::TooMany)
+                return Err(MarkError::TooMany)
             }
-            (false, true) => self.set(&mark),
-            (true, false) => self.set(&mark),
-            // Guards against a second cold start by a call that is only repeated.
-            (false, false) => mark.at = self.marks.returned.get(name).copied().unwrap_or_default(),
+            (false, true) => self.apply_maintenance(&mark),
+            (true, false) => self.apply_maintenance(&mark),
+            // Keeps the time of the first mark: a repeated one must not make the endpoint cold again.
+            (false, false) => mark.set_at = self.marks.returned.get(name).copied().unwrap_or_default(),
             (true, true) => {}
         }
         Ok(mark)
     }
 
-    /// Takes a mark that was made elsewhere.
-    pub fn set(&mut self, mark: &Mark) {
-        self.marks.set(&mark.name, mark.out, mark.at);
+    /// Applies a mark that was set at another process or instance.
+    pub fn apply_maintenance(&mut self, mark: &MaintenanceMark) {
+        self.marks.set(&mark.name, mark.in_maintenance, mark.set_at);
     }
 
-    /// Servers by what they may be sent.
-    pub fn counts(&self) -> EndpointCounts {
+    /// Counts the endpoints by whether they may be sent to.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
         let mut counts = EndpointCounts::default();
         for entry in self.entries.values() {
-            let out = self.marks.in_maintenance.contains(&entry.name);
-            match (out, entry.is_active()) {
+            let in_maintenance = self.marks.in_maintenance.contains(&entry.name);
+            match (in_maintenance, entry.is_active()) {
                 (true, _) => counts.maintenance += 1,
                 (false, true) => counts.ready += 1,
                 (false, false) => counts.draining += 1,
@@ -136,11 +145,11 @@
         counts
     }
 
-    /// Whether a call would be served at once.
-    pub fn serves(&self) -> bool {
+    /// Whether a request would be served now.
+    pub fn is_serving(&self) -> bool {
         let mut usable = self.entries.values().filter(|entry| entry.is_active());
-        self.able
-            && self.sure
+        self.accepting
+            && self.lease_ok
             && self.list_fresh
             && self.list_settled
             && usable.any(|entry| !self.marks.in_maintenance.contains(&entry.name))
@@ -160,38 +169,41 @@
     }
 
     #[test]
-    fn two_calls_out_need_one_back_and_nobodys_name_is_refused() {
+    fn a_repeated_mark_changes_nothing_and_an_unknown_name_is_rejected() {
         let mut registry = EndpointRegistry::new(&list("a b"), MaintenanceMarks::default());
         let at = Micros::millis;
-        assert_eq!(registry.mark("c", true, at(1)), Err(Refused::Unknown));
-        assert!(registry.mark("a", true, at(1)).is_ok() && registry.mark("a", true, at(2)).is_ok());
-        // Kept while the list leaves it out, and put back all the same.
+        assert_eq!(registry.set_maintenance("c", true, at(1)), Err(MarkError::UnknownEndpoint));
+        assert!(
+            registry.set_maintenance("a", true, at(1)).is_ok()
+                && registry.set_maintenance("a", true, at(2)).is_ok()
+        );
+        // The mark stays while the endpoint is not on the list, and can be taken back all the same.
         registry.apply(&list("b"));
         assert!(registry.marks().in_maintenance.contains("a"));
-        assert_eq!(registry.mark("a", false, at(3)).map(|mark| mark.at), Ok(at(3)));
+        assert_eq!(registry.set_maintenance("a", false, at(3)).map(|mark| mark.set_at), Ok(at(3)));
         assert!(registry.marks().in_maintenance.is_empty());
         registry.apply(&list("a b"));
-        // A call that is only repeated is no second cold start.
-        assert_eq!(registry.mark("a", false, at(9)).map(|mark| mark.at), Ok(at(3)));
-        assert_eq!(registry.mark("b", false, at(9)).map(|mark| mark.at), Ok(at(0)));
+        // A repeated mark keeps the time of the first one.
+        assert_eq!(registry.set_maintenance("a", false, at(9)).map(|mark| mark.set_at), Ok(at(3)));
+        assert_eq!(registry.set_maintenance("b", false, at(9)).map(|mark| mark.set_at), Ok(at(0)));
     }
 
     #[test]
-    fn it_serves_with_a_server_that_is_not_out_alone() {
+    fn it_serves_only_with_an_endpoint_that_is_not_in_maintenance() {
         let mut registry = EndpointRegistry::new(&list("a"), MaintenanceMarks::default());
-        assert!(!registry.serves());
-        (registry.able, registry.list_settled) = (true, true);
-        assert!(registry.serves());
-        registry.mark("a", true, Micros(1)).expect("known");
-        assert!(!registry.serves());
+        assert!(!registry.is_serving());
+        (registry.accepting, registry.list_settled) = (true, true);
+        assert!(registry.is_serving());
+        registry.set_maintenance("a", true, Micros(1)).expect("known");
+        assert!(!registry.is_serving());
     }
 
     #[test]
-    fn marks_are_bounded() {
+    fn the_number_of_marks_is_limited() {
         let names: Vec<String> =
             (0..=MaintenanceMarks::MAX_ENTRIES).map(|number| format!("s{number}")).collect();
         let mut registry = EndpointRegistry::new(&list(&names.join(" ")), MaintenanceMarks::default());
-        let refused = names.iter().filter_map(|name| registry.mark(name, true, Micros(1)).err());
-        assert_eq!(refused.collect::<Vec<_>>(), [Refused::TooMany]);
+        let refused = names.iter().filter_map(|name| registry.set_maintenance(name, true, Micros(1)).err());
+        assert_eq!(refused.collect::<Vec<_>>(), [MarkError::TooMany]);
     }
 }
--- a/sidecar/src/eviction.rs
+++ b/sidecar/src/eviction.rs
@@ -1,49 +1,57 @@
-//! Which connection gives way to one that comes, where there is room for no more: a small table, without sockets or clock.
+//! Which client connection is closed for a new one when the limit is reached: a small priority table. Holds no
+//! sockets and reads no clock.
 use std::time::Duration;
 
-/// A connection with no request open.
+/// A client connection with no request open.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct IdleConnection {
-    /// It has had an answer before.
+    /// It has had an answer.
     pub answered_before: bool,
-    /// A request has begun to come on it.
+    /// Part of a request has arrived.
     pub request_started: bool,
-    /// Since its last byte, or since it came.
+    /// How long ago its last byte arrived, or the connection itself if there was none.
     pub silent_for: Duration,
-    /// How many connections its address has.
+    /// The number of connections from its address.
     pub same_source: usize,
 }
 
-/// How long one that has sent nothing yet is left alone, however many others wait.
-const YOUTH: Duration = Duration::from_millis(100);
-/// How long one that has begun may pause before it counts as one that has stopped half way. A request may take seconds to
-/// come, in pieces.
-const PAUSES: Duration = Duration::from_millis(700);
+/// How long a connection that has sent nothing yet is not evicted, however many others wait.
+const NEW_CONNECTION_TIME: Duration = Duration::from_millis(100);
+/// How long a client may pause within a request before it counts as stalled. A request may take seconds to arrive, in
+/// pieces.
+const STALLED_AFTER: Duration = Duration::from_millis(700);
 
-/// Who goes first. Of one row those go whose address has the most connections, and of these the longest silent.
-const ROWS: [fn(&IdleConnection) -> bool; 4] = [
-    // Never answered, and says nothing or has stopped half way.
-    |one| !one.answered_before && one.silent_for >= if one.request_started { PAUSES } else { YOUTH },
-    // Answered before, and nothing is asked on it.
-    |one| one.answered_before && !one.request_started,
-    // Answered before, and has stopped half way.
-    |one| one.answered_before && one.silent_for >= PAUSES,
-    // Still sending: only where nobody else is left.
-    |one| one.request_started && one.silent_for >= YOUTH,
+/// The order of eviction. Within a row, connections of the address with the most connections go first, and of these
+/// the one silent for longest.
+const EVICTION_ORDER: [fn(&IdleConnection) -> bool; 4] = [
+    // Never answered, and silent or stalled within a request.
+    |connection| {
+        !connection.answered_before
+            && connection.silent_for
+                >= if connection.request_started { STALLED_AFTER } else { NEW_CONNECTION_TIME }
+    },
+    // Answered before, and idle.
+    |connection| connection.answered_before && !connection.request_started,
+    // Answered before, and stalled within a request.
+    |connection| connection.answered_before && connection.silent_for >= STALLED_AFTER,
+    // Still sending a request: only if there is no other.
+    |connection| connection.request_started && connection.silent_for >= NEW_CONNECTION_TIME,
 ];
 
-/// The one that gives way, by its key. None where one that has just come will be due in a moment: guards against kept
-/// connections closed for a crowd that says nothing.
-pub fn next_to_evict<K: Copy>(holders: impl Iterator<Item = (K, IdleConnection)> + Clone) -> Option<K> {
-    let young = holders
-        .clone()
-        .any(|(_, one)| !one.answered_before && !one.request_started && one.silent_for < YOUTH);
-    let ranked = holders.filter_map(|(key, one)| {
-        let row = ROWS.iter().position(|row| row(&one))?;
-        Some((key, (std::cmp::Reverse(row), one.same_source, one.silent_for)))
+/// The key of the connection to close. None if a new connection that stays silent will be due in a moment, so that a
+/// crowd of silent connections does not close those that are kept for known clients.
+pub fn next_to_evict<K: Copy>(connections: impl Iterator<Item = (K, IdleConnection)> + Clone) -> Option<K> {
+    let any_new = connections.clone().any(|(_, connection)| {
+        !connection.answered_before
+            && !connection.request_started
+            && connection.silent_for < NEW_CONNECTION_TIME
+    });
+    let ranked = connections.filter_map(|(key, connection)| {
+        let row = EVICTION_ORDER.iter().position(|row| row(&connection))?;
+        Some((key, (std::cmp::Reverse(row), connection.same_source, connection.silent_for)))
     });
     let first = ranked.max_by_key(|(_, rank)| *rank);
-    first.filter(|(_, (row, ..))| row.0 == 0 || !young).map(|(key, _)| key)
+    first.filter(|(_, (row, ..))| row.0 == 0 || !any_new).map(|(key, _)| key)
 }
 
 #[cfg(test)]
@@ -51,7 +59,7 @@
     use super::*;
 
     #[test]
-    fn silent_strangers_go_first_and_who_is_sending_last() {
+    fn silent_new_clients_are_evicted_first_and_sending_ones_last() {
         let one = |answered_before, request_started, silent_ms, same_source| IdleConnection {
             answered_before,
             request_started,
@@ -73,9 +81,10 @@
             assert_eq!(next_to_evict(left.iter().copied()), Some(wanted));
             left.retain(|(key, _)| *key != wanted);
         }
-        // Who has only just come, or sent, is left alone; and who was answered goes after those who will be due.
-        let young =
+        // New connections and those that have just sent are kept, and answered ones go after those that will soon
+        // be due.
+        let new_clients =
             [(0, one(false, false, 50, 9)), (1, one(false, true, 50, 9)), (2, one(true, false, 900, 1))];
-        assert_eq!(next_to_evict(young.into_iter()), None);
+        assert_eq!(next_to_evict(new_clients.into_iter()), None);
     }
 }
--- a/sidecar/src/generations.rs
+++ b/sidecar/src/generations.rs
@@ -1,86 +1,97 @@
-//! Workloads numbered once and for all, through all the settings that a sidecar is told: an open call keeps the rules that
-//! it began with by its number. No sockets, no clock.
+//! Workload ids that stay the same through every change of settings: an open request keeps, by its workload id, the
+//! rules under which it began. Holds no sockets and reads no clock.
 use fnv::FnvHashMap;
 use oakhollow::types::*;
 
-/// A workload's number, and that of its twin for calls whose body is not kept: nothing of those may be sent twice.
+/// The two ids of a workload: for requests whose body is buffered, and for those whose body is streamed. A streamed
+/// request may never be sent twice.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct WorkloadIds {
     pub buffered: WorkloadId,
     pub streamed: WorkloadId,
 }
 
-/// What a call that began under a workload as it was may still do, where it allows what is now forbidden.
+/// What a request may still do that began under an earlier version of its workload, where that allowed more than the
+/// current one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Left {
-    FirstHops,
-    Nothing,
+pub enum Restriction {
+    /// Only first attempts may be sent.
+    FirstAttemptOnly,
+    /// No attempt may be sent.
+    NoAttempts,
 }
 
-impl Left {
-    /// None if what was allowed then is allowed now; `now` is the workload of that name, if it is offered still.
-    fn of(then: Idempotency, now: Option<Idempotency>) -> Option<Left> {
+impl Restriction {
+    /// The restriction on requests of a workload that was of kind `then`; none if everything that was allowed is
+    /// still allowed. `now` is the kind of the workload with the same name, if there still is one.
+    fn between(then: Idempotency, now: Option<Idempotency>) -> Option<Restriction> {
         match (then, now) {
-            (_, None) => Some(Left::Nothing),
+            (_, None) => Some(Restriction::NoAttempts),
             (Idempotency::NonIdempotent, _) | (_, Some(Idempotency::Idempotent)) => None,
             (then, Some(now)) if then == now => None,
-            // Repeats in another group, or after a shorter memory, may be told for no repeat.
-            _ => Some(Left::FirstHops),
+            // With another group or a shorter memory, servers may not recognise a repeat as one.
+            _ => Some(Restriction::FirstAttemptOnly),
         }
     }
 }
 
-/// A workload by name and kind, numbered once and for all.
+/// The id of a workload's name and kind; it never changes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Default, Debug)]
 pub struct ClassId(usize);
 
-/// All names that were ever offered, with their kinds.
+/// All pairs of workload name and kind that the settings have ever had.
 #[derive(Default)]
 pub struct Classes(Vec<(String, Idempotency)>);
 
 impl Classes {
-    /// The numbers of what is offered from now on, in order, and what is left to calls of all others.
-    pub fn take(&mut self, offered: &[(String, Idempotency)]) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
-        let new = offered.iter().filter(|one| !self.0.contains(one)).cloned().collect::<Vec<_>>();
-        self.0.extend(new);
-        let number = |one| ClassId(self.0.iter().position(|other| other == one).unwrap_or_default());
-        let numbers = offered.iter().map(number).collect();
+    /// Takes the workloads of new settings. Returns their ids, in order, and the restrictions on open requests of all
+    /// others.
+    pub fn update(
+        &mut self, offered: &[(String, Idempotency)],
+    ) -> (Vec<ClassId>, FnvHashMap<ClassId, Restriction>) {
+        let added = offered.iter().filter(|workload| !self.0.contains(workload)).cloned().collect::<Vec<_>>();
+        self.0.extend(added);
+        let id = |workload| ClassId(self.0.iter().position(|other| other == workload).unwrap_or_default());
+        let ids = offered.iter().map(id).collect();
         let now = |name: &String| offered.iter().find(|(other, _)| other == name).map(|(_, kind)| *kind);
-        let all = self.0.iter().enumerate();
-        let left = all.filter_map(|(at, (name, kind))| Some((ClassId(at), Left::of(*kind, now(name))?)));
-        (numbers, left.collect())
+        let every = self.0.iter().enumerate();
+        let restrictions = every
+            .filter_map(|(at, (name, kind))| Some((ClassId(at), Restriction::between(*kind, now(name))?)));
+        (ids, restrictions.collect())
     }
 }
 
-/// All that was ever offered. One record for each different workload of a file: as many as a person writes.
+/// All workloads that the settings have ever had. They grow only by what an operator writes, so none is ever removed.
 #[derive(Default)]
 pub struct Generations(Vec<Workload>);
 
 impl Generations {
-    /// Takes what holds from now on: the same terms with all workloads in them by number, and the numbers of those that
-    /// are offered, in their order.
-    pub fn take(&mut self, terms: BalancerConfig) -> (BalancerConfig, Vec<WorkloadIds>) {
-        let mut number = |workload: Workload| {
+    /// Takes new settings. Returns them with every workload there ever was, indexed by id, and the ids of their own
+    /// workloads, in order.
+    pub fn update(&mut self, terms: BalancerConfig) -> (BalancerConfig, Vec<WorkloadIds>) {
+        let mut id_of = |workload: Workload| {
             let known = self.0.iter().position(|other| *other == workload);
             WorkloadId(known.unwrap_or_else(|| {
                 self.0.push(workload);
                 self.0.len() - 1
             }))
         };
-        let numbers: Vec<WorkloadIds> = terms
+        let ids: Vec<WorkloadIds> = terms
             .workloads
             .iter()
             .map(|workload| WorkloadIds {
-                buffered: number(workload.clone()),
-                streamed: number(Workload { idempotency: Idempotency::NonIdempotent, ..workload.clone() }),
+                buffered: id_of(workload.clone()),
+                streamed: id_of(Workload { idempotency: Idempotency::NonIdempotent, ..workload.clone() }),
             })
             .collect();
-        let offered = |at| numbers.iter().any(|one| one.buffered.0 == at || one.streamed.0 == at);
-        // What is not offered any more must not count among the dearest.
+        let offered = |at| ids.iter().any(|ids| ids.buffered.0 == at || ids.streamed.0 == at);
+        // A dropped workload must not raise the highest payoff.
         let payoff = |at, workload: &Workload| if offered(at) { workload.payoff } else { 0.0 };
-        let all = self.0.iter().enumerate();
-        let workloads = all.map(|(at, one)| Workload { payoff: payoff(at, one), ..one.clone() }).collect();
-        (BalancerConfig { workloads, ..terms }, numbers)
+        let every = self.0.iter().enumerate();
+        let workloads = every
+            .map(|(at, workload)| Workload { payoff: payoff(at, workload), ..workload.clone() })
+            .collect();
+        (BalancerConfig { workloads, ..terms }, ids)
     }
 }
 
@@ -104,7 +115,7 @@
     }
 
     #[test]
-    fn open_calls_keep_what_is_not_forbidden_by_now() {
+    fn open_requests_keep_what_is_still_allowed() {
         let (view, tagged) = (Idempotency::Idempotent, |ms| Idempotency::ByKey {
             scope: DedupScope::Cell,
             window: Micros::millis(ms),
@@ -113,35 +124,42 @@
             all.iter().map(|(name, kind)| (name.to_string(), *kind)).collect::<Vec<_>>()
         };
         let mut classes = Classes::default();
-        let (first, left) =
-            classes.take(&named(&[("view", view), ("save", tagged(5)), ("pay", Idempotency::NonIdempotent)]));
-        assert!(left.is_empty());
-        let (second, left) =
-            classes.take(&named(&[("view", Idempotency::NonIdempotent), ("save", tagged(4))]));
-        let of = |class| left.get(&class).copied();
+        let (first, restrictions) = classes.update(&named(&[
+            ("view", view),
+            ("save", tagged(5)),
+            ("pay", Idempotency::NonIdempotent),
+        ]));
+        assert!(restrictions.is_empty());
+        let (second, restrictions) =
+            classes.update(&named(&[("view", Idempotency::NonIdempotent), ("save", tagged(4))]));
+        let of = |class| restrictions.get(&class).copied();
         assert_eq!(
             first.iter().map(|class| of(*class)).collect::<Vec<_>>(),
-            [Some(Left::FirstHops), Some(Left::FirstHops), Some(Left::Nothing)]
+            [
+                Some(Restriction::FirstAttemptOnly),
+                Some(Restriction::FirstAttemptOnly),
+                Some(Restriction::NoAttempts)
+            ]
         );
         assert!(second.iter().all(|class| of(*class).is_none()));
-        assert_eq!(classes.take(&named(&[("view", view), ("save", view), ("pay", view)])).1.len(), 0);
+        assert_eq!(classes.update(&named(&[("view", view), ("save", view), ("pay", view)])).1.len(), 0);
     }
 
     #[test]
-    fn what_is_the_same_keeps_its_number_and_what_is_dropped_keeps_its_rules() {
+    fn an_unchanged_workload_keeps_its_id_and_a_dropped_one_its_rules() {
         let mut generations = Generations::default();
-        let (_, first) = generations.take(terms(&[("read_like", 1.0), ("read_like", 9.0)]));
-        let (all, second) = generations.take(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
+        let (_, first) = generations.update(terms(&[("read_like", 1.0), ("read_like", 9.0)]));
+        let (all, second) = generations.update(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
         assert_eq!(second[1], first[0]);
-        // A call of the dropped one is still what it was, and counts for nothing.
+        // A request of the dropped workload keeps its kind, and has no payoff.
         let dropped = &all.workloads[first[1].buffered.0];
         assert_eq!((dropped.idempotency, dropped.payoff), (Idempotency::Idempotent, 0.0));
         assert_eq!(all.workloads[second[0].buffered.0].idempotency, Idempotency::NonIdempotent);
         assert!(second
             .iter()
             .all(|one| all.workloads[one.streamed.0].idempotency == Idempotency::NonIdempotent));
-        // Back again, it has the number it had.
-        let (all, third) = generations.take(terms(&[("read_like", 9.0)]));
+        // A workload that returns gets its former id.
+        let (all, third) = generations.update(terms(&[("read_like", 9.0)]));
         assert_eq!((third[0], all.workloads[third[0].buffered.0].payoff), (first[1], 9.0));
     }
 }
