--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -1,12 +1,13 @@
-//! Two processes of one sidecar while one replaces the other. A local socket in the sidecar's folder carries one line from
-//! the old to the new, a snapshot, and then each side's marks, a line each; its end means that the other is gone.
-use crate::endpoint_registry::{lock, Mark, SharedRegistry};
+//! The handover from one process of a sidecar to the next. On a Unix socket in the sidecar's folder the old process
+//! sends a snapshot as one line; then each side sends its maintenance marks, a line each. The end of the connection
+//! means that the other process has ended.
+use crate::endpoint_registry::{lock, MaintenanceMark, SharedRegistry};
 use crate::limits::SharedLimit;
-use crate::lines::{line, say, within};
+use crate::lines::{read_line, within, write_line};
 use crate::maintenance_store::MaintenanceStore;
 use crate::timers::Clock;
 use crate::uninterrupted::Uninterrupted;
-use crate::workers::{CommandBroadcaster, Shared, WorkerCommand};
+use crate::workers::{CommandBroadcaster, Sharing, WorkerCommand};
 use async_channel::{bounded, Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -20,233 +21,246 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long a process that comes waits for the one before it.
-const WITHIN: Duration = Duration::from_millis(300);
-/// Lines that may wait for a peer that does not read: each server's mark once.
-const MOST_WAITING: usize = MaintenanceMarks::MAX_ENTRIES;
-/// The longest line that is taken: a list of many thousands.
-const MOST_LINE: u64 = 16 * 1024 * 1024;
-/// How long until a socket that could not be made is tried again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// How long a new process waits for the snapshot of its predecessor.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Lines that may wait for a peer that does not read: one mark for each endpoint that may be marked.
+const MAX_QUEUED_LINES: usize = MaintenanceMarks::MAX_ENTRIES;
+/// The longest line accepted: enough for a list of many thousands of endpoints.
+const MAX_LINE_BYTES: u64 = 16 * 1024 * 1024;
+/// The delay before a failed bind or accept is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 type Incoming = BufReader<ReadHalf<Uninterrupted<Async<UnixStream>>>>;
-/// The way to one other process, and what is to be said to it.
+/// The queue to another process, and its receiving end.
 type Link = (Sender<HandoverMessage>, Receiver<HandoverMessage>);
 type Outgoing = WriteHalf<Uninterrupted<Async<UnixStream>>>;
 
-/// The way to other processes of this sidecar, if there are any.
+/// The links to other processes of this sidecar, if there are any.
 #[derive(Clone, Default)]
 pub struct HandoverLinks(Arc<Mutex<Vec<Sender<HandoverMessage>>>>);
 
 impl HandoverLinks {
-    fn links(&self) -> std::sync::MutexGuard<'_, Vec<Sender<HandoverMessage>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Sender<HandoverMessage>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A new one, which is told all that is said from now on.
-    fn link(&self) -> Link {
-        let (link, lines) = bounded(MOST_WAITING);
-        self.links().push(link.clone());
+    /// Adds a link; it receives every line sent from now on.
+    fn open(&self) -> Link {
+        let (link, lines) = bounded(MAX_QUEUED_LINES);
+        self.lock().push(link.clone());
         (link, lines)
     }
 
-    /// Tells a mark to all but the one that told it.
-    pub fn tell(&self, mark: &Mark, from: Option<&Sender<HandoverMessage>>) {
-        let Mark { name, out, at } = mark.clone();
-        self.say(
+    /// Sends a mark to all other processes but the one that it came from.
+    pub fn send_mark(&self, mark: &MaintenanceMark, from: Option<&Sender<HandoverMessage>>) {
+        let MaintenanceMark { name, in_maintenance, set_at } = mark.clone();
+        self.send(
             HandoverMessage::MaintenanceChange(MaintenanceChange {
                 name,
-                in_maintenance: out,
-                set_at_us: at.0,
+                in_maintenance,
+                set_at_us: set_at.0,
             }),
             from,
         );
     }
 
-    /// This process takes nobody in any more.
-    pub fn part(&self) {
-        self.say(HandoverMessage::StoppedAccepting, None);
+    /// Tells the other processes that this one stops accepting.
+    pub fn announce_stop(&self) {
+        self.send(HandoverMessage::StoppedAccepting, None);
     }
 
-    fn say(&self, line: HandoverMessage, from: Option<&Sender<HandoverMessage>>) {
-        let links = self.links();
+    fn send(&self, line: HandoverMessage, from: Option<&Sender<HandoverMessage>>) {
+        let links = self.lock();
         let others = links.iter().filter(|link| !from.is_some_and(|from| link.same_channel(from)));
         others.for_each(|link| _ = link.try_send(line.clone()));
     }
 
+    /// Whether there is another process.
     pub fn any(&self) -> bool {
-        !self.links().is_empty()
+        !self.lock().is_empty()
     }
 }
 
-/// The process before this one, and what it told.
+/// The predecessor: its snapshot, and the connection to it.
 pub struct Predecessor {
+    /// Its maintenance marks.
     pub marks: MaintenanceMarks,
-    pub rest: HandoverState,
+    /// The rest of its snapshot.
+    pub state: HandoverState,
     reads: Incoming,
     writes: Outgoing,
 }
 
-/// Asks the process before this one for its snapshot. None if there is none, or nothing that can be used: a start never
-/// hangs on it.
-pub async fn greet(store: &MaintenanceStore, log: &Logger) -> Option<Predecessor> {
-    let path = store.socket();
+/// Gets the snapshot of the predecessor. None if there is no such process or its snapshot can't be used in time:
+/// a start never blocks on it.
+pub async fn fetch_snapshot(store: &MaintenanceStore, log: &Logger) -> Option<Predecessor> {
+    let path = store.socket_path();
     if !path.exists() {
         return None;
     }
-    let greeted = async {
-        let stream = Async::<UnixStream>::connect(&path).await.map_err(|fault| fault.to_string())?;
+    let fetched = async {
+        let stream = Async::<UnixStream>::connect(&path).await.map_err(|error| error.to_string())?;
         let (reads, writes) = io::split(Uninterrupted(stream));
         let mut reads = BufReader::new(reads);
-        let line = line(&mut reads, MOST_LINE).await.ok_or("it said nothing")?;
-        let (marks, rest) = store.read(line.as_bytes())?;
-        Ok(Predecessor { marks, rest, reads, writes })
+        let line = read_line(&mut reads, MAX_LINE_BYTES).await.ok_or("it sent nothing")?;
+        let (marks, state) = store.parse(line.as_bytes())?;
+        Ok(Predecessor { marks, state, reads, writes })
     };
     let late = async {
-        Timer::after(WITHIN).await;
-        Err("it said nothing in time".to_string())
+        Timer::after(SNAPSHOT_TIMEOUT).await;
+        Err("it sent nothing in time".to_string())
     };
-    match future::or(greeted, late).await {
+    match future::or(fetched, late).await {
         Ok(predecessor) => Some(predecessor),
-        Err(fault) => {
-            warn!(log, "no snapshot from the process before: {}", fault);
+        Err(error) => {
+            warn!(log, "no snapshot from the predecessor: {}", error);
             None
         }
     }
 }
 
-/// What the links of one process work on.
-pub struct Linking {
-    pub peers: HandoverLinks,
+/// The parts of the process that the handover uses.
+pub struct HandoverTask {
+    pub links: HandoverLinks,
     pub registry: SharedRegistry,
-    pub orders: CommandBroadcaster,
+    pub commands: CommandBroadcaster,
     pub store: Arc<MaintenanceStore>,
-    pub bounds: [SharedLimit; 2],
+    pub connection_limits: [SharedLimit; 2],
     pub clock: Clock,
     pub log: Logger,
 }
 
-impl Linking {
-    /// Follows the process before this one, if there is one, and waits for those that come after.
-    pub async fn run(self, before: Option<Predecessor>) {
-        let follow = async {
-            if let Some(Predecessor { reads, writes, .. }) = before {
-                self.link(reads, writes, self.peers.link(), Shared::WithPredecessor).await;
+impl HandoverTask {
+    /// Follows the predecessor, if there is one, and waits for successors.
+    pub async fn run(self, predecessor: Option<Predecessor>) {
+        let follow_predecessor = async {
+            if let Some(Predecessor { reads, writes, .. }) = predecessor {
+                self.exchange_lines(reads, writes, self.links.open(), Sharing::WithPredecessor).await;
             }
             future::pending::<()>().await
         };
-        future::or(follow, self.welcome()).await;
+        future::or(follow_predecessor, self.accept_successors()).await;
     }
 
-    async fn welcome(&self) {
+    /// Sends each successor a snapshot, and then exchanges lines with it.
+    async fn accept_successors(&self) {
         let mut failing = false;
         loop {
-            // Anew after each: whoever came has put its own socket there, and may be gone without a yes.
-            let path = self.store.socket();
+            // Bound again for each successor: the last one has put its own socket at this path, and may have
+            // ended without serving.
+            let path = self.store.socket_path();
             let _ = std::fs::remove_file(&path);
             let listener = match Async::<UnixListener>::bind(&path) {
                 Ok(listener) => listener,
-                Err(fault) => {
+                Err(error) => {
                     if !std::mem::replace(&mut failing, true) {
-                        warn!(self.log, "nobody can take over, trying on: {}: {}", path.display(), fault);
+                        warn!(self.log, "no handover possible, retrying: {}: {}", path.display(), error);
                     }
-                    Timer::after(PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                     continue;
                 }
             };
             failing = false;
             let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(PAUSE).await;
+                Timer::after(RETRY_DELAY).await;
                 continue;
             };
             drop(listener);
             let (reads, mut writes) = io::split(Uninterrupted(stream));
-            let taught = self.taught().await;
+            let learned = self.learned().await;
             let (marks, list, link) = self.snapshot();
-            let snapshot = self.store.word(&marks, HandoverState { list: Some(list), learned: taught });
-            if say(&mut writes, &snapshot).await {
-                self.link(BufReader::new(reads), writes, link, Shared::WithSuccessor).await;
+            let snapshot = self.store.serialize(&marks, HandoverState { list: Some(list), learned });
+            if write_line(&mut writes, &snapshot).await {
+                self.exchange_lines(BufReader::new(reads), writes, link, Sharing::WithSuccessor).await;
             } else {
-                self.unlink(&link.0);
+                self.close(&link.0);
             }
         }
     }
 
-    /// What holds now, and a link that is told all that changes from now on: both under one lock, so that no mark falls
-    /// between the two.
+    /// The current state, and a link that receives every change from now on. Both are taken under one lock, so that
+    /// no mark is lost between the two.
     fn snapshot(&self) -> (MaintenanceMarks, DiscoveryList, Link) {
         let registry = lock(&self.registry);
-        (registry.marks().clone(), registry.list(), self.peers.link())
+        (registry.marks().clone(), registry.list(), self.links.open())
     }
 
-    fn unlink(&self, link: &Sender<HandoverMessage>) {
-        self.peers.links().retain(|other| !other.same_channel(link));
+    /// Removes a link.
+    fn close(&self, link: &Sender<HandoverMessage>) {
+        self.links.lock().retain(|other| !other.same_channel(link));
     }
 
-    /// Shares with another process until that is gone.
-    async fn link(&self, mut reads: Incoming, mut writes: Outgoing, (link, lines): Link, with: Shared) {
-        self.share(with).await;
-        let heard = async {
-            while let Some(line) = line(&mut reads, MOST_LINE).await {
+    /// Shares limits and marks with another process until that ends.
+    async fn exchange_lines(
+        &self, mut reads: Incoming, mut writes: Outgoing, (link, lines): Link, sharing: Sharing,
+    ) {
+        self.set_sharing(sharing).await;
+        let received = async {
+            while let Some(line) = read_line(&mut reads, MAX_LINE_BYTES).await {
                 match read_json(line.trim().as_bytes()) {
-                    // Made a moment ago: guards against a time by the other process's clock.
+                    // Uses this process's clock: the mark was set a moment ago, and the other clock may differ.
                     Ok(HandoverMessage::MaintenanceChange(MaintenanceChange {
                         name,
-                        in_maintenance: out,
+                        in_maintenance,
                         ..
                     })) => {
-                        self.mark(Mark { name, out, at: self.clock.now() }, &link).await;
+                        self.apply_mark(
+                            MaintenanceMark { name, in_maintenance, set_at: self.clock.now() },
+                            &link,
+                        )
+                        .await;
                     }
-                    // What it still has ends with each answer: guards against doing with half for seconds.
+                    // The other process closes its connections answer by answer; waiting for its end would leave this
+                    // one with half of the limits for seconds.
                     Ok(HandoverMessage::StoppedAccepting) => {
-                        info!(self.log, "the other process takes nobody in any more");
-                        self.orders.send(WorkerCommand::SetSharing(Shared::Alone)).await;
-                    }
-                    Err(fault) => {
-                        return warn!(self.log, "the other process said what makes no sense: {}", fault)
+                        info!(self.log, "the other process has stopped accepting");
+                        self.commands.send(WorkerCommand::SetSharing(Sharing::Alone)).await;
                     }
+                    Err(error) => return warn!(self.log, "malformed line from the other process: {}", error),
                 }
             }
         };
-        let said = async {
+        let sent = async {
             while let Ok(line) = lines.recv().await {
-                if !say(&mut writes, &line.to_json()).await {
+                if !write_line(&mut writes, &line.to_json()).await {
                     return;
                 }
             }
         };
-        future::or(heard, said).await;
-        self.unlink(&link);
-        self.share(Shared::Alone).await;
+        future::or(received, sent).await;
+        self.close(&link);
+        self.set_sharing(Sharing::Alone).await;
     }
 
-    /// What a worker's module has learnt; all of them see about the same.
-    async fn taught(&self) -> LearnedHealth {
-        let (to, learnt) = bounded(1);
-        self.orders.send(WorkerCommand::ExportLearned(to)).await;
-        within(WITHIN / 3, async { learnt.recv().await.ok() }).await.unwrap_or_default()
+    /// What one worker's module has learned. Any worker will do, since all of them learn about the same.
+    async fn learned(&self) -> LearnedHealth {
+        let (to, learned) = bounded(1);
+        self.commands.send(WorkerCommand::ExportLearned(to)).await;
+        within(SNAPSHOT_TIMEOUT / 3, async { learned.recv().await.ok() }).await.unwrap_or_default()
     }
 
-    async fn share(&self, with: Shared) {
-        info!(self.log, "shares with another process: {:?}", with);
-        self.bounds.iter().for_each(|bound| bound.halve(with != Shared::Alone));
-        self.orders.send(WorkerCommand::SetSharing(with)).await;
+    /// Starts or stops sharing limits and budgets with another process.
+    async fn set_sharing(&self, sharing: Sharing) {
+        info!(self.log, "shares with another process: {:?}", sharing);
+        self.connection_limits.iter().for_each(|limit| limit.halve(sharing != Sharing::Alone));
+        self.commands.send(WorkerCommand::SetSharing(sharing)).await;
     }
 
-    async fn mark(&self, mark: Mark, from: &Sender<HandoverMessage>) {
+    /// Applies a mark that was set at another process.
+    async fn apply_mark(&self, mark: MaintenanceMark, from: &Sender<HandoverMessage>) {
         {
             let mut registry = lock(&self.registry);
-            registry.set(&mark);
+            registry.apply_maintenance(&mark);
             self.store.submit(registry.marks().clone(), &self.log);
         }
         info!(
             self.log,
             "{} {} by hand, at the other process",
             mark.name,
-            if mark.out { "out" } else { "back" }
+            if mark.in_maintenance { "out" } else { "back" }
         );
-        self.peers.tell(&mark, Some(from));
-        self.orders.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
+        self.links.send_mark(&mark, Some(from));
+        self.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 }
 
@@ -259,50 +273,53 @@
     use std::thread;
     use std::time::Instant;
 
-    /// What a process finds that comes where `says` is all that the one before has to say, and how long that takes.
-    fn greeted(name: &str, says: Option<&str>) -> (Option<MaintenanceMarks>, Duration) {
+    /// The marks that a new process gets from a predecessor that sends only `says`, and how long that takes.
+    fn fetch_from(name: &str, says: Option<&str>) -> (Option<MaintenanceMarks>, Duration) {
         let folder = std::env::temp_dir().join(format!("oakhollow-peers-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let store =
-            MaintenanceStore::at(&folder, "127.0.0.1:70".parse().expect("an address"), Clock::start());
-        let listener = std::os::unix::net::UnixListener::bind(store.socket()).expect("a socket");
-        let said = says.map(str::to_string);
-        // None: it dies and leaves its file behind.
-        let other = said.map(|said| {
+            MaintenanceStore::in_folder(&folder, "127.0.0.1:70".parse().expect("an address"), Clock::start());
+        let listener = std::os::unix::net::UnixListener::bind(store.socket_path()).expect("a socket");
+        let line = says.map(str::to_string);
+        // None: the predecessor has ended and left its socket file behind.
+        let other = line.map(|line| {
             thread::spawn(move || {
                 let (mut stream, _) = listener.accept().expect("somebody");
-                stream.write_all(said.as_bytes()).expect("said");
-                thread::sleep(Duration::from_millis(if said.ends_with('!') { 0 } else { 700 }));
+                stream.write_all(line.as_bytes()).expect("said");
+                thread::sleep(Duration::from_millis(if line.ends_with('!') { 0 } else { 700 }));
             })
         });
-        let begun = Instant::now();
-        let before = block_on(greet(&store, &Logger::root(Discard, o!())));
-        let took = begun.elapsed();
+        let start = Instant::now();
+        let predecessor = block_on(fetch_snapshot(&store, &Logger::root(Discard, o!())));
+        let elapsed = start.elapsed();
         other.map(thread::JoinHandle::join);
         let _ = std::fs::remove_dir_all(&folder);
-        (before.map(|before| before.marks), took)
+        (predecessor.map(|predecessor| predecessor.marks), elapsed)
     }
 
     #[test]
-    fn a_start_never_hangs_on_what_the_process_before_says() {
+    fn a_start_never_blocks_on_its_predecessor() {
         let mut marks = MaintenanceMarks::default();
         marks.set("s-1", true, oakhollow::types::Micros(1));
-        let whole =
+        let complete =
             marks.to_json("127.0.0.1:70".parse().expect("an address"), HandoverState::default(), None);
         let line = |text: &str| format!("{text}\n");
-        assert_eq!(greeted("whole", Some(&line(&whole))).0, Some(marks));
-        let odd = [
+        assert_eq!(fetch_from("whole", Some(&line(&complete))).0, Some(marks));
+        let unusable = [
             ("stale", None),
             ("silent", Some(String::new())),
-            ("half", Some(whole.clone())),
+            ("half", Some(complete.clone())),
             ("gone", Some("!".into())),
             ("noise", Some(line("no snapshot"))),
-            ("newer", Some(line(&whole.replace("\"version\":1", "\"version\":2")))),
-            ("foreign", Some(line(&whole.replace(":70", ":71")))),
+            ("newer", Some(line(&complete.replace("\"version\":1", "\"version\":2")))),
+            ("foreign", Some(line(&complete.replace(":70", ":71")))),
         ];
-        for (name, says) in odd {
-            let (before, took) = greeted(name, says.as_deref());
-            assert!(before.is_none() && took < Duration::from_millis(600), "{name}: {before:?}, {took:?}");
+        for (name, line_sent) in unusable {
+            let (predecessor, elapsed) = fetch_from(name, line_sent.as_deref());
+            assert!(
+                predecessor.is_none() && elapsed < Duration::from_millis(600),
+                "{name}: {predecessor:?}, {elapsed:?}"
+            );
         }
     }
 }
--- a/sidecar/src/host_clock.rs
+++ b/sidecar/src/host_clock.rs
@@ -1,13 +1,14 @@
-//! Times that outlive a process: by the monotonic clock of the host, which all processes since one boot share and nobody steps.
+//! Times that stay valid in the next process: by the host's monotonic clock, which all processes share until the next
+//! boot and which is never stepped.
 use crate::timers::Clock;
 use oakhollow_terms::HostClock;
 use rustix::time::{clock_gettime, ClockId};
 
-/// The kernel's name of the time since the host was started.
+/// The kernel's id of the current boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 const MICROS: i64 = 1_000_000;
 
-/// How `clock` stands to the host's monotonic clock. None where the kernel does not tell one boot from another.
+/// The offset of `clock` to the host's monotonic clock. None where the kernel has no boot id.
 pub fn host_clock(clock: Clock) -> Option<HostClock> {
     let boot = std::fs::read_to_string(BOOT_ID).ok()?.trim().to_string();
     let monotonic = clock_gettime(ClockId::Monotonic);
--- a/sidecar/src/lease.rs
+++ b/sidecar/src/lease.rs
@@ -1,48 +1,52 @@
-//! Until when this instance may act on what it keeps to, as all threads read it. Looked at before each decision is carried
-//! out, and once more before a hop's first byte: whoever wakes after a stop must not go on by what held before it.
+//! The time until which this instance may act on the agreed settings, shared by all threads. It is checked before
+//! each decision is executed and again before an attempt's first byte, because a process that was stopped for a
+//! while must not continue by settings that have since changed.
 use oakhollow::types::Micros;
 use oakhollow_terms::NoLeasePolicy;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
+/// The lease on the agreed settings, and what to do without one.
 #[derive(Clone)]
 pub struct Lease {
-    until: Arc<AtomicU64>,
-    /// None where instances don't agree on anything.
-    unsure: Option<NoLeasePolicy>,
+    valid_until: Arc<AtomicU64>,
+    /// What to do without a lease; none where instances do not agree on settings.
+    policy: Option<NoLeasePolicy>,
 }
 
 impl Lease {
-    /// One that never runs out.
-    pub fn off() -> Lease {
-        Lease { until: Arc::new(AtomicU64::new(Micros::NEVER.0)), unsure: None }
+    /// A lease that never expires, for instances that do not agree on settings.
+    pub fn unlimited() -> Lease {
+        Lease { valid_until: Arc::new(AtomicU64::new(Micros::NEVER.0)), policy: None }
     }
 
-    /// One that has yet to begin.
-    pub fn none(unsure: NoLeasePolicy) -> Lease {
-        Lease { until: Arc::default(), unsure: Some(unsure) }
+    /// A lease that has not begun yet.
+    pub fn not_yet_granted(policy: NoLeasePolicy) -> Lease {
+        Lease { valid_until: Arc::default(), policy: Some(policy) }
     }
 
     /// Whether instances agree on settings.
-    pub fn on(&self) -> bool {
-        self.unsure.is_some()
+    pub fn is_enabled(&self) -> bool {
+        self.policy.is_some()
     }
 
+    /// Sets the time until which the lease is valid.
     pub fn set(&self, until: Micros) {
-        self.until.store(until.0, Ordering::Release);
+        self.valid_until.store(until.0, Ordering::Release);
     }
 
-    fn until(&self) -> Micros {
-        Micros(self.until.load(Ordering::Acquire))
+    fn valid_until(&self) -> Micros {
+        Micros(self.valid_until.load(Ordering::Acquire))
     }
 
-    /// What to do without a lease, if there is none that lives. The clock is asked only where there may be none.
-    pub fn lapsed(&self, now: impl FnOnce() -> Micros) -> Option<NoLeasePolicy> {
-        self.unsure.filter(|_| self.until() <= now())
+    /// What to do without a lease, if the lease has expired. The clock is read only where instances agree on
+    /// settings.
+    pub fn expired(&self, now: impl FnOnce() -> Micros) -> Option<NoLeasePolicy> {
+        self.policy.filter(|_| self.valid_until() <= now())
     }
 
-    /// Nothing at all may be sent on.
+    /// Whether no attempt may be sent at all.
     pub fn forbids_sending(&self, now: impl FnOnce() -> Micros) -> bool {
-        self.lapsed(now) == Some(NoLeasePolicy::Refuse)
+        self.expired(now) == Some(NoLeasePolicy::Refuse)
     }
 }
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -1,7 +1,7 @@
-//! The oakhollow sidecar on sockets. [`run`] is one sidecar from its start to its end; the program `oakhollow`
-//! only reads its file and calls it. The decisions are those of the crate `oakhollow`: one task ([`dispatcher`])
-//! owns them, and the protocol ([`http1`]) reaches it through a queue. The program's life is in [`lifecycle`]; calls are
-//! carried by [`workers`], each a thread of its own.
+//! The oakhollow sidecar on sockets. [`run`] runs one sidecar from start to exit; the program `oakhollow` only
+//! reads the configuration and calls it. The load-balancing decisions are those of the crate `oakhollow`: in each
+//! worker one task ([`dispatcher`]) owns them, and the protocol ([`http1`]) reaches it through a queue.
+//! [`lifecycle`] runs the process as a whole; the requests are carried by [`workers`], one thread each.
 pub mod accord;
 pub mod console;
 pub mod dispatcher;
@@ -34,4 +34,4 @@
 pub mod uninterrupted;
 pub mod workers;
 
-pub use lifecycle::{run, signals, Word};
+pub use lifecycle::{run, signals, ControlCommand};
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -1,8 +1,8 @@
-//! The program's life from start to exit, as named phases of one object.
+//! The lifecycle of the process, from start to exit, as a state machine of named phases.
 use crate::accord::{self, AccordHandle};
 use crate::console::{self, Console};
 use crate::endpoint_registry::{lock, EndpointRegistry, SharedRegistry};
-use crate::handover::{self, HandoverLinks, Linking, Predecessor};
+use crate::handover::{self, HandoverLinks, HandoverTask, Predecessor};
 use crate::http1::watch::{self, Reload, Watch};
 use crate::lease::Lease;
 use crate::limits::SharedLimit;
@@ -12,7 +12,9 @@
 use crate::metrics::Metrics;
 use crate::tasks::Tasks;
 use crate::timers::{duration, Clock};
-use crate::workers::{carry, panic_kept, CommandBroadcaster, Kit, WorkerCommand, WorkerFailure, WorkerPool};
+use crate::workers::{
+    run_worker, take_last_panic, CommandBroadcaster, WorkerCommand, WorkerFailure, WorkerPool, WorkerSetup,
+};
 use async_channel::{bounded, Sender};
 use async_executor::LocalExecutor;
 use async_io::{block_on, Timer};
@@ -27,461 +29,542 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long new connections are still taken in after the word to stop: those who send clients here take a
-/// moment to notice.
-const NOTICE: Duration = Duration::from_millis(600);
-/// The platform's word on planned restarts: after the word to stop, the longest that a call may take, yet no more
-/// than this, and a moment besides pass before the program may be killed.
-const MOST_GRACE: Micros = Micros::millis(3_000);
-const GRACE_BESIDES: Micros = Micros::millis(700);
-/// How long before that moment the last answer is due.
-const MARGIN: Micros = Micros::millis(150);
-/// The part of the time before the program may be killed for which callers are served: alone, and while another process
-/// takes in those that come.
-const STAYS: f64 = 0.5;
-const STAYS_BESIDE: f64 = 0.65;
-/// How long discovery may take to tell the list while another process serves.
-const SETTLES: Duration = Duration::from_millis(2_000);
-/// How often it is looked whether all have left.
-const LOOK: Duration = Duration::from_millis(10);
-/// Descriptors that are neither a caller's connection nor a server's, the watch of the list among them, and those of each
-/// further worker. The console and the links of instances that agree have their own besides.
-const OWN_SOCKETS: usize = 24;
-const WORKER_SOCKETS: usize = 4;
-/// What one connection may take of the memory at worst: a head, a body and buffers. Copies of these are short-lived.
-const CONNECTION_KB: f64 = 96.0;
-/// The part of the memory that one line of the list may take: it is held as bytes, as text and as entries.
-const LINE_PART: f64 = 1.0 / 32.0;
+/// How long new connections are accepted after the stop signal: whatever sends clients here takes a moment to notice
+/// that `/ready` has changed.
+const UNREADY_NOTICE: Duration = Duration::from_millis(600);
+/// The platform's rule for planned restarts: after the stop signal the process lives for the longest time that a
+/// request may take, limited to `MAX_GRACE`, and `EXTRA_GRACE` more, before it may be killed.
+const MAX_GRACE: Micros = Micros::millis(3_000);
+const EXTRA_GRACE: Micros = Micros::millis(700);
+/// How long before the process may be killed the last answer is due.
+const LAST_ANSWER_MARGIN: Micros = Micros::millis(150);
+/// The share of the grace period for which clients are still served: alone, and while a successor accepts the new
+/// ones.
+const SERVING_SHARE: f64 = 0.5;
+const SERVING_SHARE_WITH_SUCCESSOR: f64 = 0.65;
+/// How long a start waits for the list from discovery and for a lease while the predecessor still serves.
+const TAKEOVER_WAIT: Duration = Duration::from_millis(2_000);
+/// How often a condition is polled, such as whether all connections are closed.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Descriptors reserved for anything but connections of clients and to endpoints, such as the watch of the list, and
+/// for each further worker. Those of the console and of the links between instances come on top.
+const RESERVED_DESCRIPTORS: usize = 24;
+const DESCRIPTORS_PER_WORKER: usize = 4;
+/// The memory that one connection may take at worst: a head, a body and buffers. Copies of these are short-lived.
+const CONNECTION_MEMORY_KB: f64 = 96.0;
+/// The share of the memory that one line of the list may take: it is held as bytes, as text and as entries.
+const LIST_LINE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
-    /// Bound, and nobody sent here yet.
+    /// Listening, and not accepting yet.
     Starting,
+    /// Accepting and serving clients.
     Serving,
-    /// Told to stop: `/ready` says no, whoever still comes or stays is served. Guards against a gap where another
-    /// sidecar leaves soon after: its callers may have nobody else.
+    /// After the stop signal: `/ready` says no, but clients that connect or stay are served. The clients of another
+    /// sidecar that leaves soon after may have no other to go to.
     Leaving,
-    /// Nobody new is taken in; what was taken is finished, each answer ends its connection.
+    /// No connection is accepted; open requests are finished, and each answer ends its connection.
     Finishing,
+    /// The process exits.
     Over,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Event {
+    /// The listeners are bound; during a handover, also the list is known and sending is allowed.
     Bound,
-    Told,
-    /// The file is to be read again.
-    Changed,
-    /// Those who send clients here have noticed, and half of the time before the program may be killed is gone.
-    Spent,
-    Empty,
-    Overdue,
-    /// A worker has ended unasked.
-    Lost,
+    /// The stop signal has come.
+    StopRequested,
+    /// The configuration file has changed.
+    FileChanged,
+    /// The time for which clients are still served after the stop signal is over.
+    ServingTimeOver,
+    /// No client connection is left.
+    ConnectionsClosed,
+    /// The longest that any request may take has passed.
+    TimeLimitReached,
+    /// A worker, or the main thread's own tasks, has failed.
+    WorkerFailed,
+}
+
+impl Event {
+    /// The event as the log has it.
+    fn log_name(self) -> &'static str {
+        match self {
+            Event::Bound => "Bound",
+            Event::StopRequested => "Told",
+            Event::FileChanged => "Changed",
+            Event::ServingTimeOver => "Spent",
+            Event::ConnectionsClosed => "Empty",
+            Event::TimeLimitReached => "Overdue",
+            Event::WorkerFailed => "Lost",
+        }
+    }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Action {
-    Open,
-    SayNo,
-    Reread,
-    Shut,
+    StartAccepting,
+    /// Reports not ready and, if there is a successor, stops accepting.
+    StartLeaving,
+    /// Reads the configuration file again.
+    Reload,
+    StopAccepting,
     Nothing,
 }
 
-/// What is not listed here changes nothing.
-const LIFE: &[(Phase, Event, Phase, Action)] = &[
-    (Phase::Starting, Event::Bound, Phase::Serving, Action::Open),
-    (Phase::Serving, Event::Told, Phase::Leaving, Action::SayNo),
-    (Phase::Serving, Event::Changed, Phase::Serving, Action::Reread),
-    (Phase::Leaving, Event::Changed, Phase::Leaving, Action::Reread),
-    (Phase::Leaving, Event::Spent, Phase::Finishing, Action::Shut),
-    (Phase::Finishing, Event::Empty, Phase::Over, Action::Nothing),
-    (Phase::Finishing, Event::Overdue, Phase::Over, Action::Nothing),
-    // Guards against a program that is half alive: whoever watches over it can only mend one that has ended.
-    (Phase::Serving, Event::Lost, Phase::Over, Action::Nothing),
-    (Phase::Leaving, Event::Lost, Phase::Over, Action::Nothing),
-    (Phase::Finishing, Event::Lost, Phase::Over, Action::Nothing),
+/// The transitions. A pair of phase and event that is not listed changes nothing.
+const TRANSITIONS: &[(Phase, Event, Phase, Action)] = &[
+    (Phase::Starting, Event::Bound, Phase::Serving, Action::StartAccepting),
+    (Phase::Serving, Event::StopRequested, Phase::Leaving, Action::StartLeaving),
+    (Phase::Serving, Event::FileChanged, Phase::Serving, Action::Reload),
+    (Phase::Leaving, Event::FileChanged, Phase::Leaving, Action::Reload),
+    (Phase::Leaving, Event::ServingTimeOver, Phase::Finishing, Action::StopAccepting),
+    (Phase::Finishing, Event::ConnectionsClosed, Phase::Over, Action::Nothing),
+    (Phase::Finishing, Event::TimeLimitReached, Phase::Over, Action::Nothing),
+    // A process that lost a worker ends: a supervisor can only restart one that has exited.
+    (Phase::Serving, Event::WorkerFailed, Phase::Over, Action::Nothing),
+    (Phase::Leaving, Event::WorkerFailed, Phase::Over, Action::Nothing),
+    (Phase::Finishing, Event::WorkerFailed, Phase::Over, Action::Nothing),
 ];
 
 /// One sidecar from its start to its end.
 struct Program {
     phase: Phase,
-    /// When the phase began.
-    since: Instant,
+    /// When the current phase began.
+    phase_since: Instant,
     log: Logger,
     tasks: Tasks,
-    crew: WorkerPool,
-    orders: CommandBroadcaster,
+    worker_pool: WorkerPool,
+    commands: CommandBroadcaster,
     clock: Clock,
-    /// The longest that any API call may take.
-    longest: Duration,
-    /// How long after the word to stop the program is sure to live.
+    /// The longest that any request may take.
+    longest_request: Duration,
+    /// How long the process may live after the stop signal.
     grace: Micros,
-    /// What the watch of the list is told once the file was read again.
+    /// Tells the watch of the list about a reloaded configuration.
     reloads: Sender<Reload>,
-    lost: Option<WorkerFailure>,
-    /// The keys of the file that holds.
-    shape: KeySet,
+    worker_failure: Option<WorkerFailure>,
+    /// The keys of the current configuration file.
+    keys: KeySet,
     registry: SharedRegistry,
-    peers: HandoverLinks,
-    /// How instances agree on settings, where they do.
+    handover_links: HandoverLinks,
+    /// The agreement of instances on settings, where it is configured.
     accord: Option<AccordHandle>,
-    /// Another process serves meanwhile.
-    takes_over: bool,
-    /// Another process serves from now on.
-    parts: bool,
+    /// The predecessor process still serves.
+    has_predecessor: bool,
+    /// A successor serves from now on.
+    has_successor: bool,
 }
 
-/// What a running sidecar may be told from outside.
+/// A command to the running sidecar from outside.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Word {
+pub enum ControlCommand {
+    /// Shuts down in order.
     Stop,
-    /// Its file has changed.
-    Reread,
+    /// Reads the configuration file again.
+    Reload,
 }
 
-/// The words that come as signals: SIGTERM and SIGINT to stop, SIGHUP to read the file again.
-pub fn signals() -> Result<impl Stream<Item = Word>> {
+/// The commands that arrive as signals: SIGTERM and SIGINT stop, SIGHUP reads the configuration file again.
+pub fn signals() -> Result<impl Stream<Item = ControlCommand>> {
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-    // An error of the stream is no signal; guards against spinning on one that lasts.
+    // An error of the stream is not a signal. The pause avoids a busy loop on one that persists.
     let signals = signals.then(|signal| async {
         if signal.is_err() {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         signal
     });
     Ok(signals.filter_map(Result::ok).map(|signal| match signal {
-        Signal::Hup => Word::Reread,
-        _ => Word::Stop,
+        Signal::Hup => ControlCommand::Reload,
+        _ => ControlCommand::Stop,
     }))
 }
 
-/// Runs one sidecar until `words` say stop, or end, and then as long as it takes to part in good order. `reread`
-/// gives what it is to be started with by now. A fault is one line.
+/// Runs one sidecar until `commands` say stop, or end, and then until it has shut down in order. `reload` reads the
+/// current configuration. An error is one line.
 pub fn run(
-    start: SidecarConfig, operator: OperatorConfig,
-    reread: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
-    words: impl Stream<Item = Word>,
+    config: SidecarConfig, operator: OperatorConfig,
+    reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
+    control: impl Stream<Item = ControlCommand>,
 ) -> std::result::Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     let tasks = Tasks::new(&executor);
     block_on(executor.run(async {
-        let (address, mut start) = (start.listen, start);
-        let (listeners, passed) = match passed_on(operator.workers) {
+        let (address, mut config) = (config.listen, config);
+        let (listeners, listener_passed) = match passed_on(operator.workers) {
             Some(listeners) => (listeners, true),
             None => (bind(address, operator.workers).await, false),
         };
-        let listeners = listeners.map_err(|fault| format!("listen: {address}: {fault}"))?;
-        let place = listeners[0].local_addr().map_err(|fault| format!("listen: {address}: {fault}"))?;
+        let listeners = listeners.map_err(|error| format!("listen: {address}: {error}"))?;
+        let local_address =
+            listeners[0].local_addr().map_err(|error| format!("listen: {address}: {error}"))?;
         let clock = Clock::start();
-        let store = MaintenanceStore::new(place, clock).map(Arc::new);
-        let before = match &store {
-            Some(store) if passed => handover::greet(store, &log).await,
+        let store = MaintenanceStore::new(local_address, clock).map(Arc::new);
+        let predecessor = match &store {
+            Some(store) if listener_passed => handover::fetch_snapshot(store, &log).await,
             _ => None,
         };
-        if let Some(list) = before.as_ref().and_then(|before| before.rest.list.clone()) {
-            start.known_list = list;
+        if let Some(list) = predecessor.as_ref().and_then(|predecessor| predecessor.state.list.clone()) {
+            config.known_list = list;
         }
-        let program =
-            Program::build(start, operator, log, tasks, (listeners, passed), (store, clock, before));
-        program?.live(reread, words).await
+        let program = Program::build(
+            config,
+            operator,
+            log,
+            tasks,
+            (listeners, listener_passed),
+            (store, clock, predecessor),
+        );
+        program?.run(reload_config, control).await
     }))
 }
 
-/// The longest that any API call may take.
-fn longest(place: &Settings) -> Micros {
-    place.workloads.iter().map(|workload| workload.max_client_wait).max().unwrap_or_default()
+/// The longest that any request may take.
+fn longest_request_time(settings: &Settings) -> Micros {
+    settings.workloads.iter().map(|workload| workload.max_client_wait).max().unwrap_or_default()
 }
 
-/// How long after the word to stop the program is sure to live.
-fn grace(longest: Micros) -> Micros {
-    longest.min(MOST_GRACE) + GRACE_BESIDES
+/// How long the process may live after the stop signal.
+fn grace_period(longest_request: Micros) -> Micros {
+    longest_request.min(MAX_GRACE) + EXTRA_GRACE
 }
 
-/// Says what a restart does to calls that may take longer than it.
-fn say_if_cut_short(log: &Logger, longest: Micros) {
-    let last = grace(longest) - MARGIN;
-    if longest > last {
-        let (longest, last) = (longest.0 / 1000, last.0 / 1000);
+/// Logs that a restart cuts requests short, if they may take longer than the grace period.
+fn log_if_requests_are_cut_short(log: &Logger, longest_request: Micros) {
+    let last_answer = grace_period(longest_request) - LAST_ANSWER_MARGIN;
+    if longest_request > last_answer {
+        let (longest_request, last_answer) = (longest_request.0 / 1000, last_answer.0 / 1000);
         info!(
             log,
-            "calls may take {} ms: one open at a restart has its answer {} ms after the word to stop at the latest",
-            longest,
-            last
+            "requests may take {} ms: one open at a restart is answered at most {} ms after the stop signal",
+            longest_request,
+            last_answer
         );
     }
 }
 
 impl Program {
     fn build(
-        start: SidecarConfig, operator: OperatorConfig, log: Logger, tasks: Tasks,
+        config: SidecarConfig, operator: OperatorConfig, log: Logger, tasks: Tasks,
         listeners: (Vec<TcpListener>, bool),
-        kept: (Option<Arc<MaintenanceStore>>, Clock, Option<Predecessor>),
+        state: (Option<Arc<MaintenanceStore>>, Clock, Option<Predecessor>),
     ) -> std::result::Result<Program, String> {
-        let failed = |fault: Error| format!("cannot start: {fault}");
-        let ((listeners, passed), (store, clock, before)) = (listeners, kept);
+        let failed = |error: Error| format!("cannot start: {error}");
+        let ((listeners, listener_passed), (store, clock, predecessor)) = (listeners, state);
         let lease = operator
             .accord
             .as_ref()
-            .map_or_else(Lease::off, |operated| Lease::none(operated.no_lease_policy));
-        let agrees = operator.accord.clone().map(|operated| (operated, start.clone()));
-        let SidecarConfig { settings: place, limits, known_list: known, .. } = start;
+            .map_or_else(Lease::unlimited, |accord| Lease::not_yet_granted(accord.no_lease_policy));
+        let accord_config = operator.accord.clone().map(|accord| (accord, config.clone()));
+        let SidecarConfig { settings, limits, known_list, .. } = config;
         let workers = operator.workers;
-        // Half of the connections are for callers: each call of theirs has mostly one hop out.
-        let by_memory = (limits.memory_mb * 0.75 * 1024.0 / CONNECTION_KB) as usize;
-        let consoles = start.console.map_or(0, |_| console::SOCKETS);
-        let links = operator.accord.as_ref().map_or(0, |operated| accord::sockets(operated, &start.name));
-        let own = OWN_SOCKETS + WORKER_SOCKETS * (workers - 1) + consoles + links;
+        // Half of the connections are for clients: most requests have one attempt running.
+        let by_memory = (limits.memory_mb * 0.75 * 1024.0 / CONNECTION_MEMORY_KB) as usize;
+        let console_descriptors = config.console.map_or(0, |_| console::DESCRIPTORS);
+        let accord_descriptors = operator
+            .accord
+            .as_ref()
+            .map_or(0, |accord_config| accord::descriptors_needed(accord_config, &config.name));
+        let reserved = RESERVED_DESCRIPTORS
+            + DESCRIPTORS_PER_WORKER * (workers - 1)
+            + console_descriptors
+            + accord_descriptors;
         let descriptors = limits.sockets.min(descriptors());
-        let most = descriptors.saturating_sub(own).min(by_memory) / 2;
-        if most == 0 {
+        let max_connections = descriptors.saturating_sub(reserved).min(by_memory) / 2;
+        if max_connections == 0 {
             return Err(format!(
-                "limits.sockets: of {descriptors}, {own} are kept back and none is left for calls"
+                "limits.sockets: of {descriptors}, {reserved} are reserved and none is left for requests"
             ));
         }
-        info!(log, "listening on {}", listeners[0].local_addr().map_err(failed)?; "tier" => &place.tier, "workers" => workers);
+        info!(log, "listening on {}", listeners[0].local_addr().map_err(failed)?; "tier" => &settings.tier, "workers" => workers);
         if descriptors < limits.sockets {
             info!(log, "the machine allows {} descriptors, under limits.sockets", descriptors);
         }
-        let (ask, asks) = bounded(1);
-        let (deadline, drain_grace) = (ListDeadline::none(), place.drain_grace);
-        let instances = place.balancer.instances;
+        let (subscribe, subscriptions) = bounded(1);
+        let (deadline, drain_grace) = (ListDeadline::none(), settings.drain_grace);
+        let instances = settings.balancer.instances;
         let (reload, reloads) = bounded(1);
-        let longest = longest(&place);
-        say_if_cut_short(&log, longest);
-        let told = known.index;
-        let marks = match (&before, &store) {
-            (Some(before), _) => before.marks.clone(),
+        let longest_request = longest_request_time(&settings);
+        log_if_requests_are_cut_short(&log, longest_request);
+        let known_index = known_list.index;
+        let marks = match (&predecessor, &store) {
+            (Some(predecessor), _) => predecessor.marks.clone(),
             (None, Some(store)) => store.load(&log)?,
             (None, None) => MaintenanceMarks::default(),
         };
-        let taught = before.as_ref().map(|before| before.rest.learned.clone()).unwrap_or_default();
-        let (peers, takes_over) = (HandoverLinks::default(), before.is_some());
-        let registry: SharedRegistry = Arc::new(Mutex::new(EndpointRegistry::new(&known, marks.clone())));
-        let known = Arc::new(known);
-        let bounds = [SharedLimit::new(most, workers), SharedLimit::new(most, workers)];
+        let learned =
+            predecessor.as_ref().map(|predecessor| predecessor.state.learned.clone()).unwrap_or_default();
+        let (handover_links, has_predecessor) = (HandoverLinks::default(), predecessor.is_some());
+        let registry: SharedRegistry =
+            Arc::new(Mutex::new(EndpointRegistry::new(&known_list, marks.clone())));
+        let known_list = Arc::new(known_list);
+        let connection_limits =
+            [SharedLimit::new(max_connections, workers), SharedLimit::new(max_connections, workers)];
         let metrics = Arc::new(Metrics::new());
-        let kit = Kit {
-            place,
-            seed: start.seed,
-            known: known.clone(),
+        let setup = WorkerSetup {
+            settings,
+            seed: config.seed,
+            known_list: known_list.clone(),
             marks,
-            taught,
+            learned,
             workers,
-            callers: bounds[0].clone(),
-            links: bounds[1].clone(),
+            client_limit: connection_limits[0].clone(),
+            server_limit: connection_limits[1].clone(),
             clock,
             log: log.clone(),
             lease: lease.clone(),
             list_deadline: deadline.clone(),
             metrics: metrics.clone(),
-            ask,
+            subscribe,
             ids: Arc::default(),
-            passed,
-            beside: takes_over,
+            listener_passed,
+            has_predecessor,
         };
         let listeners = Arc::new(Mutex::new(listeners));
-        let crew = WorkerPool::start(workers, move |hand| {
-            // Each worker takes one; none has been there before.
+        let worker_pool = WorkerPool::start(workers, move |context| {
+            // Each worker takes one listener.
             let listener = listeners.lock().ok().and_then(|mut listeners| listeners.pop());
-            carry(kit.clone(), hand, listener.ok_or(ErrorKind::AddrNotAvailable)?)
+            run_worker(setup.clone(), context, listener.ok_or(ErrorKind::AddrNotAvailable)?)
         })
         .map_err(failed)?;
-        let most_line = (limits.memory_mb * 1024.0 * 1024.0 * LINE_PART) as usize;
-        let orders = crew.commands();
-        let mut agreed = None;
-        if let Some((operated, start)) = agrees {
-            lock(&registry).sure = false;
-            let (orders, registry, log) = (orders.clone(), registry.clone(), log.clone());
-            let (store, peers) = (store.clone(), peers.clone());
-            let parts = accord::Parts { operated, lease, orders, registry, store, peers, clock, log };
-            let (accord, agreeing) = accord::begin(&start, known, parts)?;
-            tasks.spawn_detached(agreeing);
-            agreed = Some(accord);
+        let max_line_bytes = (limits.memory_mb * 1024.0 * 1024.0 * LIST_LINE_MEMORY_SHARE) as usize;
+        let commands = worker_pool.commands();
+        let mut accord_handle = None;
+        if let Some((accord_config, config)) = accord_config {
+            lock(&registry).lease_ok = false;
+            let (commands, registry, log) = (commands.clone(), registry.clone(), log.clone());
+            let (store, handover_links) = (store.clone(), handover_links.clone());
+            let parts = accord::Parts {
+                config: accord_config,
+                lease,
+                commands,
+                registry,
+                store,
+                handover_links,
+                clock,
+                log,
+            };
+            let (accord, agreement) = accord::start(&config, known_list, parts)?;
+            tasks.spawn_detached(agreement);
+            accord_handle = Some(accord);
         }
-        if let Some(at) = start.console {
-            let (registry, orders, peers) = (registry.clone(), orders.clone(), peers.clone());
-            let (store, accord) = (store.clone(), agreed.clone());
-            let (metrics, gauges) = (metrics.clone(), crew.gauges());
+        if let Some(at) = config.console {
+            let (registry, commands, handover_links) =
+                (registry.clone(), commands.clone(), handover_links.clone());
+            let (store, accord) = (store.clone(), accord_handle.clone());
+            let (metrics, gauges) = (metrics.clone(), worker_pool.gauges());
             let log = log.clone();
-            let console = Console { registry, orders, clock, log, store, peers, accord, metrics, gauges };
-            console.listen(at, passed).map_err(failed)?;
+            let console =
+                Console { registry, commands, clock, log, store, handover_links, accord, metrics, gauges };
+            console.listen(at, listener_passed).map_err(failed)?;
         }
-        if let Some(store) = store.filter(|_| passed) {
-            let (peers, registry, orders) = (peers.clone(), registry.clone(), orders.clone());
-            let linking = Linking { peers, registry, orders, store, bounds, clock, log: log.clone() };
-            tasks.spawn_detached(linking.run(before));
+        if let Some(store) = store.filter(|_| listener_passed) {
+            let (handover_links, registry, commands) =
+                (handover_links.clone(), registry.clone(), commands.clone());
+            let handover_task = HandoverTask {
+                links: handover_links,
+                registry,
+                commands,
+                store,
+                connection_limits,
+                clock,
+                log: log.clone(),
+            };
+            tasks.spawn_detached(handover_task.run(predecessor));
         }
         let watch = Watch::new(watch::Parts {
-            discovery: start.discovery,
-            known: told,
-            orders: orders.clone(),
+            discovery: config.discovery,
+            known: known_index,
+            orders: commands.clone(),
             registry: registry.clone(),
-            accord: agreed.clone(),
-            subscriptions: asks,
+            accord: accord_handle.clone(),
+            subscriptions,
             reloads,
             deadline,
             drain_grace,
             instances,
             clock,
             metrics,
-            // Guards against calls that are spread as something else is that this seed draws.
-            seed: !start.seed,
-            max_line_bytes: most_line,
+            // Inverted, so that list requests are not spread by the same draws as anything else that uses this seed.
+            seed: !config.seed,
+            max_line_bytes,
             log: log.clone(),
         });
         tasks.spawn_detached(watch.run());
         Ok(Program {
             phase: Phase::Starting,
-            since: Instant::now(),
-            crew,
-            orders,
+            phase_since: Instant::now(),
+            worker_pool,
+            commands,
             clock,
-            longest: duration(longest),
-            grace: grace(longest),
-            shape: start.keys,
+            longest_request: duration(longest_request),
+            grace: grace_period(longest_request),
+            keys: config.keys,
             reloads: reload,
-            lost: None,
+            worker_failure: None,
             registry,
-            peers,
-            accord: agreed,
-            takes_over,
-            parts: false,
+            handover_links,
+            accord: accord_handle,
+            has_predecessor,
+            has_successor: false,
             log,
             tasks,
         })
     }
 
-    async fn live(
-        mut self, reread: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
-        words: impl Stream<Item = Word>,
+    async fn run(
+        mut self, reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
+        control: impl Stream<Item = ControlCommand>,
     ) -> std::result::Result<(), String> {
-        // Held until the end: a word that is late by a phase is heard by nobody, and ends nothing.
-        let mut words = Box::pin(words);
+        // Held until the end, so that a late signal is ignored and does not kill the process.
+        let mut control = Box::pin(control);
         while self.phase != Phase::Over {
-            let word = async {
-                match words.next().await {
-                    Some(Word::Reread) => Event::Changed,
-                    Some(Word::Stop) | None => Event::Told,
+            let command = async {
+                match control.next().await {
+                    Some(ControlCommand::Reload) => Event::FileChanged,
+                    Some(ControlCommand::Stop) | None => Event::StopRequested,
                 }
             };
-            let usual = async {
+            let next_event = async {
                 match self.phase {
-                    // Guards against taking callers from the other process, which knows the list and may act, before this
-                    // one does.
-                    Phase::Starting if self.takes_over => {
-                        let knows = || {
+                    // Until this process knows the list and may send, the predecessor serves the clients better.
+                    Phase::Starting if self.has_predecessor => {
+                        let is_ready_to_serve = || {
                             let registry = lock(&self.registry);
-                            registry.list_settled && registry.sure
+                            registry.list_settled && registry.lease_ok
                         };
-                        while !knows() && self.since.elapsed() < SETTLES {
-                            Timer::after(LOOK).await;
+                        while !is_ready_to_serve() && self.phase_since.elapsed() < TAKEOVER_WAIT {
+                            Timer::after(POLL_INTERVAL).await;
                         }
                         Event::Bound
                     }
                     Phase::Starting => Event::Bound,
-                    Phase::Serving => word.await,
+                    Phase::Serving => command.await,
                     Phase::Leaving => {
-                        let spent = async {
-                            let part = if self.parts { STAYS_BESIDE } else { STAYS };
-                            Timer::at(self.since + NOTICE.max(duration(self.grace.times(part)))).await;
-                            Event::Spent
+                        let serving_time_over = async {
+                            let share =
+                                if self.has_successor { SERVING_SHARE_WITH_SUCCESSOR } else { SERVING_SHARE };
+                            Timer::at(
+                                self.phase_since + UNREADY_NOTICE.max(duration(self.grace.times(share))),
+                            )
+                            .await;
+                            Event::ServingTimeOver
                         };
-                        future::or(spent, word).await
+                        future::or(serving_time_over, command).await
                     }
                     Phase::Finishing | Phase::Over => loop {
-                        if self.crew.connections() == 0 {
-                            break Event::Empty;
+                        if self.worker_pool.connections() == 0 {
+                            break Event::ConnectionsClosed;
                         }
-                        if self.since.elapsed() > self.longest {
-                            break Event::Overdue;
+                        if self.phase_since.elapsed() > self.longest_request {
+                            break Event::TimeLimitReached;
                         }
-                        Timer::after(LOOK).await;
+                        Timer::after(POLL_INTERVAL).await;
                     },
                 }
             };
-            let doomed = async {
+            let panicked = async {
                 self.tasks.panicked().await;
-                WorkerFailure(format!("the program's own thread: {}", panic_kept()))
+                WorkerFailure(format!("the main thread: {}", take_last_panic()))
             };
-            let died = async { Err(future::or(doomed, self.crew.failure()).await) };
-            let event = match future::or(died, async { Ok(usual.await) }).await {
+            let failed = async { Err(future::or(panicked, self.worker_pool.failure()).await) };
+            let event = match future::or(failed, async { Ok(next_event.await) }).await {
                 Ok(event) => event,
-                Err(lost) => {
-                    self.lost = Some(lost);
-                    Event::Lost
+                Err(worker_failure) => {
+                    self.worker_failure = Some(worker_failure);
+                    Event::WorkerFailed
                 }
             };
-            self.step(event, &reread).await;
+            self.handle(event, &reload_config).await;
         }
-        self.lost.take().map_or(Ok(()), |WorkerFailure(why)| Err(why))
+        self.worker_failure.take().map_or(Ok(()), |WorkerFailure(why)| Err(why))
     }
 
-    async fn step(
-        &mut self, event: Event, reread: &impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
+    async fn handle(
+        &mut self, event: Event,
+        reload_config: &impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
     ) {
-        let row = LIFE.iter().find(|(phase, given, ..)| *phase == self.phase && *given == event);
+        let row = TRANSITIONS.iter().find(|(phase, on, ..)| *phase == self.phase && *on == event);
         let Some(&(_, _, phase, action)) = row else { return };
         match action {
-            Action::Open => {
-                self.orders.send_and_wait(WorkerCommand::StartAccepting).await;
-                lock(&self.registry).able = true;
+            Action::StartAccepting => {
+                self.commands.send_and_wait(WorkerCommand::StartAccepting).await;
+                lock(&self.registry).accepting = true;
             }
-            Action::SayNo => {
-                lock(&self.registry).able = false;
-                let by = self.clock.now() + (self.grace - MARGIN);
-                self.parts = self.peers.any();
-                self.peers.part();
-                self.orders
-                    .send(if self.parts {
-                        WorkerCommand::Handover(by)
+            Action::StartLeaving => {
+                lock(&self.registry).accepting = false;
+                let deadline = self.clock.now() + (self.grace - LAST_ANSWER_MARGIN);
+                self.has_successor = self.handover_links.any();
+                self.handover_links.announce_stop();
+                self.commands
+                    .send(if self.has_successor {
+                        WorkerCommand::Handover(deadline)
                     } else {
-                        WorkerCommand::ReportNotReady(by)
+                        WorkerCommand::ReportNotReady(deadline)
                     })
                     .await
             }
-            Action::Shut => self.orders.send_and_wait(WorkerCommand::StopAccepting).await,
-            Action::Reread => match reread(&self.shape) {
-                Ok(start) => {
+            Action::StopAccepting => self.commands.send_and_wait(WorkerCommand::StopAccepting).await,
+            Action::Reload => match reload_config(&self.keys) {
+                Ok(config) => {
                     if let Some(accord) = &self.accord {
-                        if let Err(fault) = accord.written(start.clone()).await {
-                            warn!(self.log, "file not taken, all stays as it was: {}", fault);
+                        if let Err(error) = accord.propose(config.clone()).await {
+                            warn!(
+                                self.log,
+                                "configuration file rejected, the previous settings stay: {}", error
+                            );
                             return;
                         }
                     }
-                    let (longest, drain_grace) = (longest(&start.settings), start.settings.drain_grace);
-                    let instances = start.settings.balancer.instances;
-                    // Once the end has been ordered, its time is that of the settings which held then.
+                    let (longest_request, drain_grace) =
+                        (longest_request_time(&config.settings), config.settings.drain_grace);
+                    let instances = config.settings.balancer.instances;
+                    // After the stop signal, the grace period stays that of the settings in use then.
                     if self.phase == Phase::Serving {
-                        (self.longest, self.grace) = (duration(longest), grace(longest));
+                        (self.longest_request, self.grace) =
+                            (duration(longest_request), grace_period(longest_request));
                     }
-                    self.shape = start.keys;
-                    // Where instances agree, the settings hold once that is settled.
+                    self.keys = config.keys;
+                    // Where instances agree on settings, these apply once they are agreed.
                     if self.accord.is_none() {
-                        let place = Arc::new(start.settings);
-                        self.orders.send_and_wait(|done| WorkerCommand::ApplySettings(place, done)).await;
+                        let settings = Arc::new(config.settings);
+                        self.commands
+                            .send_and_wait(|done| WorkerCommand::ApplySettings(settings, done))
+                            .await;
                     }
-                    info!(self.log, "file read again, the list is watched at {}", start.discovery);
+                    info!(
+                        self.log,
+                        "configuration file read again, watching the list at {}", config.discovery
+                    );
                     let _ = self
                         .reloads
-                        .send(Reload { discovery: start.discovery, drain_grace, instances })
+                        .send(Reload { discovery: config.discovery, drain_grace, instances })
                         .await;
                 }
-                // Guards against serving by half a file: what held before holds on, whole.
-                Err(fault) => warn!(self.log, "file not taken, all stays as it was: {}", fault),
+                // A bad file changes nothing: the previous settings stay, all of them.
+                Err(error) => {
+                    warn!(self.log, "configuration file rejected, the previous settings stay: {}", error)
+                }
             },
             Action::Nothing => {}
         }
         if phase == self.phase {
             return;
         }
-        let (held, open) = (self.crew.calls(), self.crew.connections());
-        let after = self.since.elapsed().as_millis();
+        let (requests, connections) = (self.worker_pool.open_requests(), self.worker_pool.connections());
+        let after = self.phase_since.elapsed().as_millis();
         info!(
             self.log,
-            "{:?}: {:?} after {} ms, {} calls held, {} connections", phase, event, after, held, open
+            "{:?}: {} after {} ms, {} requests open, {} connections",
+            phase,
+            event.log_name(),
+            after,
+            requests,
+            connections
         );
-        (self.phase, self.since) = (phase, Instant::now());
+        (self.phase, self.phase_since) = (phase, Instant::now());
     }
 }
--- a/sidecar/src/limits.rs
+++ b/sidecar/src/limits.rs
@@ -1,93 +1,99 @@
-//! One bound shared out among workers: a floor that is each one's own, and a common rest that goes to whoever needs it. So
-//! a worker on which most callers land may take nearly all, and can't leave another with nothing; the sum keeps the bound.
+//! A connection limit shared by all workers. Each worker has a reserved part, and a common rest goes to those that
+//! need it: a worker that gets most of the clients may hold nearly all connections without leaving another with
+//! none, and the sum stays within the limit.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicIsize, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// What is held somewhere, for others to read.
+/// A counter that other threads may read.
 #[derive(Clone, Default, Debug)]
 pub struct Gauge(Arc<AtomicUsize>);
 
 impl Gauge {
+    /// The current value.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 
+    /// Adds one.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::AcqRel);
     }
 
+    /// Subtracts one.
     pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// The bound, before it is handed to workers.
+/// The limit as all workers share it.
 #[derive(Clone, Debug)]
 pub struct SharedLimit {
-    floor: usize,
-    common: Arc<AtomicIsize>,
-    /// What one sharer may hold while another process has half of the bound.
+    reserved: usize,
+    shared: Arc<AtomicIsize>,
+    /// What one worker may hold while another process has half of the limit.
     half: usize,
-    halved: Arc<AtomicBool>,
+    other_has_half: Arc<AtomicBool>,
 }
 
 impl SharedLimit {
-    /// Half of `most` goes to the floors of `sharers`, all of it if there is only one.
-    pub fn new(most: usize, sharers: usize) -> SharedLimit {
-        let floor = if sharers == 1 { most } else { most / 2 / sharers };
-        let common = Arc::new(AtomicIsize::new((most - floor * sharers) as isize));
-        SharedLimit { floor, common, half: (most / 2 / sharers).max(1), halved: Arc::default() }
+    /// A limit of `max` for `sharers` workers: half of it is reserved in equal parts, all of it if there is only one.
+    pub fn new(max: usize, workers: usize) -> SharedLimit {
+        let reserved = if workers == 1 { max } else { max / 2 / workers };
+        let shared = Arc::new(AtomicIsize::new((max - reserved * workers) as isize));
+        SharedLimit { reserved, shared, half: (max / 2 / workers).max(1), other_has_half: Arc::default() }
     }
 }
 
 impl SharedLimit {
-    /// Another process has half of it, until told otherwise.
-    pub fn halve(&self, halved: bool) {
-        self.halved.store(halved, Ordering::Release);
+    /// Sets whether another process has half of the limit.
+    pub fn halve(&self, other_has_half: bool) {
+        self.other_has_half.store(other_has_half, Ordering::Release);
     }
 }
 
-/// One worker's part of a bound.
+/// One worker's share of a limit.
 #[derive(Debug)]
 pub struct LimitShare {
-    bound: SharedLimit,
+    limit: SharedLimit,
     held: Cell<usize>,
 }
 
 impl LimitShare {
-    pub fn new(bound: SharedLimit) -> Rc<LimitShare> {
-        Rc::new(LimitShare { bound, held: Cell::new(0) })
+    /// A share of that limit, with nothing held.
+    pub fn new(limit: SharedLimit) -> Rc<LimitShare> {
+        Rc::new(LimitShare { limit, held: Cell::new(0) })
     }
 
+    /// The number of slots held.
     pub fn held(&self) -> usize {
         self.held.get()
     }
 
-    /// Whether another process is short of what is held here.
+    /// Whether this worker holds more than it may while another process has half of the limit.
     pub fn exceeds_half(&self) -> bool {
-        self.bound.halved.load(Ordering::Acquire) && self.held.get() > self.bound.half
+        self.limit.other_has_half.load(Ordering::Acquire) && self.held.get() > self.limit.half
     }
 
-    /// One slot, if there is any; given up when it is dropped.
+    /// Takes one slot, if there is any. Dropping it returns it.
     pub fn try_acquire(self: &Rc<LimitShare>) -> Option<Slot> {
-        if self.bound.halved.load(Ordering::Acquire) && self.held.get() >= self.bound.half {
+        if self.limit.other_has_half.load(Ordering::Acquire) && self.held.get() >= self.limit.half {
             return None;
         }
-        if self.held.get() >= self.bound.floor {
-            let common = &self.bound.common;
-            common
+        if self.held.get() >= self.limit.reserved {
+            let shared = &self.limit.shared;
+            shared
                 .fetch_update(Ordering::AcqRel, Ordering::Acquire, |left| (left > 0).then(|| left - 1))
                 .ok()?;
         }
         Some(self.slot())
     }
 
-    /// One slot whether there is any or not: for what is here already and can't be sent away.
+    /// Takes one slot even if there is none left, for a connection that exists already and can't be rejected.
     pub fn acquire_over_limit(self: &Rc<LimitShare>) -> Slot {
-        if self.held.get() >= self.bound.floor {
-            self.bound.common.fetch_sub(1, Ordering::AcqRel);
+        if self.held.get() >= self.limit.reserved {
+            self.limit.shared.fetch_sub(1, Ordering::AcqRel);
         }
         self.slot()
     }
@@ -98,15 +104,15 @@
     }
 }
 
-/// One of what a bound allows.
+/// One slot of a limit.
 #[derive(Debug)]
 pub struct Slot(Rc<LimitShare>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
         let share = &self.0;
-        if share.held.get() > share.bound.floor {
-            share.bound.common.fetch_add(1, Ordering::AcqRel);
+        if share.held.get() > share.limit.reserved {
+            share.limit.shared.fetch_add(1, Ordering::AcqRel);
         }
         share.held.set(share.held.get() - 1);
     }
@@ -117,44 +123,44 @@
     use super::*;
 
     #[test]
-    fn one_may_take_all_but_the_others_floors() {
-        let bound = SharedLimit::new(40, 4);
-        let shares: Vec<_> = (0..4).map(|_| LimitShare::new(bound.clone())).collect();
+    fn one_worker_may_take_all_but_what_is_reserved_for_the_others() {
+        let limit = SharedLimit::new(40, 4);
+        let shares: Vec<_> = (0..4).map(|_| LimitShare::new(limit.clone())).collect();
         let greedy: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
         assert_eq!(greedy.len(), 25);
         let others: Vec<Slot> =
             shares[1..].iter().flat_map(|share| std::iter::from_fn(|| share.try_acquire())).collect();
         assert_eq!(others.len(), 15);
-        // What is given back by whoever holds more than its floor is anybody's.
+        // Slots that were held beyond the reserved part go back to the common rest.
         drop(greedy);
         let rest: Vec<Slot> = std::iter::from_fn(|| shares[1].try_acquire()).collect();
         assert_eq!(rest.len(), 20);
     }
 
     #[test]
-    fn half_of_it_is_another_processes_while_that_lives() {
-        let bound = SharedLimit::new(8, 1);
-        let share = LimitShare::new(bound.clone());
+    fn half_of_the_limit_is_left_to_another_process() {
+        let limit = SharedLimit::new(8, 1);
+        let share = LimitShare::new(limit.clone());
         let mut held: Vec<Slot> = (0..6).filter_map(|_| share.try_acquire()).collect();
-        bound.halve(true);
+        limit.halve(true);
         assert!(share.exceeds_half() && share.try_acquire().is_none());
         held.truncate(3);
         held.extend(share.try_acquire());
         assert!(!share.exceeds_half() && held.len() == 4 && share.try_acquire().is_none());
-        bound.halve(false);
+        limit.halve(false);
         held.extend(std::iter::from_fn(|| share.try_acquire()));
         assert_eq!(held.len(), 8);
     }
 
     #[test]
-    fn what_is_taken_anyway_is_given_back_before_others_take() {
-        let bound = SharedLimit::new(8, 2);
-        let (one, other) = (LimitShare::new(bound.clone()), LimitShare::new(bound));
+    fn slots_beyond_the_limit_are_returned_before_others_are_granted() {
+        let limit = SharedLimit::new(8, 2);
+        let (one, other) = (LimitShare::new(limit.clone()), LimitShare::new(limit));
         let mut held: Vec<Slot> = std::iter::from_fn(|| one.try_acquire()).collect();
         held.push(one.acquire_over_limit());
         assert_eq!((held.len(), one.held()), (7, 7));
-        let floor: Vec<Slot> = std::iter::from_fn(|| other.try_acquire()).collect();
-        assert_eq!(floor.len(), 2);
+        let reserved: Vec<Slot> = std::iter::from_fn(|| other.try_acquire()).collect();
+        assert_eq!(reserved.len(), 2);
         held.pop();
         assert!(other.try_acquire().is_none());
         held.pop();
--- a/sidecar/src/listeners.rs
+++ b/sidecar/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of the program: passed on by the platform or bound here, one for each worker.
+//! The listening sockets of the process, one for each worker: passed on by the platform, or bound here.
 use async_io::Timer;
 use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
 use std::io::{Error, ErrorKind, Result};
@@ -6,21 +6,21 @@
 use std::os::fd::{BorrowedFd, RawFd};
 use std::time::{Duration, Instant};
 
-/// How long a taken address is tried again.
+/// How long binding an address that is in use is retried.
 const REBIND: Duration = Duration::from_secs(2);
-/// How many connections may wait in the machine's queue; they take none of our descriptors.
+/// The listen backlog: connections that may wait in the kernel, where they use no descriptor of this process.
 const QUEUE: i32 = 4096;
 
-/// Names the descriptor of a listening socket that the platform passes on.
+/// The environment variable with the descriptor of a listening socket that the platform passes on.
 const PASSED: &str = "RELAY_PASSED_SOCKET";
 
-/// The listening socket that the platform holds for all processes of this sidecar, if it does.
+/// A listener for each worker on the socket that the platform passes on to all processes of this sidecar, if it does.
 pub fn passed_on(workers: usize) -> Option<Result<Vec<TcpListener>>> {
     let number = std::env::var(PASSED).ok().filter(|number| !number.is_empty())?;
     let open = || {
         let odd = || Error::new(ErrorKind::InvalidInput, format!("{PASSED}: {number:?} is no descriptor"));
         let number: RawFd = number.parse().ok().filter(|number| *number > 2).ok_or_else(odd)?;
-        // SAFETY: borrowed for this line only; a number that nobody has open makes the copy fail.
+        // SAFETY: borrowed only for the next line; if the descriptor is not open, the duplication fails.
         let passed = unsafe { BorrowedFd::borrow_raw(number) };
         let socket = TcpListener::from(passed.try_clone_to_owned().map_err(|_| odd())?);
         if !sockopt::socket_acceptconn(&socket)? {
@@ -31,8 +31,8 @@
     Some(open())
 }
 
-/// Listens, with a listener for each worker. Guards against failing a quick restart: the program before this one may hold the
-/// address for a moment more.
+/// Binds a listener for each worker. An address in use is retried for a while, because after a quick restart the
+/// previous process may still hold it.
 pub async fn bind(listen: SocketAddr, workers: usize) -> Result<Vec<TcpListener>> {
     let first = Instant::now();
     loop {
@@ -45,7 +45,7 @@
     }
 }
 
-/// A listener for each worker, among which the machine deals out connections.
+/// Binds a listener for each worker; the kernel distributes new connections among them.
 fn bind_all(mut listen: SocketAddr, workers: usize) -> Result<Vec<TcpListener>> {
     let bind_one = |to: SocketAddr, shared: bool| -> Result<TcpListener> {
         let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
@@ -61,21 +61,21 @@
     if workers == 1 {
         listeners.push(bind_one(listen, false)?);
     } else {
-        // Guards against sharing the address with another program of this user: alone it must be free.
+        // A bind without SO_REUSEPORT first: it fails if another program of this user already shares the address.
         listen = bind_one(listen, false)?.local_addr()?;
         for _ in 0..workers {
             listeners.push(bind_one(listen, true)?);
         }
     }
     for listener in &listeners {
-        // Guards against callers that are not even let wait, and are lost for a second, when many come at once.
+        // With a short backlog the kernel would drop connections of a burst, and those are retried only after 1 s.
         net::listen(listener, QUEUE)?;
     }
     Ok(listeners)
 }
 
-/// What the machine allows this process. Guards against callers that take what discovery and servers need, where that is less
-/// than the file says.
+/// The descriptors that the kernel allows this process. If that is less than `limits.sockets`, clients must not use
+/// up the descriptors that discovery and endpoints need.
 pub fn descriptors() -> usize {
     let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     most.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
--- a/sidecar/src/logging.rs
+++ b/sidecar/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, written by a thread of their own: a slow reader must not hold up an API call.
+//! Logging to standard error on a separate thread, so that a slow reader does not delay requests.
 use slog::{o, Drain, Level, LevelFilter, Logger};
 use slog_async::AsyncGuard;
 use std::io::Write;
@@ -6,26 +6,26 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the end may wait for lines that are not written yet.
+/// How long the end of the process may wait for lines that are not written yet.
 const FLUSH: Duration = Duration::from_millis(500);
 
-/// Lines of that level and above, on standard error.
+/// A logger of that level and above to standard error.
 pub fn to_stderr(name: &str, level: Level) -> (Logger, FlushGuard) {
     to_writer(std::io::stderr(), name, level)
 }
 
-/// Lines of that level and above.
+/// A logger of that level and above to a writer.
 pub fn to_writer(writer: impl Write + Send + 'static, name: &str, level: Level) -> (Logger, FlushGuard) {
     let plain = slog_term::PlainSyncDecorator::new(writer);
-    // A line that can't be written, or queued, is lost and nothing more.
+    // A line that can't be written or queued is dropped.
     let lines = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
     let (queued, guard) = slog_async::Async::new(lines).build_with_guard();
     let filtered = LevelFilter::new(queued, level);
     (Logger::root(filtered.ignore_res(), o!("sidecar" => name.to_string())), FlushGuard(Some(guard)))
 }
 
-/// Once dropped, what was logged before has been written, unless the reader is too slow. Guards against an end that loses
-/// the last lines because another thread still has a logger.
+/// Dropping this writes everything logged so far, unless the reader is too slow. Without it the last lines could be
+/// lost, because another thread may still hold a logger.
 pub struct FlushGuard(Option<AsyncGuard>);
 
 impl Drop for FlushGuard {
@@ -36,7 +36,7 @@
             drop(guard);
             let _ = done.send(());
         });
-        // Without a thread, what is queued is lost.
+        // If no thread can be started, the queued lines are lost.
         if flushing.is_ok() {
             let _ = written.recv_timeout(FLUSH);
         }
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! `oakhollow`: one sidecar, started with the file that `RELAY_CONFIG` or the first argument names.
+//! `oakhollow`: runs one sidecar with the configuration file that `RELAY_CONFIG` or the first argument names.
 use clap::{Parser, Subcommand, ValueEnum};
 use oakhollow_sidecar::{logging, planned, run, signals, workers};
 use oakhollow_terms::{KeySet, OperatorConfig, SidecarConfig};
@@ -68,7 +68,7 @@
 }
 
 fn serve(args: Args) -> Result<(), String> {
-    // Before anything is read: a signal that comes meanwhile waits, and ends nothing.
+    // Before anything is read, so that a signal that arrives meanwhile waits and does not kill the process.
     let words = signals().map_err(|fault| format!("signals: {fault}"))?;
     let path = args.file.ok_or("RELAY_CONFIG: not set, and no file was named")?;
     let operator =
--- a/sidecar/src/maintenance_store.rs
+++ b/sidecar/src/maintenance_store.rs
@@ -1,6 +1,6 @@
-//! The sidecar's folder, `$TMPDIR`: the file of which servers are out by hand, and where the socket to the process that comes
-//! next stands. What is to be kept is written by a thread of its own, again and again until it is on the disk: a disk that is
-//! slow, full or failing holds up nobody, and loses nothing that it gets back in time for.
+//! The sidecar's folder, `$TMPDIR`: the file with the maintenance marks, and the path of the handover socket. A
+//! separate thread writes the file and retries until it is on the disk. A slow, full or failing disk blocks
+//! nothing, and once it recovers the latest state is saved.
 use crate::durable_file;
 use crate::host_clock::host_clock;
 use crate::timers::Clock;
@@ -14,33 +14,34 @@
 use std::thread::{self, Builder};
 use std::time::{Duration, Instant};
 
-/// How long until a write that failed is tried again.
-const RETRY: Duration = Duration::from_millis(250);
-/// How long a start tries to read the file before it gives up.
-const READ_WITHIN: Duration = Duration::from_secs(5);
-const READ_RETRY: Duration = Duration::from_millis(50);
+/// The delay before a failed write is tried again.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// How long a start tries to read the file before it fails.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a state is on the disk.
+/// Whether a state is on the disk after the first try.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kept {
-    Yes,
-    /// The first try failed; others follow.
-    NotYet,
+pub enum SaveResult {
+    /// It is on the disk.
+    Saved,
+    /// The first try failed; it is retried.
+    Retrying,
 }
 
-/// What is to be written, and who waits to hear how the first try went.
+/// The state to be written, and who waits for the result of the first try.
 #[derive(Default)]
 struct Pending {
     state: Option<MaintenanceMarks>,
-    waiting: Vec<Sender<Kept>>,
-    /// A thread writes.
-    served: bool,
+    waiting: Vec<Sender<SaveResult>>,
+    /// Whether the writer thread runs.
+    writer_running: bool,
 }
 
-/// Keeps the maintenance state in the sidecar's folder.
+/// Stores the maintenance state in the sidecar's folder.
 pub struct MaintenanceStore {
     path: PathBuf,
-    /// The sidecar's own address, by which its file is known.
+    /// The sidecar's own address, which names its file.
     pub listen: SocketAddr,
     clock: Clock,
     pending: Mutex<Pending>,
@@ -48,119 +49,120 @@
 }
 
 impl MaintenanceStore {
-    /// None where the platform names no folder.
+    /// The store in the folder that the platform provides, if it provides one.
     pub fn new(listen: SocketAddr, clock: Clock) -> Option<MaintenanceStore> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-        Some(MaintenanceStore::at(Path::new(&folder), listen, clock))
+        Some(MaintenanceStore::in_folder(Path::new(&folder), listen, clock))
     }
 
-    /// In that folder.
-    pub fn at(folder: &Path, listen: SocketAddr, clock: Clock) -> MaintenanceStore {
+    /// The store in that folder.
+    pub fn in_folder(folder: &Path, listen: SocketAddr, clock: Clock) -> MaintenanceStore {
         let name = format!("oakhollow-{}.marks", listen.to_string().replace([':', '[', ']'], "_"));
         let (path, pending) = (folder.join(name), Mutex::default());
         MaintenanceStore { path, listen, clock, pending, submitted: Condvar::new() }
     }
 
-    /// Where the process that comes next finds this one.
-    pub fn socket(&self) -> PathBuf {
+    /// The path of the socket where the next process finds this one.
+    pub fn socket_path(&self) -> PathBuf {
         self.path.with_extension("sock")
     }
 
-    /// What was kept; nothing where there is no file, or one that makes no sense. A file that can't be read for several
-    /// seconds is a fault: guards against sending calls to servers that an operator took out.
+    /// Loads the saved marks; none if there is no file, or a malformed one. If the file can't be read for several
+    /// seconds, that is an error: without the marks, requests could go to endpoints in maintenance.
     pub fn load(&self, log: &Logger) -> std::result::Result<MaintenanceMarks, String> {
-        let begun = Instant::now();
+        let start = Instant::now();
         let bytes = loop {
             match durable_file::read(&self.path) {
                 Ok(bytes) => break bytes,
-                Err(fault) if begun.elapsed() > READ_WITHIN => {
-                    return Err(format!("{}: {fault}", self.path.display()));
+                Err(error) if start.elapsed() > READ_TIMEOUT => {
+                    return Err(format!("{}: {error}", self.path.display()));
                 }
-                Err(fault) => {
-                    warn!(log, "maintenance state not read, trying on: {}", fault);
-                    thread::sleep(READ_RETRY);
+                Err(error) => {
+                    warn!(log, "maintenance state not read, retrying: {}", error);
+                    thread::sleep(READ_RETRY_DELAY);
                 }
             }
         };
         let Some(bytes) = bytes else { return Ok(MaintenanceMarks::default()) };
-        match self.read(&bytes) {
+        match self.parse(&bytes) {
             Ok((marks, _)) => {
                 info!(log, "maintenance state read, {} out by hand", marks.in_maintenance.len());
                 Ok(marks)
             }
-            Err(fault) => {
-                warn!(log, "maintenance state makes no sense: {}: {}", self.path.display(), fault);
+            Err(error) => {
+                warn!(log, "maintenance state malformed, ignored: {}: {}", self.path.display(), error);
                 Ok(MaintenanceMarks::default())
             }
         }
     }
 
-    /// Reads a state that another process of this sidecar has written or said, with its times by our clock.
-    pub fn read(&self, json: &[u8]) -> std::result::Result<(MaintenanceMarks, HandoverState), String> {
+    /// Parses a state that another process of this sidecar has written or sent, and converts its times to this
+    /// process's clock.
+    pub fn parse(&self, json: &[u8]) -> std::result::Result<(MaintenanceMarks, HandoverState), String> {
         MaintenanceMarks::from_json(json, self.listen, host_clock(self.clock).as_ref(), self.clock.now())
     }
 
-    /// Words a state for another process of this sidecar.
-    pub fn word(&self, marks: &MaintenanceMarks, rest: HandoverState) -> String {
-        marks.to_json(self.listen, rest, host_clock(self.clock))
+    /// Serialises a state for another process of this sidecar.
+    pub fn serialize(&self, marks: &MaintenanceMarks, handover: HandoverState) -> String {
+        marks.to_json(self.listen, handover, host_clock(self.clock))
     }
 
-    /// Has a state written, instead of any that still waits. What this returns tells how the first try went.
-    pub fn submit(self: &Arc<Self>, marks: MaintenanceMarks, log: &Logger) -> Receiver<Kept> {
-        let (tell, first) = bounded(1);
+    /// Has a state written, in place of any that still waits. The receiver gets the result of the first try.
+    pub fn submit(self: &Arc<Self>, marks: MaintenanceMarks, log: &Logger) -> Receiver<SaveResult> {
+        let (report, result) = bounded(1);
         let mut pending = self.lock();
         pending.state = Some(marks);
-        pending.waiting.push(tell);
-        if !pending.served {
-            pending.served = self.start_writer(log.clone());
+        pending.waiting.push(report);
+        if !pending.writer_running {
+            pending.writer_running = self.start_writer(log.clone());
         }
-        if pending.served {
+        if pending.writer_running {
             self.submitted.notify_all();
         } else {
-            pending.waiting.drain(..).for_each(|waiting| _ = waiting.try_send(Kept::NotYet));
+            pending.waiting.drain(..).for_each(|waiting| _ = waiting.try_send(SaveResult::Retrying));
         }
-        first
+        result
     }
 
-    /// False if the kernel has no thread for us now; the next state asks again.
+    /// Starts the writer thread. False if the kernel refuses a thread now; the next submit tries again.
     fn start_writer(self: &Arc<Self>, log: Logger) -> bool {
-        let (store, said) = (self.clone(), log.clone());
-        let started = Builder::new().name("maintenance".into()).spawn(move || store.write_all(&log));
-        if let Err(fault) = &started {
-            warn!(said, "maintenance state not written: {}", fault);
+        let (store, writer_log) = (self.clone(), log.clone());
+        let started = Builder::new().name("maintenance".into()).spawn(move || store.write_loop(&writer_log));
+        if let Err(error) = &started {
+            warn!(log, "maintenance state not written, no thread: {}", error);
         }
         started.is_ok()
     }
 
     /// Writes each state that is submitted, for as long as the process lives.
-    fn write_all(&self, log: &Logger) {
+    fn write_loop(&self, log: &Logger) {
         let mut failing = false;
         loop {
-            let (state, waiting) = self.next();
+            let (state, waiting) = self.wait_for_state();
             let written = self.write(&state);
-            let kept = if written.is_ok() { Kept::Yes } else { Kept::NotYet };
-            waiting.into_iter().for_each(|waiting| _ = waiting.try_send(kept));
+            let result = if written.is_ok() { SaveResult::Saved } else { SaveResult::Retrying };
+            waiting.into_iter().for_each(|waiting| _ = waiting.try_send(result));
             match written {
-                Ok(()) if std::mem::take(&mut failing) => info!(log, "maintenance state kept"),
+                Ok(()) if std::mem::take(&mut failing) => info!(log, "maintenance state saved"),
                 Ok(()) => {}
-                Err(fault) => {
+                Err(error) => {
                     if !std::mem::replace(&mut failing, true) {
                         warn!(
                             log,
-                            "maintenance state not kept, trying on: {}: {}",
+                            "maintenance state not saved, retrying: {}: {}",
                             self.path.display(),
-                            fault
+                            error
                         );
                     }
-                    self.put_back(state);
-                    thread::sleep(RETRY);
+                    self.requeue(state);
+                    thread::sleep(WRITE_RETRY_DELAY);
                 }
             }
         }
     }
 
     /// Waits for a state to write.
-    fn next(&self) -> (MaintenanceMarks, Vec<Sender<Kept>>) {
+    fn wait_for_state(&self) -> (MaintenanceMarks, Vec<Sender<SaveResult>>) {
         let mut pending = self.lock();
         loop {
             if let Some(state) = pending.state.take() {
@@ -170,13 +172,13 @@
         }
     }
 
-    /// To be written again, unless another state has come meanwhile.
-    fn put_back(&self, state: MaintenanceMarks) {
+    /// Queues a state again, unless a newer one has been submitted.
+    fn requeue(&self, state: MaintenanceMarks) {
         self.lock().state.get_or_insert(state);
     }
 
     fn write(&self, state: &MaintenanceMarks) -> Result<()> {
-        durable_file::replace(&self.path, self.word(state, HandoverState::default()).as_bytes())
+        durable_file::replace(&self.path, self.serialize(state, HandoverState::default()).as_bytes())
     }
 
     fn lock(&self) -> MutexGuard<'_, Pending> {
--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -1,5 +1,6 @@
-//! What `GET /metrics` on the console tells, in the Prometheus text format. Counters are counted where things happen, on any
-//! thread, without a lock; gauges are set when they are asked for. `docs/metrics.md` lists each with its unit.
+//! The metrics that `GET /metrics` on the console returns, in the Prometheus text format. Counters are incremented
+//! by any thread, without a lock; gauges are set when the metrics are read. `docs/metrics.md` lists each metric
+//! with its unit.
 use oakhollow::types::{Micros, Outcome};
 use oakhollow_guard::{CloseReason, Denial, Rule};
 use prometheus::core::Collector;
@@ -9,18 +10,18 @@
 };
 use std::io::Error;
 
-/// Bounds of the latency histogram, in seconds.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const LATENCY_BOUNDS: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0];
 
-/// What an attempt is among those of its request.
+/// The kind of an attempt among those of its request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptKind {
-    /// The request's first.
+    /// The first attempt.
     First,
-    /// After all earlier ones have ended.
+    /// Started after all earlier attempts have ended.
     Retry,
-    /// While an earlier one is out.
+    /// Started while an earlier attempt is running.
     Hedge,
 }
 
@@ -39,17 +40,17 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RefusalReason {
-    /// The instance has no lease, and may send nothing on.
+    /// The instance has no lease and may send nothing.
     NoLease,
-    /// The list has not been heard for too long.
+    /// Nothing has been received from discovery for too long.
     ListStale,
-    /// The list names no server that may be sent to.
+    /// The list has no endpoint that may be sent to.
     NoServer,
-    /// The process is ending, and no time is left.
+    /// The process is shutting down, and no time is left.
     ShuttingDown,
-    /// No attempt was started: the module saw no room for the request.
+    /// No attempt was started: by the decision module, no endpoint has capacity left for the request.
     Overload,
-    /// Attempts were started, and none has run.
+    /// Attempts were started, but none was served.
     AttemptsFailed,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// The name by which an outcome is counted.
+/// The label value of an outcome.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Succeeded => "served",
@@ -100,20 +101,20 @@
     Outcome::NotSent,
 ];
 
-/// How a call for the list ended, or that it has told a first line.
+/// How a list request ended, or that its first line has arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListRequestOutcome {
-    /// It has told a line.
+    /// A whole line has arrived.
     LineReceived,
     /// Its connection did not come up.
     Unreachable,
     /// It was answered with another status than 200.
     Rejected,
-    /// It was closed or reset before it told anything.
+    /// It was closed or reset before a whole line arrived.
     Broken,
-    /// What came is not what the protocol allows.
+    /// The response violates the protocol.
     Malformed,
-    /// Another call was faster, or took its place.
+    /// Another list request was faster, or replaced it.
     Cancelled,
 }
 
@@ -142,11 +143,11 @@
 /// System calls whose errors are counted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SystemCall {
-    /// Taking a client's connection in.
+    /// Accepting a client's connection.
     Accept,
-    /// Connecting to a server.
+    /// Connecting to an endpoint.
     Connect,
-    /// Reading from or writing to a server.
+    /// Reading from or writing to an endpoint.
     Transfer,
 }
 
@@ -160,33 +161,33 @@
     }
 }
 
-/// What is set when it is asked for.
+/// The values of the gauges, which are set when the metrics are read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct GaugeValues {
-    /// Requests taken and not yet answered.
+    /// Requests submitted and not yet answered.
     pub requests: usize,
     /// Connections of clients.
     pub connections: usize,
-    /// Servers that may be sent to, that drain by the list, and that are out by hand.
+    /// Endpoints by state.
     pub endpoints: EndpointCounts,
-    /// How long ago the list was last told, or said to be unchanged; none if never.
+    /// How long ago discovery last sent the list, or said that it is unchanged; none if never.
     pub list_age: Option<Micros>,
-    /// The watch of the list has told something and is open.
+    /// Whether the watch of the list is open and has received something.
     pub watch_open: bool,
 }
 
-/// Servers by what they may be sent.
+/// Endpoints by whether they may be sent to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct EndpointCounts {
-    /// They may be sent to.
+    /// May be sent to.
     pub ready: usize,
-    /// They drain, as the list has it.
+    /// Draining, by the list.
     pub draining: usize,
-    /// They are out by hand.
+    /// In maintenance.
     pub maintenance: usize,
 }
 
-/// All counters of the process.
+/// All metrics of the process.
 pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
@@ -208,7 +209,7 @@
 }
 
 impl Metrics {
-    /// None yet counted.
+    /// All metrics, with every counter at zero.
     pub fn new() -> Metrics {
         Metrics::build().expect("the names and labels below are valid, and each stands once")
     }
@@ -309,7 +310,7 @@
         self.refusals[reason as usize].inc();
     }
 
-    /// Counts an attempt by its end.
+    /// Counts an attempt that has ended, by kind and outcome.
     pub fn count_attempt(&self, kind: AttemptKind, outcome: Outcome) {
         let at = OUTCOMES.iter().position(|one| *one == outcome).unwrap_or_default();
         self.attempts[kind as usize * OUTCOMES.len() + at].inc();
@@ -330,12 +331,12 @@
         self.violations[rule as usize].inc();
     }
 
-    /// Counts a call for the list.
+    /// Counts a list request that has ended, or whose first line has arrived.
     pub fn count_list_request(&self, outcome: ListRequestOutcome) {
         self.list_calls[outcome as usize].inc();
     }
 
-    /// Counts that the list may not be used any more.
+    /// Counts that the list has become too old to be used.
     pub fn count_stale_list(&self) {
         self.list_stale.inc();
     }
@@ -351,17 +352,17 @@
         self.system_errors.with_label_values(&[call.name(), &errno]).inc();
     }
 
-    /// Notes how long a request took.
+    /// Records how long a request took.
     pub fn observe_latency(&self, length: Micros) {
         self.latency.observe(length.secs());
     }
 
-    /// Notes how much of the budget of attempts beyond requests' first is used.
+    /// Sets how much of the retry budget is used.
     pub fn set_retry_budget_used(&self, used: usize) {
         self.budget_used.set(used as i64);
     }
 
-    /// All of it, as text.
+    /// Sets the gauges and returns all metrics as text.
     pub fn render(&self, gauges: GaugeValues) -> String {
         let GaugeValues { requests, connections, endpoints, list_age, watch_open } = gauges;
         self.open_requests.set(requests as i64);
@@ -377,7 +378,7 @@
         self.list_age_ms.set(list_age.map_or(-1, |age| (age.0 / 1_000) as i64));
         self.watch_open.set(i64::from(watch_open));
         let mut text = Vec::new();
-        // Into memory, which does not fail.
+        // Encoding into memory does not fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8(text).unwrap_or_default()
     }
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -1,5 +1,6 @@
-//! What one worker tells its guard and the metrics: every event passes here, on its way to the checks, the counters and the
-//! debug log. Sending, repeating, closing and starting go through this and nothing else, by what it returns.
+//! One worker's interface to its guard and to the metrics: every event passes through here to the checks, the
+//! counters and the debug log. Starting, sending and repeating an attempt, and closing a connection, need the
+//! values returned here, so no code path can avoid the checks.
 use crate::metrics::{AttemptKind, Metrics, RefusalReason, SystemCall};
 use crate::timers::Clock;
 use oakhollow::types::{
@@ -14,23 +15,23 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Lines of one worker about broken rules, in a second.
+/// Log lines per second of one worker about broken rules.
 const MOST_LINES: u32 = 5;
 const SECOND: Micros = Micros::millis(1_000);
 
-/// What all of a worker's parts tell what happens.
+/// Records what happens in one worker.
 pub struct Monitor {
     guard: RefCell<Guard>,
     metrics: Arc<Metrics>,
     clock: Clock,
     log: Logger,
-    /// Each transition has a line.
+    /// Whether every transition is logged.
     verbose: bool,
-    /// The second of the last line about a broken rule, and how many it had.
+    /// The second of the last log line about a broken rule, and how many lines it has had.
     lines: Cell<(Micros, u32)>,
 }
 
-/// The effect that a request of a workload has.
+/// The effect of requests of a workload, as the guard sees it.
 pub fn effect(kind: Idempotency) -> RepeatSafety {
     match kind {
         Idempotency::Idempotent => RepeatSafety::Safe,
@@ -39,7 +40,7 @@
     }
 }
 
-/// What of the settings the guard checks.
+/// The settings that the guard checks.
 pub fn limits(terms: &BalancerConfig, drain_grace: Micros) -> Limits {
     let budget = terms.retry_budget.as_ref();
     let retry_budget =
@@ -48,24 +49,24 @@
 }
 
 impl Monitor {
-    /// For one worker.
+    /// The monitor of one worker.
     pub fn new(limits: Limits, metrics: Arc<Metrics>, clock: Clock, log: Logger) -> Rc<Monitor> {
         let verbose = log.is_enabled(Level::Debug);
         let guard = RefCell::new(Guard::new(limits));
         Rc::new(Monitor { guard, metrics, clock, log, verbose, lines: Cell::default() })
     }
 
-    /// The counters of the process.
+    /// The metrics of the process.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Other limits hold from now on.
+    /// Replaces the limits, after a change of settings.
     pub fn set_limits(&self, limits: Limits) {
         self.guard.borrow_mut().set_limits(limits);
     }
 
-    /// A request was read: what this returns owes it one answer.
+    /// Records that a request was read. The value returned owes it one answer.
     pub fn accept(self: &Rc<Self>, accepted: Accepted) -> OpenRequest {
         let Accepted { request, request_id, class, effect, deadline } = accepted;
         self.observe(Event::Accepted { request, request_id, repeat_safety: effect, deadline });
@@ -78,12 +79,12 @@
         }
     }
 
-    /// The decision module has it.
+    /// Records that the decision module has the request.
     pub fn queued(&self, request: CallId) {
         self.observe(Event::Queued { request });
     }
 
-    /// Whether an attempt may be made ready.
+    /// Whether an attempt may be started; one that may is counted as started.
     pub fn start_attempt(
         &self, request: CallId, attempt: HopNo, server: ServerId, kind: AttemptKind,
     ) -> Result<AttemptPermit, Denial> {
@@ -107,7 +108,7 @@
         allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
-    /// Whether its first byte may be written, by what is known now.
+    /// Whether the first byte of an attempt may be written, by what is known now.
     pub fn permit_send(&self, permit: &AttemptPermit, look: SendConditions) -> Result<SendPermit, Denial> {
         let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, look);
         self.tell_violations();
@@ -124,18 +125,18 @@
         allowed.inspect_err(|denial| self.metrics.count_denial(*denial))
     }
 
-    /// Its last byte was written.
+    /// Records that an attempt's last byte was written.
     pub fn last_byte_written(&self, permit: &AttemptPermit) {
         self.observe(Event::LastByteWritten { request: permit.request(), attempt: permit.attempt() });
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub fn attempt_ended(&self, request: CallId, attempt: HopNo, kind: AttemptKind, outcome: Outcome) {
         self.metrics.count_attempt(kind, outcome);
         self.observe(Event::AttemptEnded { request, attempt, outcome });
     }
 
-    /// A request was refused.
+    /// Records that a request was refused.
     pub fn refused(&self, request: CallId, reason: RefusalReason) {
         self.metrics.count_refusal(reason);
         if self.verbose {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A client's connection is closed.
+    /// Records that a client's connection is closed.
     pub fn connection_closed(&self, reason: CloseReason) {
         self.metrics.count_closed_connection(reason);
         if self.verbose {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// What is known of a server from now on.
+    /// Records an endpoint's current listing.
     pub fn server_listed(&self, listing: &ListedServer) {
         let location = Location { zone: listing.zone, cell: listing.cell };
         self.observe(Event::ServerListed { server: listing.server, status: listing.status, location });
@@ -160,12 +161,12 @@
         }
     }
 
-    /// The process ends.
+    /// Records that the process is shutting down.
     pub fn shutdown_begun(&self, answer_by: Micros) {
         self.observe(Event::ShutdownBegun { answer_by });
     }
 
-    /// A system call failed.
+    /// Records that a system call failed.
     pub fn system_error(&self, call: SystemCall, error: &std::io::Error) {
         self.metrics.count_system_error(call, error);
     }
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Guards against a log that is all about one fault.
+    /// Whether another line about a broken rule may be logged; one fault must not flood the log.
     fn has_line(&self, at: Micros) -> bool {
         let (since, lines) = self.lines.get();
         let fresh = since.0 == 0 || at - since >= SECOND;
@@ -200,13 +201,13 @@
         lines < MOST_LINES
     }
 
-    /// How often that rule was broken in this process.
+    /// How often a rule was broken in this process.
     pub fn violations(&self, rule: Rule) -> u64 {
         self.metrics.violations(rule)
     }
 }
 
-/// A request as it was read.
+/// A request that was read.
 pub struct Accepted {
     /// The sidecar's number for it.
     pub request: CallId,
@@ -214,13 +215,14 @@
     pub request_id: Rc<str>,
     /// The name of its class.
     pub class: Rc<str>,
-    /// What it does at a server.
+    /// Its effect at a server.
     pub effect: RepeatSafety,
     /// When its client gives up.
     pub deadline: Micros,
 }
 
-/// A request that was read and is owed one answer. Dropped, it is over: the connection is closed on it.
+/// An open request, which is owed one answer. Dropping it without [`OpenRequest::close`] means that its connection
+/// was closed on it.
 pub struct OpenRequest {
     monitor: Rc<Monitor>,
     request: CallId,
@@ -235,12 +237,12 @@
         self.request
     }
 
-    /// Its client has gone: no answer is owed any more.
+    /// Records that the client has gone: no answer is owed any more.
     pub fn client_gone(&self) {
         self.monitor.observe(Event::ClientGone { request: self.request });
     }
 
-    /// Its answer's first byte is about to be written.
+    /// Records that the first byte of the answer is about to be written.
     pub fn answer_begun(&self, kind: AnswerKind) {
         let monitor = &self.monitor;
         self.answered.set(Some(kind));
@@ -248,7 +250,7 @@
         monitor.observe(Event::AnswerBegun { request: self.request, kind });
     }
 
-    /// It is over: its connection is kept, or closed for that reason.
+    /// Ends the request; its connection is kept, or closed for that reason.
     pub fn close(self, reason: Option<CloseReason>) {
         self.monitor.observe(Event::Closed { request: self.request, reason });
     }
@@ -258,7 +260,7 @@
     fn drop(&mut self) {
         let outcome = self.answered.get().map_or("client_gone", AnswerKind::name);
         self.monitor.metrics.requests(&self.class, outcome).inc();
-        // Over already, where it was closed in good order.
+        // The guard ignores this if `close` has ended the request already.
         self.monitor.observe(Event::Closed { request: self.request, reason: None });
     }
 }
--- a/sidecar/src/oneshot.rs
+++ b/sidecar/src/oneshot.rs
@@ -1,4 +1,4 @@
-//! One value from one task to another of the same thread, or the word that none will come.
+//! A channel for one value between two tasks of the same thread.
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::Pin;
@@ -20,17 +20,20 @@
     }
 }
 
-/// Dropped without a value, it says that none will come.
+/// The sending end. If it is dropped without a value, the receiver gets none.
 pub struct Sender<T>(Rc<Slot<T>>);
 
+/// The receiving end. `&Receiver` is a future of the value, or of none.
 pub struct Receiver<T>(Rc<Slot<T>>);
 
+/// Creates a channel.
 pub fn oneshot<T>() -> (Sender<T>, Receiver<T>) {
     let slot = Rc::new(Slot { value: Cell::new(None), ended: Cell::new(false), waiting: Cell::new(None) });
     (Sender(slot.clone()), Receiver(slot))
 }
 
 impl<T> Sender<T> {
+    /// Sends the value.
     pub fn send(self, value: T) {
         self.0.value.set(Some(value));
     }
--- a/sidecar/src/planned.rs
+++ b/sidecar/src/planned.rs
@@ -1,12 +1,12 @@
-//! `oakhollow plan FILE`: what the operator's plan comes to, in words, for no loss, each loss and each two, or those that are
-//! named.
+//! `oakhollow plan FILE`: evaluates the operator's plan and reports it as text, for no lost site, each single and
+//! each double loss, or the sites named.
 use oakhollow_sites::{LossOutcome, Plan, SiteId};
 use std::fmt::Write;
 
-/// Below this part of the most that could be served a plan does not hold.
+/// A plan holds if it serves at least this share of the highest payoff that the remaining capacity allows.
 const HOLDS: f64 = 0.95;
 
-/// Why a plan does not hold without these sites, a line each.
+/// Why a plan does not hold in this loss, a line for each reason.
 fn faults(plan: &Plan, held: &LossOutcome) -> Vec<String> {
     let starved = held.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
     let mut faults: Vec<String> =
@@ -20,7 +20,7 @@
     faults
 }
 
-/// Which single losses a plan does not hold for, and why, a line each.
+/// The single losses for which a plan does not hold, and why, a line for each reason.
 pub fn doubts(plan: &Plan) -> Vec<String> {
     let each = (0..plan.sites.len()).map(SiteId).filter(|_| plan.sites.len() > 1);
     each.flat_map(|lost| {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The whole of it; `lost` by name.
+/// The whole report; `lost` has the names of lost sites.
 pub fn report(plan: &Plan, lost: &[String], part: f64) -> Result<String, String> {
     let id = |name: &String| {
         let place = plan.sites.iter().position(|site| site.name == *name);
@@ -111,7 +111,7 @@
         let plan = OperatorConfig::from_toml(FILE, 8).expect("a file").site_plan().expect("a plan");
         let text = report(&plan, &["lj".into()], 1.0).expect("a report");
         assert!(text.starts_with("refused first: search, order\n"), "{text}");
-        // mb has 60 for 120: the floor of search is 30, order has the rest of what may be taken.
+        // mb has capacity 60 for a load of 120: the floor of search is 30, and order gets the rest.
         assert!(text.contains("refused: search 30.0 calls/s, and 0.0 that go nowhere"), "{text}");
         assert!(text.contains("refused: order 30.0 calls/s"), "{text}");
         assert!(text.contains("does not hold: 60.0 % of the payoff"), "{text}");
--- a/sidecar/src/system_errors.rs
+++ b/sidecar/src/system_errors.rs
@@ -1,19 +1,20 @@
-//! What an error of the kernel says of whom: which are of one connection alone, and which are a shortage of our own.
+//! What a system call's error is about: one connection alone, or a shortage at this process or host.
 use rustix::io::Errno;
 use std::io::Error;
 
 /// Why a connection could not be accepted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AcceptFailure {
-    /// That connection was broken before it was taken, or an error of the network is told in its place: the next may be taken.
+    /// The connection was broken before it was accepted, or a network error is reported in its place; the next
+    /// accept may succeed.
     Connection,
-    /// The host is short of something, which may pass in a moment.
+    /// The host is short of a resource, which may pass in a moment.
     Host,
-    /// The process has no descriptor left: one of its own has to go.
+    /// The process has no descriptor left and has to close one.
     Descriptors,
 }
 
-/// As accept(2) tells them apart.
+/// Classifies an error of accept(2).
 pub fn accept_failure(error: &Error) -> AcceptFailure {
     match errno(error) {
         Some(Errno::MFILE) => AcceptFailure::Descriptors,
@@ -22,14 +23,14 @@
     }
 }
 
-/// Whether a connection could not be made for a lack of something here, which says nothing of the other side.
+/// Whether a connection failed for a local shortage, which says nothing about the other side.
 pub fn is_our_shortage(error: &Error) -> bool {
     let shortages = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
         Errno::NOMEM,
-        // No port of our own is free.
+        // No local port is free.
         Errno::ADDRNOTAVAIL,
         Errno::AGAIN,
     ];
--- a/sidecar/src/tasks.rs
+++ b/sidecar/src/tasks.rs
@@ -1,5 +1,6 @@
-//! Spawning on the one executor of a thread, without keeping it alive: its end ends every task. The executor keeps a panic
-//! for whoever awaits the task, and mostly nobody does: it dooms the thread here instead.
+//! Spawning on a thread's executor without keeping the executor alive: when it ends, so does every task. The
+//! executor passes a panic only to the code that awaits the task, and most tasks are never awaited, so a panic is
+//! also reported by [`Tasks::panicked`], which ends the thread.
 use crate::oneshot::{oneshot, Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::FutureExt;
@@ -8,6 +9,7 @@
 use std::panic::{resume_unwind, AssertUnwindSafe};
 use std::rc::{Rc, Weak};
 
+/// Spawns tasks on one executor, and reports whether any of them has panicked.
 #[derive(Clone)]
 pub struct Tasks {
     executor: Weak<LocalExecutor<'static>>,
@@ -16,6 +18,7 @@
 }
 
 impl Tasks {
+    /// For tasks on that executor.
     pub fn new(executor: &Rc<LocalExecutor<'static>>) -> Tasks {
         let (doom, doomed) = oneshot();
         Tasks {
@@ -25,7 +28,7 @@
         }
     }
 
-    /// Dropping what this returns cancels the task.
+    /// Spawns a task; none if the executor has ended. Dropping the task cancels it.
     pub fn spawn<T: 'static>(&self, future: impl Future<Output = T> + 'static) -> Option<Task<T>> {
         let doom = self.doom.clone();
         let watched = async move {
@@ -37,13 +40,14 @@
         self.executor.upgrade().map(|executor| executor.spawn(watched))
     }
 
+    /// Spawns a task that runs until it ends or the executor does.
     pub fn spawn_detached(&self, future: impl Future<Output = ()> + 'static) {
         if let Some(task) = self.spawn(future) {
             task.detach();
         }
     }
 
-    /// Ends when a task has panicked. Guards against a thread that goes on half alive.
+    /// Waits until a task has panicked. The thread should end then, instead of running on without that task.
     pub async fn panicked(&self) {
         (&*self.doomed).await;
     }
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -1,4 +1,4 @@
-//! The one clock, and the module's timers as a stream of the tokens that fall due.
+//! The process's clock, and the decision module's timers as a stream of the tokens that fall due.
 use crate::reactor::Timer;
 use futures_lite::Stream;
 use oakhollow::types::{Micros, TimerToken};
@@ -8,67 +8,79 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-pub fn duration(length: Micros) -> Duration {
-    Duration::from_micros(length.0)
+/// The time as a standard duration.
+pub fn duration(time: Micros) -> Duration {
+    Duration::from_micros(time.0)
 }
 
-/// Unix time when the sidecar started, and monotonic time from there: it suits the list's start times and never
-/// goes back.
+/// Unix time at the start of the process, and monotonic time from there: comparable with the start times on the list,
+/// and never stepped back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    unix: Micros,
+    unix_start: Micros,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: Micros(unix.as_micros() as u64) }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), unix_start: Micros(unix_start.as_micros() as u64) }
     }
 
+    /// The current time.
     pub fn now(&self) -> Micros {
-        self.unix + Micros(self.started.elapsed().as_micros() as u64)
+        self.unix_start + Micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// What this clock says at that moment.
+    /// The time of this clock at that instant.
     pub fn micros_at(&self, moment: Instant) -> Micros {
         let since = moment.saturating_duration_since(self.started).as_micros() as u64;
         let before = self.started.saturating_duration_since(moment).as_micros() as u64;
-        self.unix + Micros(since) - Micros(before)
+        self.unix_start + Micros(since) - Micros(before)
     }
 
+    /// The instant at which this clock has that time; the far future if that can't be represented.
     pub fn instant_at(&self, at: Micros) -> Instant {
-        let since = duration(at - self.unix);
+        let since = duration(at - self.unix_start);
         self.started.checked_add(since).unwrap_or_else(|| self.started + Duration::from_secs(1 << 30))
     }
 }
 
+/// The module's timers; as a stream it yields the tokens that are due.
 pub struct Timers {
     clock: Clock,
-    /// By the millisecond, the latest first once that has come: guards against sorting tens of thousands of which most
-    /// concern calls that are over.
-    due: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
-    now: Vec<(Micros, u64, TimerToken)>,
-    set: u64,
-    bell: Timer,
+    /// Timers by their millisecond, which is sorted, latest first, only when it comes: tens of thousands may be
+    /// set, most of them for requests that are finished by then.
+    by_millisecond: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
+    due_now: Vec<(Micros, u64, TimerToken)>,
+    count: u64,
+    alarm: Timer,
 }
 
 impl Timers {
+    /// No timers yet.
     pub fn new(clock: Clock) -> Timers {
-        Timers { clock, due: BTreeMap::new(), now: Vec::new(), set: 0, bell: Timer::never() }
+        Timers {
+            clock,
+            by_millisecond: BTreeMap::new(),
+            due_now: Vec::new(),
+            count: 0,
+            alarm: Timer::never(),
+        }
     }
 
-    /// Timers of one time fall due in the order in which they were set.
+    /// Sets a timer. Timers of the same time fall due in the order in which they were set.
     pub fn set(&mut self, at: Micros, token: TimerToken) {
-        self.set += 1;
-        self.due.entry(at.0 / 1000).or_default().push((at, self.set, token));
+        self.count += 1;
+        self.by_millisecond.entry(at.0 / 1000).or_default().push((at, self.count, token));
     }
 }
 
 impl Timers {
-    fn ring_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
-        self.bell.set_at(at);
-        if Pin::new(&mut self.bell).poll(context).is_ready() {
+    fn wake_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
+        self.alarm.set_at(at);
+        if Pin::new(&mut self.alarm).poll(context).is_ready() {
             context.waker().wake_by_ref();
         }
         Poll::Pending
@@ -79,18 +91,18 @@
     type Item = TimerToken;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<TimerToken>> {
-        if let Some((_, _, token)) = self.now.pop() {
+        if let Some((_, _, token)) = self.due_now.pop() {
             return Poll::Ready(Some(token));
         }
         let now = self.clock.now();
-        let Some(mut first) = self.due.first_entry() else { return Poll::Pending };
-        let begins = Micros(*first.key() * 1000);
-        if begins > now {
-            let at = self.clock.instant_at(begins);
-            return self.ring_at(at, context);
+        let Some(mut first) = self.by_millisecond.first_entry() else { return Poll::Pending };
+        let begin = Micros(*first.key() * 1000);
+        if begin > now {
+            let at = self.clock.instant_at(begin);
+            return self.wake_at(at, context);
         }
         let millisecond = first.get_mut();
-        // Latest first, so that they are taken from the end.
+        // Latest first, so that the next one is popped from the end.
         millisecond.sort_unstable_by(|one, other| other.cmp(one));
         let later = millisecond.partition_point(|(at, ..)| *at > now);
         let due = millisecond.split_off(later);
@@ -99,11 +111,11 @@
             first.remove();
         }
         if !due.is_empty() {
-            self.now = due;
+            self.due_now = due;
             return self.poll_next(context);
         }
         let Some(at) = next else { return Poll::Pending };
         let at = self.clock.instant_at(at);
-        self.ring_at(at, context)
+        self.wake_at(at, context)
     }
 }
--- a/sidecar/src/uninterrupted.rs
+++ b/sidecar/src/uninterrupted.rs
@@ -1,10 +1,10 @@
-//! Streams whose reads and writes are tried again when a signal interrupts them: to whoever uses one, `EINTR` is no error.
+//! Streams that retry reads and writes interrupted by a signal, so that `EINTR` never reaches their users.
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::io::{ErrorKind, Result};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A stream that is never interrupted.
+/// A stream whose reads and writes never fail with `EINTR`.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -1,10 +1,10 @@
-//! The threads that carry the calls. Each worker has an executor, a listener and an instance of the decisions of its own,
-//! and counts as one of the sidecars in all that is shared out among them; nothing of a call ever crosses from one to
-//! another. Phases, reloads and the watch of the list are the program's, which tells its workers by orders.
+//! The worker threads, which carry the requests. Each worker has its own executor, listener and decision module, and
+//! counts as one sidecar wherever something is divided among sidecars; a request never moves between workers. The
+//! lifecycle, reloads and the watch of the list belong to the main thread, which sends its workers commands.
 use crate::dispatcher::Parts;
-use crate::endpoint_list::Elsewhere;
-use crate::endpoint_registry::Mark;
-use crate::generations::{ClassId, Classes, Generations, Left, WorkloadIds};
+use crate::endpoint_list::PeerDrains;
+use crate::endpoint_registry::MaintenanceMark;
+use crate::generations::{ClassId, Classes, Generations, Restriction, WorkloadIds};
 use crate::http1::acceptor::Acceptor;
 use crate::http1::connections::{Connections, OpenRequestIds};
 use crate::http1::pool::Pool;
@@ -33,153 +33,168 @@
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
 
-/// Orders that may wait for a worker.
-const MOST_ORDERS: usize = 64;
+/// Commands that may wait for a worker.
+const MAX_QUEUED_COMMANDS: usize = 64;
 
-/// What the program tells its workers.
+/// A command from the main thread to the workers. Where one has a sender, it is dropped once the command is carried
+/// out.
 #[derive(Clone)]
 pub enum WorkerCommand {
+    /// A list from discovery, or its failure.
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
-    /// Its sender is dropped when that holds.
-    ApplyMaintenance(Mark, Sender<()>),
-    /// Take callers in. Its sender is dropped when that holds.
+    /// An operator's mark on an endpoint.
+    ApplyMaintenance(MaintenanceMark, Sender<()>),
+    /// Accept clients.
     StartAccepting(Sender<()>),
-    /// What the modules have learnt is asked for.
+    /// Report what the decision module has learned about the endpoints.
     ExportLearned(Sender<LearnedHealth>),
-    /// Settings that hold from now on. Its sender is dropped when they do.
+    /// New settings.
     ApplySettings(Arc<Settings>, Sender<()>),
-    /// Whom others' lists let drain. Its sender is dropped when that holds.
-    ApplyPeerDrains(Arc<Elsewhere>, Sender<()>),
-    /// The lease has begun or run out, or the list may not be used any more.
+    /// The endpoints that drain by other instances' lists.
+    ApplyPeerDrains(Arc<PeerDrains>, Sender<()>),
+    /// The lease has begun or expired, or the list may no longer be used.
     RecheckDeadlines,
-    /// What is shared out with another process of this sidecar.
-    SetSharing(Shared),
-    /// Take nobody in any more, and end each connection with its next answer, due by then.
+    /// Whether limits and budgets are shared with another process of this sidecar.
+    SetSharing(Sharing),
+    /// A successor takes over: stop accepting, and end each connection with its next answer, due by then.
     Handover(Micros),
-    /// `/ready` says no; calls that come from now on have their answers by then.
+    /// Report not ready at `/ready`, and answer every request by then.
     ReportNotReady(Micros),
-    /// Take nobody in any more. Its sender is dropped when that holds.
+    /// Stop accepting, and end each connection with its next answer.
     StopAccepting(Sender<()>),
 }
 
-/// Whether another process of this sidecar lives beside this one.
+/// Whether another process of this sidecar runs beside this one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Shared {
+pub enum Sharing {
+    /// No other process runs.
     Alone,
+    /// A successor is taking over from this process.
     WithSuccessor,
+    /// This process is taking over from its predecessor.
     WithPredecessor,
 }
 
-/// The way to all workers, each with a queue of its own: guards against one that is busy for a moment keeping the others
-/// from a drain.
+/// Sends commands to all workers, each through its own queue, so that a busy worker does not delay a drain at the
+/// others.
 #[derive(Clone)]
 pub struct CommandBroadcaster(Vec<Sender<WorkerCommand>>);
 
 impl CommandBroadcaster {
+    /// Sends commands to these queues.
     #[cfg(test)]
     pub fn new(workers: Vec<Sender<WorkerCommand>>) -> CommandBroadcaster {
         CommandBroadcaster(workers)
     }
 
-    /// Tells an order and waits until the last worker has carried it out, or has ended.
-    pub async fn send_and_wait(&self, order: impl FnOnce(Sender<()>) -> WorkerCommand) {
-        let (done, all) = bounded(1);
-        self.send(order(done)).await;
-        let _ = all.recv().await;
+    /// Sends a command and waits until every worker has carried it out, or has ended.
+    pub async fn send_and_wait(&self, command: impl FnOnce(Sender<()>) -> WorkerCommand) {
+        let (done, all_done) = bounded(1);
+        self.send(command(done)).await;
+        let _ = all_done.recv().await;
     }
 
-    /// Waits for those whose queue is full. One that has ended is told of elsewhere.
-    pub async fn send(&self, order: WorkerCommand) {
+    /// Sends a command, and waits for workers whose queue is full. One that has ended is reported by
+    /// [`WorkerPool::failure`].
+    pub async fn send(&self, command: WorkerCommand) {
         for worker in &self.0 {
-            let _ = worker.send(order.clone()).await;
+            let _ = worker.send(command.clone()).await;
         }
     }
 }
 
-/// How much a worker holds.
+/// What a worker holds now.
 #[derive(Clone, Default)]
-pub struct Gauges {
-    pub calls: Gauge,
+pub struct WorkerGauges {
+    /// Requests submitted and not yet answered.
+    pub requests: Gauge,
+    /// Connections of clients.
     pub connections: Gauge,
 }
 
-/// A worker that has ended unasked.
+/// Why a worker has ended unexpectedly.
 pub struct WorkerFailure(pub String);
 
 /// What a worker is started with.
 pub struct WorkerContext {
+    /// Its number among the workers, from 0.
     pub number: usize,
     pub commands: Receiver<WorkerCommand>,
-    pub gauges: Gauges,
+    pub gauges: WorkerGauges,
 }
 
 struct Worker {
-    orders: Sender<WorkerCommand>,
-    gauges: Gauges,
+    commands: Sender<WorkerCommand>,
+    gauges: WorkerGauges,
     thread: Option<JoinHandle<()>>,
 }
 
-/// All workers of the program. Dropping it ends them.
+/// All workers of the process. Dropping it ends them.
 pub struct WorkerPool {
     workers: Vec<Worker>,
-    lost: Receiver<WorkerFailure>,
+    failures: Receiver<WorkerFailure>,
 }
 
 thread_local! {
-    static PANIC: RefCell<Option<String>> = const { RefCell::new(None) };
+    static LAST_PANIC: RefCell<Option<String>> = const { RefCell::new(None) };
 }
 
-/// Has panics kept for the one line in which the program says why it ends, instead of written out at once.
+/// Makes the panic hook store the panic's message, for the one line that says why the process ends, instead of
+/// printing it.
 pub fn capture_panics() {
     std::panic::set_hook(Box::new(|panic| {
         let text = panic.to_string().replace('\n', " ");
-        PANIC.with_borrow_mut(|kept| *kept = Some(text));
+        LAST_PANIC.with_borrow_mut(|kept| *kept = Some(text));
     }));
 }
 
 impl WorkerPool {
-    /// Starts `count` workers; `work` is the whole life of one. A worker that ends with a fault, or panics, is told by
-    /// [`WorkerPool::failure`].
+    /// Starts `count` workers, each of which runs `work`. [`WorkerPool::failure`] reports one that ends with an
+    /// error or panics.
     pub fn start(
         count: usize, work: impl Fn(WorkerContext) -> std::io::Result<()> + Clone + Send + 'static,
     ) -> std::io::Result<WorkerPool> {
-        let (tell, lost) = bounded(count);
+        let (report, failures) = bounded(count);
         let mut workers = Vec::new();
         for number in 0..count {
-            let ((sender, commands), gauges) = (bounded(MOST_ORDERS), Gauges::default());
-            let hand = WorkerContext { number, commands, gauges: gauges.clone() };
-            let (work, tell) = (work.clone(), tell.clone());
-            let life = move || {
-                let why = match catch_unwind(AssertUnwindSafe(|| work(hand))) {
+            let ((sender, commands), gauges) = (bounded(MAX_QUEUED_COMMANDS), WorkerGauges::default());
+            let context = WorkerContext { number, commands, gauges: gauges.clone() };
+            let (work, report) = (work.clone(), report.clone());
+            let run = move || {
+                let why = match catch_unwind(AssertUnwindSafe(|| work(context))) {
                     Ok(Ok(())) => return,
-                    Ok(Err(fault)) => fault.to_string(),
-                    Err(_) => panic_kept(),
+                    Ok(Err(error)) => error.to_string(),
+                    Err(_) => take_last_panic(),
                 };
-                let _ = tell.try_send(WorkerFailure(format!("worker {number} ended: {why}")));
+                let _ = report.try_send(WorkerFailure(format!("worker {number} ended: {why}")));
             };
-            let thread = Builder::new().name(format!("worker {number}")).spawn(life)?;
-            workers.push(Worker { orders: sender, gauges, thread: Some(thread) });
+            let thread = Builder::new().name(format!("worker {number}")).spawn(run)?;
+            workers.push(Worker { commands: sender, gauges, thread: Some(thread) });
         }
-        Ok(WorkerPool { workers, lost })
+        Ok(WorkerPool { workers, failures })
     }
 
+    /// Sends commands to these workers.
     pub fn commands(&self) -> CommandBroadcaster {
-        CommandBroadcaster(self.workers.iter().map(|worker| worker.orders.clone()).collect())
+        CommandBroadcaster(self.workers.iter().map(|worker| worker.commands.clone()).collect())
     }
 
+    /// Waits until a worker fails.
     pub async fn failure(&self) -> WorkerFailure {
-        self.lost.recv().await.unwrap_or_else(|_| WorkerFailure("all workers ended".into()))
+        self.failures.recv().await.unwrap_or_else(|_| WorkerFailure("all workers ended".into()))
     }
 
-    pub fn calls(&self) -> usize {
-        self.workers.iter().map(|worker| worker.gauges.calls.get()).sum()
+    /// The number of open requests, over all workers.
+    pub fn open_requests(&self) -> usize {
+        self.workers.iter().map(|worker| worker.gauges.requests.get()).sum()
     }
 
-    /// What each worker holds.
-    pub fn gauges(&self) -> Vec<Gauges> {
+    /// The gauges of each worker.
+    pub fn gauges(&self) -> Vec<WorkerGauges> {
         self.workers.iter().map(|worker| worker.gauges.clone()).collect()
     }
 
+    /// The number of client connections, over all workers.
     pub fn connections(&self) -> usize {
         self.workers.iter().map(|worker| worker.gauges.connections.get()).sum()
     }
@@ -187,7 +202,7 @@
 
 impl Drop for WorkerPool {
     fn drop(&mut self) {
-        self.workers.iter().for_each(|worker| _ = worker.orders.close());
+        self.workers.iter().for_each(|worker| _ = worker.commands.close());
         for worker in &mut self.workers {
             if let Some(thread) = worker.thread.take() {
                 let _ = thread.join();
@@ -196,234 +211,261 @@
     }
 }
 
-/// What all workers carry calls by.
+/// What every worker is set up with.
 #[derive(Clone)]
-pub struct Kit {
-    pub place: Settings,
+pub struct WorkerSetup {
+    pub settings: Settings,
     pub seed: u64,
-    pub known: Arc<DiscoveryList>,
+    pub known_list: Arc<DiscoveryList>,
     pub marks: MaintenanceMarks,
-    /// What another process learnt in this one's place, for each worker.
-    pub taught: LearnedHealth,
+    /// What the predecessor process learned about the endpoints.
+    pub learned: LearnedHealth,
     pub workers: usize,
-    pub callers: SharedLimit,
-    pub links: SharedLimit,
+    pub client_limit: SharedLimit,
+    pub server_limit: SharedLimit,
     pub clock: Clock,
     pub log: Logger,
     pub lease: Lease,
-    /// Until when the list may be used.
+    /// The time until which the list may be used.
     pub list_deadline: ListDeadline,
     pub metrics: Arc<Metrics>,
-    /// Asks for a subscription to the list.
-    pub ask: Sender<()>,
+    /// Requests a subscription to the list.
+    pub subscribe: Sender<()>,
     pub ids: Arc<OpenRequestIds>,
-    /// The listener is the platform's: what waits in its queue is for whoever comes next.
-    pub passed: bool,
-    /// Another process of this sidecar has told its snapshot and goes on beside this one.
-    pub beside: bool,
+    /// The listener is the platform's, so connections that wait in its queue are left to the next process.
+    pub listener_passed: bool,
+    /// The predecessor process has sent its snapshot and still runs.
+    pub has_predecessor: bool,
 }
 
-/// The whole life of a worker that carries calls.
-pub fn carry(kit: Kit, hand: WorkerContext, listener: TcpListener) -> std::io::Result<()> {
-    run_on_this_thread(|tasks| obey(kit, hand, listener, tasks))
+/// Runs a worker that carries requests, until its commands end.
+pub fn run_worker(setup: WorkerSetup, context: WorkerContext, listener: TcpListener) -> std::io::Result<()> {
+    run_on_this_thread(|tasks| serve(setup, context, listener, tasks))
 }
 
-/// Runs a worker's life with an executor of its own; ends when that does, or when any of its tasks panics.
+/// Runs `main` on an executor of this thread, until it ends or any task panics.
 pub fn run_on_this_thread<F: Future<Output = std::io::Result<()>>>(
-    life: impl FnOnce(Tasks) -> F,
+    main: impl FnOnce(Tasks) -> F,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let tasks = Tasks::new(&executor);
-    let doomed = async {
+    let panicked = async {
         tasks.panicked().await;
-        Err(std::io::Error::other(panic_kept()))
+        Err(std::io::Error::other(take_last_panic()))
     };
-    reactor::block_on(executor.run(future::or(doomed, life(tasks.clone()))))?
+    reactor::block_on(executor.run(future::or(panicked, main(tasks.clone()))))?
 }
 
-/// What the last panic of this thread said.
-pub fn panic_kept() -> String {
-    PANIC.take().unwrap_or_else(|| "panicked".into())
+/// Takes the message of the last panic on this thread.
+pub fn take_last_panic() -> String {
+    LAST_PANIC.take().unwrap_or_else(|| "panicked".into())
 }
 
-/// What this worker is among all workers of all sidecars.
-fn placed(mut place: Settings, number: usize, workers: usize) -> Settings {
-    place.balancer.instance_index =
-        place.balancer.instance_index.saturating_mul(workers as u32).saturating_add(number as u32);
-    place.balancer.instances = place.balancer.instances.saturating_mul(workers as u32);
-    // The few hops on top of a share are the program's: parted among its workers, the odd ones to the first.
-    if let Some(bound) = &mut place.balancer.retry_budget {
-        let (few, workers) = (bound.base, workers as f64);
-        bound.base = (few / workers).floor() + f64::from(u8::from((number as f64) < few % workers));
+/// The settings of one worker, as one of all workers of all sidecars.
+fn worker_settings(mut settings: Settings, number: usize, workers: usize) -> Settings {
+    settings.balancer.instance_index =
+        settings.balancer.instance_index.saturating_mul(workers as u32).saturating_add(number as u32);
+    settings.balancer.instances = settings.balancer.instances.saturating_mul(workers as u32);
+    // The fixed allowance of extra attempts is per process: it is divided among the workers, and the remainder goes
+    // to the first ones.
+    if let Some(budget) = &mut settings.balancer.retry_budget {
+        let (base, workers) = (budget.base, workers as f64);
+        budget.base = (base / workers).floor() + f64::from(u8::from((number as f64) < base % workers));
     }
-    place
+    settings
 }
 
-/// As one of two sidecars, while another process is the other.
-fn shared(mut terms: BalancerConfig, shared: Shared) -> BalancerConfig {
-    let (sidecars, number) = match shared {
-        Shared::Alone => return terms,
-        Shared::WithPredecessor => (2, 0),
-        Shared::WithSuccessor => (2, 1),
+/// The terms of this process as one of two sidecars, while another process of this sidecar runs beside it.
+fn with_sharing(mut config: BalancerConfig, sharing: Sharing) -> BalancerConfig {
+    let (sidecars, number) = match sharing {
+        Sharing::Alone => return config,
+        Sharing::WithPredecessor => (2, 0),
+        Sharing::WithSuccessor => (2, 1),
     };
-    terms.instance_index = terms.instance_index.saturating_mul(sidecars).saturating_add(number);
-    terms.instances = terms.instances.saturating_mul(sidecars);
-    if shared == Shared::WithPredecessor {
-        none_beyond(&mut terms);
+    config.instance_index = config.instance_index.saturating_mul(sidecars).saturating_add(number);
+    config.instances = config.instances.saturating_mul(sidecars);
+    if sharing == Sharing::WithPredecessor {
+        forbid_extra_attempts(&mut config);
     }
-    terms
+    config
 }
 
-/// Hops beyond calls' first stay with the process that was there before, until it parts: guards against two that each grant
-/// them, and against a window that holds what the one sent and the other sends.
-fn none_beyond(terms: &mut BalancerConfig) {
-    if let Some(bound) = &mut terms.retry_budget {
-        (bound.base, bound.ratio) = (0.0, 0.0);
+/// Allows no attempts beyond requests' first. While two processes of one sidecar run, only the earlier one may make
+/// extra attempts, until it leaves; together they would exceed the budget, also within the window after the change.
+fn forbid_extra_attempts(config: &mut BalancerConfig) {
+    if let Some(budget) = &mut config.retry_budget {
+        (budget.base, budget.ratio) = (0.0, 0.0);
     }
 }
 
-/// What is offered from now on by name, and what is left to calls of all else.
-fn classes_of(classes: &mut Classes, place: &Settings) -> (Vec<ClassId>, FnvHashMap<ClassId, Left>) {
-    let kinds = place.balancer.workloads.iter().map(|workload| workload.idempotency);
-    let named: Vec<_> = place.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
-    classes.take(&named)
+/// The class ids of the settings' workloads, and the restrictions on open requests of all others.
+fn update_classes(
+    classes: &mut Classes, settings: &Settings,
+) -> (Vec<ClassId>, FnvHashMap<ClassId, Restriction>) {
+    let kinds = settings.balancer.workloads.iter().map(|workload| workload.idempotency);
+    let named: Vec<_> = settings.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
+    classes.update(&named)
 }
 
-/// What requests call things by.
-fn names_of(place: &mut Settings, numbers: Vec<WorkloadIds>, classes: Vec<ClassId>) -> RequestSettings {
-    let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
+/// What client connections need of the settings to read requests.
+fn build_request_settings(
+    settings: &mut Settings, workload_ids: Vec<WorkloadIds>, classes: Vec<ClassId>,
+) -> RequestSettings {
+    let class_names = settings.workloads.iter().map(|named| named.name.as_str().into()).collect();
     RequestSettings {
         class_names,
-        effects: numbers
+        effects: workload_ids
             .iter()
-            .map(|number| monitor::effect(place.balancer.workloads[number.buffered.0].idempotency))
+            .map(|ids| monitor::effect(settings.balancer.workloads[ids.buffered.0].idempotency))
             .collect(),
-        workloads: std::mem::take(&mut place.workloads),
-        workload_ids: numbers,
+        workloads: std::mem::take(&mut settings.workloads),
+        workload_ids,
         classes,
-        tenants: std::mem::take(&mut place.tenants),
-        uses_affinity_keys: place.balancer.key_affinity,
-        max_attempts: place.balancer.max_hops as usize,
+        tenants: std::mem::take(&mut settings.tenants),
+        uses_affinity_keys: settings.balancer.key_affinity,
+        max_attempts: settings.balancer.max_hops as usize,
     }
 }
 
-async fn obey(kit: Kit, hand: WorkerContext, listener: TcpListener, tasks: Tasks) -> std::io::Result<()> {
-    let WorkerContext { number, commands, gauges } = hand;
-    let mut place = placed(kit.place, number, kit.workers);
+/// Sets up a worker and carries out its commands.
+async fn serve(
+    setup: WorkerSetup, context: WorkerContext, listener: TcpListener, tasks: Tasks,
+) -> std::io::Result<()> {
+    let WorkerContext { number, commands, gauges } = context;
+    let mut settings = worker_settings(setup.settings, number, setup.workers);
     let (mut generations, mut classes) = (Generations::default(), Classes::default());
-    let (named, mut left) = classes_of(&mut classes, &place);
-    let numbers;
-    (place.balancer, numbers) = generations.take(place.balancer);
-    let log = if kit.workers > 1 { kit.log.new(o!("worker" => number)) } else { kit.log };
-    let (desk, notes) = DispatcherHandle::new(kit.clock, gauges.calls);
-    let limits = monitor::limits(&place.balancer, place.drain_grace);
-    let monitor = Monitor::new(limits, kit.metrics, kit.clock, log.clone());
-    let links = LimitShare::new(kit.links);
-    let pool =
-        Pool::new(tasks.clone(), links, (place.connect_timeout, place.server_idle_timeout), log.clone());
-    // One watch feeds all: the first asks for all of them, and they hear the same.
-    let ask = if number == 0 { kit.ask } else { bounded(1).0 };
+    let (class_ids, mut restrictions) = update_classes(&mut classes, &settings);
+    let workload_ids;
+    (settings.balancer, workload_ids) = generations.update(settings.balancer);
+    let log = if setup.workers > 1 { setup.log.new(o!("worker" => number)) } else { setup.log };
+    let (dispatcher, messages) = DispatcherHandle::new(setup.clock, gauges.requests);
+    let limits = monitor::limits(&settings.balancer, settings.drain_grace);
+    let monitor = Monitor::new(limits, setup.metrics, setup.clock, log.clone());
+    let server_connections = LimitShare::new(setup.server_limit);
+    let pool = Pool::new(
+        tasks.clone(),
+        server_connections,
+        (settings.connect_timeout, settings.server_idle_timeout),
+        log.clone(),
+    );
+    // There is one watch for all workers: the first worker subscribes, and all receive the list.
+    let subscribe = if number == 0 { setup.subscribe } else { bounded(1).0 };
     let parts = Parts {
         protocol: Rc::new(Http1 {
             pool: pool.clone(),
-            reads_load_reports: place.balancer.load_reports,
+            reads_load_reports: settings.balancer.load_reports,
             fence: Fence {
-                lease: kit.lease.clone(),
-                list_deadline: kit.list_deadline.clone(),
-                clock: kit.clock,
+                lease: setup.lease.clone(),
+                list_deadline: setup.list_deadline.clone(),
+                clock: setup.clock,
             },
             monitor: monitor.clone(),
         }),
-        desk: desk.clone(),
+        handle: dispatcher.clone(),
         tasks: tasks.clone(),
         log: log.clone(),
-        ask,
-        lease: kit.lease,
-        list_deadline: kit.list_deadline,
+        subscribe,
+        lease: setup.lease,
+        list_deadline: setup.list_deadline,
         monitor: monitor.clone(),
-        taught: kit.taught,
+        learned: setup.learned,
     };
-    let seed = kit.seed ^ (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let mut terms = place.balancer.clone();
-    // Not to be left to the order that follows: a call may come before it.
-    if kit.beside {
-        none_beyond(&mut place.balancer);
+    let seed = setup.seed ^ (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    let mut config = settings.balancer.clone();
+    // Set here and not only by the later `SetSharing` command: a request may arrive before that.
+    if setup.has_predecessor {
+        forbid_extra_attempts(&mut settings.balancer);
     }
-    let dispatcher = Dispatcher::new(&place, seed, (&kit.known, kit.marks), parts);
-    tasks.spawn_detached(dispatcher.run(notes));
-    let names = names_of(&mut place, numbers, named);
-    let mut with = if kit.beside { Shared::WithPredecessor } else { Shared::Alone };
-    let callers = (LimitShare::new(kit.callers), gauges.connections);
-    let connections = Connections::new(desk.clone(), names, monitor.clone(), callers, kit.ids);
+    let dispatcher_task = Dispatcher::new(&settings, seed, (&setup.known_list, setup.marks), parts);
+    tasks.spawn_detached(dispatcher_task.run(messages));
+    let request_settings = build_request_settings(&mut settings, workload_ids, class_ids);
+    let mut sharing = if setup.has_predecessor { Sharing::WithPredecessor } else { Sharing::Alone };
+    let client_connections = (LimitShare::new(setup.client_limit), gauges.connections);
+    let connections = Connections::new(
+        dispatcher.clone(),
+        request_settings,
+        monitor.clone(),
+        client_connections,
+        setup.ids,
+    );
     let acceptor = Acceptor::new(connections.clone(), tasks.clone(), log);
     let mut listener = Some(Rc::new(Async::from_listener(listener)?));
     let mut accepting = None;
-    while let Ok(order) = commands.recv().await {
-        match order {
-            WorkerCommand::ApplyList(kind, list, heard) => {
-                desk.send(DispatcherMessage::ApplyList(kind, list, heard)).await
+    while let Ok(command) = commands.recv().await {
+        match command {
+            WorkerCommand::ApplyList(kind, list, arrival) => {
+                dispatcher.send(DispatcherMessage::ApplyList(kind, list, arrival)).await
             }
             WorkerCommand::ApplyMaintenance(mark, done) => {
-                desk.send(DispatcherMessage::ApplyMaintenance(mark, done)).await
+                dispatcher.send(DispatcherMessage::ApplyMaintenance(mark, done)).await
             }
             WorkerCommand::StartAccepting(done) => {
                 let accept_all = listener.clone().map(|listener| acceptor.clone().accept_all(listener));
-                accepting = accept_all.and_then(|taking| tasks.spawn(taking));
+                accepting = accept_all.and_then(|accepting| tasks.spawn(accepting));
                 connections.set_serving(true);
                 drop(done);
             }
-            WorkerCommand::ExportLearned(to) => desk.send(DispatcherMessage::ExportLearned(to)).await,
-            WorkerCommand::ApplyPeerDrains(elsewhere, done) => {
-                desk.send(DispatcherMessage::ApplyPeerDrains(elsewhere, done)).await
+            WorkerCommand::ExportLearned(to) => dispatcher.send(DispatcherMessage::ExportLearned(to)).await,
+            WorkerCommand::ApplyPeerDrains(drains, done) => {
+                dispatcher.send(DispatcherMessage::ApplyPeerDrains(drains, done)).await
             }
-            WorkerCommand::RecheckDeadlines => desk.send(DispatcherMessage::RecheckDeadlines).await,
-            WorkerCommand::ApplySettings(place, done) => {
-                let mut place = placed(Settings::clone(&place), number, kit.workers);
-                let (numbers, named);
-                (named, left) = classes_of(&mut classes, &place);
-                (place.balancer, numbers) = generations.take(place.balancer);
-                pool.set_timeouts(place.connect_timeout, place.server_idle_timeout);
-                monitor.set_limits(monitor::limits(&place.balancer, place.drain_grace));
-                let names = names_of(&mut place, numbers, named);
-                terms = place.balancer;
-                // The module first: a call that comes by the new names must find its number there.
-                let terms = Box::new(shared(terms.clone(), with));
-                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), Some(done))).await;
-                connections.set_request_settings(names);
+            WorkerCommand::RecheckDeadlines => dispatcher.send(DispatcherMessage::RecheckDeadlines).await,
+            WorkerCommand::ApplySettings(settings, done) => {
+                let mut settings = worker_settings(Settings::clone(&settings), number, setup.workers);
+                let (workload_ids, class_ids);
+                (class_ids, restrictions) = update_classes(&mut classes, &settings);
+                (settings.balancer, workload_ids) = generations.update(settings.balancer);
+                pool.set_timeouts(settings.connect_timeout, settings.server_idle_timeout);
+                monitor.set_limits(monitor::limits(&settings.balancer, settings.drain_grace));
+                let request_settings = build_request_settings(&mut settings, workload_ids, class_ids);
+                config = settings.balancer;
+                // The module first: it must know the workload ids of requests that are read by the new settings.
+                let config = Box::new(with_sharing(config.clone(), sharing));
+                dispatcher
+                    .send(DispatcherMessage::ApplySettings(config, restrictions.clone(), Some(done)))
+                    .await;
+                connections.set_request_settings(request_settings);
             }
-            WorkerCommand::SetSharing(now) => {
-                with = now;
-                let terms = Box::new(shared(terms.clone(), with));
-                desk.send(DispatcherMessage::ApplySettings(terms, left.clone(), None)).await;
+            WorkerCommand::SetSharing(new) => {
+                sharing = new;
+                let config = Box::new(with_sharing(config.clone(), sharing));
+                dispatcher.send(DispatcherMessage::ApplySettings(config, restrictions.clone(), None)).await;
                 connections.close_excess_idle();
             }
-            WorkerCommand::Handover(by) => {
+            WorkerCommand::Handover(deadline) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
                 listener = None;
-                if with != Shared::Alone && terms.retry_budget.is_some() {
-                    let mut last = shared(terms.clone(), with);
-                    none_beyond(&mut last);
-                    desk.send(DispatcherMessage::ApplySettings(Box::new(last), left.clone(), None)).await;
+                if sharing != Sharing::Alone && config.retry_budget.is_some() {
+                    let mut config_at_end = with_sharing(config.clone(), sharing);
+                    forbid_extra_attempts(&mut config_at_end);
+                    dispatcher
+                        .send(DispatcherMessage::ApplySettings(
+                            Box::new(config_at_end),
+                            restrictions.clone(),
+                            None,
+                        ))
+                        .await;
                 }
                 connections.close_after_answers();
-                connections.set_answer_deadline(by);
-                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
+                connections.set_answer_deadline(deadline);
+                dispatcher.send(DispatcherMessage::SetAnswerDeadline(deadline)).await;
             }
-            WorkerCommand::ReportNotReady(by) => {
+            WorkerCommand::ReportNotReady(deadline) => {
                 connections.set_serving(false);
-                // Guards against a kill that finds an API call without its answer, also one taken before.
-                connections.set_answer_deadline(by);
-                desk.send(DispatcherMessage::SetAnswerDeadline(by)).await;
+                // Also for requests that are already open: the process may be killed after that.
+                connections.set_answer_deadline(deadline);
+                dispatcher.send(DispatcherMessage::SetAnswerDeadline(deadline)).await;
             }
             WorkerCommand::StopAccepting(done) => {
                 if let Some(accepting) = accepting.take() {
                     accepting.cancel().await;
                 }
                 connections.close();
-                // Dropped at once after: a listener left open would go on accepting for nobody.
-                if let Some(listener) = listener.take().filter(|_| !kit.passed) {
+                // The listener is dropped right after: while open, the kernel would go on accepting connections
+                // that are never served.
+                if let Some(listener) = listener.take().filter(|_| !setup.listener_passed) {
                     acceptor.accept_backlog(&listener);
                 }
                 drop(done);
