--- a/sidecar/src/http1/acceptor.rs
+++ b/sidecar/src/http1/acceptor.rs
@@ -1,4 +1,4 @@
-//! Takes the connections of clients in: no more than there may be, whatever errors the kernel has for it.
+//! Accepts client connections within the limit on their number, and recovers from failed accepts.
 use super::client_connection::ClientConnection;
 use super::connections::Connections;
 use crate::limits::Slot;
@@ -13,21 +13,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest pause after an accept that failed for a shortage, which does not pass in an instant.
-const PAUSE: Duration = Duration::from_millis(50);
-/// The first one, doubled by each that follows.
+/// The longest pause after an accept that failed for a shortage of resources.
+const MAX_PAUSE: Duration = Duration::from_millis(50);
+/// The first pause after a shortage; each further one in a row is twice as long.
 const FIRST_PAUSE: Duration = Duration::from_millis(5);
-/// Shortages of the host in a row from which on a connection of ours is closed, too.
-const LASTING: u32 = 4;
-/// Failures in a row, of whatever kind, after which there is a pause in any case: guards against spinning.
-const MOST_AT_ONCE: u32 = 64;
+/// After so many shortages of the host in a row, an idle connection of ours is closed, too.
+const EVICT_AFTER_SHORTAGES: u32 = 4;
+/// So many failures in a row without a pause at most: guards against a busy loop.
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 64;
 
-/// Accepts that have failed in a row.
+/// Counts accepts that failed in a row.
 #[derive(Clone, Copy, Default, Debug)]
 struct Failures {
-    /// For whatever reason.
+    /// For any reason.
     all: u32,
-    /// The last of them, for a shortage.
+    /// The last ones, for a shortage of resources.
     shortages: u32,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The one way in for clients of a worker.
+/// Accepts the client connections of one worker.
 pub struct Acceptor {
     connections: Rc<Connections>,
     tasks: Tasks,
@@ -49,34 +49,38 @@
 }
 
 impl Acceptor {
-    /// For the connections of one worker.
+    /// An acceptor for these connections.
     pub fn new(connections: Rc<Connections>, tasks: Tasks, log: Logger) -> Rc<Acceptor> {
         Rc::new(Acceptor { connections, tasks, log })
     }
 
-    /// Takes connections in until dropped.
+    /// Accepts connections until it is dropped.
     pub async fn accept_all(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         let mut failures = Failures::default();
         loop {
-            let slot = self.slot().await;
+            let slot = self.wait_for_slot().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
                     if std::mem::take(&mut failures).all > 0 {
-                        info!(self.log, "connections are taken in again, {} open", self.connections.held());
+                        info!(
+                            self.log,
+                            "connections are accepted again, {} open",
+                            self.connections.open_count()
+                        );
                     }
-                    self.take_in(stream, slot);
+                    self.serve(stream, slot);
                 }
-                Err(fault) => {
+                Err(error) => {
                     drop(slot);
-                    let failure = accept_failure(&fault);
+                    let failure = accept_failure(&error);
                     failures.count(failure);
-                    self.connections.monitor.system_error(SystemCall::Accept, &fault);
+                    self.connections.monitor.system_error(SystemCall::Accept, &error);
                     if failures.all == 1 {
                         warn!(
                             self.log,
-                            "cannot take connections in, {} open: {}",
-                            self.connections.held(),
-                            fault
+                            "cannot accept connections, {} open: {}",
+                            self.connections.open_count(),
+                            error
                         );
                     }
                     self.recover(failure, failures).await;
@@ -85,64 +89,65 @@
         }
     }
 
-    /// Waits until one more connection may be held; idle ones are closed for it.
-    async fn slot(&self) -> Slot {
+    /// Waits until one more connection may be open. Idle ones are closed for it.
+    async fn wait_for_slot(&self) -> Slot {
         loop {
-            if let Some(slot) = self.connections.slot() {
+            if let Some(slot) = self.connections.try_slot() {
                 return slot;
             }
-            let late = async { _ = Timer::after(PAUSE).await };
-            future::or(self.connections.room_made(), late).await;
+            let late = async { _ = Timer::after(MAX_PAUSE).await };
+            future::or(self.connections.slot_freed(), late).await;
         }
     }
 
-    /// Waits for as long as it takes until the next accept may go through, after so many failures in a row.
+    /// Waits until the next accept may succeed.
     async fn recover(&self, failure: AcceptFailure, failures: Failures) {
         match failure {
-            // Others are not held up by one that has broken.
-            AcceptFailure::Connection if !failures.all.is_multiple_of(MOST_AT_ONCE) => {
+            // A broken connection does not hold up the others.
+            AcceptFailure::Connection if !failures.all.is_multiple_of(MAX_FAILURES_WITHOUT_PAUSE) => {
                 future::yield_now().await
             }
-            AcceptFailure::Connection => _ = Timer::after(PAUSE).await,
-            AcceptFailure::Host if failures.shortages < LASTING => {
+            AcceptFailure::Connection => _ = Timer::after(MAX_PAUSE).await,
+            AcceptFailure::Host if failures.shortages < EVICT_AFTER_SHORTAGES => {
                 Timer::after(FIRST_PAUSE * 2_u32.pow(failures.shortages - 1)).await;
             }
             AcceptFailure::Host | AcceptFailure::Descriptors => {
-                self.connections.make_room();
-                Timer::after(PAUSE).await;
+                self.connections.evict_idle();
+                Timer::after(MAX_PAUSE).await;
             }
         }
     }
 
-    /// Takes in what the kernel has accepted already: those clients may have written their requests.
+    /// Accepts the connections that wait in the kernel's queue: their clients may have written requests.
     pub fn accept_backlog(self: &Rc<Self>, listener: &Async<TcpListener>) {
         let mut failures = 0;
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
                     if let Ok(stream) = Async::from_stream(stream) {
-                        self.take_in(stream, self.connections.slot_anyway());
+                        self.serve(stream, self.connections.slot_over_limit());
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
-                // Of one connection, or of a moment: the others are still to be taken in.
-                Err(fault) if failures < MOST_AT_ONCE => {
-                    self.connections.monitor.system_error(SystemCall::Accept, &fault);
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                // One connection failed, or there is a short shortage: the others are still to be accepted.
+                Err(error) if failures < MAX_FAILURES_WITHOUT_PAUSE => {
+                    self.connections.monitor.system_error(SystemCall::Accept, &error);
                     failures += 1;
                 }
-                Err(fault) => return warn!(self.log, "connections in the queue are not taken in: {}", fault),
+                Err(error) => return warn!(self.log, "connections in the queue are not accepted: {}", error),
             }
         }
     }
 
-    fn take_in(&self, stream: Async<TcpStream>, slot: Slot) {
+    /// Serves a connection in a task of its own.
+    fn serve(&self, stream: Async<TcpStream>, slot: Slot) {
         let _ = stream.get_ref().set_nodelay(true);
-        // One that has gone already has no address, and nothing to say.
+        // A client that has gone already has no address.
         let Ok(peer) = stream.get_ref().peer_addr() else { return };
-        let held = Connections::hold(&self.connections, peer.ip(), slot);
+        let guard = Connections::register(&self.connections, peer.ip(), slot);
         self.tasks.spawn_detached(async move {
-            let closed = ClientConnection::new(&held, stream).serve().await;
-            held.closed(closed);
+            let closed = ClientConnection::new(&guard, stream).serve().await;
+            guard.record_close(closed);
         });
     }
 }
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -1,25 +1,25 @@
-//! What goes back to a caller, as bytes.
-use super::attempt::{chunk, Reply};
+//! The answers that clients get.
+use super::attempt::{encode_chunk, EndpointAnswer};
 use super::head::{Framing, HttpError};
 use crate::dispatcher::RequestOutcome;
 use oakhollow::types::Micros;
 use std::borrow::Cow;
 
+/// An answer to a client.
 pub enum Answer {
-    /// A server's answer: its body, and the headers that go on unchanged.
-    Passed(Reply),
-    Worded {
-        status: u16,
-        text: Cow<'static, str>,
-        retry_after: Option<Micros>,
-    },
+    /// An endpoint's answer: its body, and the headers that are forwarded unchanged.
+    Forwarded(EndpointAnswer),
+    /// An answer of the sidecar itself, in plain text.
+    Generated { status: u16, text: Cow<'static, str>, retry_after: Option<Micros> },
 }
 
 impl Answer {
+    /// An answer with this text.
     pub fn plain(status: u16, text: impl Into<Cow<'static, str>>) -> Answer {
-        Answer::Worded { status, text: text.into(), retry_after: None }
+        Answer::Generated { status, text: text.into(), retry_after: None }
     }
 
+    /// The answer to `GET /ready`.
     pub fn ready(ready: bool) -> Answer {
         if ready {
             Answer::plain(200, "ready")
@@ -28,38 +28,38 @@
         }
     }
 
-    /// How the body's end is told to a caller; `old` ones read no chunks.
-    pub fn framing(&self, old: bool) -> Framing {
+    /// How the end of the body is marked. HTTP/1.0 clients cannot read chunks.
+    pub fn framing(&self, http10: bool) -> Framing {
         match self {
-            Answer::Passed(Reply { rest: Some(rest), .. }) => match rest.length() {
+            Answer::Forwarded(EndpointAnswer { rest: Some(rest), .. }) => match rest.length() {
                 Some(length) => Framing::Length(length),
-                None if old => Framing::UntilClose,
+                None if http10 => Framing::UntilClose,
                 None => Framing::Chunked,
             },
-            Answer::Passed(Reply { body, .. }) => Framing::Length(body.len()),
-            Answer::Worded { text, .. } => Framing::Length(text.len() + 1),
+            Answer::Forwarded(EndpointAnswer { body, .. }) => Framing::Length(body.len()),
+            Answer::Generated { text, .. } => Framing::Length(text.len() + 1),
         }
     }
 
-    /// The head, and as much of the body as there is.
-    pub fn bytes(&self, lasts: bool, framing: Framing) -> Vec<u8> {
+    /// The head, and as much of the body as has come.
+    pub fn bytes(&self, keep_alive: bool, framing: Framing) -> Vec<u8> {
         let (mut out, body) = match self {
-            Answer::Passed(Reply { head, body, .. }) => {
+            Answer::Forwarded(EndpointAnswer { head, body, .. }) => {
                 let mut out = b"HTTP/1.1 200 OK\r\n".to_vec();
-                head.pass_on("", &mut out);
+                head.write_forwarded("", &mut out);
                 let chunked = framing == Framing::Chunked;
-                (out, if chunked { Cow::Owned(chunk(body)) } else { Cow::Borrowed(&body[..]) })
+                (out, if chunked { Cow::Owned(encode_chunk(body)) } else { Cow::Borrowed(&body[..]) })
             }
-            Answer::Worded { status, text, retry_after } => {
-                let (status, word) = (*status, reason(*status));
-                let mut out = format!("HTTP/1.1 {status} {word}\r\nContent-Type: text/plain\r\n");
+            Answer::Generated { status, text, retry_after } => {
+                let (status, phrase) = (*status, reason_phrase(*status));
+                let mut out = format!("HTTP/1.1 {status} {phrase}\r\nContent-Type: text/plain\r\n");
                 if let Some(time) = retry_after {
                     out += &format!("Retry-After: {:.3}\r\n", time.secs());
                 }
                 (out.into_bytes(), Cow::Owned(format!("{text}\n").into_bytes()))
             }
         };
-        let close = if lasts { "" } else { "Connection: close\r\n" };
+        let close = if keep_alive { "" } else { "Connection: close\r\n" };
         let framing = match framing {
             Framing::Length(length) => format!("Content-Length: {length}\r\n"),
             Framing::Chunked => "Transfer-Encoding: chunked\r\n".into(),
@@ -77,11 +77,11 @@
     }
 }
 
-impl From<RequestOutcome<Reply>> for Answer {
-    fn from(verdict: RequestOutcome<Reply>) -> Answer {
-        match verdict {
-            RequestOutcome::Served(answer) => Answer::Passed(answer),
-            RequestOutcome::Refused { cool_down } => Answer::Worded {
+impl From<RequestOutcome<EndpointAnswer>> for Answer {
+    fn from(outcome: RequestOutcome<EndpointAnswer>) -> Answer {
+        match outcome {
+            RequestOutcome::Served(answer) => Answer::Forwarded(answer),
+            RequestOutcome::Refused { cool_down } => Answer::Generated {
                 status: 503,
                 text: "dismissed: trying again is harmless".into(),
                 retry_after: Some(cool_down).filter(|time| time.0 > 0),
@@ -91,7 +91,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -1,13 +1,13 @@
-//! One attempt: a request to a server, and what comes back, as the outcome that the protocol gives it.
+//! One attempt: sends a request to an endpoint and maps what comes back to the outcome that the protocol gives it.
 use super::head::{Head, HttpError};
 use super::load;
-use super::messages::{Incoming, Message, MessageKind, MessageParser, PartialMessage, Rest};
-use super::pool::{Link, Pool};
+use super::messages::{BodyReader, Incoming, Message, MessageKind, MessageParser, PartialMessage};
+use super::pool::{EndpointConnection, Pool};
 use super::Fence;
 use crate::dispatcher::{AttemptEnd, AttemptProgress, LoadReport};
 use crate::metrics::SystemCall;
 use crate::monitor::Monitor;
-use crate::reactor::{Async, EndOf, Timer};
+use crate::reactor::{Async, PeerEnd, Timer};
 use crate::timers::duration;
 use async_channel::{bounded, Receiver, Sender};
 use futures_lite::{future, AsyncWrite};
@@ -20,134 +20,143 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-pub const TIMEOUT: &str = "Request-Timeout-Ms";
-/// How long nothing may come of an answer that has begun, while it is held back: what says no more is spoilt.
-const STALLED: Duration = Duration::from_millis(1_000);
-/// How long an answer is held back of which nobody said how long it is.
-const HELD: Duration = Duration::from_millis(1_000);
-/// How much of a long answer is held back: enough to see that it has a body at all.
-const FIRST: usize = 8 * 1024;
-/// How long one side may take nothing, or give nothing, of a body that is passed on.
-pub const IDLE: Duration = Duration::from_secs(10);
+/// The header with the time that is left for the request, in milliseconds.
+pub const TIMEOUT_HEADER: &str = "Request-Timeout-Ms";
+/// Longest pause in the middle of an answer that is still buffered. After it the attempt has failed.
+const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long the beginning of an answer that states no length is buffered before it is passed on.
+const UNSIZED_ANSWER_BUFFER_TIME: Duration = Duration::from_millis(1_000);
+/// How much of a long answer is buffered before it is passed on: enough to see that it has a body at all.
+const MIN_ANSWER_PREFIX_BYTES: usize = 8 * 1024;
+/// How long a peer may accept nothing of a write, or send nothing of a body that is passed on.
+pub const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request as it goes out, but for the time that is left at each hop.
-pub struct Outgoing {
-    front: Vec<u8>,
+/// A request as it is sent to endpoints, except for the timeout header, which each attempt computes anew.
+pub struct OutgoingRequest {
+    /// The request line and the headers, without the blank line at their end.
+    head: Vec<u8>,
     body: Vec<u8>,
-    /// Whether its caller has gone.
-    gone: EndOf,
-    upload: Option<Upload>,
+    /// Whether the client has gone.
+    client_end: PeerEnd,
+    stream: Option<BodyStream>,
 }
 
-/// When the last byte of a long request came, once it has.
-type Whole = Rc<Cell<Option<Instant>>>;
+/// When the last byte of a streamed request came; none before that.
+type LastByteAt = Rc<Cell<Option<Instant>>>;
 
-/// The rest of a long request, which its caller's task reads while a hop passes it on.
-struct Upload {
+/// The rest of a streamed request body: the client's task reads it while an attempt passes it on.
+struct BodyStream {
     parts: RefCell<Option<Receiver<Vec<u8>>>>,
-    whole: Whole,
+    last_byte_at: LastByteAt,
     chunked: bool,
-    /// How long the answer may take once the last byte has come.
-    left: Micros,
+    /// How long the answer may take after the last byte of the request.
+    answer_timeout: Micros,
 }
 
-/// The caller's end of an upload.
-pub struct Feed {
+/// The end of a [`BodyStream`] that the client's task writes to.
+pub struct BodyStreamWriter {
     parts: Option<Sender<Vec<u8>>>,
-    whole: Whole,
+    last_byte_at: LastByteAt,
 }
 
-impl Feed {
-    /// Waits for room. False if no hop wants it any more.
-    pub async fn give(&self, part: Vec<u8>) -> bool {
+impl BodyStreamWriter {
+    /// Waits until the attempt can take another part. Returns false if no attempt reads the body any more.
+    pub async fn write(&self, part: Vec<u8>) -> bool {
         match &self.parts {
             Some(parts) => parts.send(part).await.is_ok(),
             None => false,
         }
     }
 
+    /// Marks the body as complete.
     pub fn finish(&mut self) {
-        self.whole.set(Some(Instant::now()));
+        self.last_byte_at.set(Some(Instant::now()));
         self.parts = None;
     }
 }
 
-impl Outgoing {
-    pub fn new(request: Message, gone: EndOf) -> Result<Outgoing, HttpError> {
+impl OutgoingRequest {
+    /// A request whose body is buffered whole.
+    pub fn buffered(request: Message, client_end: PeerEnd) -> Result<OutgoingRequest, HttpError> {
         let Message { head, body, .. } = request;
-        let (mut front, method) = Outgoing::front(&head)?;
+        let (mut bytes, method) = OutgoingRequest::forwarded_head(&head)?;
         if !body.is_empty() || method != "GET" {
-            front.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
+            bytes.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
         }
-        Ok(Outgoing { front, body, gone, upload: None })
+        Ok(OutgoingRequest { head: bytes, body, client_end, stream: None })
     }
 
-    /// A request of which only the first part has come.
-    pub fn begun(
-        head: &Head, kept: Vec<u8>, rest: &Rest, left: Micros, gone: EndOf,
-    ) -> Result<(Outgoing, Feed), HttpError> {
-        let (mut front, _) = Outgoing::front(head)?;
+    /// A request of which only the first part of the body has been read; the rest is written to what is returned with it.
+    pub fn streamed(
+        head: &Head, buffered: Vec<u8>, rest: &BodyReader, answer_timeout: Micros, client_end: PeerEnd,
+    ) -> Result<(OutgoingRequest, BodyStreamWriter), HttpError> {
+        let (mut bytes, _) = OutgoingRequest::forwarded_head(head)?;
         match rest.length() {
-            Some(length) => front.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes()),
-            None => front.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
+            Some(length) => bytes.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes()),
+            None => bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
         }
-        let (chunked, whole) = (rest.length().is_none(), Whole::default());
-        let body = if chunked { chunk(&kept) } else { kept };
+        let (chunked, last_byte_at) = (rest.length().is_none(), LastByteAt::default());
+        let body = if chunked { encode_chunk(&buffered) } else { buffered };
         let (sender, parts) = bounded(1);
         let parts = RefCell::new(Some(parts));
-        let upload = Some(Upload { parts, whole: whole.clone(), chunked, left });
-        Ok((Outgoing { front, body, gone, upload }, Feed { parts: Some(sender), whole }))
+        let stream = Some(BodyStream { parts, last_byte_at: last_byte_at.clone(), chunked, answer_timeout });
+        Ok((
+            OutgoingRequest { head: bytes, body, client_end, stream },
+            BodyStreamWriter { parts: Some(sender), last_byte_at },
+        ))
     }
 
-    fn front(head: &Head) -> Result<(Vec<u8>, &str), HttpError> {
+    /// The request line and the headers that are passed on, and the method.
+    fn forwarded_head(head: &Head) -> Result<(Vec<u8>, &str), HttpError> {
         let (method, target, _) = head.request_line()?;
-        let mut front = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
-        head.pass_on(TIMEOUT, &mut front);
-        Ok((front, method))
+        let mut bytes = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
+        head.write_forwarded(TIMEOUT_HEADER, &mut bytes);
+        Ok((bytes, method))
     }
 
-    /// What is left at that moment of a hop's time, which is over by `by`; a long request's runs from its last byte.
-    fn left(&self, by: Instant, now: Instant) -> Duration {
-        match &self.upload {
-            None => by.saturating_duration_since(now),
-            Some(upload) => {
-                let since = upload.whole.get().map(|whole| now.saturating_duration_since(whole));
-                duration(upload.left).saturating_sub(since.unwrap_or_default())
+    /// The time left at `now` for an attempt with this deadline. For a streamed request it counts from its last byte.
+    fn time_left(&self, deadline: Instant, now: Instant) -> Duration {
+        match &self.stream {
+            None => deadline.saturating_duration_since(now),
+            Some(stream) => {
+                let since = stream.last_byte_at.get().map(|at| now.saturating_duration_since(at));
+                duration(stream.answer_timeout).saturating_sub(since.unwrap_or_default())
             }
         }
     }
 
-    fn bytes(&self, told: Micros) -> Vec<u8> {
-        let timeout = format!("{TIMEOUT}: {}\r\n\r\n", told.0 / 1_000);
-        [&self.front, timeout.as_bytes(), &self.body].concat()
+    fn to_bytes(&self, timeout: Micros) -> Vec<u8> {
+        let timeout = format!("{TIMEOUT_HEADER}: {}\r\n\r\n", timeout.0 / 1_000);
+        [&self.head, timeout.as_bytes(), &self.body].concat()
     }
 }
 
-/// What a server is told of the time that is left: whole milliseconds, and one at least.
-fn told(left: Duration) -> Micros {
+/// The time left as the endpoint is told it: whole milliseconds, at least one.
+fn announced_timeout(left: Duration) -> Micros {
     Micros::millis(left.as_millis().max(1) as u64)
 }
 
-/// One chunk of a chunked body; nothing for nothing, which would end it.
-pub fn chunk(part: &[u8]) -> Vec<u8> {
+/// Encodes one chunk of a chunked body. Empty input gives no bytes, since an empty chunk would end the body.
+pub fn encode_chunk(part: &[u8]) -> Vec<u8> {
     if part.is_empty() {
         return Vec::new();
     }
     [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat()
 }
 
+/// The end of a chunked body without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Writes all of it for as long as the other side takes some now and then.
-pub async fn write(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
+/// Writes all bytes. Fails if the peer accepts none for [`BODY_IDLE_TIMEOUT`].
+pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
     let mut stream = stream;
     while !bytes.is_empty() {
-        let taken = poll_fn(|context| Pin::new(&mut stream).poll_write(context, bytes));
+        let written = poll_fn(|context| Pin::new(&mut stream).poll_write(context, bytes));
         let idle = async {
-            Timer::after(IDLE).await;
+            Timer::after(BODY_IDLE_TIMEOUT).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
-        let count = future::or(taken, idle).await?;
+        let count = future::or(written, idle).await?;
         if count == 0 {
             return Err(std::io::ErrorKind::WriteZero.into());
         }
@@ -156,123 +165,129 @@
     Ok(())
 }
 
-/// A server's answer: whole, or its beginning with what carries the rest.
-pub struct Reply {
+/// An endpoint's answer: complete, or its beginning with the stream of the rest.
+pub struct EndpointAnswer {
     pub head: Head,
     pub body: Vec<u8>,
-    pub rest: Option<Download>,
+    pub rest: Option<AnswerBody>,
 }
 
-/// The rest of a long answer, on its server's connection.
-pub struct Download {
-    rest: Rest,
-    link: Rc<Link>,
+/// The rest of a long answer, read from the endpoint's connection as it comes.
+pub struct AnswerBody {
+    rest: BodyReader,
+    connection: Rc<EndpointConnection>,
     pool: Rc<Pool>,
     from: SocketAddr,
 }
 
-impl Download {
-    /// How long the whole body is, where that was said.
+impl AnswerBody {
+    /// The length of the whole body, if the answer states it.
     pub fn length(&self) -> Option<usize> {
         self.rest.length()
     }
 
-    /// What has come of the rest, after waiting for some; nothing once it is whole. None if it broke.
-    pub async fn more(&mut self) -> Option<Vec<u8>> {
+    /// Waits for the next part of the body. Empty at its end, none if the answer broke off.
+    pub async fn next_part(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            self.rest.feed(&mut body).ok()?;
-            if !body.is_empty() || self.rest.whole() {
+            self.rest.decode_into(&mut body).ok()?;
+            if !body.is_empty() || self.rest.is_complete() {
                 return Some(body);
             }
-            let read = async { self.link.read_buf(self.rest.buffer()).await.ok() };
+            let read = async { self.connection.read_buf(self.rest.buffer()).await.ok() };
             let idle = async {
-                Timer::after(IDLE).await;
+                Timer::after(BODY_IDLE_TIMEOUT).await;
                 None
             };
             if future::or(read, idle).await? == 0 {
-                self.rest.ended();
-                if !self.rest.whole() {
+                self.rest.connection_closed();
+                if !self.rest.is_complete() {
                     return None;
                 }
             }
         }
     }
 
-    /// Keeps the connection, where it can carry another.
-    pub fn done(self, lasts: bool) {
-        if lasts && self.rest.whole() && self.rest.lasts() {
-            self.pool.park(self.from, self.link);
+    /// Returns the connection to the pool if it can carry another request.
+    pub fn release(self, keep_alive: bool) {
+        if keep_alive && self.rest.is_complete() && self.rest.keeps_alive() {
+            self.pool.put_back(self.from, self.connection);
         }
     }
 }
 
-/// Where an attempt goes, and what forbids its first byte.
+/// Where an attempt goes, and what is checked before its first byte is written.
 pub struct Target {
-    pub at: SocketAddr,
-    /// False once its server wants nothing new.
-    pub wanted: Rc<Cell<bool>>,
+    pub address: SocketAddr,
+    /// False once the endpoint at this address takes no new requests.
+    pub active: Rc<Cell<bool>>,
     pub fence: Fence,
-    /// What is told all that happens, and says whether the first byte may be written.
+    /// Records what happens, and decides whether the first byte may be written.
     pub monitor: Rc<Monitor>,
     pub permit: AttemptPermit,
 }
 
-/// Makes an attempt, until `by` at most.
-pub async fn attempt(
-    pool: Rc<Pool>, content: Rc<Outgoing>, to: Target, (by, progress): (Instant, Rc<AttemptProgress>),
-    reads_load_reports: bool,
-) -> AttemptEnd<Reply> {
+/// Makes an attempt, which ends at `deadline` at the latest.
+pub async fn run(
+    pool: Rc<Pool>, request: Rc<OutgoingRequest>, target: Target,
+    (deadline, progress): (Instant, Rc<AttemptProgress>), reads_load_reports: bool,
+) -> AttemptEnd<EndpointAnswer> {
     let exchange = async {
-        let exchanged = exchange(&pool, &content, &to, by, &progress).await;
-        exchanged.map_or_else(ended, |reply| judge(reply, reads_load_reports))
+        let exchanged = exchange(&pool, &request, &target, deadline, &progress).await;
+        exchanged.map_or_else(without_answer, |answer| classify(answer, reads_load_reports))
     };
     let late = async {
-        // A request's time runs from its last byte, which this attempt passes on.
-        if content.upload.is_some() {
+        // The time of a streamed request counts from its last byte, which this attempt passes on.
+        if request.stream.is_some() {
             return future::pending().await;
         }
-        Timer::at(by).await;
-        // What was never written whole has not been begun.
-        ended(if progress.fully_sent_at.get().is_some() { Outcome::TimedOut } else { Outcome::NoConnection })
+        Timer::at(deadline).await;
+        // An endpoint does not begin a request that it has not received whole.
+        without_answer(if progress.fully_sent_at.get().is_some() {
+            Outcome::TimedOut
+        } else {
+            Outcome::NoConnection
+        })
     };
     let end = future::or(exchange, late).await;
-    let since = progress.fully_sent_at.get().filter(|_| content.upload.is_some());
+    let since = progress.fully_sent_at.get().filter(|_| request.stream.is_some());
     AttemptEnd { latency: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
 }
 
+/// Connects, sends the request and reads the answer, or the beginning of a long one.
 async fn exchange(
-    pool: &Rc<Pool>, content: &Outgoing, target: &Target, by: Instant, progress: &AttemptProgress,
-) -> Result<Reply, Outcome> {
-    let to = target.at;
-    // What an attempt before this one has passed on is gone.
-    if content.upload.as_ref().is_some_and(|upload| upload.parts.borrow().is_none()) {
+    pool: &Rc<Pool>, request: &OutgoingRequest, target: &Target, deadline: Instant,
+    progress: &AttemptProgress,
+) -> Result<EndpointAnswer, Outcome> {
+    let to = target.address;
+    // An earlier attempt has taken the streamed body, which is not kept for another.
+    if request.stream.as_ref().is_some_and(|stream| stream.parts.borrow().is_none()) {
         return Err(Outcome::NotSent);
     }
-    let link = match pool.rested(to).await {
-        Some(link) => link,
-        None => pool.connect(to, target.wanted.clone()).await.map_err(|failure| {
+    let connection = match pool.take_idle(to).await {
+        Some(connection) => connection,
+        None => pool.connect(to, target.active.clone()).await.map_err(|failure| {
             if let Some(error) = &failure.error {
                 target.monitor.system_error(SystemCall::Connect, error);
             }
             failure.outcome
         })?,
     };
-    // The connection took its time too.
-    let left = content.left(by, Instant::now());
-    let told = told(left);
-    let look = SendConditions {
-        server_available: target.wanted.get(),
+    // Computed after connecting, which takes part of the time.
+    let left = request.time_left(deadline, Instant::now());
+    let announced_timeout = announced_timeout(left);
+    let conditions = SendConditions {
+        server_available: target.active.get(),
         lease_valid: target.fence.lease_valid(),
         list_fresh: target.fence.list_fresh(),
-        client_gone: content.gone.has_come(),
+        client_gone: request.client_end.has_come(),
         time_left: Micros(left.as_micros() as u64),
-        announced_timeout: told,
+        announced_timeout,
     };
-    let permit = match target.monitor.permit_send(&target.permit, look) {
+    let permit = match target.monitor.permit_send(&target.permit, conditions) {
         Ok(permit) => permit,
-        // Guards against a first byte for a client whose end came in one turn with the connection, or with what its request
-        // waited for: the withdrawal, which is on its way, ends this attempt.
+        // The client left in the same turn in which the connection came up, or in which what its request waited for
+        // came. Its withdrawal is on its way and cancels this attempt.
         Err(Denial::ClientGone | Denial::RequestOver) => return future::pending().await,
         Err(Denial::OutOfTime) => return Err(Outcome::NoConnection),
         Err(Denial::ServerNotWanted | Denial::LeaseLapsed | Denial::ListStale | Denial::MayHaveRun) => {
@@ -280,122 +295,125 @@
         }
     };
     progress.send_started.set(true);
-    let mut inbox = MessageParser::new(MessageKind::Answer);
+    let mut parser = MessageParser::new(MessageKind::Answer);
     let broken = |error: std::io::Error| {
         target.monitor.system_error(SystemCall::Transfer, &error);
         Outcome::NoConnection
     };
-    link.begin(permit, &content.bytes(told)).await.map_err(broken)?;
+    connection.write_first(permit, &request.to_bytes(announced_timeout)).await.map_err(broken)?;
     let mut late = None;
-    if let Some(upload) = &content.upload {
-        let sent = async { pass_on(upload, &link).await.map(|()| None) };
-        let early = async { read(&link, &mut inbox, future::pending()).await.map(Some) };
-        // A server that has its answer before it has the request wants no more of it.
+    if let Some(stream) = &request.stream {
+        let sent = async { send_rest(stream, &connection).await.map(|()| None) };
+        let early = async { read_answer(&connection, &mut parser, future::pending()).await.map(Some) };
+        // An endpoint that answers before it has the whole request wants no more of it.
         match future::or(sent, early).await {
-            Ok(None) => late = Some(Timer::after(duration(upload.left))),
-            Ok(Some(came)) => return Ok(reply(came, pool, to, link, false)),
+            Ok(None) => late = Some(Timer::after(duration(stream.answer_timeout))),
+            Ok(Some(incoming)) => return Ok(endpoint_answer(incoming, pool, to, connection, false)),
             Err(_) => return Err(Outcome::NoConnection),
         }
     }
     progress.fully_sent_at.set(Some(Instant::now()));
     target.monitor.last_byte_written(&target.permit);
-    // From here on it may have run, whatever breaks.
+    // From here on the endpoint may have run the request, whatever fails.
     let late = async {
         match late {
             Some(late) => _ = late.await,
             None => future::pending().await,
         }
     };
-    let came = read(&link, &mut inbox, late).await?;
-    // Bytes behind a whole answer are nobody's: what comes next on that connection could be taken for an answer.
-    let lasts = inbox.held() == 0;
-    if !lasts {
-        pool.stray();
+    let incoming = read_answer(&connection, &mut parser, late).await?;
+    // Bytes after a complete answer belong to no request, and the next one could take them for its answer.
+    let keep_alive = parser.pending_bytes() == 0;
+    if !keep_alive {
+        pool.note_unsolicited_bytes();
     }
-    Ok(reply(came, pool, to, link, lasts))
+    Ok(endpoint_answer(incoming, pool, to, connection, keep_alive))
 }
 
-/// The rest of a long request, as its caller gives it.
-async fn pass_on(upload: &Upload, link: &Link) -> Result<(), Outcome> {
-    let parts = upload.parts.borrow_mut().take().ok_or(Outcome::NotSent)?;
-    let gone = |_| Outcome::NoConnection;
+/// Passes on the rest of a streamed request as the client sends it.
+async fn send_rest(stream: &BodyStream, connection: &EndpointConnection) -> Result<(), Outcome> {
+    let parts = stream.parts.borrow_mut().take().ok_or(Outcome::NotSent)?;
+    let failed = |_| Outcome::NoConnection;
     while let Ok(part) = parts.recv().await {
-        let part = if upload.chunked { chunk(&part) } else { part };
-        link.go_on(&part).await.map_err(gone)?;
+        let part = if stream.chunked { encode_chunk(&part) } else { part };
+        connection.write_more(&part).await.map_err(failed)?;
     }
-    if upload.whole.get().is_none() {
+    if stream.last_byte_at.get().is_none() {
         return Err(Outcome::NoConnection);
     }
-    if upload.chunked {
-        link.go_on(LAST_CHUNK).await.map_err(gone)?;
+    if stream.chunked {
+        connection.write_more(LAST_CHUNK).await.map_err(failed)?;
     }
     Ok(())
 }
 
-fn reply(came: Incoming, pool: &Rc<Pool>, from: SocketAddr, link: Rc<Link>, lasts: bool) -> Reply {
-    match came {
-        Incoming::Complete(Message { head, body, lasts: asked }) => {
-            if asked && lasts {
-                pool.park(from, link);
+fn endpoint_answer(
+    incoming: Incoming, pool: &Rc<Pool>, from: SocketAddr, connection: Rc<EndpointConnection>, reusable: bool,
+) -> EndpointAnswer {
+    match incoming {
+        Incoming::Complete(Message { head, body, keep_alive }) => {
+            if keep_alive && reusable {
+                pool.put_back(from, connection);
             }
-            Reply { head, body, rest: None }
+            EndpointAnswer { head, body, rest: None }
         }
-        Incoming::Partial(PartialMessage { head, kept, rest }) => {
-            let rest = Some(Download { rest, link, pool: pool.clone(), from });
-            Reply { head, body: kept, rest }
+        Incoming::Partial(PartialMessage { head, buffered, rest }) => {
+            let rest = Some(AnswerBody { rest, connection, pool: pool.clone(), from });
+            EndpointAnswer { head, body: buffered, rest }
         }
     }
 }
 
-/// Reads one answer, or the beginning of a long one. What can't be read has run all the same; only an end that the
-/// server made is a break.
-async fn read(
-    link: &Link, inbox: &mut MessageParser, late: impl Future<Output = ()>,
+/// Reads one answer, or the beginning of a long one. A malformed answer is [`Outcome::Errored`], since the request has
+/// run; only a connection that the endpoint closed or reset is [`Outcome::Broken`].
+async fn read_answer(
+    connection: &EndpointConnection, parser: &mut MessageParser, late: impl Future<Output = ()>,
 ) -> Result<Incoming, Outcome> {
     let late = async {
         late.await;
         Err(Outcome::TimedOut)
     };
     let read = async {
-        let mut begun = None;
+        let mut started = None;
         loop {
-            let read = async { Some(link.read_buf(inbox.buffer()).await) };
+            let read = async { Some(connection.read_buf(parser.buffer()).await) };
             let idle = async {
-                match begun {
-                    Some(_) => _ = Timer::after(STALLED).await,
+                match started {
+                    Some(_) => _ = Timer::after(ANSWER_STALL_TIMEOUT).await,
                     None => future::pending().await,
                 }
                 None
             };
-            // Guards against waiting out the call's time for the end of an answer that has none.
+            // Guards against waiting out the request's time for the end of an answer that has none.
             let count = future::or(read, idle).await.ok_or(Outcome::Errored)?.map_err(|_| Outcome::Broken)?;
             if count == 0 {
-                return inbox.ended().map(Incoming::Complete).ok_or(Outcome::Broken);
+                return parser.finish_at_close().map(Incoming::Complete).ok_or(Outcome::Broken);
             }
-            if let Some(came) = inbox.next_message().map_err(|_| Outcome::Errored)? {
-                return Ok(came);
+            if let Some(incoming) = parser.next_message().map_err(|_| Outcome::Errored)? {
+                return Ok(incoming);
             }
-            let since = *begun.get_or_insert_with(Instant::now);
-            let enough = match inbox.under_way() {
-                Some((came, true)) => came >= FIRST,
-                Some((came, false)) => came > 0 && since.elapsed() >= HELD,
+            let since = *started.get_or_insert_with(Instant::now);
+            let enough = match parser.body_progress() {
+                Some((received, true)) => received >= MIN_ANSWER_PREFIX_BYTES,
+                Some((received, false)) => received > 0 && since.elapsed() >= UNSIZED_ANSWER_BUFFER_TIME,
                 None => false,
             };
-            if let Some(begun) = enough.then(|| inbox.begin()).flatten() {
-                return Ok(Incoming::Partial(begun));
+            if let Some(partial) = enough.then(|| parser.take_partial()).flatten() {
+                return Ok(Incoming::Partial(partial));
             }
         }
     };
     future::or(read, late).await
 }
 
-/// A hop that brought no answer.
-fn ended(outcome: Outcome) -> AttemptEnd<Reply> {
+/// The end of an attempt that brought no answer.
+fn without_answer(outcome: Outcome) -> AttemptEnd<EndpointAnswer> {
     AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, latency: None }
 }
 
-fn judge(answer: Reply, reads_load_reports: bool) -> AttemptEnd<Reply> {
-    let not_started = |head: &Head| head.all("Not-Started").any(|value| value == b"1");
+/// The end of an attempt that was answered, by the status and the headers of the answer.
+fn classify(answer: EndpointAnswer, reads_load_reports: bool) -> AttemptEnd<EndpointAnswer> {
+    let not_started = |head: &Head| head.values("Not-Started").any(|value| value == b"1");
     let load_report = if reads_load_reports { load::report(&answer.head) } else { LoadReport::Absent };
     let (outcome, answer) = match answer.head.status() {
         Ok(200) => (Outcome::Succeeded, Some(answer)),
--- a/sidecar/src/http1/chunks.rs
+++ b/sidecar/src/http1/chunks.rs
@@ -1,80 +1,83 @@
-//! Chunked bodies out of bytes, and nothing else.
-use super::head::{bad, find, HttpError, MOST_LONG};
+//! Decodes chunked bodies. Does no I/O.
+use super::head::{find, malformed, HttpError, MAX_BODY_BYTES};
 
-const MOST_CHUNK_LINE: usize = 256;
-const MOST_TRAILER: usize = 4 * 1024;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+const MAX_TRAILER_BYTES: usize = 4 * 1024;
 
-/// Takes the chunks out of a chunked body.
+/// Decodes a chunked body as it comes.
 #[derive(Debug, Default)]
-pub struct Chunks {
-    state: Chunk,
-    trailer: usize,
+pub struct ChunkDecoder {
+    state: State,
+    /// Bytes of trailer lines so far.
+    trailer_bytes: usize,
 }
 
+/// What comes next.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-enum Chunk {
+enum State {
     #[default]
     Size,
+    /// So many bytes of the current chunk.
     Data(usize),
     DataEnd,
     Trailer,
     Done,
 }
 
-impl Chunks {
-    /// Moves what it can from the front of `bytes` into `body`, until that holds `most`; says how many bytes are done
-    /// with.
-    pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>, most: usize) -> Result<usize, HttpError> {
+impl ChunkDecoder {
+    /// Decodes from the front of `bytes` into `body`, until that holds `max` bytes. Returns how many of `bytes` are used up.
+    pub fn decode(&mut self, bytes: &[u8], body: &mut Vec<u8>, max: usize) -> Result<usize, HttpError> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
-            if let Chunk::Data(left) = self.state {
-                let part = left.min(rest.len()).min(most.saturating_sub(body.len()));
+            if let State::Data(left) = self.state {
+                let part = left.min(rest.len()).min(max.saturating_sub(body.len()));
                 body.extend_from_slice(&rest[..part]);
                 at += part;
-                self.state = if part == left { Chunk::DataEnd } else { Chunk::Data(left - part) };
+                self.state = if part == left { State::DataEnd } else { State::Data(left - part) };
                 if part < left {
                     return Ok(at);
                 }
                 continue;
             }
-            if self.state == Chunk::Done {
+            if self.state == State::Done {
                 return Ok(at);
             }
-            if self.state == Chunk::DataEnd && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
-                return Err(bad("a chunk is longer than it says"));
+            if self.state == State::DataEnd && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
+                return Err(malformed("a chunk is longer than it says"));
             }
-            let Some(length) = find(&rest[..rest.len().min(MOST_CHUNK_LINE)], b"\r\n") else {
-                let long = rest.len() >= MOST_CHUNK_LINE && self.state != Chunk::Trailer;
-                let long = long || rest.len() >= MOST_TRAILER;
-                return if long { Err(bad("a chunk's line is too long")) } else { Ok(at) };
+            let Some(length) = find(&rest[..rest.len().min(MAX_CHUNK_LINE_BYTES)], b"\r\n") else {
+                let long = rest.len() >= MAX_CHUNK_LINE_BYTES && self.state != State::Trailer;
+                let long = long || rest.len() >= MAX_TRAILER_BYTES;
+                return if long { Err(malformed("a chunk's line is too long")) } else { Ok(at) };
             };
             let line = &rest[..length];
             at += length + 2;
             self.state = match self.state {
-                Chunk::Size => match chunk_size(line)? {
-                    0 => Chunk::Trailer,
-                    // Guards against waiting for what is never passed on.
-                    size if size > MOST_LONG => {
+                State::Size => match chunk_size(line)? {
+                    0 => State::Trailer,
+                    // Refused at once: the body would never be passed on.
+                    size if size > MAX_BODY_BYTES => {
                         return Err(HttpError { status: 413, message: "the body is too long" })
                     }
-                    size => Chunk::Data(size),
+                    size => State::Data(size),
                 },
-                Chunk::DataEnd => Chunk::Size,
-                _ if line.is_empty() => Chunk::Done,
+                State::DataEnd => State::Size,
+                _ if line.is_empty() => State::Done,
                 _ => {
-                    self.trailer += length;
-                    if self.trailer > MOST_TRAILER {
-                        return Err(bad("the trailer is too long"));
+                    self.trailer_bytes += length;
+                    if self.trailer_bytes > MAX_TRAILER_BYTES {
+                        return Err(malformed("the trailer is too long"));
                     }
-                    Chunk::Trailer
+                    State::Trailer
                 }
             };
         }
     }
 
-    pub fn done(&self) -> bool {
-        self.state == Chunk::Done
+    /// Whether the whole body and its trailer have been read.
+    pub fn is_done(&self) -> bool {
+        self.state == State::Done
     }
 }
 
@@ -83,5 +86,5 @@
     let hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
-    size.ok_or(bad("a chunk's size is no number"))
+    size.ok_or(malformed("a chunk's size is no number"))
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -1,9 +1,9 @@
-//! One client's connection: reads its requests and gives each its one answer.
+//! One client's connection: reads its requests and gives each exactly one answer.
 use super::answers::Answer;
-use super::attempt::{self, Feed, Outgoing, Reply, LAST_CHUNK, TIMEOUT};
-use super::connections::{Closed, Connections, Held};
-use super::head::{Framing, Head, HttpError, MOST_LONG};
-use super::messages::{Incoming, Message, MessageKind, MessageParser, PartialMessage, Rest};
+use super::attempt::{self, BodyStreamWriter, EndpointAnswer, OutgoingRequest, LAST_CHUNK, TIMEOUT_HEADER};
+use super::connections::{Closed, ConnectionGuard, Connections};
+use super::head::{Framing, Head, HttpError, MAX_BODY_BYTES};
+use super::messages::{BodyReader, Incoming, Message, MessageKind, MessageParser, PartialMessage};
 use super::DispatcherMessage;
 use crate::dispatcher::{RequestOutcome, RequestParams};
 use crate::monitor::{Accepted, OpenRequest};
@@ -17,244 +17,256 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a caller may take from connecting, or from the first byte of a later request, until its request is
-/// there whole, and then to take its answer.
-const WITHIN: Duration = Duration::from_millis(2_500);
-/// How long a connection is kept on which nothing is asked any more.
-const KEPT: Duration = Duration::from_secs(10);
-/// How long a caller that has its last answer may take to close, and one that came last to send.
-const LINGER: Duration = Duration::from_millis(500);
-/// How long the rest of a request that is answered already is read off for.
-const PARTING: Duration = Duration::from_secs(4);
-/// The slowest pace of a body, in bytes a second; the platform's word is 64 kB.
-const SLOWEST: f64 = 48_000.0;
-/// What a caller may send ahead while its API call is out, and after its last answer.
-const MOST_AHEAD: usize = 16 * 1024;
+/// How long a client may take to send a whole request: from connecting, or from the first byte of a later request. A body
+/// adds the time that it takes at [`MIN_BODY_BYTES_PER_S`].
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long a connection is kept open between requests.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a client may stay silent before its connection is closed: after its last answer, and during shutdown before
+/// the first byte of its first request.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long what a client still sends after its last answer is read and dropped.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// The slowest rate at which a client may send a body. The platform promises 64 kB/s.
+const MIN_BODY_BYTES_PER_S: f64 = 48_000.0;
+/// How much is read of what a client sends ahead while its request is open.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// A connection with the state of its reading.
+/// A client's connection and the state of reading from it.
 pub struct ClientConnection<'a> {
-    held: &'a Held,
+    guard: &'a ConnectionGuard,
     shared: &'a Connections,
     stream: Async<TcpStream>,
-    inbox: MessageParser,
-    /// Nothing has been answered on it yet.
-    fresh: bool,
-    /// Rings when the time for a request is over.
-    late: Timer,
+    parser: MessageParser,
+    /// Nothing has been answered on this connection yet.
+    is_new: bool,
+    /// Fires when the time for a request is over.
+    read_timer: Timer,
 }
 
-enum Next {
-    Request(Message),
+/// What comes of waiting for a request.
+enum NextRequest {
+    Complete(Message),
     Partial(PartialMessage),
-    HttpError(HttpError),
+    Malformed(HttpError),
     Closed(CloseReason),
 }
 
-/// An answer that is to be given.
-struct Due {
+/// An answer that is to be written.
+struct PendingAnswer {
     answer: Answer,
     /// The connection may carry another request after it.
-    lasts: bool,
-    /// The client speaks an old version, without chunks.
-    old: bool,
-    /// The request that it is owed to; none where none was accepted.
-    owed: Option<(OpenRequest, AnswerKind)>,
+    keep_alive: bool,
+    /// The client speaks HTTP/1.0, which has no chunked encoding.
+    http10: bool,
+    /// The request that it answers; none if none was accepted.
+    request: Option<(OpenRequest, AnswerKind)>,
 }
 
 /// None if the client has gone.
-type Answered = Option<AnswerOwed>;
+type AnswerUnlessGone = Option<RequestAnswer>;
 
-/// An answer, and the request that it is owed to, if that was accepted.
-type AnswerOwed = (Answer, Option<(OpenRequest, AnswerKind)>);
+/// An answer, and the request that it answers if that was accepted.
+type RequestAnswer = (Answer, Option<(OpenRequest, AnswerKind)>);
 
-/// What a request is, beside what the decisions need of it.
-struct Identity {
+/// What identifies a request, besides the parameters that the dispatcher needs.
+struct RequestIdentity {
     class: Rc<str>,
-    effect: RepeatSafety,
+    repeat_safety: RepeatSafety,
     id: Rc<str>,
 }
 
-impl Due {
-    /// Whoever sends what can't be taken is parted with: guards against hundreds of such requests at once.
-    fn fault(fault: HttpError) -> Due {
-        Due { answer: fault.into(), lasts: false, old: false, owed: None }
+impl PendingAnswer {
+    /// The answer to a request that was not accepted. It closes the connection: guards against clients that send hundreds
+    /// of such requests.
+    fn rejection(error: HttpError) -> PendingAnswer {
+        PendingAnswer { answer: error.into(), keep_alive: false, http10: false, request: None }
     }
 }
 
 impl ClientConnection<'_> {
-    /// One that was just taken in.
-    pub fn new(held: &Held, stream: Async<TcpStream>) -> ClientConnection<'_> {
+    /// A connection that was just accepted.
+    pub fn new(guard: &ConnectionGuard, stream: Async<TcpStream>) -> ClientConnection<'_> {
         ClientConnection {
-            held,
-            shared: &held.shared,
+            guard,
+            shared: &guard.shared,
             stream,
-            inbox: MessageParser::new(MessageKind::Request),
-            fresh: true,
-            late: Timer::never(),
+            parser: MessageParser::new(MessageKind::Request),
+            is_new: true,
+            read_timer: Timer::never(),
         }
     }
 
-    /// Serves it until it is closed.
+    /// Serves the connection until it is closed.
     pub async fn serve(mut self) -> Closed {
         loop {
-            let due = match self.next().await {
-                // Between requests nothing can be lost; lingering would keep out those who wait to be taken in.
-                Next::Closed(reason) => return Closed::by(reason),
-                Next::HttpError(fault) => Due::fault(fault),
-                Next::Request(request) => {
-                    let (lasts, old) = (request.lasts, request.head.old());
-                    match self.answer(request).await {
-                        Ok(Some((answer, owed))) => Due { answer, lasts, old, owed },
-                        Ok(None) => return Closed::by(CloseReason::ClientGone),
-                        Err(fault) => Due::fault(fault),
+            let pending = match self.next_request().await {
+                // Closed at once: between requests there is nothing to lose, and lingering would keep out clients that wait
+                // to be accepted.
+                NextRequest::Closed(reason) => return Closed::new(reason),
+                NextRequest::Malformed(error) => PendingAnswer::rejection(error),
+                NextRequest::Complete(message) => {
+                    let (keep_alive, http10) = (message.keep_alive, message.head.is_http10());
+                    match self.answer_buffered(message).await {
+                        Ok(Some((answer, request))) => PendingAnswer { answer, keep_alive, http10, request },
+                        Ok(None) => return Closed::new(CloseReason::ClientGone),
+                        Err(error) => PendingAnswer::rejection(error),
                     }
                 }
-                Next::Partial(begun) => {
-                    let (lasts, old) = (begun.head.lasts(), begun.head.old());
-                    match self.carry(begun).await {
-                        Ok(Some(((answer, owed), whole))) => Due { answer, lasts: lasts && whole, old, owed },
-                        Ok(None) => return Closed::by(CloseReason::ClientGone),
-                        Err(fault) => Due::fault(fault),
+                NextRequest::Partial(message) => {
+                    let (keep_alive, http10) = (message.head.keeps_alive(), message.head.is_http10());
+                    match self.answer_streamed(message).await {
+                        Ok(Some(((answer, request), complete))) => {
+                            PendingAnswer { answer, keep_alive: keep_alive && complete, http10, request }
+                        }
+                        Ok(None) => return Closed::new(CloseReason::ClientGone),
+                        Err(error) => PendingAnswer::rejection(error),
                     }
                 }
             };
-            if let Some(closed) = self.finish(due).await {
+            if let Some(closed) = self.finish(pending).await {
                 return closed;
             }
-            self.fresh = false;
+            self.is_new = false;
         }
     }
 
-    /// Gives an answer. None if the connection is kept.
-    async fn finish(&self, due: Due) -> Option<Closed> {
-        let Due { answer, lasts, old, owed } = due;
-        let framing = answer.framing(old);
-        let lasts = lasts && self.shared.keeps() && framing != Framing::UntilClose;
-        if let Some((open, kind)) = &owed {
+    /// Writes an answer. Returns none if the connection is kept.
+    async fn finish(&self, pending: PendingAnswer) -> Option<Closed> {
+        let PendingAnswer { answer, keep_alive, http10, request } = pending;
+        let framing = answer.framing(http10);
+        let keep_alive = keep_alive && self.shared.keeps_alive() && framing != Framing::UntilClose;
+        if let Some((open, kind)) = &request {
             open.answer_begun(*kind);
         }
-        let broken = self.give(answer, lasts, framing).await.err();
-        let reason = broken.or_else(|| (!lasts).then_some(CloseReason::LastAnswer));
-        if let Some((open, _)) = owed {
+        let broken = self.write_answer(answer, keep_alive, framing).await.err();
+        let reason = broken.or_else(|| (!keep_alive).then_some(CloseReason::LastAnswer));
+        if let Some((open, _)) = request {
             open.close(reason);
         }
         if reason == Some(CloseReason::LastAnswer) {
-            self.part().await;
+            self.close_gracefully().await;
         }
-        reason.map(Closed::by)
+        reason.map(Closed::new)
     }
 
-    /// Waits for the next request, and for the word to close while there is none.
-    async fn next(&mut self) -> Next {
-        let (start, mut leave_given) = (Instant::now(), false);
-        let mut until = start + if self.fresh { WITHIN } else { KEPT };
-        let mut paced = 0;
+    /// Waits for the next request. Ends early when the connection is to be closed while it has none.
+    async fn next_request(&mut self) -> NextRequest {
+        let (start, mut sent_continue) = (Instant::now(), false);
+        let mut until = start + if self.is_new { REQUEST_READ_TIMEOUT } else { KEEP_ALIVE_TIMEOUT };
+        let mut allowed_body_bytes = 0;
         let shared = self.shared;
-        let mut stay = Some(shared.stay(self.held.source, !self.fresh));
+        let mut idle = Some(shared.enter_idle(self.guard.source, !self.is_new));
         loop {
-            match self.inbox.next_message() {
-                Ok(Some(Incoming::Complete(request))) => return Next::Request(request),
-                Ok(Some(Incoming::Partial(begun))) => return Next::Partial(begun),
+            match self.parser.next_message() {
+                Ok(Some(Incoming::Complete(message))) => return NextRequest::Complete(message),
+                Ok(Some(Incoming::Partial(message))) => return NextRequest::Partial(message),
                 Ok(None) => {}
-                Err(fault) => return Next::HttpError(fault),
+                Err(error) => return NextRequest::Malformed(error),
             }
-            if self.inbox.waits_for_leave() && !std::mem::replace(&mut leave_given, true) {
-                let leave = b"HTTP/1.1 100 Continue\r\n\r\n";
-                if !self.write(leave).await {
-                    return Next::Closed(CloseReason::ClientClosed);
+            if self.parser.expects_continue() && !std::mem::replace(&mut sent_continue, true) {
+                let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
+                if !self.write(interim).await {
+                    return NextRequest::Closed(CloseReason::ClientClosed);
                 }
             }
-            let begun = self.inbox.held() > 0;
-            let read = async { Some(read(&self.stream, self.inbox.buffer()).await) };
+            let begun = self.parser.pending_bytes() > 0;
+            let read = async { Some(read(&self.stream, self.parser.buffer()).await) };
             let ended = async {
-                self.late.set_at(until);
+                self.read_timer.set_at(until);
                 let late = async {
-                    (&mut self.late).await;
+                    (&mut self.read_timer).await;
                     false
                 };
-                let told = async {
-                    match &stay {
-                        Some(stay) => stay.told_to_close().await,
+                let close_requested = async {
+                    match &idle {
+                        Some(idle) => idle.close_requested().await,
                         None => future::pending().await,
                     }
                     true
                 };
-                if future::or(late, told).await {
-                    stay = None;
+                if future::or(late, close_requested).await {
+                    idle = None;
                 }
                 None
             };
             match future::or(read, ended).await {
                 Some(Some(_)) => {
-                    if let Some(stay) = &stay {
-                        stay.stirs();
+                    if let Some(idle) = &idle {
+                        idle.bytes_received();
                     }
                     if !begun {
-                        // The time of a fresh one runs from its coming: silence first wins it nothing.
-                        until = if self.fresh { until } else { Instant::now() + WITHIN };
+                        // A new connection's time counts from its start: staying silent first gains a client nothing.
+                        until = if self.is_new { until } else { Instant::now() + REQUEST_READ_TIMEOUT };
                     }
-                    // Whoever keeps to the slowest pace that is allowed has the time for its body.
-                    let more = self.inbox.body().saturating_sub(paced);
-                    (until, paced) = (until + at_slowest(more), paced + more);
+                    // A client that keeps to the slowest allowed rate has time for its whole body.
+                    let more = self.parser.body_bytes().saturating_sub(allowed_body_bytes);
+                    (until, allowed_body_bytes) = (until + body_time(more), allowed_body_bytes + more);
                 }
-                Some(None) => return Next::Closed(CloseReason::ClientClosed),
-                // The program is leaving: what has begun is waited for, and one let in at the last moment has a little
-                // time to begin.
-                None if stay.is_none()
+                Some(None) => return NextRequest::Closed(CloseReason::ClientClosed),
+                // Shutdown waits for a request that has begun, and for a little time for the first request of a connection
+                // accepted at the last moment.
+                None if idle.is_none()
                     && shared.closing()
                     && until > Instant::now()
-                    && (begun || self.fresh) =>
+                    && (begun || self.is_new) =>
                 {
                     if !begun {
-                        until = until.min(Instant::now() + LINGER);
+                        until = until.min(Instant::now() + LINGER_TIMEOUT);
                     }
                 }
-                None if stay.is_some() && begun => {
-                    return Next::HttpError(HttpError { status: 408, message: "the request came too slowly" })
+                None if idle.is_some() && begun => {
+                    return NextRequest::Malformed(HttpError {
+                        status: 408,
+                        message: "the request came too slowly",
+                    })
                 }
-                None => return Next::Closed(self.why_nothing_came(stay.is_none())),
+                None => return NextRequest::Closed(self.close_reason(idle.is_none())),
             }
         }
     }
 
-    /// Why the connection is closed on which no request is open; `told` to close, or out of time.
-    fn why_nothing_came(&self, told: bool) -> CloseReason {
-        match (told, self.shared.closing()) {
+    /// Why a connection without an open request is closed: on request, or because its time is over.
+    fn close_reason(&self, close_requested: bool) -> CloseReason {
+        match (close_requested, self.shared.closing()) {
             (true, true) => CloseReason::ShuttingDown,
             (true, false) => CloseReason::Evicted,
-            (false, _) if self.fresh => CloseReason::NoRequest,
+            (false, _) if self.is_new => CloseReason::NoRequest,
             (false, _) => CloseReason::Idle,
         }
     }
 
-    /// The answer to a request; none if the client left before it.
-    async fn answer(&mut self, request: Message) -> Result<Answered, HttpError> {
-        if asks_if_ready(&request) {
+    /// Answers a request whose body is buffered. Returns none if the client left before its answer.
+    async fn answer_buffered(&mut self, request: Message) -> Result<AnswerUnlessGone, HttpError> {
+        if is_readiness_check(&request) {
             return Ok(Some((Answer::ready(self.shared.ready()), None)));
         }
-        let (ask, _, _, identity) = self.read_call(&request.head)?;
-        // Guards against a stranger's request under the id of one that is open: servers tell the two apart by nothing.
+        let (params, _, _, identity) = self.read_request(&request.head)?;
+        // Guards against two different requests with one id open at a time: endpoints could not tell them apart.
         let shared = self.shared;
         let _open = shared
-            .open_id(&identity.id)
+            .register_request_id(&identity.id)
             .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
-        // Guards against an attempt for one that left before its request was read: it may have waited to be taken in.
+        // Guards against an attempt for a client that left before its request was read: it may have waited to be accepted.
         if self.stream.has_ended() {
             return Ok(None);
         }
-        let content = Outgoing::new(request, self.stream.end())?;
-        let open = self.accept(&ask, identity);
-        let verdict = shared.desk.submit(open.request(), ask, content).await;
-        let answered = async { (&verdict).await };
-        let (stream, inbox) = (&self.stream, &mut self.inbox);
-        // Read on for a while, so that what the kernel holds of the next request does not grow stale.
-        let ahead = async {
-            while inbox.held() <= MOST_AHEAD && read(stream, inbox.buffer()).await.is_some() {}
+        let outgoing = OutgoingRequest::buffered(request, self.stream.peer_end())?;
+        let open = self.accept(&params, identity);
+        let outcome = shared.dispatcher.submit(open.request(), params, outgoing).await;
+        let answered = async { (&outcome).await };
+        let (stream, parser) = (&self.stream, &mut self.parser);
+        // Reads ahead, so that the next request does not wait unread in the kernel's buffer.
+        let read_ahead = async {
+            while parser.pending_bytes() <= MAX_READ_AHEAD_BYTES
+                && read(stream, parser.buffer()).await.is_some()
+            {}
             future::pending().await
         };
-        let verdict: Option<RequestOutcome<_>> = future::or(answered, future::or(gone(stream), ahead)).await;
-        match verdict {
-            Some(verdict) => Ok(Some(given(verdict, open))),
+        let outcome: Option<RequestOutcome<_>> =
+            future::or(answered, future::or(client_gone(stream), read_ahead)).await;
+        match outcome {
+            Some(outcome) => Ok(Some(request_answer(outcome, open))),
             None => {
                 self.withdraw(open).await;
                 Ok(None)
@@ -262,208 +274,223 @@
         }
     }
 
-    /// The answer to a request whose body is passed on as it comes, and whether all of it has come.
-    async fn carry(&mut self, begun: PartialMessage) -> Result<Option<(AnswerOwed, bool)>, HttpError> {
-        let PartialMessage { head, kept, mut rest } = begun;
-        let (mut ask, left, long, mut identity) = self.read_call(&head)?;
-        let (shared, came) = (self.shared, kept.len());
-        // To the module it is a request of which nothing may be sent twice, and its time begins with its last byte.
-        (ask.workload, identity.effect) = (long, RepeatSafety::Unsafe);
-        let longest = at_slowest(rest.length().unwrap_or(MOST_LONG));
-        ask.deadline = (ask.deadline + Micros(longest.as_micros() as u64)).min(shared.answer_deadline());
+    /// Answers a request whose body is passed on as it comes. Returns also whether the whole body has come.
+    async fn answer_streamed(
+        &mut self, request: PartialMessage,
+    ) -> Result<Option<(RequestAnswer, bool)>, HttpError> {
+        let PartialMessage { head, buffered, mut rest } = request;
+        let (mut params, left, streamed_workload, mut identity) = self.read_request(&head)?;
+        let (shared, received) = (self.shared, buffered.len());
+        // A streamed body cannot be sent twice, whatever its workload allows, and its time counts from its last byte.
+        (params.workload, identity.repeat_safety) = (streamed_workload, RepeatSafety::Unsafe);
+        let longest = body_time(rest.length().unwrap_or(MAX_BODY_BYTES));
+        params.deadline =
+            (params.deadline + Micros(longest.as_micros() as u64)).min(shared.answer_deadline());
         let _open = shared
-            .open_id(&identity.id)
+            .register_request_id(&identity.id)
             .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
-        let (content, feed) = Outgoing::begun(&head, kept, &rest, left, self.stream.end())?;
+        let (outgoing, writer) =
+            OutgoingRequest::streamed(&head, buffered, &rest, left, self.stream.peer_end())?;
         if self.stream.has_ended() {
             return Ok(None);
         }
-        let open = self.accept(&ask, identity);
-        let verdict = shared.desk.submit(open.request(), ask, content).await;
-        let answered = async { Ok((&verdict).await) };
-        let pumped = pump(&self.stream, &mut rest, feed, came);
-        let left = async { Ok(gone(&self.stream).await) };
-        let verdict = future::or(answered, future::or(left, pumped)).await;
-        let whole = rest.whole();
-        if whole {
-            self.inbox.push(rest.behind());
+        let open = self.accept(&params, identity);
+        let outcome = shared.dispatcher.submit(open.request(), params, outgoing).await;
+        let answered = async { Ok((&outcome).await) };
+        let streamed = stream_body(&self.stream, &mut rest, writer, received);
+        let gone = async { Ok(client_gone(&self.stream).await) };
+        let outcome = future::or(answered, future::or(gone, streamed)).await;
+        let complete = rest.is_complete();
+        if complete {
+            self.parser.push(rest.surplus());
         }
-        match verdict {
-            Ok(Some(verdict)) => Ok(Some((given(verdict, open), whole))),
+        match outcome {
+            Ok(Some(outcome)) => Ok(Some((request_answer(outcome, open), complete))),
             Ok(None) => {
                 self.withdraw(open).await;
                 Ok(None)
             }
-            // Accepted, and answered by the fault.
-            Err(fault) => {
-                shared.desk.send(DispatcherMessage::Withdrawn(open.request())).await;
-                Ok(Some(((fault.into(), Some((open, AnswerKind::Failed))), false)))
+            // The request was accepted before its body failed: the error is its answer.
+            Err(error) => {
+                shared.dispatcher.send(DispatcherMessage::Withdrawn(open.request())).await;
+                Ok(Some(((error.into(), Some((open, AnswerKind::Failed))), false)))
             }
         }
     }
 
-    /// From now on an answer is owed.
-    fn accept(&self, ask: &RequestParams, identity: Identity) -> OpenRequest {
-        let Identity { class, effect, id } = identity;
-        let (request, deadline) = (self.shared.desk.next_request_id(), ask.deadline);
-        self.shared.monitor.accept(Accepted { request, request_id: id, class, effect, deadline })
+    /// Accepts a request: from now on it is owed an answer.
+    fn accept(&self, params: &RequestParams, identity: RequestIdentity) -> OpenRequest {
+        let RequestIdentity { class, repeat_safety, id } = identity;
+        let (request, deadline) = (self.shared.dispatcher.next_request_id(), params.deadline);
+        self.shared.monitor.accept(Accepted {
+            request,
+            request_id: id,
+            class,
+            effect: repeat_safety,
+            deadline,
+        })
     }
 
-    /// The client has gone.
+    /// Withdraws a request whose client has gone.
     async fn withdraw(&self, open: OpenRequest) {
         open.client_gone();
-        self.shared.desk.send(DispatcherMessage::Withdrawn(open.request())).await;
+        self.shared.dispatcher.send(DispatcherMessage::Withdrawn(open.request())).await;
         open.close(Some(CloseReason::ClientGone));
     }
 
-    /// Writes an answer, the rest of a long one as it comes. An error is why the connection is over by that.
-    async fn give(&self, mut answer: Answer, lasts: bool, framing: Framing) -> Result<(), CloseReason> {
-        attempt::write(&self.stream, &answer.bytes(lasts, framing))
+    /// Writes an answer, and the rest of a long one as it comes. An error is the reason why the connection ends by it.
+    async fn write_answer(
+        &self, mut answer: Answer, keep_alive: bool, framing: Framing,
+    ) -> Result<(), CloseReason> {
+        attempt::write_all(&self.stream, &answer.bytes(keep_alive, framing))
             .await
             .map_err(|_| CloseReason::AnswerNotTaken)?;
-        let Answer::Passed(reply) = &mut answer else { return Ok(()) };
-        let keeps = reply.head.lasts();
-        let Some(mut rest) = reply.rest.take() else { return Ok(()) };
+        let Answer::Forwarded(forwarded) = &mut answer else { return Ok(()) };
+        let endpoint_keep_alive = forwarded.head.keeps_alive();
+        let Some(mut rest) = forwarded.rest.take() else { return Ok(()) };
         let reason = loop {
-            let Some(part) = rest.more().await else { break CloseReason::AnswerBroken };
+            let Some(part) = rest.next_part().await else { break CloseReason::AnswerBroken };
             let over = part.is_empty();
             let bytes = match framing {
                 Framing::Chunked if over => LAST_CHUNK.to_vec(),
-                Framing::Chunked => attempt::chunk(&part),
+                Framing::Chunked => attempt::encode_chunk(&part),
                 _ => part,
             };
-            if attempt::write(&self.stream, &bytes).await.is_err() {
+            if attempt::write_all(&self.stream, &bytes).await.is_err() {
                 break CloseReason::AnswerNotTaken;
             }
             if over {
-                rest.done(keeps);
+                rest.release(endpoint_keep_alive);
                 return Ok(());
             }
         };
-        // Guards against an end that a caller takes for the answer's.
+        // Resets the connection: the client must not take its end for the end of the answer.
         let _ = sockopt::set_socket_linger(self.stream.get_ref(), Some(Duration::ZERO));
         Err(reason)
     }
 
-    /// What the decisions need of a request, the time that its client gives it, its workload if its body is not kept, and what
-    /// it is known by.
-    fn read_call(&self, head: &Head) -> Result<(RequestParams, Micros, WorkloadId, Identity), HttpError> {
-        let (names, came) = (self.shared.request_settings(), self.shared.desk.clock.now());
+    /// Reads a request's headers: what the dispatcher needs, the time that its client gives it, its workload if its body
+    /// is streamed, and what identifies it.
+    fn read_request(
+        &self, head: &Head,
+    ) -> Result<(RequestParams, Micros, WorkloadId, RequestIdentity), HttpError> {
+        let (settings, received_at) = (self.shared.request_settings(), self.shared.dispatcher.clock.now());
         let (method, target, _) = head.request_line()?;
-        let fault = |status, message| HttpError { status, message };
+        let error = |status, message| HttpError { status, message };
         if !matches!(method, "GET" | "POST") {
-            return Err(fault(405, "only GET and POST are spoken"));
+            return Err(error(405, "only GET and POST are spoken"));
         }
-        head.only("Host")?.ok_or(fault(400, "Host is missing"))?;
-        let id = head.only("Request-Id")?.filter(|id| !id.is_empty());
-        let id = id.ok_or(fault(400, "Request-Id is missing"))?;
+        head.single("Host")?.ok_or(error(400, "Host is missing"))?;
+        let id = head.single("Request-Id")?.filter(|id| !id.is_empty());
+        let id = id.ok_or(error(400, "Request-Id is missing"))?;
         let path = target.split('?').next().unwrap_or_default();
-        let first = path.split('/').nth(1).unwrap_or_default();
-        let name = head.only("Request-Class")?.unwrap_or(first);
-        if name != first {
-            return Err(fault(400, "Request-Class and path name two workloads"));
+        let first_segment = path.split('/').nth(1).unwrap_or_default();
+        let name = head.single("Request-Class")?.unwrap_or(first_segment);
+        if name != first_segment {
+            return Err(error(400, "Request-Class and path name two workloads"));
         }
-        let workload = names.workloads.iter().position(|workload| workload.name == name);
-        let workload = workload.ok_or(fault(404, "no such workload"))?;
-        let WorkloadSettings { max_client_wait: longest, has_idempotency_key: tagged, .. } =
-            names.workloads[workload];
-        let class = names.class_names[workload].clone();
-        let identity = Identity { class, effect: names.effects[workload], id: id.into() };
-        // Guards against sending twice what no server could tell for a repeat.
-        if head.only("Idempotency-Key")?.is_none_or(str::is_empty) && tagged {
-            return Err(fault(400, "Idempotency-Key is missing"));
+        let workload = settings.workloads.iter().position(|workload| workload.name == name);
+        let workload = workload.ok_or(error(404, "no such workload"))?;
+        let WorkloadSettings { max_client_wait, has_idempotency_key, .. } = settings.workloads[workload];
+        let class = settings.class_names[workload].clone();
+        let identity =
+            RequestIdentity { class, repeat_safety: settings.repeat_safety[workload], id: id.into() };
+        // Without the key no endpoint could recognise a repeat of this request.
+        if head.single("Idempotency-Key")?.is_none_or(str::is_empty) && has_idempotency_key {
+            return Err(error(400, "Idempotency-Key is missing"));
         }
         let number = |text: &str| text.parse::<u64>().ok().filter(|_| !text.starts_with('+'));
-        let told = head
-            .only(TIMEOUT)?
-            .map(|text| number(text).ok_or(fault(400, "Request-Timeout-Ms is no whole number")));
-        let told = told.transpose()?;
-        // Compared in its own unit: guards against a time so long that it wraps to a short one in microseconds.
-        let left = told.filter(|&told| told < longest.0 / 1000).map_or(longest, Micros::millis);
-        let customer = head.only("Tenant")?;
-        let known = |name| names.tenants.iter().position(|customer| customer == name);
-        let ask = RequestParams {
-            workload: names.workload_ids[workload].buffered,
-            class: names.classes[workload],
-            max_attempts: names.max_attempts,
-            customer: TenantId(customer.and_then(known).unwrap_or(0)),
-            client_retry: head.only("Client-Retry")? == Some("1"),
-            deadline: (came + left).min(self.shared.answer_deadline()),
-            key: if names.uses_affinity_keys { key(head.only("Request-Info")?) } else { None },
+        let timeout_ms = head
+            .single(TIMEOUT_HEADER)?
+            .map(|text| number(text).ok_or(error(400, "Request-Timeout-Ms is no whole number")));
+        let timeout_ms = timeout_ms.transpose()?;
+        // Compared in milliseconds: guards against a time so long that it overflows in microseconds.
+        let left =
+            timeout_ms.filter(|&ms| ms < max_client_wait.0 / 1000).map_or(max_client_wait, Micros::millis);
+        let tenant = head.single("Tenant")?;
+        let known = |name| settings.tenants.iter().position(|tenant| tenant == name);
+        let params = RequestParams {
+            workload: settings.workload_ids[workload].buffered,
+            class: settings.classes[workload],
+            max_attempts: settings.max_attempts,
+            customer: TenantId(tenant.and_then(known).unwrap_or(0)),
+            client_retry: head.single("Client-Retry")? == Some("1"),
+            deadline: (received_at + left).min(self.shared.answer_deadline()),
+            key: if settings.uses_affinity_keys { affinity_key(head.single("Request-Info")?) } else { None },
         };
-        Ok((ask, left, names.workload_ids[workload].streamed, identity))
+        Ok((params, left, settings.workload_ids[workload].streamed, identity))
     }
 
-    /// Ends our sending, and waits a little for the caller to end its own: a close with bytes unread would reset
-    /// the connection, and could take the answer with it.
-    async fn part(&self) {
+    /// Shuts down our side, and waits a little for the client to shut down its own: closing with bytes unread would reset
+    /// the connection, and the client could lose its answer.
+    async fn close_gracefully(&self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
         let drained = async {
-            let (mut taken, mut drained) = (Vec::new(), 0);
-            while drained < MOST_LONG {
-                let count = async { read(&self.stream, &mut taken).await };
+            let (mut buffer, mut drained) = (Vec::new(), 0);
+            while drained < MAX_BODY_BYTES {
+                let count = async { read(&self.stream, &mut buffer).await };
                 let late = async {
-                    Timer::after(LINGER).await;
+                    Timer::after(LINGER_TIMEOUT).await;
                     None
                 };
                 let Some(count) = future::or(count, late).await else { return };
                 drained += count;
-                taken.clear();
+                buffer.clear();
             }
         };
-        let late = async { _ = Timer::after(PARTING).await };
+        let late = async { _ = Timer::after(CLOSE_TIMEOUT).await };
         future::or(drained, late).await;
     }
 
-    /// False if the caller is gone or takes nothing.
+    /// Returns false if the client has gone or accepts no bytes.
     async fn write(&self, bytes: &[u8]) -> bool {
-        attempt::write(&self.stream, bytes).await.is_ok()
+        attempt::write_all(&self.stream, bytes).await.is_ok()
     }
 }
 
-/// A verdict as an answer, owed to that request.
-fn given(verdict: RequestOutcome<Reply>, open: OpenRequest) -> AnswerOwed {
-    let kind = match &verdict {
+/// The outcome of a request as the answer to it.
+fn request_answer(outcome: RequestOutcome<EndpointAnswer>, open: OpenRequest) -> RequestAnswer {
+    let kind = match &outcome {
         RequestOutcome::Served(_) => AnswerKind::Served,
         RequestOutcome::Refused { .. } => AnswerKind::Refused,
         RequestOutcome::Failed => AnswerKind::Failed,
     };
-    (verdict.into(), Some((open, kind)))
+    (outcome.into(), Some((open, kind)))
 }
 
-/// The time that so much of a body may take: a third more than the platform's word.
-fn at_slowest(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / SLOWEST)
+/// How long a client may take to send so much of a body: a third longer than at the rate that the platform promises.
+fn body_time(bytes: usize) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / MIN_BODY_BYTES_PER_S)
 }
 
-/// Waits for the caller to leave, which is none. The one way to see it, wherever its call waits, also behind bytes that
-/// nobody reads: guards against a hop for one who has gone.
-async fn gone<T>(stream: &Async<TcpStream>) -> Option<T> {
+/// Waits until the client leaves, then returns none. Sees that wherever the request waits, also behind bytes that are not
+/// read: guards against an attempt for a client that has gone.
+async fn client_gone<T>(stream: &Async<TcpStream>) -> Option<T> {
     stream.ended().await;
     None
 }
 
-/// Reads the rest of a request and hands it on, and what is sent ahead of the next for a while.
-async fn pump<T>(
-    stream: &Async<TcpStream>, rest: &mut Rest, mut feed: Feed, mut came: usize,
+/// Reads the rest of a request's body and passes it to the attempt, then reads ahead a little of what follows it.
+async fn stream_body<T>(
+    stream: &Async<TcpStream>, rest: &mut BodyReader, mut writer: BodyStreamWriter, mut received: usize,
 ) -> Result<Option<T>, HttpError> {
-    // Only the time in which the caller could have sent counts against it.
+    // The time spent waiting for the client; the time in which the attempt took no more is not held against it.
     let mut waited = Duration::ZERO;
     loop {
         let mut part = Vec::new();
-        rest.feed(&mut part)?;
-        came += part.len();
-        if !part.is_empty() && !feed.give(part).await {
-            // No hop wants it: its verdict is on its way.
+        rest.decode_into(&mut part)?;
+        received += part.len();
+        if !part.is_empty() && !writer.write(part).await {
+            // No attempt reads the body any more: the outcome of the request is on its way.
             return future::pending().await;
         }
-        if rest.whole() {
+        if rest.is_complete() {
             break;
         }
         let begun = Instant::now();
-        let allowed = (WITHIN + at_slowest(came)).saturating_sub(waited);
+        let allowed = (REQUEST_READ_TIMEOUT + body_time(received)).saturating_sub(waited);
         let read = async { Some(read(stream, rest.buffer()).await) };
         let late = async {
             Timer::after(allowed).await;
@@ -471,27 +498,29 @@
         };
         match future::or(read, late).await {
             Some(Some(_)) => waited += begun.elapsed(),
-            // Gone, which is seen elsewhere.
+            // The client has gone, which `client_gone` reports.
             Some(None) => return future::pending().await,
             None => return Err(HttpError { status: 408, message: "the request came too slowly" }),
         }
     }
-    feed.finish();
-    while rest.behind().len() <= MOST_AHEAD && read(stream, rest.buffer()).await.is_some() {}
+    writer.finish();
+    while rest.surplus().len() <= MAX_READ_AHEAD_BYTES && read(stream, rest.buffer()).await.is_some() {}
     future::pending().await
 }
 
+/// Reads what there is. None at the end of the connection or on an error.
 async fn read(stream: &Async<TcpStream>, into: &mut Vec<u8>) -> Option<usize> {
     stream.read_buf(into).await.ok().filter(|count| *count > 0)
 }
 
-fn asks_if_ready(request: &Message) -> bool {
-    let asked = request.head.request_line();
-    asked.is_ok_and(|(method, target, _)| method == "GET" && target.split('?').next() == Some("/ready"))
+/// Whether this is `GET /ready`, which the sidecar answers itself.
+fn is_readiness_check(request: &Message) -> bool {
+    let line = request.head.request_line();
+    line.is_ok_and(|(method, target, _)| method == "GET" && target.split('?').next() == Some("/ready"))
 }
 
-/// The key among a request's further figures; one that is no number below 2^53 is none.
-fn key(info: Option<&str>) -> Option<u64> {
-    let told = info?.split(',').find_map(|part| part.trim().strip_prefix("key="))?;
-    told.parse().ok().filter(|key| *key < 1 << 53)
+/// The `key` in a `Request-Info` header, if it is a number below 2^53.
+fn affinity_key(info: Option<&str>) -> Option<u64> {
+    let text = info?.split(',').find_map(|part| part.trim().strip_prefix("key="))?;
+    text.parse().ok().filter(|key| *key < 1 << 53)
 }
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -1,5 +1,5 @@
-//! What the connections of clients share: how many there may be, which have no request open and may be closed, the ids of open
-//! requests, and whether the process still takes requests.
+//! What all client connections of a worker share: how many there may be, which have no open request and may be closed, the
+//! ids of open requests, and whether the process still takes requests.
 use super::{DispatcherHandle, RequestSettings};
 use crate::eviction::{self, IdleConnection};
 use crate::limits::{Gauge, LimitShare, Slot};
@@ -17,58 +17,59 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// One stay of a connection among those with no request open; the longer ago it began, the lower.
+/// Numbers idle connections in the order in which they became idle.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-struct StayId(u64);
+struct IdleId(u64);
 
-/// A connection with no request open; dropping it closes the connection.
-struct Stay {
+/// A connection without an open request. Dropping the entry asks the connection's task to close it.
+struct IdleEntry {
     source: IpAddr,
     /// It has had an answer before.
-    known: bool,
-    /// When its last byte came, or it did.
+    answered_before: bool,
+    /// When its last byte came, or when it became idle.
     since: Instant,
-    begun: bool,
-    _told: oneshot::Sender<()>,
+    /// Bytes of a request have come.
+    request_started: bool,
+    _close: oneshot::Sender<()>,
 }
 
-/// Says that a client's connection is closed, and why: no path ends one without.
+/// Proof that a client connection ended with a stated reason: every path that ends one has to return it.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Closed(CloseReason);
 
 impl Closed {
-    /// For that reason.
-    pub fn by(reason: CloseReason) -> Closed {
+    /// A connection closed for this reason.
+    pub fn new(reason: CloseReason) -> Closed {
         Closed(reason)
     }
 
-    /// Why.
+    /// Why the connection was closed.
     pub fn reason(self) -> CloseReason {
         self.0
     }
 }
 
-/// A connection that is held, and where it comes from.
-pub struct Held {
-    /// What it shares with the others.
+/// An open client connection. Dropping it frees the connection's slot.
+pub struct ConnectionGuard {
+    /// What it shares with the other connections.
     pub shared: Rc<Connections>,
-    /// Where it comes from.
+    /// The client's address.
     pub source: IpAddr,
     slot: Option<Slot>,
 }
 
-impl Held {
-    /// It is closed.
-    pub fn closed(self, closed: Closed) {
+impl ConnectionGuard {
+    /// Records why the connection was closed, and frees its slot.
+    pub fn record_close(self, closed: Closed) {
         self.shared.monitor.connection_closed(closed.reason());
     }
 }
 
-impl Drop for Held {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut sources = self.shared.sources.borrow_mut();
-        // Guards against one entry for every address that ever came.
+        // Guards against an entry kept for every address that ever connected.
         if let Some(count) = sources.get_mut(&self.source).filter(|count| **count > 1) {
             *count -= 1;
         } else {
@@ -76,129 +77,131 @@
         }
         drop(sources);
         drop(self.slot.take());
-        self.shared.connections.decrement();
-        self.shared.stir();
+        self.shared.gauge.decrement();
+        self.shared.notify_waiting();
     }
 }
 
-/// The id of a request that is open; given up when it is answered.
-pub struct OpenId<'a> {
+/// The id of an open request. Dropping it frees the id.
+pub struct OpenRequestId<'a> {
     shared: &'a Connections,
     id: String,
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.shared.ids.shut(&self.id);
+        self.shared.request_ids.remove(&self.id);
     }
 }
 
-/// The ids of all open requests, of all workers: parted, so that workers seldom meet.
+/// The ids of all open requests of all workers, in shards so that workers seldom wait for each other's locks.
 #[derive(Default)]
 pub struct OpenRequestIds {
-    parts: [Mutex<HashSet<Box<str>>>; 16],
+    shards: [Mutex<HashSet<Box<str>>>; 16],
     hash: RandomState,
 }
 
 impl OpenRequestIds {
     fn shard(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
-        let part = &self.parts[self.hash.hash_one(id) as usize % self.parts.len()];
-        part.lock().unwrap_or_else(PoisonError::into_inner)
+        let shard = &self.shards[self.hash.hash_one(id) as usize % self.shards.len()];
+        shard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// False if it is open already.
-    fn open(&self, id: &str) -> bool {
+    /// Returns false if a request with this id is open already.
+    fn insert(&self, id: &str) -> bool {
         self.shard(id).insert(id.into())
     }
 
-    fn shut(&self, id: &str) {
+    fn remove(&self, id: &str) {
         self.shard(id).remove(id);
     }
 }
 
-/// What the connections of callers share.
+/// What all client connections of a worker share.
 pub struct Connections {
-    pub desk: Rc<DispatcherHandle>,
+    pub dispatcher: Rc<DispatcherHandle>,
     request_settings: RefCell<Rc<RequestSettings>>,
-    /// What is told all that happens.
+    /// Records what happens.
     pub monitor: Rc<Monitor>,
-    /// Slots for connections, and how many connections there are.
-    open: Rc<LimitShare>,
-    connections: Gauge,
-    stays: Cell<StayId>,
-    idle: RefCell<BTreeMap<StayId, Stay>>,
+    /// Limits the number of connections.
+    limit: Rc<LimitShare>,
+    /// How many connections are open, for the metrics.
+    gauge: Gauge,
+    next_idle_id: Cell<IdleId>,
+    idle: RefCell<BTreeMap<IdleId, IdleEntry>>,
     /// How many connections each address has.
     sources: RefCell<HashMap<IpAddr, usize>>,
-    ids: Arc<OpenRequestIds>,
-    stirred: (Sender<()>, Receiver<()>),
-    /// Others wait to be taken in.
-    crowded: Cell<bool>,
-    able: Cell<bool>,
+    request_ids: Arc<OpenRequestIds>,
+    /// Wakes the acceptor when there may be a slot.
+    slot_freed: (Sender<()>, Receiver<()>),
+    /// New connections wait for a slot.
+    slot_awaited: Cell<bool>,
+    serving: Cell<bool>,
     closing: Cell<bool>,
-    /// Each answer ends its connection: whoever has another call takes it to our successor.
-    parting: Cell<bool>,
+    /// Each answer ends its connection, so that the client's next request goes to the successor process.
+    closing_after_answers: Cell<bool>,
     answer_deadline: Cell<Micros>,
 }
 
 impl Connections {
     pub fn new(
-        desk: Rc<DispatcherHandle>, request_settings: RequestSettings, monitor: Rc<Monitor>,
-        open: (Rc<LimitShare>, Gauge), ids: Arc<OpenRequestIds>,
+        dispatcher: Rc<DispatcherHandle>, request_settings: RequestSettings, monitor: Rc<Monitor>,
+        limit: (Rc<LimitShare>, Gauge), request_ids: Arc<OpenRequestIds>,
     ) -> Rc<Connections> {
-        let (open, connections) = open;
+        let (limit, gauge) = limit;
         Rc::new(Connections {
-            desk,
+            dispatcher,
             request_settings: RefCell::new(Rc::new(request_settings)),
             monitor,
-            open,
-            connections,
-            stays: Cell::default(),
+            limit,
+            gauge,
+            next_idle_id: Cell::default(),
             idle: RefCell::default(),
             sources: RefCell::default(),
-            ids,
-            stirred: bounded(1),
-            crowded: Cell::new(false),
-            able: Cell::new(false),
+            request_ids,
+            slot_freed: bounded(1),
+            slot_awaited: Cell::new(false),
+            serving: Cell::new(false),
             closing: Cell::new(false),
-            parting: Cell::new(false),
+            closing_after_answers: Cell::new(false),
             answer_deadline: Cell::new(Micros::NEVER),
         })
     }
 
-    /// Holds one more connection; given up when what this returns is dropped.
-    pub fn hold(shared: &Rc<Connections>, source: IpAddr, slot: Slot) -> Held {
-        shared.connections.increment();
+    /// Counts one more connection until the returned guard is dropped.
+    pub fn register(shared: &Rc<Connections>, source: IpAddr, slot: Slot) -> ConnectionGuard {
+        shared.gauge.increment();
         *shared.sources.borrow_mut().entry(source).or_default() += 1;
-        Held { shared: shared.clone(), source, slot: Some(slot) }
+        ConnectionGuard { shared: shared.clone(), source, slot: Some(slot) }
     }
 
-    /// How many are held.
-    pub fn held(&self) -> usize {
-        self.open.held()
+    /// How many connections are open.
+    pub fn open_count(&self) -> usize {
+        self.limit.held()
     }
 
-    /// A slot for one more. Where there is none, one connection with no request open is closed, and others are closed with
-    /// their next answer until there is.
-    pub fn slot(&self) -> Option<Slot> {
-        let slot = self.open.try_acquire();
-        self.crowded.set(slot.is_none());
+    /// Takes a slot for one more connection. If there is none, closes one idle connection, and until the next successful
+    /// call each answer ends its connection.
+    pub fn try_slot(&self) -> Option<Slot> {
+        let slot = self.limit.try_acquire();
+        self.slot_awaited.set(slot.is_none());
         if slot.is_none() {
-            self.make_room();
+            self.evict_idle();
         }
         slot
     }
 
-    /// A slot for one that is here already and can't be sent away.
-    pub fn slot_anyway(&self) -> Slot {
-        self.open.acquire_over_limit()
+    /// Takes a slot for a connection that is open already and can't be refused.
+    pub fn slot_over_limit(&self) -> Slot {
+        self.limit.acquire_over_limit()
     }
 
     /// Waits until there may be a slot.
-    pub async fn room_made(&self) {
-        let _ = self.stirred.1.recv().await;
+    pub async fn slot_freed(&self) {
+        let _ = self.slot_freed.1.recv().await;
     }
 
-    /// What requests call things by, from now on.
+    /// Replaces the settings by which requests are read.
     pub fn set_request_settings(&self, request_settings: RequestSettings) {
         self.request_settings.replace(Rc::new(request_settings));
     }
@@ -207,24 +210,24 @@
         self.request_settings.borrow().clone()
     }
 
-    /// Whether this phase wants callers at all.
-    pub fn set_serving(&self, able: bool) {
-        self.able.set(able);
+    /// Sets whether the process is in a phase in which it takes requests.
+    pub fn set_serving(&self, serving: bool) {
+        self.serving.set(serving);
     }
 
-    /// What `/ready` says.
+    /// Whether `/ready` answers yes.
     pub fn ready(&self) -> bool {
-        self.able.get() && self.desk.has_ready_endpoint.get()
+        self.serving.get() && self.dispatcher.has_ready_endpoint.get()
     }
 
     /// Whether a connection may be kept after an answer.
-    pub fn keeps(&self) -> bool {
-        !self.closing.get() && !self.crowded.get() && !self.parting.get()
+    pub fn keeps_alive(&self) -> bool {
+        !self.closing.get() && !self.slot_awaited.get() && !self.closing_after_answers.get()
     }
 
-    /// No API call that comes from now on may take longer than until then.
-    pub fn set_answer_deadline(&self, then: Micros) {
-        self.answer_deadline.set(then);
+    /// Sets the time by which every request that comes from now on must have its answer.
+    pub fn set_answer_deadline(&self, deadline: Micros) {
+        self.answer_deadline.set(deadline);
     }
 
     pub fn answer_deadline(&self) -> Micros {
@@ -233,10 +236,10 @@
 
     /// From now on each answer ends its connection.
     pub fn close_after_answers(&self) {
-        self.parting.set(true);
+        self.closing_after_answers.set(true);
     }
 
-    /// From now on no connection outlives the answer it waits for.
+    /// Closes all idle connections. The others are closed after their answer.
     pub fn close(&self) {
         self.closing.set(true);
         self.idle.borrow_mut().clear();
@@ -246,75 +249,83 @@
         self.closing.get()
     }
 
-    /// Closes one connection with no request open. Guards against kept connections shutting out new clients, and
-    /// against one source, or many that say nothing, taking what the usual callers need.
-    pub fn make_room(&self) {
+    /// Closes one idle connection. Guards against kept connections shutting out new clients, and against one source, or
+    /// many silent ones, taking the slots that other clients need.
+    pub fn evict_idle(&self) {
         let (mut idle, sources) = (self.idle.borrow_mut(), self.sources.borrow());
-        let holder = |stay: &Stay| IdleConnection {
-            answered_before: stay.known,
-            request_started: stay.begun,
-            silent_for: stay.since.elapsed(),
-            same_source: sources.get(&stay.source).copied().unwrap_or(0),
+        let candidate = |entry: &IdleEntry| IdleConnection {
+            answered_before: entry.answered_before,
+            request_started: entry.request_started,
+            silent_for: entry.since.elapsed(),
+            same_source: sources.get(&entry.source).copied().unwrap_or(0),
         };
-        let first = eviction::next_to_evict(idle.iter().map(|(id, stay)| (*id, holder(stay))));
+        let first = eviction::next_to_evict(idle.iter().map(|(id, entry)| (*id, candidate(entry))));
         drop(first.and_then(|id| idle.remove(&id)));
     }
 
-    /// Closes idle connections that another process of this sidecar is short of.
+    /// Closes idle connections while more are open than this process's half, if another process of this sidecar has the
+    /// other half.
     pub fn close_excess_idle(&self) {
         let idle = self.idle.borrow().len();
-        (0..idle).take_while(|_| self.open.exceeds_half()).for_each(|_| self.make_room());
+        (0..idle).take_while(|_| self.limit.exceeds_half()).for_each(|_| self.evict_idle());
     }
 
-    /// Has room looked for again, where others wait for it.
-    fn stir(&self) {
-        if self.crowded.get() {
-            let _ = self.stirred.0.try_send(());
+    /// Wakes the acceptor if it waits for a slot.
+    fn notify_waiting(&self) {
+        if self.slot_awaited.get() {
+            let _ = self.slot_freed.0.try_send(());
         }
     }
 
-    /// Counts an id among the open ones; none if it is there already.
-    pub fn open_id(&self, id: &str) -> Option<OpenId<'_>> {
-        self.ids.open(id).then(|| OpenId { shared: self, id: id.to_string() })
+    /// Adds an id to those of the open requests. Returns none if it is among them already.
+    pub fn register_request_id(&self, id: &str) -> Option<OpenRequestId<'_>> {
+        self.request_ids.insert(id).then(|| OpenRequestId { shared: self, id: id.to_string() })
     }
 
-    /// A connection has no request open from now on, until what this returns is dropped. It tells by its end that
-    /// the connection should be closed.
-    pub fn stay(&self, source: IpAddr, known: bool) -> Staying<'_> {
-        let id = self.stays.replace(StayId(self.stays.get().0 + 1));
-        let (sender, told) = oneshot::oneshot();
+    /// Registers a connection as idle until the returned guard is dropped. The guard reports when the connection should
+    /// be closed.
+    pub fn enter_idle(&self, source: IpAddr, answered_before: bool) -> IdleGuard<'_> {
+        let id = self.next_idle_id.replace(IdleId(self.next_idle_id.get().0 + 1));
+        let (sender, close) = oneshot::oneshot();
         if !self.closing.get() {
-            let stay = Stay { source, known, since: Instant::now(), begun: false, _told: sender };
-            self.idle.borrow_mut().insert(id, stay);
-            self.stir();
+            let entry = IdleEntry {
+                source,
+                answered_before,
+                since: Instant::now(),
+                request_started: false,
+                _close: sender,
+            };
+            self.idle.borrow_mut().insert(id, entry);
+            self.notify_waiting();
         }
-        Staying { shared: self, id, told }
+        IdleGuard { shared: self, id, close }
     }
 }
 
-/// A connection's place among those with no request open; given up when it has one.
-pub struct Staying<'a> {
+/// Keeps a connection registered as idle. Dropped when it has a request.
+pub struct IdleGuard<'a> {
     shared: &'a Connections,
-    id: StayId,
-    told: oneshot::Receiver<()>,
+    id: IdleId,
+    close: oneshot::Receiver<()>,
 }
 
-impl Staying<'_> {
-    /// Bytes of a request have come.
-    pub fn stirs(&self) {
-        if let Some(stay) = self.shared.idle.borrow_mut().get_mut(&self.id) {
-            (stay.begun, stay.since) = (true, Instant::now());
+impl IdleGuard<'_> {
+    /// Records that bytes of a request have come.
+    pub fn bytes_received(&self) {
+        if let Some(entry) = self.shared.idle.borrow_mut().get_mut(&self.id) {
+            (entry.request_started, entry.since) = (true, Instant::now());
         }
     }
 
-    pub async fn told_to_close(&self) {
-        let _ = (&self.told).await;
+    /// Waits until the connection should be closed.
+    pub async fn close_requested(&self) {
+        let _ = (&self.close).await;
     }
 }
 
-impl Drop for Staying<'_> {
+impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
         self.shared.idle.borrow_mut().remove(&self.id);
-        self.shared.stir();
+        self.shared.notify_waiting();
     }
 }
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -1,55 +1,56 @@
-//! What a server tells of its load with an answer. The platform's protocol has no header for it; this one is ours:
-//! `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, the names being those of `report.columns`.
+//! Parses the load report that an endpoint sends with an answer. The platform's protocol has no header for it; this one is
+//! oakhollow's own: `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, with the names of `report.columns`.
 use super::head::Head;
 use crate::dispatcher::LoadReport;
 use oakhollow::types::ServerLoad;
 use oakhollow_terms::LOAD_REPORT_COLUMNS;
 
-const LOAD: &str = "Load-Report";
-/// A report is short: guards against working through a header of many kilobytes with each answer.
-const MOST_FIGURES: usize = 8;
+const LOAD_REPORT_HEADER: &str = "Load-Report";
+/// The most values in a report. Guards against parsing a header of many kilobytes with each answer.
+const MAX_VALUES: usize = 8;
 
-/// Reads an answer's report. One with anything odd in it tells nothing: half a report is worse than none.
+/// Reads an answer's load report. A report with anything malformed in it is dropped whole, since half of one is worse than
+/// none.
 pub fn report(head: &Head) -> LoadReport {
-    match head.only(LOAD) {
+    match head.single(LOAD_REPORT_HEADER) {
         Ok(None) => LoadReport::Absent,
-        Ok(Some(text)) => read(text).map_or(LoadReport::Malformed, LoadReport::Valid),
+        Ok(Some(text)) => parse(text).map_or(LoadReport::Malformed, LoadReport::Valid),
         Err(_) => LoadReport::Malformed,
     }
 }
 
-fn read(text: &str) -> Option<ServerLoad> {
+fn parse(text: &str) -> Option<ServerLoad> {
     let mut report = ServerLoad::default();
-    let mut figures = text.split(',');
-    for part in figures.by_ref().take(MOST_FIGURES) {
-        let (name, figure) = part.split_once('=')?;
-        let figure = Some(ServerLoad::plausible(figure.trim().parse().ok()?)?);
+    let mut values = text.split(',');
+    for part in values.by_ref().take(MAX_VALUES) {
+        let (name, value) = part.split_once('=')?;
+        let value = Some(ServerLoad::plausible(value.trim().parse().ok()?)?);
         let slot = match name.trim() {
             "busy_reqs" => &mut report.open_calls,
             "pending" => &mut report.queued_calls,
             "cpu_share" => &mut report.cpu_utilization,
-            other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // not read
+            other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // known, but not used
             _ => return None,
         };
-        if std::mem::replace(slot, figure).is_some() {
+        if std::mem::replace(slot, value).is_some() {
             return None;
         }
     }
-    figures.next().is_none().then_some(report)
+    values.next().is_none().then_some(report)
 }
 
 #[cfg(test)]
 mod tests {
-    use super::read;
+    use super::parse;
 
     #[test]
-    fn a_whole_report_is_read_and_an_odd_one_tells_nothing() {
-        let whole = read("busy_reqs=3.5, pending=1,svc_ms=40").unwrap();
+    fn a_sound_report_is_read_and_a_malformed_one_is_dropped() {
+        let whole = parse("busy_reqs=3.5, pending=1,svc_ms=40").unwrap();
         assert_eq!(
             (whole.open_calls, whole.queued_calls, whole.cpu_utilization),
             (Some(3.5), Some(1.0), None)
         );
-        let odd = [
+        let malformed = [
             "",
             "busy_reqs",
             "busy_reqs=",
@@ -58,8 +59,8 @@
             "busy_reqs=inf",
             "busy_reqs=1e300",
         ];
-        let odd = odd.into_iter().chain(["load=3", "busy_reqs=1,busy_reqs=2", "busy_reqs=1,,"]);
-        odd.for_each(|text| assert!(read(text).is_none(), "{text:?}"));
-        assert!(read(&"svc_ms=1,".repeat(99)).is_none());
+        let malformed = malformed.into_iter().chain(["load=3", "busy_reqs=1,busy_reqs=2", "busy_reqs=1,,"]);
+        malformed.for_each(|text| assert!(parse(text).is_none(), "{text:?}"));
+        assert!(parse(&"svc_ms=1,".repeat(99)).is_none());
     }
 }
--- a/sidecar/src/http1/messages.rs
+++ b/sidecar/src/http1/messages.rs
@@ -1,57 +1,61 @@
-//! Whole messages put together from bytes as they come, without a socket.
+//! Assembles messages from the bytes of a connection as they come, without doing I/O itself.
 //!
 //! ```
-//! use oakhollow_sidecar::http1::messages::{MessageParser, Incoming, MessageKind};
-//! let mut inbox = MessageParser::new(MessageKind::Answer);
-//! inbox.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\noak\r\n6\r\nhol");
-//! assert!(inbox.next_message().unwrap().is_none());
-//! inbox.push(b"low\r\n0\r\n\r\n");
-//! let Some(Incoming::Complete(answer)) = inbox.next_message().unwrap() else { panic!() };
+//! use oakhollow_sidecar::http1::messages::{Incoming, MessageKind, MessageParser};
+//! let mut parser = MessageParser::new(MessageKind::Answer);
+//! parser.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\noak\r\n6\r\nhol");
+//! assert!(parser.next_message().unwrap().is_none());
+//! parser.push(b"low\r\n0\r\n\r\n");
+//! let Some(Incoming::Complete(answer)) = parser.next_message().unwrap() else { panic!() };
 //! assert_eq!(answer.body, b"oakhollow");
 //! ```
-use super::chunks::Chunks;
-use super::head::{bad, find, token, Framing, Head, HttpError, MOST_BODY, MOST_HEAD, MOST_LONG};
+use super::chunks::ChunkDecoder;
+use super::head::{
+    find, is_token_byte, malformed, Framing, Head, HttpError, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+};
 
-/// Interim answers that are skipped ahead of one answer.
-const MOST_INTERIM: usize = 16;
+/// How many interim (1xx) answers are skipped before the final one.
+const MAX_INTERIM_ANSWERS: usize = 16;
 
-/// A request or an answer with all of its body.
+/// A request or an answer with its whole body.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: Head,
     pub body: Vec<u8>,
-    /// The connection may carry another message after it.
-    pub lasts: bool,
+    /// The connection may carry another message after this one.
+    pub keep_alive: bool,
 }
 
-/// A message whose body is longer than what is kept, or slow: what has come of it, and the reader of the rest.
+/// A message whose body is too long or comes too slowly to be buffered whole: the part that has come, and the reader of
+/// the rest.
 #[derive(Debug)]
 pub struct PartialMessage {
     pub head: Head,
-    pub kept: Vec<u8>,
-    pub rest: Rest,
+    pub buffered: Vec<u8>,
+    pub rest: BodyReader,
 }
 
-/// What has come.
+/// The next message of a connection.
 #[derive(Debug)]
 pub enum Incoming {
     Complete(Message),
     Partial(PartialMessage),
 }
 
-/// Reads the rest of a body as it comes.
+/// Decodes the rest of a body as it comes.
 #[derive(Debug)]
-pub struct Rest {
+pub struct BodyReader {
     framing: Framing,
-    chunks: Chunks,
-    /// Bytes of the body taken out so far.
-    taken: usize,
+    chunks: ChunkDecoder,
+    /// Bytes of the body that have been taken out.
+    decoded: usize,
     bytes: Vec<u8>,
-    whole: bool,
+    complete: bool,
 }
 
-impl Rest {
-    /// How long the body is, where that was said.
+impl BodyReader {
+    /// The length of the whole body, if the message states it.
     pub fn length(&self) -> Option<usize> {
         match self.framing {
             Framing::Length(length) => Some(length),
@@ -59,219 +63,240 @@
         }
     }
 
-    /// Where what comes is put.
+    /// The buffer to which bytes read from the connection are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Moves what has come of the body into `body`.
-    pub fn feed(&mut self, body: &mut Vec<u8>) -> Result<(), HttpError> {
+    /// Decodes what has come and appends it to `body`.
+    pub fn decode_into(&mut self, body: &mut Vec<u8>) -> Result<(), HttpError> {
         let before = body.len();
         let done = match self.framing {
-            Framing::Length(length) => (length - self.taken).min(self.bytes.len()),
-            Framing::Chunked => self.chunks.feed(&self.bytes, body, usize::MAX)?,
+            Framing::Length(length) => (length - self.decoded).min(self.bytes.len()),
+            Framing::Chunked => self.chunks.decode(&self.bytes, body, usize::MAX)?,
             Framing::UntilClose => self.bytes.len(),
         };
         if self.framing != Framing::Chunked {
             body.extend_from_slice(&self.bytes[..done]);
         }
         self.bytes.drain(..done);
-        self.taken += body.len() - before;
-        if self.taken > MOST_LONG {
+        self.decoded += body.len() - before;
+        if self.decoded > MAX_BODY_BYTES {
             return Err(HttpError { status: 413, message: "the body is too long" });
         }
-        self.whole |= match self.framing {
-            Framing::Length(length) => self.taken == length,
-            Framing::Chunked => self.chunks.done(),
+        self.complete |= match self.framing {
+            Framing::Length(length) => self.decoded == length,
+            Framing::Chunked => self.chunks.is_done(),
             Framing::UntilClose => false,
         };
         Ok(())
     }
 
-    /// The sender has ended its sending.
-    pub fn ended(&mut self) {
-        self.whole |= self.framing == Framing::UntilClose;
+    /// Tells the reader that the sender has closed its side, which completes a body that ends with the connection.
+    pub fn connection_closed(&mut self) {
+        self.complete |= self.framing == Framing::UntilClose;
     }
 
-    pub fn whole(&self) -> bool {
-        self.whole
+    /// Whether the whole body has been decoded.
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
-    /// What came behind the body.
-    pub fn behind(&self) -> &[u8] {
+    /// The bytes that came after the body.
+    pub fn surplus(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The connection may carry another message after it.
-    pub fn lasts(&self) -> bool {
+    /// Whether the connection may carry another message after this body.
+    pub fn keeps_alive(&self) -> bool {
         self.framing != Framing::UntilClose && self.bytes.is_empty()
     }
 }
 
+/// Which kind of message a connection brings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MessageKind {
     Request,
     Answer,
 }
 
-/// Puts whole messages together from bytes as they come.
+/// Assembles messages from bytes as they come.
 #[derive(Debug)]
 pub struct MessageParser {
-    side: MessageKind,
+    kind: MessageKind,
     bytes: Vec<u8>,
-    /// How many of them have been looked through for the end of a head.
+    /// How many of the bytes have been searched for the end of a head.
     searched: usize,
-    /// Interim answers ahead of the one that is waited for.
+    /// Interim answers seen before the final one.
     interim: usize,
-    part: Option<Part>,
+    /// The message whose head has been read, while its body is incomplete.
+    current: Option<IncompleteMessage>,
 }
 
 #[derive(Debug)]
-struct Part {
+struct IncompleteMessage {
     head: Head,
     framing: Framing,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
     body: Vec<u8>,
 }
 
 impl MessageParser {
-    pub fn new(side: MessageKind) -> MessageParser {
-        MessageParser { side, bytes: Vec::new(), searched: 0, interim: 0, part: None }
+    pub fn new(kind: MessageKind) -> MessageParser {
+        MessageParser { kind, bytes: Vec::new(), searched: 0, interim: 0, current: None }
     }
 
+    /// Appends bytes read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Where what comes is put, behind what is there.
+    /// The buffer to which bytes read from the connection are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Bytes that came and belong to no message that was given out.
-    pub fn held(&self) -> usize {
-        self.bytes.len() + self.part.as_ref().map_or(0, |part| part.body.len() + 1)
+    /// How many bytes have come that belong to no message taken out yet; not zero once a message has begun.
+    pub fn pending_bytes(&self) -> usize {
+        self.bytes.len() + self.current.as_ref().map_or(0, |message| message.body.len() + 1)
     }
 
-    /// What of it is a body's.
-    pub fn body(&self) -> usize {
-        self.part.as_ref().map_or(0, |part| part.body.len())
+    /// How many bytes have been decoded of the current message's body.
+    pub fn body_bytes(&self) -> usize {
+        self.current.as_ref().map_or(0, |message| message.body.len())
     }
 
-    /// Whether a sender waits for leave to send the body of the message that has begun.
-    pub fn waits_for_leave(&self) -> bool {
-        let bodiless = |part: &&Part| part.body.is_empty() && part.framing != Framing::Length(0);
-        self.part.as_ref().filter(bodiless).is_some_and(|part| part.head.lists("Expect", "100-continue"))
+    /// Whether the client waits for `100 Continue` before it sends the body of the current request.
+    pub fn expects_continue(&self) -> bool {
+        let bodiless =
+            |message: &&IncompleteMessage| message.body.is_empty() && message.framing != Framing::Length(0);
+        self.current
+            .as_ref()
+            .filter(bodiless)
+            .is_some_and(|message| message.head.has_token("Expect", "100-continue"))
     }
 
-    /// Whether a whole head is there, or what can be none. Looks at each byte once: guards against heads that come
-    /// in drips; and at the first ones at once: noise may never hold what ends a head.
-    fn head_ends(&mut self) -> Result<bool, HttpError> {
+    /// Whether the bytes hold a whole head, or more than a head may have. Searches each byte only once, which matters for
+    /// a head that comes in small pieces. Checks the first bytes at once, since noise may never hold the end of a head.
+    fn has_whole_head(&mut self) -> Result<bool, HttpError> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.bytes.len();
         let start = &self.bytes[..self.bytes.len().min(7)];
-        let known = match self.side {
+        let plausible = match self.kind {
             MessageKind::Answer => b"HTTP/1.".starts_with(start),
             MessageKind::Request => start
                 .split(|&byte| byte == b' ')
                 .next()
-                .is_some_and(|word| word.iter().all(|&byte| token(byte))),
+                .is_some_and(|word| word.iter().all(|&byte| is_token_byte(byte))),
         };
-        if !known {
-            return Err(bad("the start line is malformed"));
+        if !plausible {
+            return Err(malformed("the start line is malformed"));
         }
-        Ok(find(&self.bytes[from..], b"\r\n\r\n").is_some() || self.bytes.len() >= MOST_HEAD)
+        Ok(find(&self.bytes[from..], b"\r\n\r\n").is_some() || self.bytes.len() >= MAX_HEAD_BYTES)
     }
 
-    /// The next whole message, if it is all there, or one begun if more of it has come than is kept.
+    /// Takes out the next message: whole once all of it has come, or partial once more of its body has come than is
+    /// buffered.
     pub fn next_message(&mut self) -> Result<Option<Incoming>, HttpError> {
-        while self.part.is_none() {
-            if self.side == MessageKind::Request {
-                // A line's end or two before a request is what some clients leave after the last body.
+        while self.current.is_none() {
+            if self.kind == MessageKind::Request {
+                // Some clients send a line end or two after a body.
                 let blank = self.bytes.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
                 self.bytes.drain(..blank);
             }
-            if !self.head_ends()? {
+            if !self.has_whole_head()? {
                 return Ok(None);
             }
             let Some((head, taken)) = Head::parse(&self.bytes)? else { return Ok(None) };
             self.bytes.drain(..taken);
             self.searched = 0;
-            let framing = match self.side {
+            let framing = match self.kind {
                 MessageKind::Request => head.request_line().and_then(|_| head.request_framing())?,
                 MessageKind::Answer => head.answer_framing()?,
             };
-            // An interim answer is no answer, and leave to speak another protocol was never asked for.
-            match self.side {
-                MessageKind::Answer if head.status()? == 101 => return Err(bad("another protocol")),
-                MessageKind::Answer if head.status()? < 200 && self.interim < MOST_INTERIM => {
+            // Interim answers are skipped. 101 is an error, since a change of protocol was never asked for.
+            match self.kind {
+                MessageKind::Answer if head.status()? == 101 => return Err(malformed("another protocol")),
+                MessageKind::Answer if head.status()? < 200 && self.interim < MAX_INTERIM_ANSWERS => {
                     self.interim += 1
                 }
-                MessageKind::Answer if head.status()? < 200 => return Err(bad("too many interim answers")),
-                _ => self.part = Some(Part { head, framing, chunks: Chunks::default(), body: Vec::new() }),
+                MessageKind::Answer if head.status()? < 200 => {
+                    return Err(malformed("too many interim answers"))
+                }
+                _ => {
+                    self.current = Some(IncompleteMessage {
+                        head,
+                        framing,
+                        chunks: ChunkDecoder::default(),
+                        body: Vec::new(),
+                    })
+                }
             }
         }
-        let Some(part) = &mut self.part else { return Ok(None) };
-        let whole = match part.framing {
+        let Some(message) = &mut self.current else { return Ok(None) };
+        let complete = match message.framing {
             Framing::Length(length) => {
-                let taken = (length.min(MOST_BODY + 1) - part.body.len()).min(self.bytes.len());
-                part.body.extend(self.bytes.drain(..taken));
-                part.body.len() == length
+                let taken =
+                    (length.min(MAX_BUFFERED_BODY_BYTES + 1) - message.body.len()).min(self.bytes.len());
+                message.body.extend(self.bytes.drain(..taken));
+                message.body.len() == length
             }
             Framing::Chunked => {
-                let taken = part.chunks.feed(&self.bytes, &mut part.body, MOST_BODY + 1)?;
+                let taken =
+                    message.chunks.decode(&self.bytes, &mut message.body, MAX_BUFFERED_BODY_BYTES + 1)?;
                 self.bytes.drain(..taken);
-                part.chunks.done()
+                message.chunks.is_done()
             }
             Framing::UntilClose => {
-                part.body.append(&mut self.bytes);
+                message.body.append(&mut self.bytes);
                 false
             }
         };
-        if whole {
-            return Ok(self.give(true).map(Incoming::Complete));
+        if complete {
+            return Ok(self.take_complete(true).map(Incoming::Complete));
         }
-        let long = part.body.len() > MOST_BODY;
-        Ok(if long { self.begin().map(Incoming::Partial) } else { None })
+        let long = message.body.len() > MAX_BUFFERED_BODY_BYTES;
+        Ok(if long { self.take_partial().map(Incoming::Partial) } else { None })
     }
 
-    /// How much of a body has come that is known to be longer than what is kept (true), or of which nobody said how
-    /// long it is (false).
-    pub fn under_way(&self) -> Option<(usize, bool)> {
-        let part = self.part.as_ref()?;
-        match part.framing {
-            Framing::Length(length) => (length > MOST_BODY).then_some((part.body.len(), true)),
-            _ => Some((part.body.len(), false)),
+    /// How much has come of a body that is longer than what is buffered (true), or whose length is not stated (false).
+    pub fn body_progress(&self) -> Option<(usize, bool)> {
+        let message = self.current.as_ref()?;
+        match message.framing {
+            Framing::Length(length) => {
+                (length > MAX_BUFFERED_BODY_BYTES).then_some((message.body.len(), true))
+            }
+            _ => Some((message.body.len(), false)),
         }
     }
 
-    /// Gives out what is under way, with all that came behind.
-    pub fn begin(&mut self) -> Option<PartialMessage> {
-        let Part { head, framing, chunks, body } = self.part.take()?;
+    /// Takes out the current message before its body is complete, with all bytes that came after.
+    pub fn take_partial(&mut self) -> Option<PartialMessage> {
+        let IncompleteMessage { head, framing, chunks, body } = self.current.take()?;
         (self.interim, self.searched) = (0, 0);
         let bytes = std::mem::take(&mut self.bytes);
-        let rest = Rest { framing, chunks, taken: body.len(), bytes, whole: false };
-        Some(PartialMessage { head, kept: body, rest })
+        let rest = BodyReader { framing, chunks, decoded: body.len(), bytes, complete: false };
+        Some(PartialMessage { head, buffered: body, rest })
     }
 
-    /// The other side has ended its sending: an answer whose end was to be told so is whole now.
-    pub fn ended(&mut self) -> Option<Message> {
-        let until_close = self.part.as_ref().is_some_and(|part| part.framing == Framing::UntilClose);
+    /// Takes out the message that the close of the connection completes, if there is one.
+    pub fn finish_at_close(&mut self) -> Option<Message> {
+        let until_close = self.current.as_ref().is_some_and(|message| message.framing == Framing::UntilClose);
         if until_close {
-            self.give(false)
+            self.take_complete(false)
         } else {
             None
         }
     }
 
-    fn give(&mut self, lasts: bool) -> Option<Message> {
-        let Part { head, body, .. } = self.part.take()?;
-        let lasts = lasts && head.lasts();
+    fn take_complete(&mut self, keep_alive: bool) -> Option<Message> {
+        let IncompleteMessage { head, body, .. } = self.current.take()?;
+        let keep_alive = keep_alive && head.keeps_alive();
         self.interim = 0;
         if self.bytes.is_empty() {
-            // Guards against every connection keeping the room that its longest message took.
+            // Frees the buffer: guards against every connection keeping the memory that its longest message took.
             self.bytes = Vec::new();
         }
-        Some(Message { head, body, lasts })
+        Some(Message { head, body, keep_alive })
     }
 }
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol, HTTP/1.1 over plain TCP. Nothing outside this folder knows it.
+//! The platform's protocol, HTTP/1.1 over plain TCP. Nothing outside this module depends on it.
 pub mod acceptor;
 pub mod answers;
 pub mod attempt;
@@ -24,17 +24,17 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Hops over connections to servers that are kept and used again.
+/// Makes attempts over pooled connections to endpoints.
 pub struct Http1 {
     pub pool: Rc<pool::Pool>,
-    /// Whether servers tell their load with answers.
+    /// Whether answers carry load reports.
     pub reads_load_reports: bool,
     pub fence: Fence,
     pub monitor: Rc<Monitor>,
 }
 
-/// Looked at before a hop's first byte: guards against a hop of a process that was stopped for longer than its lease, or than its list
-/// may be used.
+/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than its lease
+/// lasts, or than its list may be used.
 #[derive(Clone)]
 pub struct Fence {
     pub lease: Lease,
@@ -55,39 +55,41 @@
     }
 }
 
-/// What requests call things by.
+/// The settings by which requests are read. The vectors about workloads have one order.
 pub struct RequestSettings {
     pub workloads: Vec<WorkloadSettings>,
-    /// Their names, in the same order, as metrics have them.
+    /// The workloads' names, as metrics label them.
     pub class_names: Vec<Rc<str>>,
-    /// What requests of them do at a server, in the same order.
-    pub effects: Vec<RepeatSafety>,
-    /// Their numbers, in the same order.
+    /// Whether requests of each workload may be repeated.
+    pub repeat_safety: Vec<RepeatSafety>,
+    /// The workloads' ids in the decision module.
     pub workload_ids: Vec<WorkloadIds>,
+    /// The workloads' classes.
     pub classes: Vec<ClassId>,
     pub tenants: Vec<String>,
-    /// Whether a request's key is of use.
+    /// Whether requests with an affinity key are served faster by the endpoints that know it.
     pub uses_affinity_keys: bool,
+    /// The most attempts for one request.
     pub max_attempts: usize,
 }
 
 impl Protocol for Http1 {
-    type Content = attempt::Outgoing;
-    type Answer = attempt::Reply;
+    type Content = attempt::OutgoingRequest;
+    type Answer = attempt::EndpointAnswer;
 
     fn attempt(
-        &self, permit: AttemptPermit, content: Rc<attempt::Outgoing>, to: SocketAddr, by: Instant,
+        &self, permit: AttemptPermit, content: Rc<attempt::OutgoingRequest>, to: SocketAddr, by: Instant,
         progress: Rc<AttemptProgress>,
-    ) -> impl Future<Output = AttemptEnd<attempt::Reply>> + 'static {
-        // Taken here, not when the hop first runs: what retires the address between the two is meant for it.
-        let to = attempt::Target {
-            at: to,
-            wanted: self.pool.wanted(to),
+    ) -> impl Future<Output = AttemptEnd<attempt::EndpointAnswer>> + 'static {
+        // The flag is taken here, not when the attempt first runs: an address retired between the two must stop it.
+        let target = attempt::Target {
+            address: to,
+            active: self.pool.active_flag(to),
             fence: self.fence.clone(),
             monitor: self.monitor.clone(),
             permit,
         };
-        attempt::attempt(self.pool.clone(), content, to, (by, progress), self.reads_load_reports)
+        attempt::run(self.pool.clone(), content, target, (by, progress), self.reads_load_reports)
     }
 
     fn retire(&self, at: SocketAddr) {
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -1,6 +1,6 @@
-//! Connections to servers: opened when none is free, kept while idle, bounded all together. One carries one
-//! request at a time.
-use super::attempt::write;
+//! Connections to endpoints: opened when none is idle, kept for reuse while idle, and limited in number over all
+//! endpoints. A connection carries one request at a time.
+use super::attempt::write_all;
 use crate::limits::{LimitShare, Slot};
 use crate::reactor::{Async, Timer};
 use crate::system_errors::is_our_shortage;
@@ -17,339 +17,352 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// How often idle connections are looked through for those that have ended or are old.
-const SWEEP: Duration = Duration::from_millis(20);
+/// How often idle connections are searched for those that the endpoint has closed or that have been idle for too long.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a connection rests after an answer before it carries another request: a second answer may come some milliseconds
-/// late. Guards against giving it to the next request.
-const REST: Duration = Duration::from_millis(10);
+/// How long a connection stays unused after an answer. Some endpoints send a second answer a few milliseconds late, which
+/// must not be taken for the answer to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// How many may wait at an address for a connection to have rested, where no server was seen to send more than an answer;
-/// others use theirs at once: guards against a busy process that waits, or opens a connection, at each request.
-const MOST_WAITING: usize = 2;
+/// How many requests may wait at an address for a connection's [`REUSE_DELAY`] while no endpoint has been seen to send
+/// more than an answer. Further requests reuse a connection at once: guards against a busy process that waits, or opens
+/// a connection, for each request.
+const MAX_WAITERS: usize = 2;
 
-/// One open connection; dropping it closes it.
-pub struct Link {
+/// An open connection to an endpoint. Dropping it closes it.
+pub struct EndpointConnection {
     stream: Async<TcpStream>,
     _slot: Slot,
-    /// Whether connections of that time to that address are still to be kept.
-    wanted: Rc<Cell<bool>>,
+    /// False once the address was retired after this connection was asked for: then it is not kept.
+    active: Rc<Cell<bool>>,
 }
 
-impl Link {
-    /// Writes the beginning of an attempt, or all of it. There is no other way to write a first byte.
-    pub async fn begin(&self, _permit: SendPermit, bytes: &[u8]) -> Result<()> {
-        write(&self.stream, bytes).await
+impl EndpointConnection {
+    /// Writes the beginning of a request, or all of it. The only way to write a first byte, which takes a permit.
+    pub async fn write_first(&self, _permit: SendPermit, bytes: &[u8]) -> Result<()> {
+        write_all(&self.stream, bytes).await
     }
 
-    /// Writes more of an attempt that was begun.
-    pub async fn go_on(&self, bytes: &[u8]) -> Result<()> {
-        write(&self.stream, bytes).await
+    /// Writes more of a request whose beginning is written.
+    pub async fn write_more(&self, bytes: &[u8]) -> Result<()> {
+        write_all(&self.stream, bytes).await
     }
 
-    /// As [`Async::read_buf`].
+    /// See [`Async::read_buf`].
     pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
         self.stream.read_buf(into).await
     }
 
-    /// What has come between requests, where anything but nothing means the end; also what the thread has not been told of.
-    fn come(&self) -> Come {
+    /// What the socket has received between requests. Asks the kernel, which may know more than the reactor.
+    fn idle_state(&self) -> IdleSocketState {
         match self.stream.get_ref().peek(&mut [0]) {
-            Err(fault) if fault.kind() == ErrorKind::WouldBlock => Come::Nothing,
-            Ok(count) if count > 0 => Come::Bytes,
-            _ => Come::End,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => IdleSocketState::Quiet,
+            Ok(count) if count > 0 => IdleSocketState::UnsolicitedBytes,
+            _ => IdleSocketState::Closed,
         }
     }
 }
 
-/// Why there is no connection; either outcome proves that nothing ran.
+/// Why a connection could not be opened. Every outcome in it proves that the endpoint did not run the request.
 pub struct ConnectFailure {
-    /// What that says of the server.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The kernel's error, if that is what it was.
+    /// The error of the system call, if one failed.
     pub error: Option<Error>,
 }
 
 impl ConnectFailure {
-    fn by(outcome: Outcome, error: Option<Error>) -> ConnectFailure {
+    fn new(outcome: Outcome, error: Option<Error>) -> ConnectFailure {
         ConnectFailure { outcome, error }
     }
 }
 
+/// What an idle connection has received. Only a quiet one may be reused.
 #[derive(PartialEq, Eq)]
-enum Come {
-    Nothing,
-    /// Of nobody: more than an answer.
-    Bytes,
-    End,
+enum IdleSocketState {
+    Quiet,
+    /// Bytes that belong to no request.
+    UnsolicitedBytes,
+    Closed,
 }
 
-/// One stay of a connection in the pool; the longer ago it began, the lower.
+/// Numbers idle connections in the order in which they became idle.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-struct LinkId(u64);
+struct IdleId(u64);
 
-struct Parked {
-    link: Rc<Link>,
-    id: LinkId,
+struct IdleConnection {
+    connection: Rc<EndpointConnection>,
+    id: IdleId,
     since: Instant,
 }
 
-/// A connection that is free, and how long until it has rested if that is waited for.
-enum Idle {
-    Usable(Rc<Link>),
-    Resting(Rc<Link>, Duration),
+/// A free connection, and the rest of its [`REUSE_DELAY`] if that is to be waited for.
+enum Candidate {
+    Usable(Rc<EndpointConnection>),
+    Delayed(Rc<EndpointConnection>, Duration),
 }
 
-/// One who waits for a connection to have rested, for as long as it does.
-struct Waiting<'a> {
+/// Counts a request that waits for a connection's [`REUSE_DELAY`], until it is dropped.
+struct Waiter<'a> {
     pool: &'a Pool,
     to: SocketAddr,
 }
 
-impl<'a> Waiting<'a> {
-    fn begin(pool: &'a Pool, to: SocketAddr) -> Waiting<'a> {
-        if let Some(shelf) = pool.shelves.borrow_mut().get_mut(&to) {
-            shelf.waiting += 1;
+impl<'a> Waiter<'a> {
+    fn register(pool: &'a Pool, to: SocketAddr) -> Waiter<'a> {
+        if let Some(address) = pool.addresses.borrow_mut().get_mut(&to) {
+            address.waiters += 1;
         }
-        Waiting { pool, to }
+        Waiter { pool, to }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        if let Some(shelf) = self.pool.shelves.borrow_mut().get_mut(&self.to) {
-            shelf.waiting = shelf.waiting.saturating_sub(1);
+        if let Some(address) = self.pool.addresses.borrow_mut().get_mut(&self.to) {
+            address.waiters = address.waiters.saturating_sub(1);
         }
     }
 }
 
-/// The connections to one address, since it was last retired.
-struct Shelf {
-    idle: Vec<Parked>,
-    /// How many wait for one of them to have rested.
-    waiting: usize,
-    wanted: Rc<Cell<bool>>,
+/// The connections to one address since it was last retired.
+struct AddressPool {
+    idle: Vec<IdleConnection>,
+    /// Requests that wait for the [`REUSE_DELAY`] of one of them.
+    waiters: usize,
+    active: Rc<Cell<bool>>,
 }
 
-impl Default for Shelf {
-    fn default() -> Shelf {
-        Shelf { idle: Vec::new(), waiting: 0, wanted: Rc::new(Cell::new(true)) }
+impl Default for AddressPool {
+    fn default() -> AddressPool {
+        AddressPool { idle: Vec::new(), waiters: 0, active: Rc::new(Cell::new(true)) }
     }
 }
 
+/// The connections of one worker to all endpoints.
 pub struct Pool {
-    me: Weak<Pool>,
+    this: Weak<Pool>,
     tasks: Tasks,
-    shelves: RefCell<HashMap<SocketAddr, Shelf>>,
-    /// The idle ones by how long they have been so.
-    ages: RefCell<BTreeMap<LinkId, SocketAddr>>,
-    /// Connections that are open or on their way.
-    open: Rc<LimitShare>,
-    parked: Cell<LinkId>,
-    /// A task sweeps it.
-    watched: Cell<bool>,
-    connect_within: Cell<Micros>,
-    keep: Cell<Micros>,
-    /// A server has sent more than an answer.
-    strays: Cell<bool>,
+    addresses: RefCell<HashMap<SocketAddr, AddressPool>>,
+    /// All idle connections, the one that has been idle for longest first.
+    idle_by_age: RefCell<BTreeMap<IdleId, SocketAddr>>,
+    /// Limits the connections that are open or being opened.
+    limit: Rc<LimitShare>,
+    next_idle_id: Cell<IdleId>,
+    /// Whether the task that sweeps the pool is running.
+    sweeping: Cell<bool>,
+    connect_timeout: Cell<Micros>,
+    max_idle_time: Cell<Micros>,
+    /// Whether an endpoint has sent more than an answer.
+    saw_unsolicited_bytes: Cell<bool>,
     log: Logger,
 }
 
 impl Pool {
-    /// As many connections as `open` has places; `idle_close` is when the servers close one that has stood idle.
+    /// A pool with at most as many connections as `limit` has slots. `server_idle_timeout` is the time after which the
+    /// endpoints close an idle connection.
     pub fn new(
-        tasks: Tasks, open: Rc<LimitShare>, (connect_within, idle_close): (Micros, Micros), log: Logger,
+        tasks: Tasks, limit: Rc<LimitShare>, (connect_timeout, server_idle_timeout): (Micros, Micros),
+        log: Logger,
     ) -> Rc<Pool> {
-        Rc::new_cyclic(|me| Pool {
-            me: me.clone(),
+        Rc::new_cyclic(|this| Pool {
+            this: this.clone(),
             tasks,
-            shelves: RefCell::default(),
-            ages: RefCell::default(),
-            open,
-            parked: Cell::default(),
-            watched: Cell::default(),
-            connect_within: Cell::new(connect_within),
-            keep: Cell::new(keep(idle_close)),
-            strays: Cell::default(),
+            addresses: RefCell::default(),
+            idle_by_age: RefCell::default(),
+            limit,
+            next_idle_id: Cell::default(),
+            sweeping: Cell::default(),
+            connect_timeout: Cell::new(connect_timeout),
+            max_idle_time: Cell::new(max_idle_time(server_idle_timeout)),
+            saw_unsolicited_bytes: Cell::default(),
             log,
         })
     }
 
-    /// The same figures, from now on.
-    pub fn set_timeouts(&self, connect_within: Micros, idle_close: Micros) {
-        self.connect_within.set(connect_within);
-        self.keep.set(keep(idle_close));
+    /// Replaces the timeouts given to [`Pool::new`].
+    pub fn set_timeouts(&self, connect_timeout: Micros, server_idle_timeout: Micros) {
+        self.connect_timeout.set(connect_timeout);
+        self.max_idle_time.set(max_idle_time(server_idle_timeout));
     }
 
-    /// A connection that was used before, if one is free. It has rested, but where several wait for that already.
-    pub async fn rested(&self, to: SocketAddr) -> Option<Rc<Link>> {
+    /// Takes an idle connection to this address, if there is one. Waits for the rest of its [`REUSE_DELAY`], unless
+    /// [`MAX_WAITERS`] requests wait for that already.
+    pub async fn take_idle(&self, to: SocketAddr) -> Option<Rc<EndpointConnection>> {
         loop {
-            let (link, left) = match self.idle_by(to, Instant::now())? {
-                Idle::Usable(link) => return Some(link),
-                Idle::Resting(link, left) => (link, left),
+            let (connection, left) = match self.candidate(to, Instant::now())? {
+                Candidate::Usable(connection) => return Some(connection),
+                Candidate::Delayed(connection, left) => (connection, left),
             };
-            let waiting = Waiting::begin(self, to);
+            let waiter = Waiter::register(self, to);
             Timer::after(left).await;
-            drop(waiting);
-            if self.still_usable(&link) {
-                return Some(link);
+            drop(waiter);
+            if self.still_usable(&connection) {
+                return Some(connection);
             }
         }
     }
 
-    fn idle_by(&self, to: SocketAddr, now: Instant) -> Option<Idle> {
+    /// Takes out the idle connection that is best reused at `now`: the newest whose [`REUSE_DELAY`] is over, else the
+    /// oldest, but none before its delay is over once an endpoint has sent more than an answer.
+    fn candidate(&self, to: SocketAddr, now: Instant) -> Option<Candidate> {
         loop {
-            let (parked, crowded) = {
-                let mut shelves = self.shelves.borrow_mut();
-                let shelf = shelves.get_mut(&to)?;
-                let rested = shelf.idle.iter().rposition(|parked| parked.since + REST <= now);
-                let longest = Some(0).filter(|_| !shelf.idle.is_empty() && !self.strays.get());
-                let crowded = shelf.waiting >= MOST_WAITING;
-                (shelf.idle.remove(rested.or(longest)?), crowded)
+            let (idle, crowded) = {
+                let mut addresses = self.addresses.borrow_mut();
+                let address = addresses.get_mut(&to)?;
+                let ready = address.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now);
+                let oldest =
+                    Some(0).filter(|_| !address.idle.is_empty() && !self.saw_unsolicited_bytes.get());
+                let crowded = address.waiters >= MAX_WAITERS;
+                (address.idle.remove(ready.or(oldest)?), crowded)
             };
-            self.ages.borrow_mut().remove(&parked.id);
-            if self.still_usable(&parked.link) {
-                let left = (parked.since + REST).saturating_duration_since(now);
+            self.idle_by_age.borrow_mut().remove(&idle.id);
+            if self.still_usable(&idle.connection) {
+                let left = (idle.since + REUSE_DELAY).saturating_duration_since(now);
                 return Some(match left.is_zero() || crowded {
-                    true => Idle::Usable(parked.link),
-                    false => Idle::Resting(parked.link, left),
+                    true => Candidate::Usable(idle.connection),
+                    false => Candidate::Delayed(idle.connection, left),
                 });
             }
         }
     }
 
-    /// Nothing has come on it since its answer.
-    fn still_usable(&self, link: &Link) -> bool {
-        match link.come() {
-            Come::Nothing => true,
-            Come::Bytes => {
-                self.stray();
+    /// Whether a connection has received nothing since its last answer.
+    fn still_usable(&self, connection: &EndpointConnection) -> bool {
+        match connection.idle_state() {
+            IdleSocketState::Quiet => true,
+            IdleSocketState::UnsolicitedBytes => {
+                self.note_unsolicited_bytes();
                 false
             }
-            Come::End => false,
+            IdleSocketState::Closed => false,
         }
     }
 
-    /// A server has sent more than an answer: others may come later.
-    pub fn stray(&self) {
-        if !self.strays.replace(true) {
+    /// Records that an endpoint has sent more than an answer. From now on no connection is reused before its
+    /// [`REUSE_DELAY`] is over, since another such answer may come late.
+    pub fn note_unsolicited_bytes(&self) {
+        if !self.saw_unsolicited_bytes.replace(true) {
             info!(
                 self.log,
-                "a server sent more than an answer: connections rest {} ms between requests",
-                REST.as_millis()
+                "an endpoint sent more than an answer: connections are reused no sooner than {} ms after an answer",
+                REUSE_DELAY.as_millis()
             );
         }
     }
 
-    /// Whether connections to that address are to be kept, and hops to begin there: false once it is retired.
-    pub fn wanted(&self, to: SocketAddr) -> Rc<Cell<bool>> {
-        let wanted = self.shelves.borrow_mut().entry(to).or_default().wanted.clone();
-        self.be_watched();
-        wanted
+    /// A flag that is true until this address is retired: attempts may be sent there, and connections to it are kept.
+    pub fn active_flag(&self, to: SocketAddr) -> Rc<Cell<bool>> {
+        let active = self.addresses.borrow_mut().entry(to).or_default().active.clone();
+        self.ensure_sweeping();
+        active
     }
 
-    /// Opens a connection for one who has asked whether it is [`Pool::wanted`]. The outcome of a failure proves that
-    /// nothing ran.
+    /// Opens a connection. `active` is the address's [`Pool::active_flag`]. The outcome of a failure proves that the
+    /// endpoint did not run the request.
     pub async fn connect(
-        &self, to: SocketAddr, wanted: Rc<Cell<bool>>,
-    ) -> std::result::Result<Rc<Link>, ConnectFailure> {
-        // Before the first wait, so that connections on their way keep to the bound too.
-        let slot = match self.open.try_acquire() {
+        &self, to: SocketAddr, active: Rc<Cell<bool>>,
+    ) -> std::result::Result<Rc<EndpointConnection>, ConnectFailure> {
+        // Taken before the first wait, so that connections being opened count against the limit.
+        let slot = match self.limit.try_acquire() {
             Some(slot) => slot,
             None => {
-                drop(self.take_oldest());
-                self.open.try_acquire().ok_or(ConnectFailure::by(Outcome::NotSent, None))?
+                drop(self.take_oldest_idle());
+                self.limit.try_acquire().ok_or(ConnectFailure::new(Outcome::NotSent, None))?
             }
         };
         let connected = async { Some(Async::<TcpStream>::connect(to).await) };
         let late = async {
-            Timer::after(duration(self.connect_within.get())).await;
+            Timer::after(duration(self.connect_timeout.get())).await;
             None
         };
         match future::or(connected, late).await {
             Some(Ok(stream)) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                Ok(Rc::new(Link { stream, _slot: slot, wanted }))
+                Ok(Rc::new(EndpointConnection { stream, _slot: slot, active }))
             }
             Some(Err(error)) if is_our_shortage(&error) => {
-                Err(ConnectFailure::by(Outcome::NotSent, Some(error)))
+                Err(ConnectFailure::new(Outcome::NotSent, Some(error)))
             }
-            Some(Err(error)) => Err(ConnectFailure::by(Outcome::NoConnection, Some(error))),
-            None => Err(ConnectFailure::by(Outcome::NoConnection, None)),
+            Some(Err(error)) => Err(ConnectFailure::new(Outcome::NoConnection, Some(error))),
+            None => Err(ConnectFailure::new(Outcome::NoConnection, None)),
         }
     }
 
-    /// Keeps a connection whose answer has come whole.
-    pub fn park(&self, to: SocketAddr, link: Rc<Link>) {
-        // Guards against keeping one whose server has been replaced at that address, or has left, meanwhile.
-        if !link.wanted.get() {
+    /// Keeps a connection for reuse after its answer was read completely.
+    pub fn put_back(&self, to: SocketAddr, connection: Rc<EndpointConnection>) {
+        // The address may have been retired meanwhile, since its endpoint has left or another has replaced it.
+        if !connection.active.get() {
             return;
         }
-        let id = self.parked.replace(LinkId(self.parked.get().0 + 1));
-        if let Some(shelf) = self.shelves.borrow_mut().get_mut(&to) {
-            shelf.idle.push(Parked { link, id, since: Instant::now() });
-            self.ages.borrow_mut().insert(id, to);
+        let id = self.next_idle_id.replace(IdleId(self.next_idle_id.get().0 + 1));
+        if let Some(address) = self.addresses.borrow_mut().get_mut(&to) {
+            address.idle.push(IdleConnection { connection, id, since: Instant::now() });
+            self.idle_by_age.borrow_mut().insert(id, to);
         }
     }
 
-    fn be_watched(&self) {
-        if !self.watched.replace(true) {
-            self.tasks.spawn_detached(watch(self.me.clone()));
+    fn ensure_sweeping(&self) {
+        if !self.sweeping.replace(true) {
+            self.tasks.spawn_detached(sweep_while_used(self.this.clone()));
         }
     }
 
-    /// Closes idle connections that have turned readable or are old; false if there is none at all.
+    /// Closes idle connections that have received anything or have been idle for too long. Returns false if the pool is
+    /// empty.
     fn sweep(&self) -> bool {
-        let (keep, now) = (duration(self.keep.get()), Instant::now());
-        let (mut shelves, mut ages) = (self.shelves.borrow_mut(), self.ages.borrow_mut());
-        shelves.retain(|_, shelf| {
-            shelf.idle.retain(|idle| {
-                let stirred = idle.link.stream.stirred();
-                if stirred && idle.link.come() == Come::Bytes {
-                    self.stray();
+        let (max_idle_time, now) = (duration(self.max_idle_time.get()), Instant::now());
+        let (mut addresses, mut idle_by_age) = (self.addresses.borrow_mut(), self.idle_by_age.borrow_mut());
+        addresses.retain(|_, address| {
+            address.idle.retain(|idle| {
+                let readable = idle.connection.stream.is_readable();
+                if readable && idle.connection.idle_state() == IdleSocketState::UnsolicitedBytes {
+                    self.note_unsolicited_bytes();
                 }
-                let stays = !stirred && now - idle.since < keep;
+                let stays = !readable && now - idle.since < max_idle_time;
                 if !stays {
-                    ages.remove(&idle.id);
+                    idle_by_age.remove(&idle.id);
                 }
                 stays
             });
-            // Guards against a shelf kept for every address that ever was.
-            !shelf.idle.is_empty() || Rc::strong_count(&shelf.wanted) > 1
+            // Guards against an entry kept for every address that was ever used.
+            !address.idle.is_empty() || Rc::strong_count(&address.active) > 1
         });
-        !shelves.is_empty()
+        !addresses.is_empty()
     }
 
-    /// Closes what stands idle to a server that wants nothing new, and keeps none of the connections it still uses.
+    /// Closes the idle connections to an address whose endpoint takes no new requests. Connections to it that are in use
+    /// are closed after their answer.
     pub fn retire(&self, at: SocketAddr) {
-        if let Some(shelf) = self.shelves.borrow_mut().remove(&at) {
-            shelf.wanted.set(false);
-            let mut ages = self.ages.borrow_mut();
-            shelf.idle.iter().for_each(|idle| _ = ages.remove(&idle.id));
+        if let Some(address) = self.addresses.borrow_mut().remove(&at) {
+            address.active.set(false);
+            let mut idle_by_age = self.idle_by_age.borrow_mut();
+            address.idle.iter().for_each(|idle| _ = idle_by_age.remove(&idle.id));
         }
     }
 
-    fn take_oldest(&self) -> Option<Parked> {
-        let (_, at) = self.ages.borrow_mut().pop_first()?;
-        Some(self.shelves.borrow_mut().get_mut(&at)?.idle.remove(0))
+    fn take_oldest_idle(&self) -> Option<IdleConnection> {
+        let (_, at) = self.idle_by_age.borrow_mut().pop_first()?;
+        Some(self.addresses.borrow_mut().get_mut(&at)?.idle.remove(0))
     }
 }
 
-/// Guards against writing a request to a connection that the server is about to close.
-fn keep(idle_close: Micros) -> Micros {
-    idle_close.times(0.5)
+/// Half of the time after which endpoints close an idle connection: guards against writing a request to a connection that
+/// the endpoint is about to close.
+fn max_idle_time(server_idle_timeout: Micros) -> Micros {
+    server_idle_timeout.times(0.5)
 }
 
-/// Sweeps a pool for as long as it has idle connections: one task for all of them, which the machine tells of none.
-async fn watch(pool: Weak<Pool>) {
-    while let Some(there) = pool.upgrade() {
+/// Sweeps a pool for as long as it is in use. One task looks at all idle connections; none of them waits for events.
+async fn sweep_while_used(pool: Weak<Pool>) {
+    while let Some(pool) = pool.upgrade() {
         let begun = Instant::now();
-        if !there.sweep() {
-            return there.watched.set(false);
+        if !pool.sweep() {
+            return pool.sweeping.set(false);
         }
-        drop(there);
-        // Guards against thousands of idle connections taking more than a hundredth of the thread.
-        Timer::after(SWEEP.max(begun.elapsed() * 100)).await;
+        drop(pool);
+        // Guards against a sweep of thousands of idle connections taking more than a hundredth of the thread's time.
+        Timer::after(SWEEP_INTERVAL.max(begun.elapsed() * 100)).await;
     }
 }
 
@@ -364,49 +377,55 @@
     use std::net::TcpListener;
 
     #[test]
-    fn a_connection_rests_after_its_answer_and_one_with_a_late_second_answer_is_used_no_more() {
+    fn connections_are_reused_after_a_delay_and_never_after_a_late_second_answer() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let to = listener.local_addr().expect("bound");
         let executor = Rc::new(LocalExecutor::new());
-        let (open, times) =
+        let (limit, timeouts) =
             (LimitShare::new(SharedLimit::new(8, 1)), (Micros::millis(1_000), Micros::millis(60_000)));
-        let pool = Pool::new(Tasks::new(&executor), open, times, Logger::root(Discard, o!()));
+        let pool = Pool::new(Tasks::new(&executor), limit, timeouts, Logger::root(Discard, o!()));
         let connect =
-            || block_on(pool.connect(to, pool.wanted(to))).expect("a reactor").ok().expect("connected");
-        let parked = |link: &Rc<Link>| {
+            || block_on(pool.connect(to, pool.active_flag(to))).expect("a reactor").ok().expect("connected");
+        let put_back = |connection: &Rc<EndpointConnection>| {
             let before = Instant::now();
-            pool.park(to, link.clone());
+            pool.put_back(to, connection.clone());
             (before, Instant::now())
         };
-        let rested = |one: Option<Idle>, other: &Rc<Link>| match one {
-            Some(Idle::Usable(one)) => Rc::ptr_eq(&one, other),
+        let usable = |candidate: Option<Candidate>, expected: &Rc<EndpointConnection>| match candidate {
+            Some(Candidate::Usable(connection)) => Rc::ptr_eq(&connection, expected),
             _ => false,
         };
-        let resting = |one: Option<Idle>, other: &Rc<Link>| match one {
-            Some(Idle::Resting(one, left)) => Rc::ptr_eq(&one, other) && left <= REST && !left.is_zero(),
+        let delayed = |candidate: Option<Candidate>, expected: &Rc<EndpointConnection>| match candidate {
+            Some(Candidate::Delayed(connection, left)) => {
+                Rc::ptr_eq(&connection, expected) && left <= REUSE_DELAY && !left.is_zero()
+            }
             _ => false,
         };
         let (first, second) = (connect(), connect());
         let (mut server, _) = listener.accept().expect("accepted");
-        // Nothing odd was seen: one that has rested first, the one that rests longest is waited for.
-        let (_, then) = parked(&first);
-        let (before, _) = parked(&second);
-        assert!(resting(pool.idle_by(to, before + REST / 2), &first));
-        // Who comes while as many wait as may uses it at once.
-        let waiting: Vec<Waiting> = (0..MOST_WAITING).map(|_| Waiting::begin(&pool, to)).collect();
-        assert!(rested(pool.idle_by(to, before), &second));
-        drop(waiting);
-        parked(&second);
-        let (_, last) = parked(&first);
-        assert!(rested(pool.idle_by(to, last + REST), &first) && then < last);
-        parked(&first);
-        // The second answer comes: that connection carries nothing more, and none is used before it has rested.
+        // No surplus bytes seen: a connection past its delay is preferred, else the one that has been idle for longest.
+        let (_, then) = put_back(&first);
+        let (before, _) = put_back(&second);
+        assert!(delayed(pool.candidate(to, before + REUSE_DELAY / 2), &first));
+        // With the most waiters there may be, a connection is used at once.
+        let waiters: Vec<Waiter> = (0..MAX_WAITERS).map(|_| Waiter::register(&pool, to)).collect();
+        assert!(usable(pool.candidate(to, before), &second));
+        drop(waiters);
+        put_back(&second);
+        let (_, last) = put_back(&first);
+        assert!(usable(pool.candidate(to, last + REUSE_DELAY), &first) && then < last);
+        put_back(&first);
+        // A second answer comes: its connection is not reused, and no other one before its delay is over.
         server.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
-        while first.come() == Come::Nothing {}
-        assert!(rested(pool.idle_by(to, Instant::now() + REST), &second) && pool.strays.get());
-        let (before, then) = parked(&second);
+        while first.idle_state() == IdleSocketState::Quiet {}
+        assert!(
+            usable(pool.candidate(to, Instant::now() + REUSE_DELAY), &second)
+                && pool.saw_unsolicited_bytes.get()
+        );
+        let (before, then) = put_back(&second);
         assert!(
-            pool.idle_by(to, before + REST / 2).is_none() && rested(pool.idle_by(to, then + REST), &second)
+            pool.candidate(to, before + REUSE_DELAY / 2).is_none()
+                && usable(pool.candidate(to, then + REUSE_DELAY), &second)
         );
     }
 }
--- a/sidecar/src/http1/watch/call.rs
+++ b/sidecar/src/http1/watch/call.rs
@@ -1,6 +1,6 @@
 //! One call for the list of endpoints: its connection, its request and the lines of its answer.
 use super::progress::{LineArrival, Progress, Stage};
-use crate::http1::chunks::Chunks;
+use crate::http1::chunks::ChunkDecoder;
 use crate::http1::head::{Framing, Head, HttpError};
 use crate::metrics::ListRequestOutcome;
 use crate::uninterrupted::Uninterrupted;
@@ -189,7 +189,7 @@
                 let arrival = self.note(|progress| progress.line_ended(Instant::now()));
                 self.tell(CallEvent::Line(line, arrival)).await;
             }
-            if answer.chunks.done() {
+            if answer.chunks.is_done() {
                 return Err(CallFailure::Closed("ended the watch"));
             }
             if answer.body.len() >= self.request.max_line_bytes {
@@ -205,7 +205,7 @@
     /// What has come and is not yet parsed.
     raw: Vec<u8>,
     framing: Option<Framing>,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
     /// The body, from the first line that is not yet taken.
     body: Vec<u8>,
     /// Up to here the body has no line's end: guards against looking through a long line again with each piece of it.
@@ -228,7 +228,7 @@
         match self.framing {
             None => {}
             Some(Framing::Chunked) => {
-                let fed = self.chunks.feed(&self.raw, &mut self.body, max_line_bytes)?;
+                let fed = self.chunks.decode(&self.raw, &mut self.body, max_line_bytes)?;
                 self.raw.drain(..fed);
             }
             Some(_) => self.body.append(&mut self.raw),
--- a/sidecar/src/reactor/mod.rs
+++ b/sidecar/src/reactor/mod.rs
@@ -10,5 +10,5 @@
 mod timer;
 
 pub use poll::block_on;
-pub use socket::{Async, EndOf};
+pub use socket::{Async, PeerEnd};
 pub use timer::Timer;
--- a/sidecar/src/reactor/socket.rs
+++ b/sidecar/src/reactor/socket.rs
@@ -29,12 +29,12 @@
 
 /// Tells of the end of a socket, also to one that doesn't hold it.
 #[derive(Clone)]
-pub struct EndOf {
+pub struct PeerEnd {
     source: Rc<Source>,
     reactor: Rc<Reactor>,
 }
 
-impl EndOf {
+impl PeerEnd {
     /// As [`Async::has_ended`], but by what the kernel tells now.
     pub fn has_come(&self) -> bool {
         self.reactor.catch_up();
@@ -122,8 +122,8 @@
         self.source.ended.get()
     }
 
-    pub fn end(&self) -> EndOf {
-        EndOf { source: self.source.clone(), reactor: self.reactor.clone() }
+    pub fn peer_end(&self) -> PeerEnd {
+        PeerEnd { source: self.source.clone(), reactor: self.reactor.clone() }
     }
 
     /// Waits for that, without reading.
@@ -139,7 +139,7 @@
     }
 
     /// Whether something has come, an end or a fault included, as far as the thread has been told.
-    pub fn stirred(&self) -> bool {
+    pub fn is_readable(&self) -> bool {
         self.source.reads.ready.get()
     }
 }
--- a/sidecar/src/reactor/tests.rs
+++ b/sidecar/src/reactor/tests.rs
@@ -48,7 +48,7 @@
 fn an_end_is_seen_that_came_since_the_machine_was_asked() {
     let (here, there) = pair();
     block_on(async { _ = Timer::after(Duration::from_millis(20)).await }).expect("a reactor");
-    let end = here.end();
+    let end = here.peer_end();
     assert!(!end.has_come());
     drop(there);
     std::thread::sleep(FRESH);
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -294,7 +294,7 @@
     let class_names = place.workloads.iter().map(|named| named.name.as_str().into()).collect();
     RequestSettings {
         class_names,
-        effects: numbers
+        repeat_safety: numbers
             .iter()
             .map(|number| monitor::effect(place.balancer.workloads[number.buffered.0].idempotency))
             .collect(),
