--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,5 +1,6 @@
-//! Batches in, replies out: which instance each event belongs to, and what each server is called there.
-use crate::wire::{In, Item, Out};
+//! Executes batches of messages: passes each event to its balancer instance and writes the actions as
+//! replies. Translates between the endpoint names of the wire and the server ids of each instance.
+use crate::wire::{ListItem, Message, Reply};
 use oakhollow::rules::Balancer;
 use oakhollow::types::*;
 use oakhollow_terms::{micros_from_seconds, stable_hash};
@@ -7,30 +8,32 @@
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// One instance with its own numbering of servers, so that nothing of it depends on its neighbours.
+/// A balancer with server ids of its own, so that it does not depend on other instances.
 struct Instance {
-    sidecar: Balancer,
+    balancer: Balancer,
+    /// The number of workloads.
     workloads: usize,
-    numbers: HashMap<String, ServerId>,
+    ids: HashMap<String, ServerId>,
+    /// The endpoint name of each server id.
     names: Vec<String>,
-    /// What other sidecars call a server: the lower half of its mark.
-    marks: HashMap<u32, ServerId>,
+    /// By the lower half of the name's hash, which identifies a server in messages between balancers.
+    ids_by_hash: HashMap<u32, ServerId>,
 }
 
 impl Instance {
-    fn listings(&mut self, items: &[Item]) -> Result<Vec<ListedServer>, String> {
+    fn listings(&mut self, items: &[ListItem]) -> Result<Vec<ListedServer>, String> {
         items.iter().map(|item| self.listing(item)).collect()
     }
 
-    fn listing(&mut self, item: &Item) -> Result<ListedServer, String> {
-        let server = match self.numbers.get(&item.endpoint) {
-            Some(&known) => known,
+    fn listing(&mut self, item: &ListItem) -> Result<ListedServer, String> {
+        let server = match self.ids.get(&item.endpoint) {
+            Some(&id) => id,
             None => {
-                let fresh = ServerId(self.names.len() as u32);
+                let id = ServerId(self.names.len() as u32);
                 self.names.push(item.endpoint.clone());
-                self.numbers.insert(item.endpoint.clone(), fresh);
-                self.marks.insert(stable_hash(&item.endpoint) as u32, fresh);
-                fresh
+                self.ids.insert(item.endpoint.clone(), id);
+                self.ids_by_hash.insert(stable_hash(&item.endpoint) as u32, id);
+                id
             }
         };
         let status = match item.availability {
@@ -51,35 +54,40 @@
     }
 }
 
+/// All instances, and the batch that is being read.
 #[derive(Default)]
 struct Host {
     now: Micros,
+    /// The number of the open batch.
     round: Option<u64>,
     instances: HashMap<u32, Instance>,
-    sheets: HashMap<u8, Vec<Item>>,
+    /// Server lists by their number, for later `TARGETS` messages.
+    lists: HashMap<u8, Vec<ListItem>>,
     actions: Vec<Action>,
-    reply: Vec<u8>,
+    /// The replies of the open batch.
+    output: Vec<u8>,
 }
 
-/// Answers batches until the input ends. A malformed line ends the service before any of its batch is answered.
+/// Answers batches until the input ends. A malformed line ends the service, and its batch gets no reply at
+/// all.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::default();
     for (number, line) in input.lines().enumerate() {
-        let line = line.map_err(|trouble| format!("cannot read line {}: {trouble}", number + 1))?;
+        let line = line.map_err(|error| format!("cannot read line {}: {error}", number + 1))?;
         if line.trim().is_empty() {
             continue;
         }
-        let heard = serde_json::from_str(&line).map_err(|trouble| {
-            // A check of the settings begins with the key below the settings.
-            format!("line {}: {}", number + 1, trouble.to_string().trim_start_matches('.'))
+        let message = serde_json::from_str(&line).map_err(|error| {
+            // An error in the settings starts with a dot and the key.
+            format!("line {}: {}", number + 1, error.to_string().trim_start_matches('.'))
         })?;
-        let done = host.hear(heard).map_err(|trouble| format!("line {}: {trouble}", number + 1))?;
-        if done {
+        let batch_complete = host.handle(message).map_err(|error| format!("line {}: {error}", number + 1))?;
+        if batch_complete {
             output
-                .write_all(&host.reply)
+                .write_all(&host.output)
                 .and_then(|()| output.flush())
-                .map_err(|trouble| trouble.to_string())?;
-            host.reply.clear();
+                .map_err(|error| error.to_string())?;
+            host.output.clear();
         }
     }
     match host.round {
@@ -89,39 +97,39 @@
 }
 
 impl Host {
-    /// Takes one line; true when it closed a batch and the reply is whole.
-    fn hear(&mut self, heard: In) -> Result<bool, String> {
-        match (&heard, self.round) {
-            (In::Clock { .. }, Some(round)) => return Err(format!("CLOCK inside batch {round}")),
-            (In::Clock { .. }, None) | (_, Some(_)) => {}
+    /// Executes one message; true if it closed a batch, whose replies are then complete.
+    fn handle(&mut self, message: Message) -> Result<bool, String> {
+        match (&message, self.round) {
+            (Message::Clock { .. }, Some(round)) => return Err(format!("CLOCK inside batch {round}")),
+            (Message::Clock { .. }, None) | (_, Some(_)) => {}
             (_, None) => return Err("an event or COMMIT outside a batch: CLOCK is missing".into()),
         }
-        match heard {
-            In::Clock { t_s, round } => {
+        match message {
+            Message::Clock { t_s, round } => {
                 self.now = micros_from_seconds(t_s);
                 self.round = Some(round);
             }
-            In::Commit => {
+            Message::Commit => {
                 let round = self.round.take().unwrap_or_default();
-                self.write(&Out::Yield { round })?;
+                self.write(&Reply::Yield { round })?;
                 return Ok(true);
             }
-            In::Inventory { sheet, items } => {
-                self.sheets.insert(sheet, items);
+            Message::Inventory { sheet, items } => {
+                self.lists.insert(sheet, items);
             }
-            In::Init { who, init_seed, env } => {
-                let terms = env.balancer;
+            Message::Init { who, init_seed, env } => {
+                let config = env.balancer;
                 let mut actions = std::mem::take(&mut self.actions);
-                let sidecar = Balancer::new(&terms, init_seed, self.now, &mut actions);
-                let (workloads, numbers, names) = (terms.workloads.len(), HashMap::new(), Vec::new());
-                let marks = HashMap::new();
-                self.instances.insert(who, Instance { sidecar, workloads, numbers, names, marks });
-                self.carry_out(who, actions)?;
+                let balancer = Balancer::new(&config, init_seed, self.now, &mut actions);
+                let (workloads, ids, names) = (config.workloads.len(), HashMap::new(), Vec::new());
+                let ids_by_hash = HashMap::new();
+                self.instances.insert(who, Instance { balancer, workloads, ids, names, ids_by_hash });
+                self.write_actions(who, actions)?;
             }
-            In::Destroy { who } => {
+            Message::Destroy { who } => {
                 self.instances.remove(&who);
             }
-            In::Targets { who, sheet, kind } => {
+            Message::Targets { who, sheet, kind } => {
                 let kind = match kind {
                     0 => ListKind::Changes,
                     1 => ListKind::Whole,
@@ -129,25 +137,25 @@
                     3 => ListKind::Failed,
                     other => return Err(format!("field kind: unknown list kind {other}")),
                 };
-                let items: &[Item] = match (kind, sheet) {
+                let items: &[ListItem] = match (kind, sheet) {
                     (ListKind::Failed, _) => &[],
                     (_, None) => return Err("missing field `sheet`".into()),
                     (_, Some(sheet)) => {
-                        let known = self.sheets.get(&sheet);
+                        let known = self.lists.get(&sheet);
                         known.ok_or(format!("field sheet: list {sheet} was never declared"))?
                     }
                 };
-                let Some(instance) = self.instances.get_mut(&who) else { return Err(unknown(who)) };
+                let Some(instance) = self.instances.get_mut(&who) else { return Err(unknown_instance(who)) };
                 let entries = instance.listings(items)?;
-                self.tell(who, Event::ListReceived { kind, entries: &entries })?;
+                self.deliver(who, Event::ListReceived { kind, entries: &entries })?;
             }
-            In::Order { who, xid, category, expires_in_s, tenant, options, key } => {
+            Message::Order { who, xid, category, expires_in_s, tenant, options, key } => {
                 if self.instances.get(&who).is_some_and(|instance| category >= instance.workloads) {
                     return Err(format!("field category: there is no workload {category}"));
                 }
                 let (workload, tenant) = (WorkloadId(category), TenantId(tenant));
                 let (time_left, client_retry) = (micros_from_seconds(expires_in_s), options & 2 != 0);
-                self.tell(
+                self.deliver(
                     who,
                     Event::CallArrived(Arrival {
                         call: CallId(xid),
@@ -159,98 +167,105 @@
                     }),
                 )?;
             }
-            In::Headers { who, xid, r#try } => {
-                self.tell(who, Event::AnswerStarted { call: CallId(xid), hop: HopNo(r#try) })?
+            Message::Headers { who, xid, r#try } => {
+                self.deliver(who, Event::AnswerStarted { call: CallId(xid), hop: HopNo(r#try) })?
             }
-            In::Finished { who, xid, r#try, wait_time_s, complete, outcome, telemetry } => {
+            Message::Finished { who, xid, r#try, wait_time_s, complete, outcome, telemetry } => {
                 let (call, hop, elapsed) = (CallId(xid), HopNo(r#try), micros_from_seconds(wait_time_s));
                 let (call_over, load) = (complete, telemetry.map(ServerLoad::from));
-                let ending = HopResult { call, hop, outcome: outcome.into(), elapsed, call_over, load };
-                self.tell(who, Event::HopEnded(ending))?;
+                let result = HopResult { call, hop, outcome: outcome.into(), elapsed, call_over, load };
+                self.deliver(who, Event::HopEnded(result))?;
             }
-            In::Withdrawn { who, xid } => self.tell(who, Event::CallWithdrawn { call: CallId(xid) })?,
-            In::Wake { who, cookie } => self.tell(who, Event::TimerFired(TimerToken(cookie)))?,
-            In::HealthResult { who } => self.instances.get(&who).map(|_| ()).ok_or_else(|| unknown(who))?,
-            In::Inbox { who, raw } => {
-                let instance = self.instances.get(&who).ok_or_else(|| unknown(who))?;
-                // A message that says nothing, or of a server not listed here, is no fault of anybody's.
-                let known =
-                    unpack(&raw).and_then(|(mark, slowdown)| Some((*instance.marks.get(&mark)?, slowdown)));
+            Message::Withdrawn { who, xid } => {
+                self.deliver(who, Event::CallWithdrawn { call: CallId(xid) })?
+            }
+            Message::Wake { who, cookie } => self.deliver(who, Event::TimerFired(TimerToken(cookie)))?,
+            Message::HealthResult { who } => {
+                self.instances.get(&who).map(|_| ()).ok_or_else(|| unknown_instance(who))?
+            }
+            Message::Inbox { who, raw } => {
+                let instance = self.instances.get(&who).ok_or_else(|| unknown_instance(who))?;
+                // A message that is malformed, or about a server that is not listed here, is ignored.
+                let known = decode_peer_report(&raw)
+                    .and_then(|(hash, slowdown)| Some((*instance.ids_by_hash.get(&hash)?, slowdown)));
                 if let Some((server, slowdown)) = known {
-                    self.tell(who, Event::PeerReported { server, slowdown })?;
+                    self.deliver(who, Event::PeerReported { server, slowdown })?;
                 }
             }
         }
         Ok(false)
     }
 
-    fn tell(&mut self, who: u32, event: Event) -> Result<(), String> {
+    /// Passes an event to an instance. A panic there is reported as `FATAL`.
+    fn deliver(&mut self, who: u32, event: Event) -> Result<(), String> {
         let now = self.now;
         let mut actions = std::mem::take(&mut self.actions);
-        let Some(instance) = self.instances.get_mut(&who) else { return Err(unknown(who)) };
-        let told = catch_unwind(AssertUnwindSafe(|| instance.sidecar.on(now, event, &mut actions)));
-        if let Err(panic) = told {
-            let said = panic.downcast_ref::<String>().map(String::as_str);
-            let said = said.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            let text = format!("instance {who}: {said}");
-            return self.write(&Out::Fatal { who, text });
+        let Some(instance) = self.instances.get_mut(&who) else { return Err(unknown_instance(who)) };
+        let result = catch_unwind(AssertUnwindSafe(|| instance.balancer.on(now, event, &mut actions)));
+        if let Err(panic) = result {
+            let message = panic.downcast_ref::<String>().map(String::as_str);
+            let message = message.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            let text = format!("instance {who}: {message}");
+            return self.write(&Reply::Fatal { who, text });
         }
-        self.carry_out(who, actions)
+        self.write_actions(who, actions)
     }
 
-    fn carry_out(&mut self, who: u32, mut actions: Vec<Action>) -> Result<(), String> {
+    fn write_actions(&mut self, who: u32, mut actions: Vec<Action>) -> Result<(), String> {
         for action in actions.drain(..) {
-            let reply = &mut self.reply;
+            let output = &mut self.output;
             let names = &self.instances[&who].names;
             let name = |server: ServerId| names[server.0 as usize].as_str();
-            let said = match action {
+            let reply = match action {
                 Action::Send { call, server, timeout } => {
-                    Out::Try { who, xid: call.0, endpoint: name(server), give_up_after_s: timeout.secs() }
+                    Reply::Try { who, xid: call.0, endpoint: name(server), give_up_after_s: timeout.secs() }
                 }
-                Action::Cancel { call, hop } => Out::Revoke { who, xid: call.0, r#try: hop.0 },
+                Action::Cancel { call, hop } => Reply::Revoke { who, xid: call.0, r#try: hop.0 },
                 Action::Refuse { call, retry_after } => {
-                    Out::Bounce { who, xid: call.0, cool_down_s: retry_after.secs() }
+                    Reply::Bounce { who, xid: call.0, cool_down_s: retry_after.secs() }
                 }
-                Action::Fail { call } => Out::EndFailed { who, xid: call.0 },
+                Action::Fail { call } => Reply::EndFailed { who, xid: call.0 },
                 Action::SetTimer { after, token } => {
-                    Out::Remind { who, after_s: after.secs(), cookie: token.0 }
+                    Reply::Remind { who, after_s: after.secs(), cookie: token.0 }
                 }
-                Action::Subscribe => Out::Subscribe { who, want: true },
-                Action::TellPeers { server, slowdown } => {
-                    Out::Say { who, to: -1, raw: pack(stable_hash(name(server)) as u32, slowdown) }
-                }
-                Action::Log { text, server: None } => Out::Emit { who, text },
+                Action::Subscribe => Reply::Subscribe { who, want: true },
+                Action::TellPeers { server, slowdown } => Reply::Say {
+                    who,
+                    to: -1,
+                    raw: encode_peer_report(stable_hash(name(server)) as u32, slowdown),
+                },
+                Action::Log { text, server: None } => Reply::Emit { who, text },
                 Action::Log { text, server: Some(server) } => {
-                    Out::Emit { who, text: format!("{} {text}", name(server)) }
+                    Reply::Emit { who, text: format!("{} {text}", name(server)) }
                 }
             };
-            append(reply, &said)?;
+            append(output, &reply)?;
         }
         self.actions = actions;
         Ok(())
     }
 
-    fn write(&mut self, said: &Out) -> Result<(), String> {
-        append(&mut self.reply, said)
+    fn write(&mut self, reply: &Reply) -> Result<(), String> {
+        append(&mut self.output, reply)
     }
 }
 
-fn append(reply: &mut Vec<u8>, said: &Out) -> Result<(), String> {
-    serde_json::to_writer(&mut *reply, said).map_err(|trouble| trouble.to_string())?;
-    reply.push(b'\n');
+fn append(output: &mut Vec<u8>, reply: &Reply) -> Result<(), String> {
+    serde_json::to_writer(&mut *output, reply).map_err(|error| error.to_string())?;
+    output.push(b'\n');
     Ok(())
 }
 
-/// What sidecars tell each other of a server: its mark, and its strain in tenths.
-fn pack(mark: u32, slowdown: f64) -> String {
-    format!("{mark:x}:{}", (slowdown * 10.0).round().clamp(0.0, 9_999.0))
+/// A message between balancers: the hash of a server's name, and its slowdown in tenths.
+fn encode_peer_report(hash: u32, slowdown: f64) -> String {
+    format!("{hash:x}:{}", (slowdown * 10.0).round().clamp(0.0, 9_999.0))
 }
 
-fn unpack(raw: &str) -> Option<(u32, f64)> {
-    let (mark, tenths) = raw.split_once(':')?;
-    Some((u32::from_str_radix(mark, 16).ok()?, f64::from(tenths.parse::<u16>().ok()?) / 10.0))
+fn decode_peer_report(raw: &str) -> Option<(u32, f64)> {
+    let (hash, tenths) = raw.split_once(':')?;
+    Some((u32::from_str_radix(hash, 16).ok()?, f64::from(tenths.parse::<u16>().ok()?) / 10.0))
 }
 
-fn unknown(who: u32) -> String {
+fn unknown_instance(who: u32) -> String {
     format!("field who: instance {who} was not started")
 }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,16 +1,19 @@
-//! The simulator's wire: names and seconds on this side, the module's types on the other.
+//! The simulator's message format: one JSON object per line, with endpoint names and times in seconds. `who`
+//! is an instance and `xid` a call.
 use oakhollow::types::*;
 use oakhollow_terms::Settings;
 use serde::{Deserialize, Serialize};
 
+/// A message from the simulator. A batch begins with `CLOCK` and ends with `COMMIT`.
 #[derive(Deserialize)]
 #[serde(tag = "what", rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum In {
+pub enum Message {
     Clock {
         t_s: f64,
         round: u64,
     },
     Commit,
+    /// Starts an instance.
     Init {
         who: u32,
         init_seed: u64,
@@ -19,15 +22,18 @@
     Destroy {
         who: u32,
     },
+    /// Declares a server list under a number.
     Inventory {
         sheet: u8,
-        items: Vec<Item>,
+        items: Vec<ListItem>,
     },
+    /// Gives an instance a declared list, or reports that the list request failed.
     Targets {
         who: u32,
         sheet: Option<u8>,
         kind: u8,
     },
+    /// A new API call.
     Order {
         who: u32,
         xid: u32,
@@ -39,11 +45,13 @@
         options: u32,
         key: Option<u64>,
     },
+    /// A streamed answer has begun.
     Headers {
         who: u32,
         xid: u32,
         r#try: u32,
     },
+    /// A hop has ended.
     Finished {
         who: u32,
         xid: u32,
@@ -52,28 +60,31 @@
         wait_time_s: f64,
         #[serde(default)]
         complete: bool,
-        outcome: Code,
+        outcome: OutcomeCode,
         telemetry: Option<Telemetry>,
     },
+    /// The client stopped waiting for the call.
     Withdrawn {
         who: u32,
         xid: u32,
     },
+    /// A timer fired.
     Wake {
         who: u32,
         cookie: u64,
     },
-    // The module asks for no probes; their results are read and left alone.
+    /// The result of a health probe. The module requests none and ignores this message.
     HealthResult {
         who: u32,
     },
+    /// A message from another instance.
     Inbox {
         who: u32,
         raw: String,
     },
 }
 
-/// A load report; figures that the module does not read are passed over.
+/// A load report; columns that the module does not use are ignored.
 #[derive(Deserialize, Clone, Copy)]
 pub struct Telemetry {
     busy_reqs: Option<f64>,
@@ -82,17 +93,18 @@
 }
 
 impl From<Telemetry> for ServerLoad {
-    fn from(told: Telemetry) -> ServerLoad {
+    fn from(telemetry: Telemetry) -> ServerLoad {
         ServerLoad {
-            open_calls: told.busy_reqs.and_then(ServerLoad::plausible),
-            queued_calls: told.pending.and_then(ServerLoad::plausible),
-            cpu_utilization: told.cpu_share.and_then(ServerLoad::plausible),
+            open_calls: telemetry.busy_reqs.and_then(ServerLoad::plausible),
+            queued_calls: telemetry.pending.and_then(ServerLoad::plausible),
+            cpu_utilization: telemetry.cpu_share.and_then(ServerLoad::plausible),
         }
     }
 }
 
+/// How a hop ended.
 #[derive(Deserialize, Clone, Copy)]
-pub enum Code {
+pub enum OutcomeCode {
     S,
     E,
     F,
@@ -103,23 +115,24 @@
     N,
 }
 
-impl From<Code> for Outcome {
-    fn from(code: Code) -> Outcome {
+impl From<OutcomeCode> for Outcome {
+    fn from(code: OutcomeCode) -> Outcome {
         match code {
-            Code::S => Outcome::Succeeded,
-            Code::E => Outcome::Errored,
-            Code::F => Outcome::Full,
-            Code::T => Outcome::TimedOut,
-            Code::C => Outcome::NoConnection,
-            Code::R => Outcome::Broken,
-            Code::X => Outcome::Cancelled,
-            Code::N => Outcome::NotSent,
+            OutcomeCode::S => Outcome::Succeeded,
+            OutcomeCode::E => Outcome::Errored,
+            OutcomeCode::F => Outcome::Full,
+            OutcomeCode::T => Outcome::TimedOut,
+            OutcomeCode::C => Outcome::NoConnection,
+            OutcomeCode::R => Outcome::Broken,
+            OutcomeCode::X => Outcome::Cancelled,
+            OutcomeCode::N => Outcome::NotSent,
         }
     }
 }
 
+/// An entry of a server list.
 #[derive(Deserialize, Clone)]
-pub struct Item {
+pub struct ListItem {
     pub endpoint: String,
     #[serde(default)]
     pub hall: u32,
@@ -127,27 +140,72 @@
     pub block: u32,
     #[serde(default)]
     pub availability: u8,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub nominal: f64,
     #[serde(default)]
     pub launched_s: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
+/// A reply to the simulator. The replies of a batch end with `YIELD`.
 #[derive(Serialize)]
 #[serde(tag = "what", rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Out<'a> {
-    Try { who: u32, xid: u32, endpoint: &'a str, give_up_after_s: f64 },
-    Revoke { who: u32, xid: u32, r#try: u32 },
-    Bounce { who: u32, xid: u32, cool_down_s: f64 },
-    EndFailed { who: u32, xid: u32 },
-    Remind { who: u32, after_s: f64, cookie: u64 },
-    Subscribe { who: u32, want: bool },
-    Say { who: u32, to: i32, raw: String },
-    Emit { who: u32, text: String },
-    Fatal { who: u32, text: String },
-    Yield { round: u64 },
+pub enum Reply<'a> {
+    /// Sends a hop.
+    Try {
+        who: u32,
+        xid: u32,
+        endpoint: &'a str,
+        give_up_after_s: f64,
+    },
+    /// Cancels a hop.
+    Revoke {
+        who: u32,
+        xid: u32,
+        r#try: u32,
+    },
+    /// Refuses a call.
+    Bounce {
+        who: u32,
+        xid: u32,
+        cool_down_s: f64,
+    },
+    /// Answers a call with an error.
+    EndFailed {
+        who: u32,
+        xid: u32,
+    },
+    /// Sets a timer.
+    Remind {
+        who: u32,
+        after_s: f64,
+        cookie: u64,
+    },
+    /// Subscribes to the server list.
+    Subscribe {
+        who: u32,
+        want: bool,
+    },
+    /// Sends a message to other instances; -1 is all of them.
+    Say {
+        who: u32,
+        to: i32,
+        raw: String,
+    },
+    /// A log line.
+    Emit {
+        who: u32,
+        text: String,
+    },
+    /// The instance panicked.
+    Fatal {
+        who: u32,
+        text: String,
+    },
+    Yield {
+        round: u64,
+    },
 }
--- a/adapter/tests/framing.rs
+++ b/adapter/tests/framing.rs
@@ -1,4 +1,4 @@
-//! The adapter's framing: whole replies to whole batches, and a plain message for what is malformed.
+//! The adapter answers complete batches completely, and ends with a clear error message on malformed input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -15,21 +15,21 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may have stopped reading by then: that is what some of these tests are about.
+    // An adapter that ended with an error no longer reads its input.
     let _ = adapter.stdin.take().expect("its input").write_all(input.as_bytes());
     adapter.wait_with_output().expect("the adapter ends")
 }
 
-fn refused(input: &str, words: &[&str]) {
+fn assert_rejected(input: &str, words: &[&str]) {
     let output = serve(input);
-    let said = String::from_utf8_lossy(&output.stderr).to_string();
+    let error = String::from_utf8_lossy(&output.stderr).to_string();
     assert!(!output.status.success(), "{input}");
-    assert!(output.stdout.is_empty(), "a half reply to {input}");
-    assert!(words.iter().all(|word| said.contains(word)), "{said}");
+    assert!(output.stdout.is_empty(), "an incomplete reply to {input}");
+    assert!(words.iter().all(|word| error.contains(word)), "{error}");
 }
 
 #[test]
-fn answers_a_call_from_start_to_end() {
+fn a_call_is_answered_from_arrival_to_end() {
     let input = [
         r#"{"what":"CLOCK","t_s":8.5,"round":1}"#,
         INIT,
@@ -45,25 +45,30 @@
     ];
     let output = serve(&(input.join("\n") + "\n"));
     assert!(output.status.success());
-    let said = String::from_utf8(output.stdout).expect("text");
-    assert!(said.contains(r#"{"what":"TRY","who":0,"xid":9,"endpoint":"endpoint_a","give_up_after_s":1.5}"#));
-    assert_eq!(said.matches(r#""SUBSCRIBE""#).count(), 2);
-    assert_eq!(said.matches(r#"{"what":"YIELD","#).count(), 2);
+    let replies = String::from_utf8(output.stdout).expect("text");
+    assert!(
+        replies.contains(r#"{"what":"TRY","who":0,"xid":9,"endpoint":"endpoint_a","give_up_after_s":1.5}"#)
+    );
+    assert_eq!(replies.matches(r#""SUBSCRIBE""#).count(), 2);
+    assert_eq!(replies.matches(r#"{"what":"YIELD","#).count(), 2);
 }
 
 #[test]
-fn refuses_what_is_malformed() {
+fn malformed_input_is_rejected() {
     let clock = r#"{"what":"CLOCK","t_s":1,"round":1}"#;
-    refused("not json\n", &["line 1"]);
-    refused(&format!("{clock}\n{{\"what\":\"SPLASH\",\"who\":0}}\n"), &["line 2", "SPLASH"]);
-    refused(&format!("{clock}\n{{\"what\":\"WAKE\",\"who\":0}}\n"), &["line 2", "cookie"]);
-    refused(&format!("{clock}\n"), &["batch 1", "COMMIT"]);
-    refused("{\"what\":\"COMMIT\"}\n", &["line 1", "CLOCK"]);
-    refused(&format!("{clock}\n{{\"what\":\"WAKE\",\"who\":4,\"cookie\":3}}\n"), &["line 2", "who", "4"]);
+    assert_rejected("not json\n", &["line 1"]);
+    assert_rejected(&format!("{clock}\n{{\"what\":\"SPLASH\",\"who\":0}}\n"), &["line 2", "SPLASH"]);
+    assert_rejected(&format!("{clock}\n{{\"what\":\"WAKE\",\"who\":0}}\n"), &["line 2", "cookie"]);
+    assert_rejected(&format!("{clock}\n"), &["batch 1", "COMMIT"]);
+    assert_rejected("{\"what\":\"COMMIT\"}\n", &["line 1", "CLOCK"]);
+    assert_rejected(
+        &format!("{clock}\n{{\"what\":\"WAKE\",\"who\":4,\"cookie\":3}}\n"),
+        &["line 2", "who", "4"],
+    );
     let targets = r#"{"what":"TARGETS","who":0,"sheet":3,"stamp":1,"kind":1}"#;
-    refused(&format!("{clock}\n{INIT}\n{targets}\n"), &["line 3", "sheet", "3"]);
+    assert_rejected(&format!("{clock}\n{INIT}\n{targets}\n"), &["line 3", "sheet", "3"]);
     let order = r#"{"what":"ORDER","who":0,"xid":9,"category":7,"expires_in_s":1}"#;
-    refused(&format!("{clock}\n{INIT}\n{order}\n"), &["line 3", "category", "7"]);
+    assert_rejected(&format!("{clock}\n{INIT}\n{order}\n"), &["line 3", "category", "7"]);
     let init = INIT.replace(r#""most_hops":3"#, r#""most_hops":0"#);
-    refused(&format!("{clock}\n{init}\n"), &["line 2: bounds.most_hops"]);
+    assert_rejected(&format!("{clock}\n{init}\n"), &["line 2: bounds.most_hops"]);
 }
