--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,8 +1,9 @@
-//! A toy deployment to try a sidecar with: discovery on 127.0.0.1:8500, and three servers that it lists.
+//! A small deployment to try the sidecar with: discovery on 127.0.0.1:8500, and the three servers that it lists.
 //!
 //!     cargo run --example toy
 //!
-//! A server answers `GET` and `POST` after some 20 ms, one call in thirty after a second, so that copies are seen.
+//! A server answers a request after about 20 ms, and one request in thirty after a second, so that hedging can be
+//! observed.
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,20 +16,20 @@
 fn main() {
     for (number, address) in SERVERS.into_iter().enumerate() {
         let listener = TcpListener::bind(address).expect("the server's port is free");
-        spawn(move || each(listener, move |stream| serve(stream, number)));
+        spawn(move || accept_each(listener, move |stream| serve(stream, number)));
     }
     println!("discovery on {DISCOVERY}, servers on {}", SERVERS.join(", "));
-    each(TcpListener::bind(DISCOVERY).expect("discovery's port is free"), watch);
+    accept_each(TcpListener::bind(DISCOVERY).expect("discovery's port is free"), stream_list);
 }
 
-fn each(listener: TcpListener, work: impl Fn(TcpStream) -> Option<()> + Clone + Send + 'static) {
+fn accept_each(listener: TcpListener, handler: impl Fn(TcpStream) -> Option<()> + Clone + Send + 'static) {
     for stream in listener.incoming().flatten() {
-        let work = work.clone();
-        spawn(move || work(stream));
+        let handler = handler.clone();
+        spawn(move || handler(stream));
     }
 }
 
-/// Reads one request; gives its first line.
+/// Reads one request; returns its first line.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -55,8 +56,8 @@
     }
 }
 
-/// The whole list, then an empty line every 2 s.
-fn watch(mut stream: TcpStream) -> Option<()> {
+/// Sends the whole server list, then an empty line every 2 s.
+fn stream_list(mut stream: TcpStream) -> Option<()> {
     read_request(&mut stream)?;
     let entry = |(number, address): (usize, &str)| {
         format!(
--- a/tests/place/mod.rs
+++ b/tests/base_config/mod.rs
@@ -1,17 +1,17 @@
-//! The place that tests and benches of the module start from; each says what is different in its own.
+//! The configuration that tests and benchmarks of the module start from; each overrides the fields that it is about.
 use oakhollow::types::*;
 
 pub fn workload(idempotency: Idempotency) -> Workload {
     Workload { idempotency, quoted_time: Micros::millis(500), payoff: 1.0 }
 }
 
-/// One sidecar, one customer who may do all, copies and cancels allowed, a list that comes unasked.
-pub fn terms(kinds: &[Idempotency]) -> BalancerConfig {
+/// One balancer, one tenant with an unlimited quota, hedging and cancelling allowed, a list that is pushed.
+pub fn config(idempotencies: &[Idempotency]) -> BalancerConfig {
     BalancerConfig {
         instances: 1,
         instance_index: 0,
         local_zone: None,
-        workloads: kinds.iter().copied().map(workload).collect(),
+        workloads: idempotencies.iter().copied().map(workload).collect(),
         tenant_quotas: vec![1e9],
         overage_payoff: 1.0,
         worst_workload_weight: 0.0,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -262,8 +262,8 @@
 
     #[test]
     fn matches_the_reference(
-        changes in prop::collection::vec(change(60), 1..80), instances in 1..12_u32, instance_index in 0..12_u32, local_zone in 0..3_u32,
-        min_capacity in 0..30_u32,
+        changes in prop::collection::vec(change(60), 1..80), instances in 1..12_u32, instance_index in 0..12_u32,
+        local_zone in 0..3_u32, min_capacity in 0..30_u32,
     ) {
         let (share, instance_index) = (1.0 / f64::from(instances), f64::from(instance_index % instances));
         let local_zone = (local_zone < 2).then_some(ZoneId(local_zone));
