--- a/accord/tests/rules.rs
+++ b/accord/tests/rules.rs
@@ -11,8 +11,8 @@
 /// second member.
 struct Few {
     now: Micros,
-    keeper: Keeper,
-    members: Vec<Member>,
+    keeper: LeaseServer,
+    members: Vec<LeaseHolder>,
     log: Vec<String>,
 }
 
@@ -26,10 +26,10 @@
                 Ok(())
             })
         };
-        let member = |takes| Member::new(vec![ONLY], WITHIN, judge(takes));
+        let member = |takes| LeaseHolder::new(vec![ONLY], WITHIN, judge(takes));
         let members = vec![member(true), member(false)];
         let mut few =
-            Few { now: Micros(0), keeper: Keeper::new(Micros(0), WITHIN), members, log: Vec::new() };
+            Few { now: Micros(0), keeper: LeaseServer::new(Micros(0), WITHIN), members, log: Vec::new() };
         assert!(few.write(0, document(5)) && few.write(1, document(5)));
         few.pass(20);
         assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
@@ -48,7 +48,7 @@
             match action {
                 Action::Send(_, word) => {
                     let (from, mut out) =
-                        (Holder { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
+                        (HolderId { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
                     self.keeper.handle_message(self.now, from, word, &mut out);
                     self.hear(out);
                 }
@@ -58,7 +58,7 @@
         }
     }
 
-    fn hear(&mut self, out: Vec<(Holder, Message)>) {
+    fn hear(&mut self, out: Vec<(HolderId, Message)>) {
         for (to, word) in out.into_iter().filter(|(_, word)| *word != Message::StateChanged) {
             let (at, mut actions) = (to.instance.0 as usize, Vec::new());
             self.members[at].handle_message(self.now, ONLY, word, &mut actions);
@@ -94,8 +94,8 @@
 fn a_lower_number_and_another_content_of_what_holds_are_not_taken() {
     let mut few = Few::new();
     assert!(!few.write(0, document(4)) && !few.write(0, other(5, "")));
-    assert!(few.log.iter().any(|line| line.ends_with("is known, which is later")), "{:?}", few.log);
-    assert!(few.log.iter().any(|line| line.contains("with another content")), "{:?}", few.log);
+    assert!(few.log.iter().any(|line| line.ends_with("is later")), "{:?}", few.log);
+    assert!(few.log.iter().any(|line| line.contains("with different content")), "{:?}", few.log);
     few.pass(30);
     assert_eq!(few.holds(), [Some(version(5)), Some(version(5))]);
 }
@@ -111,7 +111,11 @@
         .members
         .iter()
         .all(|member| member.active_documents().count() == 3 && member.lease_valid_until() > few.now));
-    assert!(few.log.iter().any(|line| line.contains("one number and two contents")), "{:?}", few.log);
+    assert!(
+        few.log.iter().any(|line| line.contains("the same number but different content")),
+        "{:?}",
+        few.log
+    );
     few.write(0, document(7));
     few.pass(20);
     assert_eq!(few.holds(), [Some(version(7)), Some(version(7))]);
@@ -127,7 +131,7 @@
     assert!(few.members.iter().all(|member| member.lease_valid_until() > few.now));
     let waiting = few.keeper.pending_version(few.now).expect("a change that waits").1;
     assert!(waiting.iter().map(|one| (one.holder.instance.0, one.rejects)).eq([(1, true)]), "{waiting:?}");
-    assert_eq!(few.log.iter().filter(|line| line.contains("refused: settings.odd")).count(), 1);
+    assert_eq!(few.log.iter().filter(|line| line.contains("rejected: settings.odd")).count(), 1);
     few.write(0, document(7));
     few.pass(20);
     assert_eq!(few.holds(), [Some(version(7)), Some(version(7))]);
@@ -148,7 +152,7 @@
 #[test]
 fn a_lease_that_is_below_the_round_trip_is_said_once() {
     let takes = |_: &[Arc<str>]| Ok(());
-    let mut member = Member::new(vec![ONLY], WITHIN, Arc::new(takes));
+    let mut member = LeaseHolder::new(vec![ONLY], WITHIN, Arc::new(takes));
     let (mut actions, mut said) = (Vec::new(), 0);
     member.propose(Micros(0), document(5), &mut actions);
     for turn in 1..4 {
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -81,10 +81,10 @@
     fn from(outcome: RequestOutcome<EndpointAnswer>) -> Answer {
         match outcome {
             RequestOutcome::Served(answer) => Answer::Forwarded(answer),
-            RequestOutcome::Refused { cool_down } => Answer::Generated {
+            RequestOutcome::Refused { retry_after } => Answer::Generated {
                 status: 503,
                 text: "dismissed: trying again is harmless".into(),
-                retry_after: Some(cool_down).filter(|time| time.0 > 0),
+                retry_after: Some(retry_after).filter(|time| time.0 > 0),
             },
             RequestOutcome::Failed => Answer::plain(502, "errored"),
         }
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -251,7 +251,7 @@
     };
     let end = future::or(exchange, late).await;
     let since = progress.fully_sent_at.get().filter(|_| request.stream.is_some());
-    AttemptEnd { latency: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
+    AttemptEnd { elapsed: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
 }
 
 /// Connects, sends the request and reads the answer, or the beginning of a long one.
@@ -408,7 +408,7 @@
 
 /// The end of an attempt that brought no answer.
 fn without_answer(outcome: Outcome) -> AttemptEnd<EndpointAnswer> {
-    AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, latency: None }
+    AttemptEnd { outcome, answer: None, load_report: LoadReport::Absent, elapsed: None }
 }
 
 /// The end of an attempt that was answered, by the status and the headers of the answer.
@@ -420,5 +420,5 @@
         Ok(503 | 504) if not_started(&answer.head) => (Outcome::Full, None),
         _ => (Outcome::Errored, None),
     };
-    AttemptEnd { outcome, answer, load_report, latency: None }
+    AttemptEnd { outcome, answer, load_report, elapsed: None }
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -413,10 +413,14 @@
             workload: settings.workload_ids[workload].buffered,
             class: settings.classes[workload],
             max_attempts: settings.max_attempts,
-            customer: TenantId(tenant.and_then(known).unwrap_or(0)),
+            tenant: TenantId(tenant.and_then(known).unwrap_or(0)),
             client_retry: head.single("Client-Retry")? == Some("1"),
             deadline: (received_at + left).min(self.shared.answer_deadline()),
-            key: if settings.uses_affinity_keys { affinity_key(head.single("Request-Info")?) } else { None },
+            affinity_key: if settings.uses_affinity_keys {
+                affinity_key(head.single("Request-Info")?)
+            } else {
+                None
+            },
         };
         Ok((params, left, settings.workload_ids[workload].streamed, identity))
     }
