--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -31,11 +31,11 @@
     lines: Cell<(Micros, u32)>,
 }
 
-/// The effect of requests of a workload, as the guard sees it.
-pub fn effect(kind: Idempotency) -> RepeatSafety {
+/// Whether requests of a workload may be sent again, as the guard sees it.
+pub fn repeat_safety(kind: Idempotency) -> RepeatSafety {
     match kind {
         Idempotency::Idempotent => RepeatSafety::Safe,
-        Idempotency::ByKey { scope, window } => RepeatSafety::Keyed { window: window, scope: scope },
+        Idempotency::ByKey { scope, window } => RepeatSafety::Keyed { window, scope },
         Idempotency::NonIdempotent => RepeatSafety::Unsafe,
     }
 }
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -314,9 +314,9 @@
     let class_names = settings.workloads.iter().map(|named| named.name.as_str().into()).collect();
     RequestSettings {
         class_names,
-        effects: workload_ids
+        repeat_safety: workload_ids
             .iter()
-            .map(|ids| monitor::effect(settings.balancer.workloads[ids.buffered.0].idempotency))
+            .map(|ids| monitor::repeat_safety(settings.balancer.workloads[ids.buffered.0].idempotency))
             .collect(),
         workloads: std::mem::take(&mut settings.workloads),
         workload_ids,
