--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -26,7 +26,7 @@
 const MAX_SINGLE_UPDATES: usize = 32;
 /// Random probes of a class before all its servers are searched.
 const RANDOM_PROBES: usize = 16;
-/// Weights are summed as whole numbers of this fraction, so that the sums do not drift.
+/// Weights are summed as whole numbers of millionths, so that the sums do not drift.
 const UNITS_PER_WEIGHT: f64 = 1e6;
 
 /// A position on the ring: the same order at every balancer.
@@ -338,7 +338,7 @@
                 self.unmark(slot);
             }
         }
-        // Floating-point sums are computed anew, so that they do not drift over days.
+        // Floating-point sums are computed again, so that they do not drift over days.
         self.outcomes = self.subset().map(|server| server.outcomes).sum();
     }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -15,6 +15,7 @@
 const LATENCY_WINDOW: Micros = Micros::millis(30_000);
 /// A hop may be hedged once it takes longer than this quantile of recent answers.
 const HEDGE_QUANTILE: f64 = 0.95;
+/// Without so many samples there is no hedging threshold.
 const MIN_LATENCY_SAMPLES: u32 = 20;
 /// Tokens for hedges and retries that each first hop adds.
 const RETRY_TOKENS_PER_CALL: f64 = 0.2;
@@ -24,9 +25,10 @@
 const MIN_BUDGET_SHARE: f64 = 0.5;
 /// Within this share of the retry budget's window at most half of the budget is spent.
 const BUDGET_BURST_SHARE: f64 = 0.25;
-/// Hedging pauses above a failure rate of twice the long-run rate, at least this. The design's SuppressAt
-/// factor is 1.
+/// The trip rate is twice the long-run failure rate, and at least this. Hedging pauses above it (the design's
+/// factor SuppressAt is 1).
 const MIN_TRIP_RATE: f64 = 0.05;
+/// Without so many recent outcomes hedging is not paused.
 const MIN_OUTCOMES: f64 = 10.0;
 /// Latency relative to the workload's baseline above which servers count as congested ...
 const CONGESTED_RATIO: f64 = 1.65;
@@ -59,7 +61,7 @@
 const REMOTE_ZONE_WEIGHT: f64 = 0.1;
 /// One server in so many is a home of a key, at least one.
 const SERVERS_PER_HOME: usize = 30;
-/// How much a tenant's rate may exceed its share of this balancer's usual traffic.
+/// The rates that tenants may use at this balancer add up to at least this many times its usual rate.
 const TENANT_HEADROOM: f64 = 1.2;
 /// How many times less loaded than the homes another server must be to take a key's call.
 const OVERFLOW_LOAD_RATIO: f64 = 3.0;
--- a/src/server_health.rs
+++ b/src/server_health.rs
@@ -36,7 +36,7 @@
     }
 
     /// Imports a server's health into a new balancer that knows the server only from a list. A whole list
-    /// must follow, from which the subset of servers and their limits are computed anew.
+    /// must follow, from which the subset of servers and their limits are recomputed.
     pub fn restore_server_health(&mut self, id: ServerId, health: &ServerHealth) {
         self.fleet.update(id, |server| {
             let ServerHealth { weight_factor, outcomes, has_answered, ejections, ejected_until } = *health;
--- a/src/types.rs
+++ b/src/types.rs
@@ -301,8 +301,8 @@
     },
     /// The balancer shuts down: all open calls must have their answers by this time.
     ShutdownBegun(Micros),
-    /// The configuration changed; workloads keep their numbers. A whole list must follow, from which the
-    /// subset of servers and their limits are computed anew.
+    /// The configuration changed; workloads keep their ids. A whole list must follow, from which the
+    /// subset of servers and their limits are recomputed.
     ConfigChanged(&'a BalancerConfig),
 }
 
