--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -322,13 +322,7 @@
     fn accept(&self, params: &RequestParams, identity: RequestIdentity) -> OpenRequest {
         let RequestIdentity { class, repeat_safety, id } = identity;
         let (request, deadline) = (self.shared.dispatcher.next_request_id(), params.deadline);
-        self.shared.monitor.accept(Accepted {
-            request,
-            request_id: id,
-            class,
-            effect: repeat_safety,
-            deadline,
-        })
+        self.shared.monitor.accept(Accepted { request, request_id: id, class, repeat_safety, deadline })
     }
 
     /// Withdraws a request whose client has gone.
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -68,8 +68,8 @@
 
     /// Records that a request was read. The value returned owes it one answer.
     pub fn accept(self: &Rc<Self>, accepted: Accepted) -> OpenRequest {
-        let Accepted { request, request_id, class, effect, deadline } = accepted;
-        self.observe(Event::Accepted { request, request_id, repeat_safety: effect, deadline });
+        let Accepted { request, request_id, class, repeat_safety, deadline } = accepted;
+        self.observe(Event::Accepted { request, request_id, repeat_safety, deadline });
         OpenRequest {
             monitor: self.clone(),
             request,
@@ -215,8 +215,8 @@
     pub request_id: Rc<str>,
     /// The name of its class.
     pub class: Rc<str>,
-    /// Its effect at a server.
-    pub effect: RepeatSafety,
+    /// Whether it may be sent again.
+    pub repeat_safety: RepeatSafety,
     /// When its client gives up.
     pub deadline: Micros,
 }
