--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol, HTTP/1.1 over plain TCP. Nothing outside this folder knows it.
+//! The platform's protocol, HTTP/1.1 over plain TCP. Nothing outside this module depends on it.
 pub mod acceptor;
 pub mod answers;
 pub mod attempt;
@@ -11,30 +11,30 @@
 pub mod pool;
 pub mod watch;
 
-use crate::dispatcher::{End, Progress, Protocol};
-use crate::generations::{ClassId, Numbers};
+use crate::dispatcher::{AttemptEnd, AttemptProgress, Protocol};
+use crate::generations::{ClassId, WorkloadIds};
 use crate::lease::Lease;
 use crate::list_deadline::ListDeadline;
 use crate::monitor::Monitor;
 use crate::timers::Clock;
-use oakhollow_guard::{AttemptPermit, Effect};
-use oakhollow_terms::Named;
+use oakhollow_guard::{AttemptPermit, RepeatSafety};
+use oakhollow_terms::WorkloadSettings;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Hops over connections to servers that are kept and used again.
+/// Makes attempts over pooled connections to endpoints.
 pub struct Http1 {
     pub pool: Rc<pool::Pool>,
-    /// Whether servers tell their load with answers.
-    pub tells_load: bool,
+    /// Whether answers carry load reports.
+    pub reads_load_reports: bool,
     pub fence: Fence,
     pub monitor: Rc<Monitor>,
 }
 
-/// Looked at before a hop's first byte: guards against a hop of a process that was stopped for longer than its lease, or than its list
-/// may be used.
+/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than its lease
+/// lasts, or than its list may be used.
 #[derive(Clone)]
 pub struct Fence {
     pub lease: Lease,
@@ -46,7 +46,7 @@
 impl Fence {
     /// Whether the lease lets an attempt be sent.
     pub fn lease_valid(&self) -> bool {
-        !self.lease.refuses(|| self.clock.now())
+        !self.lease.forbids_sending(|| self.clock.now())
     }
 
     /// Whether the list that the attempt's endpoint was chosen by may still be used.
@@ -55,39 +55,41 @@
     }
 }
 
-/// What requests call things by.
-pub struct Names {
-    pub workloads: Vec<Named>,
-    /// Their names, in the same order, as metrics have them.
+/// The settings by which requests are read. The vectors about workloads have one order.
+pub struct RequestSettings {
+    pub workloads: Vec<WorkloadSettings>,
+    /// The workloads' names, as metrics label them.
     pub class_names: Vec<Rc<str>>,
-    /// What requests of them do at a server, in the same order.
-    pub effects: Vec<Effect>,
-    /// Their numbers, in the same order.
-    pub numbers: Vec<Numbers>,
+    /// Whether requests of each workload may be repeated.
+    pub repeat_safety: Vec<RepeatSafety>,
+    /// The workloads' ids in the decision module.
+    pub workload_ids: Vec<WorkloadIds>,
+    /// The workloads' classes.
     pub classes: Vec<ClassId>,
-    pub customers: Vec<String>,
-    /// Whether a request's key is of use.
-    pub warm_keys: bool,
-    pub most_hops: usize,
+    pub tenants: Vec<String>,
+    /// Whether requests with an affinity key are served faster by the endpoints that know it.
+    pub uses_affinity_keys: bool,
+    /// The most attempts for one request.
+    pub max_attempts: usize,
 }
 
 impl Protocol for Http1 {
-    type Content = attempt::Outgoing;
-    type Answer = attempt::Reply;
+    type Content = attempt::OutgoingRequest;
+    type Answer = attempt::EndpointAnswer;
 
     fn attempt(
-        &self, permit: AttemptPermit, content: Rc<attempt::Outgoing>, to: SocketAddr, by: Instant,
-        progress: Rc<Progress>,
-    ) -> impl Future<Output = End<attempt::Reply>> + 'static {
-        // Taken here, not when the hop first runs: what retires the address between the two is meant for it.
-        let to = attempt::Target {
-            at: to,
-            wanted: self.pool.wanted(to),
+        &self, permit: AttemptPermit, content: Rc<attempt::OutgoingRequest>, to: SocketAddr, by: Instant,
+        progress: Rc<AttemptProgress>,
+    ) -> impl Future<Output = AttemptEnd<attempt::EndpointAnswer>> + 'static {
+        // The flag is taken here, not when the attempt first runs: an address retired between the two must stop it.
+        let target = attempt::Target {
+            address: to,
+            active: self.pool.active_flag(to),
             fence: self.fence.clone(),
             monitor: self.monitor.clone(),
             permit,
         };
-        attempt::attempt(self.pool.clone(), content, to, (by, progress), self.tells_load)
+        attempt::run(self.pool.clone(), content, target, (by, progress), self.reads_load_reports)
     }
 
     fn retire(&self, at: SocketAddr) {
@@ -95,6 +97,6 @@
     }
 }
 
-pub type Desk = crate::dispatcher::Desk<Http1>;
-pub type Note = crate::dispatcher::Note<Http1>;
+pub type DispatcherHandle = crate::dispatcher::DispatcherHandle<Http1>;
+pub type DispatcherMessage = crate::dispatcher::DispatcherMessage<Http1>;
 pub type Dispatcher = crate::dispatcher::Dispatcher<Http1>;
--- a/sidecar/src/http1/watch/call.rs
+++ b/sidecar/src/http1/watch/call.rs
@@ -1,13 +1,13 @@
 //! One call for the list of endpoints: its connection, its request and the lines of its answer.
 use super::progress::{LineArrival, Progress, Stage};
-use crate::http1::chunks::Chunks;
-use crate::http1::head::{Fault, Framing, Head};
-use crate::metrics::ListCallOutcome;
+use crate::http1::chunks::ChunkDecoder;
+use crate::http1::head::{Framing, Head, HttpError};
+use crate::metrics::ListRequestOutcome;
 use crate::uninterrupted::Uninterrupted;
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use oakhollow_terms::Version;
+use oakhollow_terms::ListIndex;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::fmt::{self, Display, Formatter};
@@ -29,9 +29,9 @@
     /// Whom to call.
     pub discovery: SocketAddr,
     /// What changed after this version is asked for, or the whole list.
-    pub from: Version,
+    pub from: ListIndex,
     /// The longest line that is taken, in bytes.
-    pub most_line: usize,
+    pub max_line_bytes: usize,
 }
 
 /// What a call brings.
@@ -62,12 +62,12 @@
 
 impl CallFailure {
     /// As what it is counted.
-    pub fn outcome(&self) -> ListCallOutcome {
+    pub fn outcome(&self) -> ListRequestOutcome {
         match self {
-            CallFailure::Unreachable(_) => ListCallOutcome::Unreachable,
-            CallFailure::Rejected(_) => ListCallOutcome::Rejected,
-            CallFailure::Closed(_) | CallFailure::Broken(_) => ListCallOutcome::Broken,
-            CallFailure::Malformed(_) => ListCallOutcome::Malformed,
+            CallFailure::Unreachable(_) => ListRequestOutcome::Unreachable,
+            CallFailure::Rejected(_) => ListRequestOutcome::Rejected,
+            CallFailure::Closed(_) | CallFailure::Broken(_) => ListRequestOutcome::Broken,
+            CallFailure::Malformed(_) => ListRequestOutcome::Malformed,
         }
     }
 }
@@ -83,9 +83,9 @@
     }
 }
 
-impl From<Fault> for CallFailure {
-    fn from(fault: Fault) -> CallFailure {
-        CallFailure::Malformed(fault.why.into())
+impl From<HttpError> for CallFailure {
+    fn from(fault: HttpError) -> CallFailure {
+        CallFailure::Malformed(fault.message.into())
     }
 }
 
@@ -180,7 +180,7 @@
             }
             self.note(|progress| progress.received(count, Instant::now()));
             let had_head = answer.framing.is_some();
-            answer.take(&buffer[..count], self.request.most_line)?;
+            answer.take(&buffer[..count], self.request.max_line_bytes)?;
             if answer.framing.is_some() && !had_head {
                 self.note(|progress| progress.reach(Stage::FirstLine));
                 self.tell(CallEvent::Answered).await;
@@ -189,10 +189,10 @@
                 let arrival = self.note(|progress| progress.line_ended(Instant::now()));
                 self.tell(CallEvent::Line(line, arrival)).await;
             }
-            if answer.chunks.done() {
+            if answer.chunks.is_done() {
                 return Err(CallFailure::Closed("ended the watch"));
             }
-            if answer.body.len() >= self.request.most_line {
+            if answer.body.len() >= self.request.max_line_bytes {
                 return Err(CallFailure::Malformed("a line without an end".into()));
             }
         }
@@ -205,7 +205,7 @@
     /// What has come and is not yet parsed.
     raw: Vec<u8>,
     framing: Option<Framing>,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
     /// The body, from the first line that is not yet taken.
     body: Vec<u8>,
     /// Up to here the body has no line's end: guards against looking through a long line again with each piece of it.
@@ -213,7 +213,7 @@
 }
 
 impl Answer {
-    fn take(&mut self, bytes: &[u8], most_line: usize) -> Result<(), CallFailure> {
+    fn take(&mut self, bytes: &[u8], max_line_bytes: usize) -> Result<(), CallFailure> {
         self.raw.extend_from_slice(bytes);
         // An interim answer may come in one piece with what follows it.
         while self.framing.is_none() {
@@ -228,7 +228,7 @@
         match self.framing {
             None => {}
             Some(Framing::Chunked) => {
-                let fed = self.chunks.feed(&self.raw, &mut self.body, most_line)?;
+                let fed = self.chunks.decode(&self.raw, &mut self.body, max_line_bytes)?;
                 self.raw.drain(..fed);
             }
             Some(_) => self.body.append(&mut self.raw),
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -4,21 +4,21 @@
 pub mod pacing;
 mod progress;
 
-use crate::accord::Accord;
-use crate::endpoint_registry::{lock, Shared};
+use crate::accord::AccordHandle;
+use crate::endpoint_registry::{lock, SharedRegistry};
 use crate::list_deadline::ListDeadline;
 use crate::list_freshness::ListFreshness;
-use crate::metrics::{ListCallOutcome, Metrics};
-use crate::start_time::Heard;
+use crate::metrics::{ListRequestOutcome, Metrics};
+use crate::start_time::ListArrival;
 use crate::timers::Clock;
-use crate::workers::{Order, Orders};
+use crate::workers::{CommandBroadcaster, WorkerCommand};
 use async_channel::Receiver;
 use async_io::Timer;
 use call::{CallEvent, CallFailure, ListCall, Request};
 use futures_lite::future;
 use oakhollow::types::{ListKind, Micros};
-use oakhollow::Chance;
-use oakhollow_terms::{read, List, Start, Version};
+use oakhollow::SeededRng;
+use oakhollow_terms::{read_json, DiscoveryList, ListIndex, SidecarConfig};
 use pacing::pause_after_rejection;
 use progress::LineArrival;
 use slog::{info, warn, Logger};
@@ -36,7 +36,7 @@
 const FLOWS: Duration = Duration::from_millis(500);
 /// A call that told nothing for the longest back-off has been a pause itself. Guards against the sum of both, which may
 /// come to more than what is missed counts as told after.
-const PAUSE: Duration = Duration::from_micros(Start::MOST_BETWEEN_ASKS.0);
+const PAUSE: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// The slowest pace of a line, in bytes a second, that needs no other call beside it.
 const SLOWEST: f64 = 48_000.0;
 /// Calls that may be under way at a time: guards against a fleet whose calls pile up at a discovery that is slow for all.
@@ -47,15 +47,15 @@
     /// Where the list is watched at first.
     pub discovery: SocketAddr,
     /// The version of the list that is known at first.
-    pub known: Version,
+    pub known: ListIndex,
     /// All workers.
-    pub orders: Orders,
+    pub orders: CommandBroadcaster,
     /// What the program knows by name.
-    pub registry: Shared,
+    pub registry: SharedRegistry,
     /// The other instances, where instances agree.
-    pub accord: Option<Accord>,
+    pub accord: Option<AccordHandle>,
     /// One for each time that the module asks.
-    pub asks: Receiver<()>,
+    pub subscriptions: Receiver<()>,
     /// One for each time that the file was read again.
     pub reloads: Receiver<Reload>,
     /// Until when workers may use the list.
@@ -71,7 +71,7 @@
     /// By which its calls are spread.
     pub seed: u64,
     /// The longest line that is taken, in bytes.
-    pub most_line: usize,
+    pub max_line_bytes: usize,
     /// Where lines go that say what happens.
     pub log: Logger,
 }
@@ -92,7 +92,7 @@
     parts: Parts,
     discovery: SocketAddr,
     /// The version of the list that was told last.
-    told: Version,
+    told: ListIndex,
     /// Calls under way, the newest last.
     calls: Vec<ListCall>,
     /// When the last whole line came.
@@ -106,7 +106,7 @@
     freshness: ListFreshness,
     /// Workers were told that the list may not be used.
     is_stale: bool,
-    chance: Chance,
+    chance: SeededRng,
 }
 
 /// What the watch waits for.
@@ -134,7 +134,7 @@
             up_to_date: None,
             freshness: ListFreshness::started_at(parts.clock.now()),
             is_stale: false,
-            chance: Chance::new(parts.seed),
+            chance: SeededRng::new(parts.seed),
             parts,
         }
     }
@@ -168,26 +168,26 @@
             return;
         }
         self.is_stale = true;
-        self.parts.metrics.list_became_stale();
-        lock(&self.parts.registry).fresh = false;
+        self.parts.metrics.count_stale_list();
+        lock(&self.parts.registry).list_fresh = false;
         warn!(
             self.parts.log,
             "list not heard in time, nothing is sent by it any more: version {}", self.told.0
         );
-        self.parts.orders.tell(Order::Look).await;
+        self.parts.orders.send(WorkerCommand::RecheckDeadlines).await;
     }
 
     fn became_fresh(&mut self) {
         if std::mem::take(&mut self.is_stale) {
-            lock(&self.parts.registry).fresh = true;
+            lock(&self.parts.registry).list_fresh = true;
             info!(self.parts.log, "list heard again, it is used: version {}", self.told.0);
         }
     }
 
     async fn next(&mut self) -> Event {
         let due = self.next_due();
-        let (asks, reloads) = (&self.parts.asks, &self.parts.reloads);
-        let asked = async { asks.recv().await.map_or(Event::Over, |()| Event::Asked) };
+        let (subscriptions, reloads) = (&self.parts.subscriptions, &self.parts.reloads);
+        let asked = async { subscriptions.recv().await.map_or(Event::Over, |()| Event::Asked) };
         let reloaded = async { reloads.recv().await.map_or(Event::Over, Event::Reloaded) };
         let mut calls = self.calls.iter_mut();
         let (older, newer) = (calls.next(), calls.next());
@@ -207,7 +207,7 @@
     fn next_due(&self) -> Option<Instant> {
         let patience = self.calls.last().map(|newest| self.patience_ends(newest));
         let clock = self.parts.clock;
-        let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant(until));
+        let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant_at(until));
         patience.into_iter().chain(self.retry_at).chain(stale).min()
     }
 
@@ -259,9 +259,10 @@
     }
 
     fn open_call(&mut self) {
-        let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.draw());
+        let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.uniform());
         info!(self.parts.log, "list asked for at {} from version {}", self.discovery, self.told.0);
-        let request = Request { discovery: self.discovery, from: self.told, most_line: self.parts.most_line };
+        let request =
+            Request { discovery: self.discovery, from: self.told, max_line_bytes: self.parts.max_line_bytes };
         (self.retry_at, self.not_before) = (None, None);
         self.calls.push(ListCall::begin(request, LEAST_SILENCE + lot));
     }
@@ -289,7 +290,7 @@
             let dropped =
                 usize::from(self.calls[0].progress().last_sign() > self.calls[1].progress().last_sign());
             self.calls.remove(dropped);
-            self.parts.metrics.end_list_call(ListCallOutcome::Cancelled);
+            self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
         }
         self.open_call();
     }
@@ -314,19 +315,19 @@
 
     /// When the call in that place was begun.
     fn begun(&self, at: usize) -> Micros {
-        self.parts.clock.at(self.calls[at].progress().begun())
+        self.parts.clock.micros_at(self.calls[at].progress().begun())
     }
 
     /// The call has told a whole line: it is the one that is followed.
     fn line_told(&mut self, at: usize, arrival: LineArrival) {
-        self.freshness.heard(self.parts.clock.at(arrival.first_byte_at));
+        self.freshness.heard(self.parts.clock.micros_at(arrival.first_byte_at));
         let mut call = self.calls.swap_remove(at);
         for slower in self.calls.drain(..) {
-            self.parts.metrics.end_list_call(ListCallOutcome::Cancelled);
+            self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
             info!(self.parts.log, "call for the list cancelled, another was faster: {}", slower.progress());
         }
         if !call.has_told {
-            self.parts.metrics.end_list_call(ListCallOutcome::Told);
+            self.parts.metrics.count_list_request(ListRequestOutcome::LineReceived);
         }
         (call.has_told, call.patience) = (true, SILENCE);
         self.calls.push(call);
@@ -350,7 +351,7 @@
             // By lot, within the time that is left: guards against all that a discovery holds unanswered, and
             // resets when it is back.
             let most = if call.has_told { SILENCE } else { SILENCE + FLOWS };
-            let wait = most.saturating_sub(waited).mul_f64(self.chance.draw());
+            let wait = most.saturating_sub(waited).mul_f64(self.chance.uniform());
             info!(self.parts.log, "watch of the list {}, opened anew: {}", failure, progress);
             let at = Instant::now() + wait;
             self.retry_at = Some(self.not_before.map_or(at, |not_before| not_before.max(at)));
@@ -362,9 +363,9 @@
         info!(self.parts.log, "watch of the list ended: {}: {}", failure, progress);
         // What was asked while a watch was under way has had its answer. Before the module hears: guards
         // against losing the ask with which it answers this.
-        while self.parts.asks.try_recv().is_ok() {}
-        let failed = Order::Listed(ListKind::Failed, Arc::default(), Heard::first());
-        self.parts.orders.tell(failed).await;
+        while self.parts.subscriptions.try_recv().is_ok() {}
+        let failed = WorkerCommand::ApplyList(ListKind::Failed, Arc::default(), ListArrival::now());
+        self.parts.orders.send(failed).await;
         self.fails().await;
     }
 
@@ -373,7 +374,7 @@
         match failure {
             CallFailure::Rejected(_) => {
                 let waited = call.progress().begun().elapsed();
-                let pause = pause_after_rejection(waited, self.parts.instances, self.chance.draw());
+                let pause = pause_after_rejection(waited, self.parts.instances, self.chance.uniform());
                 self.not_before = Some(Instant::now() + pause);
             }
             CallFailure::Unreachable(_) => self.freshness.unreachable(self.parts.clock.now()),
@@ -381,7 +382,7 @@
             _ => {}
         }
         if !call.has_told {
-            self.parts.metrics.end_list_call(failure.outcome());
+            self.parts.metrics.count_list_request(failure.outcome());
         }
     }
 
@@ -391,41 +392,41 @@
         let mut registry = lock(&self.parts.registry);
         registry.watch_open = open;
         if open {
-            registry.told = self.up_to_date;
+            registry.last_heard = self.up_to_date;
         }
     }
 
     /// Discovery has been called, and has told nothing.
     async fn fails(&self) {
-        lock(&self.parts.registry).settled = true;
+        lock(&self.parts.registry).list_settled = true;
         if let Some(accord) = &self.parts.accord {
-            accord.list_fails().await;
+            accord.list_unavailable().await;
         }
     }
 
     async fn tell(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
-        let unchanged = || List { index: self.told, ..List::default() };
-        let list: Result<List, String> = match line {
+        let unchanged = || DiscoveryList { index: self.told, ..DiscoveryList::default() };
+        let list: Result<DiscoveryList, String> = match line {
             // Guards against asking again and again where nothing has changed: the module waits for an answer.
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
                 if let Some(accord) = &self.parts.accord {
-                    accord.listed(Arc::new(unchanged())).await;
+                    accord.apply_list(Arc::new(unchanged())).await;
                 }
                 return Ok(());
             }
-            _ => read(line),
+            _ => read_json(line),
         };
         let list = list.and_then(|list| follows(list, self.told)).map_err(|fault| {
             // What a line that can't be read would have told is unknown: the next call starts from the whole list.
-            self.told = Version::default();
+            self.told = ListIndex::default();
             info!(self.parts.log, "a line of the list makes no sense: {}", fault);
             fault
         })?;
         {
             let mut registry = lock(&self.parts.registry);
-            registry.take(&list);
-            registry.settled = true;
+            registry.apply(&list);
+            registry.list_settled = true;
         }
         let kind = if list.snapshot { ListKind::Whole } else { ListKind::Changes };
         let entries = list.endpoints.len();
@@ -434,16 +435,16 @@
             "list heard: version {}, {:?}, {} entries, {}", list.index.0, kind, entries, arrival
         );
         let (index, list) = (list.index, Arc::new(list));
-        let heard = Heard { at: Instant::now(), complete_until: self.up_to_date };
+        let heard = ListArrival { at: Instant::now(), complete_until: self.up_to_date };
         let before = match &self.parts.accord {
-            Some(accord) => accord.listed_before(&list).await,
+            Some(accord) => accord.apply_list_before_workers(&list).await,
             None => false,
         };
         // Workers look at it when they hear of the list, not before: they were told that it had passed.
         self.parts.deadline.set(None);
-        self.parts.orders.tell(Order::Listed(kind, list.clone(), heard)).await;
+        self.parts.orders.send(WorkerCommand::ApplyList(kind, list.clone(), heard)).await;
         if let Some(accord) = self.parts.accord.as_ref().filter(|_| !before) {
-            accord.listed(list).await;
+            accord.apply_list(list).await;
         }
         let after = heard.at.elapsed().as_millis();
         info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, after);
@@ -462,7 +463,7 @@
 }
 
 /// Changes follow the version that was asked from. Guards against following another list by this one's versions.
-fn follows(list: List, told: Version) -> Result<List, String> {
+fn follows(list: DiscoveryList, told: ListIndex) -> Result<DiscoveryList, String> {
     if !list.snapshot && list.index.0 < told.0 {
         return Err(format!("index: changes up to version {}, after version {}", list.index.0, told.0));
     }
@@ -474,23 +475,25 @@
     use super::*;
     use crate::endpoint_registry::EndpointRegistry;
     use async_channel::bounded;
-    use oakhollow_terms::Marks;
+    use oakhollow_terms::MaintenanceMarks;
     use slog::{o, Discard};
     use std::pin::pin;
 
     fn watch(
-        at: SocketAddr, workers: Vec<async_channel::Sender<Order>>, asks: Receiver<()>,
+        at: SocketAddr, workers: Vec<async_channel::Sender<WorkerCommand>>, subscriptions: Receiver<()>,
         reloads: Receiver<Reload>,
     ) -> Watch {
-        let registry: Shared =
-            Arc::new(std::sync::Mutex::new(EndpointRegistry::new(&List::default(), Marks::default())));
+        let registry: SharedRegistry = Arc::new(std::sync::Mutex::new(EndpointRegistry::new(
+            &DiscoveryList::default(),
+            MaintenanceMarks::default(),
+        )));
         Watch::new(Parts {
             discovery: at,
-            known: Version(41),
-            orders: Orders::of(workers),
+            known: ListIndex(41),
+            orders: CommandBroadcaster::new(workers),
             registry,
             accord: None,
-            asks,
+            subscriptions,
             reloads,
             deadline: ListDeadline::none(),
             drain_grace: Micros(0),
@@ -498,7 +501,7 @@
             clock: Clock::start(),
             metrics: Arc::default(),
             seed: 1,
-            most_line: 1 << 20,
+            max_line_bytes: 1 << 20,
             log: Logger::root(Discard, o!()),
         })
     }
@@ -506,13 +509,15 @@
     #[test]
     fn what_the_module_asks_while_the_end_of_a_watch_is_told_is_not_lost() {
         let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|one| one.local_addr());
-        let ((ask, asks), (_moves, moves)) = (bounded(1), bounded(1));
+        let ((ask, subscriptions), (_moves, moves)) = (bounded(1), bounded(1));
         let ((sender, first), (last, others)) = (bounded(1), bounded(1));
-        let mut watch = pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], asks, moves).run());
+        let mut watch =
+            pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], subscriptions, moves).run());
         // Another worker's queue is full, so that the end is told to the first, who asks, and not yet to all.
-        last.try_send(Order::Look).expect("room");
-        let mut fails = |queue: &Receiver<Order>| {
-            let told = async { matches!(queue.recv().await, Ok(Order::Listed(ListKind::Failed, ..))) };
+        last.try_send(WorkerCommand::RecheckDeadlines).expect("room");
+        let mut fails = |queue: &Receiver<WorkerCommand>| {
+            let told =
+                async { matches!(queue.recv().await, Ok(WorkerCommand::ApplyList(ListKind::Failed, ..))) };
             let over = async {
                 (&mut watch).await;
                 false
@@ -526,40 +531,40 @@
         ask.try_send(()).expect("room");
         assert!(fails(&first));
         ask.try_send(()).expect("room");
-        assert!(matches!(others.try_recv(), Ok(Order::Look)));
+        assert!(matches!(others.try_recv(), Ok(WorkerCommand::RecheckDeadlines)));
         assert!(fails(&others) && fails(&first));
     }
 
     #[test]
     fn a_change_that_was_given_up_while_it_was_told_is_asked_for_again() {
         let (sender, orders) = bounded(1);
-        let (asks, moves) = (bounded(1).1, bounded(1).1);
+        let (subscriptions, moves) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender.clone()], asks, moves);
+        let mut watch = watch(at, vec![sender.clone()], subscriptions, moves);
         let line = br#"{"index":42,"snapshot":false,"endpoints":[]}"#;
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         // The worker's queue is full, so that telling it waits, and meanwhile the watch is moved.
-        sender.try_send(Order::Look).expect("room");
+        sender.try_send(WorkerCommand::RecheckDeadlines).expect("room");
         let given_up = future::block_on(future::poll_once(watch.tell(line, true, arrival)));
-        assert!(given_up.is_none() && watch.told == Version(41), "{:?}", watch.told);
+        assert!(given_up.is_none() && watch.told == ListIndex(41), "{:?}", watch.told);
         orders.try_recv().expect("the one before");
-        assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == Version(42));
-        assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Changes, ..))));
+        assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == ListIndex(42));
+        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Changes, ..))));
     }
 
     #[test]
     fn changes_that_end_before_the_version_asked_from_are_followed_by_a_call_for_the_whole_list() {
         let (sender, orders) = bounded(1);
-        let (asks, reloads) = (bounded(1).1, bounded(1).1);
+        let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender], asks, reloads);
+        let mut watch = watch(at, vec![sender], subscriptions, reloads);
         let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
         let lower = br#"{"index":40,"snapshot":false,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == Version(0));
+        assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == ListIndex(0));
         assert!(orders.try_recv().is_err());
         // A whole list holds whatever its number.
         let whole = br#"{"index":40,"snapshot":true,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == Version(40));
-        assert!(matches!(orders.try_recv(), Ok(Order::Listed(ListKind::Whole, ..))));
+        assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == ListIndex(40));
+        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Whole, ..))));
     }
 }
--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -1,30 +1,30 @@
-//! The list of servers as discovery words it.
-use crate::mark;
+//! The endpoint list in the form that discovery sends it.
+use crate::stable_hash;
 use oakhollow::types::*;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::net::SocketAddr;
 
-/// Which state of the list was told.
+/// Identifies a state of the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
-pub struct Version(pub u64);
+pub struct ListIndex(pub u64);
 
-/// One whole list, or the entries that changed since the one before.
+/// A snapshot of the list, or the entries that changed since the state before.
 ///
 /// ```
-/// use oakhollow_terms::{read, List};
+/// use oakhollow_terms::{read_json, DiscoveryList};
 /// let line = br#"{"index":3,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:70","status":"gone"}]}"#;
-/// assert!(read::<List>(line).unwrap_err().starts_with("endpoints[0].status: unknown variant `gone`"));
+/// assert!(read_json::<DiscoveryList>(line).unwrap_err().starts_with("endpoints[0].status: unknown variant `gone`"));
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct List {
-    pub index: Version,
+pub struct DiscoveryList {
+    pub index: ListIndex,
     pub snapshot: bool,
-    pub endpoints: Vec<Entry>,
+    pub endpoints: Vec<EndpointEntry>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub name: String,
     pub address: SocketAddr,
     #[serde(default)]
@@ -32,7 +32,7 @@
     #[serde(default)]
     group: u32,
     status: Status,
-    #[serde(default = "one", deserialize_with = "from_zero")]
+    #[serde(default = "default_weight", deserialize_with = "from_zero")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
@@ -46,23 +46,23 @@
     Left,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Guards against a size that would make the fleet's less than nothing.
+/// A negative weight could make the total weight of all endpoints negative.
 fn from_zero<'de, D: Deserializer<'de>>(source: D) -> Result<f64, D::Error> {
-    let size = f64::deserialize(source)?;
-    if size >= 0.0 {
-        Ok(size)
+    let weight = f64::deserialize(source)?;
+    if weight >= 0.0 {
+        Ok(weight)
     } else {
         Err(D::Error::custom("must be a number from 0 up"))
     }
 }
 
-impl Entry {
-    /// Wants calls, as far as the list goes.
-    pub fn ready(&self) -> bool {
+impl EndpointEntry {
+    /// Whether the list says that it accepts requests.
+    pub fn is_active(&self) -> bool {
         matches!(self.status, Status::Active)
     }
 
@@ -71,30 +71,30 @@
         self.since_ms
     }
 
-    /// The same as a time of its own unit; one that no clock reaches is the latest there is.
-    pub fn started(&self) -> Micros {
+    /// The start time in microseconds; saturates if the value is out of range.
+    pub fn started_at(&self) -> Micros {
         Micros(self.since_ms.saturating_mul(1000))
     }
 
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         matches!(self.status, Status::Left)
     }
 
-    /// What the module is told of it, under the number that the host has given the server.
-    pub fn listing(&self, server: ServerId, zones: &[String]) -> Listing {
-        let place = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
-        Listing {
+    /// The entry as the decision module takes it, with the server number that the host has assigned.
+    pub fn to_listing(&self, server: ServerId, zones: &[String]) -> ListedServer {
+        let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
+        ListedServer {
             server,
-            place: PlaceId(place as u32),
+            zone: ZoneId(zone as u32),
             cell: CellId(self.group),
-            standing: match self.status {
-                Status::Active => Standing::Ready,
-                Status::Leaving => Standing::Draining,
-                Status::Left => Standing::Gone,
+            status: match self.status {
+                Status::Active => ServerStatus::Ready,
+                Status::Leaving => ServerStatus::Draining,
+                Status::Left => ServerStatus::Gone,
             },
-            size: self.weight,
-            mark: mark(&self.name),
-            started: self.started(),
+            weight: self.weight,
+            name_hash: stable_hash(&self.name),
+            started: self.started_at(),
         }
     }
 }
