--- a/accord/src/facts.rs
+++ b/accord/src/facts.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
+    /// The entry of a server in a discovery list.
     Server(Arc<str>),
     /// The maintenance mark of a server, set by an operator.
     #[serde(rename = "mark")]
@@ -19,6 +20,7 @@
 }
 
 impl Subject {
+    /// The name of the server.
     pub fn name(&self) -> &Arc<str> {
         let (Subject::Server(name) | Subject::Maintenance(name)) = self;
         name
@@ -48,6 +50,7 @@
     }
 }
 
+/// At most one fact for each subject.
 pub type Facts = BTreeMap<Subject, Fact>;
 /// The new fact about a subject; `None` if there is none any more.
 pub type FactChange = (Subject, Option<Fact>);
--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -8,8 +8,10 @@
 /// can't.
 pub type Validator = Arc<dyn Fn(&[Arc<str>]) -> Result<(), String> + Send + Sync>;
 
+/// What the host of a lease holder must do, in the given order.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
+    /// Send a message to the lease server of an instance.
     Send(InstanceId, Message),
     /// Act on the strictest combination of [`LeaseHolder::active_documents`]. Must be done before the actions
     /// that follow are sent.
@@ -20,10 +22,14 @@
     /// Apply a maintenance mark that was set at another instance. Must be done before the actions that follow
     /// are sent.
     ApplyMaintenance {
+        /// The name of the server.
         name: Arc<str>,
+        /// Whether the server is in maintenance.
         in_maintenance: bool,
+        /// When the mark was set, in microseconds.
         set_at: u64,
     },
+    /// Write a line to the log.
     Log(String),
 }
 
@@ -43,6 +49,7 @@
     names_revision: u64,
 }
 
+/// The lease holder of one instance.
 #[derive(Clone)]
 pub struct LeaseHolder {
     lease_servers: Vec<InstanceId>,
@@ -68,6 +75,7 @@
     /// How many times it requests a lease within the length of a lease.
     const REQUESTS_PER_LEASE: f64 = 4.0;
 
+    /// `validator` decides which documents the instance can act on.
     pub fn new(lease_servers: Vec<InstanceId>, lease_duration: Micros, validator: Validator) -> LeaseHolder {
         LeaseHolder {
             lease_servers,
@@ -152,6 +160,7 @@
         self.add_document(now, document, out) && self.documents.contains_key(&version)
     }
 
+    /// Handles a message from a lease server; others are ignored.
     pub fn handle_message(&mut self, now: Micros, from: InstanceId, message: Message, out: &mut Vec<Action>) {
         if !self.lease_servers.contains(&from) {
             return;
@@ -210,6 +219,7 @@
         }
     }
 
+    /// When [`LeaseHolder::handle_timer`] must be called next.
     pub fn next_wakeup(&self) -> Micros {
         self.next_request_at
     }
--- a/accord/src/lease_server.rs
+++ b/accord/src/lease_server.rs
@@ -20,12 +20,15 @@
 /// A lease that prevents a pending version from being committed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct BlockingLease {
+    /// The holder of the lease.
     pub holder: HolderId,
+    /// When the lease expires.
     pub expires_at: Micros,
     /// The holder can't apply that version, so it prevents the commit for as long as its lease is renewed.
     pub rejects: bool,
 }
 
+/// The lease server of one instance.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LeaseServer {
     /// The time from which it grants leases and commits versions: those granted before its restart have
@@ -60,6 +63,7 @@
         }
     }
 
+    /// Handles a message from a lease holder.
     pub fn handle_message(
         &mut self, now: Micros, from: HolderId, message: Message, out: &mut Vec<(HolderId, Message)>,
     ) {
@@ -132,6 +136,7 @@
         times.into_iter().flatten().min().filter(|_| pending)
     }
 
+    /// The committed version; `None` before the first commit after a start.
     pub fn committed(&self) -> Option<Version> {
         self.committed
     }
--- a/accord/src/lib.rs
+++ b/accord/src/lib.rs
@@ -35,7 +35,9 @@
 /// restarts its numbers begins a higher epoch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Version {
+    /// Increases when the author restarts its numbers.
     pub epoch: u64,
+    /// The author's number of the version.
     pub number: u64,
     /// Distinguishes two contents with the same number.
     pub hash: u64,
@@ -54,9 +56,12 @@
     }
 }
 
+/// A version with its content.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct Document {
+    /// The version of the content.
     pub version: Version,
+    /// The content.
     pub text: Arc<str>,
 }
 
@@ -64,7 +69,9 @@
 /// holder.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct HolderId {
+    /// The instance.
     pub instance: InstanceId,
+    /// Distinguishes the incarnations of one instance.
     pub incarnation: u64,
 }
 
@@ -76,20 +83,23 @@
     /// rejects.
     #[serde(rename = "ask")]
     LeaseRequest {
+        /// The number of the request; it increases with each request of the holder.
         #[serde(rename = "turn")]
         sequence: u64,
+        /// The versions that the holder knows and complies with.
         #[serde(rename = "knows")]
         known_versions: Vec<Version>,
+        /// The versions that the holder can't apply.
         #[serde(rename = "refuses")]
         rejected_versions: Vec<Version>,
-        /// The hash of the facts that the lease holder reports, then that of the facts it has received from
-        /// this lease server.
+        /// The hash of the facts that the lease holder reports.
         #[serde(rename = "says")]
         reported_hash: u64,
         /// The hash of the server names on the lease holder's list if it receives only facts about those;
         /// `None` if it receives all.
         #[serde(default, rename = "names", skip_serializing_if = "Option::is_none")]
         names_hash: Option<u64>,
+        /// The hash of the facts received from this lease server.
         #[serde(rename = "heard")]
         received_hash: u64,
         /// The number of the last fact update from this lease server.
@@ -99,8 +109,10 @@
     /// The lease for the request with that number, and the version committed at this lease server.
     #[serde(rename = "grant")]
     LeaseGrant {
+        /// The number of the request that is granted.
         #[serde(rename = "turn")]
         sequence: u64,
+        /// The version committed at this lease server.
         #[serde(rename = "cleared")]
         committed: Version,
         /// For how long, in microseconds, the lease holder has lacked an exclusion that this lease server
@@ -112,6 +124,7 @@
     /// one with this hash.
     #[serde(rename = "lacks")]
     UnknownReport {
+        /// The hash of the report that is known.
         #[serde(rename = "have")]
         known_hash: u64,
     },
@@ -119,35 +132,45 @@
     /// numbers its updates, so that a delayed one does not undo a later one.
     #[serde(rename = "says")]
     FactUpdate {
+        /// The lease server's number of the update; 0 from a lease holder.
         #[serde(rename = "at")]
         number: u64,
+        /// The hash of the content that the changes apply to; 0 for the empty content.
         #[serde(rename = "from")]
         base_hash: u64,
+        /// The hash of the content after the changes.
         #[serde(rename = "to")]
         new_hash: u64,
+        /// The changes.
         changes: Vec<FactChange>,
     },
     /// The lease server does not know the names with the hash of the lease holder's request; it knows those
     /// with this hash.
     #[serde(rename = "lacks_names")]
     UnknownNames {
+        /// The hash of the names that are known.
         #[serde(rename = "have")]
         known_hash: u64,
     },
     /// The server names on a lease holder's list, as a difference from those with another hash.
     Subscribe {
+        /// The hash of the names that the difference applies to; 0 for none.
         #[serde(rename = "from")]
         base_hash: u64,
+        /// The hash of the new names.
         #[serde(rename = "to")]
         new_hash: u64,
+        /// Names to add.
         #[serde(rename = "more")]
         added: Vec<Arc<str>>,
+        /// Names to remove.
         #[serde(rename = "fewer")]
         removed: Vec<Arc<str>>,
     },
     /// Asks the receiver for documents that the sender does not have.
     #[serde(rename = "want")]
     RequestDocuments(Vec<Version>),
+    /// Versions with their contents.
     Documents(Vec<(Version, Arc<str>)>),
     /// The lease server's state has changed: the lease holder should send a new lease request.
     #[serde(rename = "news")]
@@ -161,9 +184,9 @@
 /// as valid for longer by it.
 pub const CLOCK_RATE_TOLERANCE: f64 = 0.03;
 
-/// The length of a lease such that a fact known to one instance binds all instances after `max_divergence`. At most
-/// one lease passes until a lease server has the fact or the instance that knows it no longer acts, and at
-/// most another until no instance acts without it.
+/// The length of a lease such that a fact known to one instance binds all instances after
+/// `max_divergence`. At most one lease passes until a lease server has the fact or the instance that
+/// knows it no longer acts, and at most another until no instance acts without it.
 pub fn lease_duration(max_divergence: Micros) -> Micros {
     max_divergence.times(0.5 / (1.0 + CLOCK_RATE_TOLERANCE))
 }
--- a/accord/src/server_view.rs
+++ b/accord/src/server_view.rs
@@ -12,6 +12,7 @@
 pub struct ListUpdate {
     /// The number that discovery gives this state of the list.
     pub index: u64,
+    /// Whether the entries are the whole list.
     pub snapshot: bool,
     /// `None` for a server that was removed from the list.
     pub entries: Vec<(Arc<str>, Option<Fact>)>,
--- a/accord/src/state_hash.rs
+++ b/accord/src/state_hash.rs
@@ -30,6 +30,7 @@
         (self.documents.keys().collect::<Vec<_>>(), &self.rejected, self.committed).hash(into);
     }
 
+    /// The lease from one lease server.
     pub fn hash_lease(&self, lease_server: InstanceId, now: Micros, into: &mut impl Hasher) {
         let valid =
             self.leases.get(&lease_server).filter(|lease| lease.requested_at + self.lease_duration > now);
--- a/accord/tests/words/mod.rs
+++ b/accord/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What all tests of the package name alike.
+//! Definitions that all tests of the package share.
 use oakhollow_accord::{Document, Micros, Version};
 use std::sync::Arc;
 
-/// How long a member counts a lease.
+/// How long a lease holder counts its lease as valid.
 pub const WITHIN: Micros = Micros(400);
 
 pub fn version(number: u64) -> Version {
--- a/accord/tests/world/mod.rs
+++ b/accord/tests/world/mod.rs
@@ -1,45 +1,46 @@
-//! Members and keepers with a wire between them, and what must hold at every moment.
-use crate::words::{document, WITHIN};
+//! A simulation of lease holders and lease servers that exchange messages, and the invariants that must hold
+//! at every moment.
+use crate::common::{document, WITHIN};
 use oakhollow_accord::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A fault put into the rules, which whoever explores must find.
+/// A bug injected into the protocol, which the tests must find.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Crooked {
-    Not,
-    /// The time of a lease is counted from its answer.
-    FromTheAnswer,
-    /// A keeper that was started again grants and clears at once.
-    WakesAtOnce,
-    /// It says that it knows a version and does not keep to it.
-    IgnoresWhatWaits,
-    /// It goes on for its whole lease, though it lacks what is forbidden by then.
-    IgnoresWhatItLacks,
-    /// It says that it has heard who drains, and sends there.
-    ForgetsDrains,
-    /// It sends to a server at once that its list names, whether or not it is told of it.
-    SendsUntold,
-    /// A keeper grants to one whose names it does not know.
-    GrantsUnnamed,
+pub enum InjectedBug {
+    Correct,
+    /// The holder counts its lease from the grant instead of the request.
+    CountsLeaseFromGrant,
+    /// A restarted lease server grants leases and commits versions at once.
+    ActiveAtOnce,
+    /// The holder reports a pending version as known but does not comply with it.
+    IgnoresPendingVersions,
+    /// The holder acts for the whole lease although it lacks an exclusion.
+    IgnoresLag,
+    /// The holder reports that it has received exclusions, and ignores them.
+    IgnoresExclusions,
+    /// The holder sends to a server on its list before a majority of lease servers has confirmed it.
+    SendsUnconfirmed,
+    /// A lease server grants leases to a holder whose names it does not know.
+    GrantsUnknownNames,
 }
 
 #[derive(Clone)]
 pub struct Instance {
-    pub member: LeaseHolder,
-    pub life: u64,
-    /// What it acts on, as the shell was last told.
-    pub acts_on: BTreeSet<Version>,
-    pub until: Micros,
-    /// Since when it acts without a break.
-    pub since: f64,
-    /// By how much its clock runs faster than the true time, as a part.
-    pub pace: f64,
-    /// What its own list tells of each server: which life, whether it drains, and since when it was told.
+    pub lease_holder: LeaseHolder,
+    pub incarnation: u64,
+    /// The versions it acts on, as its host was last told.
+    pub active_versions: BTreeSet<Version>,
+    pub lease_valid_until: Micros,
+    /// Since when it has been acting without interruption.
+    pub acting_since: f64,
+    /// By what fraction its clock runs faster than the true time.
+    pub clock_drift: f64,
+    /// What its own list says of each server: the incarnation, whether it drains, and since when.
     pub list: BTreeMap<u64, (u64, bool, f64)>,
     pub index: u64,
-    /// Which life of each server drains, as the shell was last told.
-    pub out: BTreeMap<u64, u64>,
+    /// The excluded incarnation of each server, as its host was last told.
+    pub excluded: BTreeMap<u64, u64>,
 }
 
 fn name(server: u64) -> Arc<str> {
@@ -48,274 +49,286 @@
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Envelope {
-    ToKeeper(usize, (u32, u64), Message),
-    ToMember(usize, usize, u64, Message),
+    ToLeaseServer(usize, (u32, u64), Message),
+    ToLeaseHolder(usize, usize, u64, Message),
 }
 
 #[derive(Clone)]
 pub struct World {
     pub now: f64,
-    pub keepers: Vec<Arc<LeaseServer>>,
-    pub keeper_pace: Vec<f64>,
+    pub lease_servers: Vec<Arc<LeaseServer>>,
+    pub server_clock_drift: Vec<f64>,
     pub instances: Vec<Arc<Instance>>,
-    /// What has just been said.
-    pub said: Vec<Envelope>,
-    pub crooked: Crooked,
-    /// Whether instances hear of those servers alone that their lists name.
+    /// The messages sent since the last delivery.
+    pub sent: Vec<Envelope>,
+    pub bug: InjectedBug,
+    /// Whether instances receive facts only about the servers that their lists name.
     pub subscribed: bool,
 }
 
-fn judge() -> Validator {
+fn validator() -> Validator {
     Arc::new(|_: &[Arc<str>]| Ok(()))
 }
 
 impl World {
-    pub fn new(keepers: usize, instances: usize, crooked: Crooked) -> World {
-        World::of(keepers, instances, crooked, false)
+    pub fn new(lease_servers: usize, instances: usize, bug: InjectedBug) -> World {
+        World::of(lease_servers, instances, bug, false)
     }
 
-    pub fn of(keepers: usize, instances: usize, crooked: Crooked, subscribed: bool) -> World {
-        let keeper = Arc::new(LeaseServer::new(Micros(0), WITHIN));
+    pub fn of(lease_servers: usize, instances: usize, bug: InjectedBug, subscribed: bool) -> World {
+        let lease_server = Arc::new(LeaseServer::new(Micros(0), WITHIN));
         let mut world = World {
             now: 0.0,
-            keepers: vec![keeper; keepers],
-            keeper_pace: vec![0.0; keepers],
+            lease_servers: vec![lease_server; lease_servers],
+            server_clock_drift: vec![0.0; lease_servers],
             instances: Vec::new(),
-            said: Vec::new(),
-            crooked,
+            sent: Vec::new(),
+            bug,
             subscribed,
         };
         for _ in 0..instances {
-            let member = world.member();
+            let lease_holder = world.new_lease_holder();
             world.instances.push(Arc::new(Instance {
-                member,
-                life: 1,
-                acts_on: BTreeSet::new(),
-                until: Micros(0),
-                since: 0.0,
-                pace: 0.0,
+                lease_holder,
+                incarnation: 1,
+                active_versions: BTreeSet::new(),
+                lease_valid_until: Micros(0),
+                acting_since: 0.0,
+                clock_drift: 0.0,
                 list: BTreeMap::new(),
                 index: 0,
-                out: BTreeMap::new(),
+                excluded: BTreeMap::new(),
             }));
         }
         world
     }
 
-    fn member(&self) -> LeaseHolder {
-        let member =
-            LeaseHolder::new((0..self.keepers.len() as u32).map(InstanceId).collect(), WITHIN, judge());
+    fn new_lease_holder(&self) -> LeaseHolder {
+        let lease_holder = LeaseHolder::new(
+            (0..self.lease_servers.len() as u32).map(InstanceId).collect(),
+            WITHIN,
+            validator(),
+        );
         if self.subscribed {
-            member.with_subscription()
+            lease_holder.with_subscription()
         } else {
-            member
+            lease_holder
         }
     }
 
-    pub fn member_time(&self, at: usize) -> Micros {
-        Micros((self.now * (1.0 + self.instances[at].pace)) as u64)
+    pub fn holder_time(&self, at: usize) -> Micros {
+        Micros((self.now * (1.0 + self.instances[at].clock_drift)) as u64)
     }
 
-    pub fn keeper_time(&self, at: usize) -> Micros {
-        Micros((self.now * (1.0 + self.keeper_pace[at])) as u64)
+    pub fn server_time(&self, at: usize) -> Micros {
+        Micros((self.now * (1.0 + self.server_clock_drift[at])) as u64)
     }
 
-    fn carry_out(&mut self, at: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, at: usize, actions: Vec<Action>) {
         let instance = Arc::make_mut(&mut self.instances[at]);
         for action in actions {
             match action {
-                Action::Send(to, word) => {
-                    self.said.push(Envelope::ToKeeper(to.0 as usize, (at as u32, instance.life), word))
-                }
+                Action::Send(to, message) => self.sent.push(Envelope::ToLeaseServer(
+                    to.0 as usize,
+                    (at as u32, instance.incarnation),
+                    message,
+                )),
                 Action::ApplyDocuments => {
-                    let keeps_to = instance.member.active_documents().map(|(version, _)| *version);
-                    instance.acts_on = match self.crooked {
-                        Crooked::IgnoresWhatWaits => keeps_to.take(1).collect(),
-                        _ => keeps_to.collect(),
+                    let versions = instance.lease_holder.active_documents().map(|(version, _)| *version);
+                    instance.active_versions = match self.bug {
+                        InjectedBug::IgnoresPendingVersions => versions.take(1).collect(),
+                        _ => versions.collect(),
                     };
                 }
-                Action::ApplyLists if self.crooked == Crooked::ForgetsDrains => {}
+                Action::ApplyLists if self.bug == InjectedBug::IgnoresExclusions => {}
                 Action::ApplyLists => {
-                    instance.out.clear();
-                    let untold = instance
-                        .member
+                    instance.excluded.clear();
+                    let unconfirmed = instance
+                        .lease_holder
                         .unconfirmed_servers()
-                        .filter(|_| self.crooked != Crooked::SendsUntold);
-                    for (server, since) in untold.chain(instance.member.excluded_servers()) {
+                        .filter(|_| self.bug != InjectedBug::SendsUnconfirmed);
+                    for (server, since) in unconfirmed.chain(instance.lease_holder.excluded_servers()) {
                         let server = server[1..].parse().expect("a number");
-                        let out = instance.out.entry(server).or_insert(since);
-                        *out = since.max(*out);
+                        let excluded = instance.excluded.entry(server).or_insert(since);
+                        *excluded = since.max(*excluded);
                     }
                 }
                 Action::ApplyMaintenance { .. } | Action::Log(_) => {}
             }
         }
-        let until = instance.member.lease_valid_until();
-        if instance.until <= Micros((self.now * (1.0 + instance.pace)) as u64) {
-            instance.since = self.now;
+        let lease_valid_until = instance.lease_holder.lease_valid_until();
+        if instance.lease_valid_until <= Micros((self.now * (1.0 + instance.clock_drift)) as u64) {
+            instance.acting_since = self.now;
         }
-        if self.crooked != Crooked::FromTheAnswer || until > instance.until {
-            instance.until = until;
+        if self.bug != InjectedBug::CountsLeaseFromGrant || lease_valid_until > instance.lease_valid_until {
+            instance.lease_valid_until = lease_valid_until;
         }
     }
 
-    pub fn write(&mut self, at: usize, number: u64) {
-        let (now, mut actions) = (self.member_time(at), Vec::new());
-        Arc::make_mut(&mut self.instances[at]).member.propose(now, document(number), &mut actions);
-        self.carry_out(at, actions);
+    pub fn propose(&mut self, at: usize, number: u64) {
+        let (now, mut actions) = (self.holder_time(at), Vec::new());
+        Arc::make_mut(&mut self.instances[at]).lease_holder.propose(now, document(number), &mut actions);
+        self.apply_actions(at, actions);
     }
 
-    /// Its own list tells that a server drains, or is there, in that life.
-    pub fn list(&mut self, at: usize, (server, since, out): (u64, u64, bool), whole: bool) {
-        let (now, true_now, mut actions) = (self.member_time(at), self.now, Vec::new());
+    /// Its own list says that this incarnation of a server drains, or is in use.
+    pub fn update_list(
+        &mut self, at: usize, (server, incarnation, draining): (u64, u64, bool), snapshot: bool,
+    ) {
+        let (now, true_now, mut actions) = (self.holder_time(at), self.now, Vec::new());
         let instance = Arc::make_mut(&mut self.instances[at]);
         let known = instance.list.get(&server).copied().unwrap_or_default();
-        if (known.0, known.1) != (since, out) || known.2 == 0.0 {
-            instance.list.insert(server, (since, out, true_now.max(1.0)));
+        if (known.0, known.1) != (incarnation, draining) || known.2 == 0.0 {
+            instance.list.insert(server, (incarnation, draining, true_now.max(1.0)));
         }
         instance.index += 1;
-        let fact = |since, out| Some(Fact { since, excluded: out, first_hand: true, entry: None });
-        let told = |(server, (since, out, _)): (&u64, &(u64, bool, f64))| (name(*server), fact(*since, *out));
-        let entries = if whole {
-            instance.list.iter().map(told).collect()
+        let fact = |incarnation, draining| {
+            Some(Fact { since: incarnation, excluded: draining, first_hand: true, entry: None })
+        };
+        let entry = |(server, (incarnation, draining, _)): (&u64, &(u64, bool, f64))| {
+            (name(*server), fact(*incarnation, *draining))
+        };
+        let entries = if snapshot {
+            instance.list.iter().map(entry).collect()
         } else {
-            vec![(name(server), fact(since, out))]
+            vec![(name(server), fact(incarnation, draining))]
         };
-        let listed = ListUpdate { index: instance.index, snapshot: whole, entries };
-        instance.member.handle_list_update(now, listed, &mut actions);
-        self.carry_out(at, actions);
+        let update = ListUpdate { index: instance.index, snapshot, entries };
+        instance.lease_holder.handle_list_update(now, update, &mut actions);
+        self.apply_actions(at, actions);
     }
 
-    /// Its own list, whole, names that server no more.
-    pub fn unlist(&mut self, at: usize, server: u64) {
+    /// Its own list, as a snapshot, no longer names that server.
+    pub fn remove_from_list(&mut self, at: usize, server: u64) {
         Arc::make_mut(&mut self.instances[at]).list.remove(&server);
-        let first = self.instances[at].list.iter().next().map(|(server, told)| (*server, told.0, told.1));
-        first.into_iter().for_each(|told| self.list(at, told, true));
+        let first = self.instances[at].list.iter().next().map(|(server, entry)| (*server, entry.0, entry.1));
+        first.into_iter().for_each(|entry| self.update_list(at, entry, true));
     }
 
-    pub fn wake(&mut self) {
+    pub fn run_timers(&mut self) {
         for at in 0..self.instances.len() {
-            let (now, mut actions) = (self.member_time(at), Vec::new());
-            Arc::make_mut(&mut self.instances[at]).member.handle_timer(now, &mut actions);
-            self.carry_out(at, actions);
+            let (now, mut actions) = (self.holder_time(at), Vec::new());
+            Arc::make_mut(&mut self.instances[at]).lease_holder.handle_timer(now, &mut actions);
+            self.apply_actions(at, actions);
         }
-        self.wake_keepers();
+        self.run_server_timers();
     }
 
-    pub fn wake_keepers(&mut self) {
-        for at in 0..self.keepers.len() {
-            let (now, mut out) = (self.keeper_time(at), Vec::new());
-            Arc::make_mut(&mut self.keepers[at]).handle_timer(now, &mut out);
-            self.keeper_says(at, out);
+    pub fn run_server_timers(&mut self) {
+        for at in 0..self.lease_servers.len() {
+            let (now, mut out) = (self.server_time(at), Vec::new());
+            Arc::make_mut(&mut self.lease_servers[at]).handle_timer(now, &mut out);
+            self.send_from_server(at, out);
         }
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
-        let said = out
-            .into_iter()
-            .map(|(to, word)| Envelope::ToMember(to.instance.0 as usize, at, to.incarnation, word));
-        self.said.extend(said);
+    fn send_from_server(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
+        let sent = out.into_iter().map(|(to, message)| {
+            Envelope::ToLeaseHolder(to.instance.0 as usize, at, to.incarnation, message)
+        });
+        self.sent.extend(sent);
     }
 
-    pub fn deliver(&mut self, message: Envelope) {
-        match message {
-            Envelope::ToKeeper(at, (instance, life), mut word) => {
-                if let (Crooked::GrantsUnnamed, Message::LeaseRequest { names_hash: names, .. }) =
-                    (self.crooked, &mut word)
+    pub fn deliver(&mut self, envelope: Envelope) {
+        match envelope {
+            Envelope::ToLeaseServer(at, (instance, incarnation), mut message) => {
+                if let (InjectedBug::GrantsUnknownNames, Message::LeaseRequest { names_hash, .. }) =
+                    (self.bug, &mut message)
                 {
-                    *names = names.map(|_| 0);
+                    *names_hash = names_hash.map(|_| 0);
                 }
-                let (now, mut out) = (self.keeper_time(at), Vec::new());
-                let from = HolderId { instance: InstanceId(instance), incarnation: life };
-                Arc::make_mut(&mut self.keepers[at]).handle_message(now, from, word, &mut out);
-                self.keeper_says(at, out);
+                let (now, mut out) = (self.server_time(at), Vec::new());
+                let from = HolderId { instance: InstanceId(instance), incarnation };
+                Arc::make_mut(&mut self.lease_servers[at]).handle_message(now, from, message, &mut out);
+                self.send_from_server(at, out);
             }
-            Envelope::ToMember(at, from, life, mut word) => {
-                if let (Crooked::IgnoresWhatItLacks, Message::LeaseGrant { lag_us: behind, .. }) =
-                    (self.crooked, &mut word)
+            Envelope::ToLeaseHolder(at, from, incarnation, mut message) => {
+                if let (InjectedBug::IgnoresLag, Message::LeaseGrant { lag_us, .. }) =
+                    (self.bug, &mut message)
                 {
-                    *behind = 0;
+                    *lag_us = 0;
                 }
-                if self.instances[at].life != life {
+                if self.instances[at].incarnation != incarnation {
                     return;
                 }
-                let (now, mut actions) = (self.member_time(at), Vec::new());
-                let before = self.instances[at].member.lease_valid_until();
-                Arc::make_mut(&mut self.instances[at]).member.handle_message(
+                let (now, mut actions) = (self.holder_time(at), Vec::new());
+                let before = self.instances[at].lease_holder.lease_valid_until();
+                Arc::make_mut(&mut self.instances[at]).lease_holder.handle_message(
                     now,
                     InstanceId(from as u32),
-                    word,
+                    message,
                     &mut actions,
                 );
-                let renewed = self.instances[at].member.lease_valid_until() > before;
-                self.carry_out(at, actions);
-                if self.crooked == Crooked::FromTheAnswer && renewed {
-                    Arc::make_mut(&mut self.instances[at]).until = now + WITHIN;
+                let renewed = self.instances[at].lease_holder.lease_valid_until() > before;
+                self.apply_actions(at, actions);
+                if self.bug == InjectedBug::CountsLeaseFromGrant && renewed {
+                    Arc::make_mut(&mut self.instances[at]).lease_valid_until = now + WITHIN;
                 }
             }
         }
     }
 
-    pub fn restart_keeper(&mut self, at: usize) {
-        let now = self.keeper_time(at);
-        let within = if self.crooked == Crooked::WakesAtOnce { Micros(0) } else { WITHIN };
-        self.keepers[at] = Arc::new(LeaseServer::new(now, within));
+    pub fn restart_lease_server(&mut self, at: usize) {
+        let now = self.server_time(at);
+        let lease_duration = if self.bug == InjectedBug::ActiveAtOnce { Micros(0) } else { WITHIN };
+        self.lease_servers[at] = Arc::new(LeaseServer::new(now, lease_duration));
     }
 
     pub fn restart_instance(&mut self, at: usize, number: u64) {
-        let member = self.member();
+        let lease_holder = self.new_lease_holder();
         let instance = Arc::make_mut(&mut self.instances[at]);
-        (instance.member, instance.life) = (member, instance.life + 1);
-        (instance.acts_on, instance.until) = (BTreeSet::new(), Micros(0));
-        instance.since = self.now;
-        instance.out.clear();
-        self.write(at, number);
-        // Its discovery tells it the whole list anew.
+        (instance.lease_holder, instance.incarnation) = (lease_holder, instance.incarnation + 1);
+        (instance.active_versions, instance.lease_valid_until) = (BTreeSet::new(), Micros(0));
+        instance.acting_since = self.now;
+        instance.excluded.clear();
+        self.propose(at, number);
+        // Discovery sends it the whole list again.
         let now = self.now;
-        Arc::make_mut(&mut self.instances[at]).list.values_mut().for_each(|told| told.2 = now.max(1.0));
-        let first = self.instances[at].list.iter().next().map(|(server, told)| (*server, told.0, told.1));
-        first.into_iter().for_each(|told| self.list(at, told, true));
+        Arc::make_mut(&mut self.instances[at]).list.values_mut().for_each(|entry| entry.2 = now.max(1.0));
+        let first = self.instances[at].list.iter().next().map(|(server, entry)| (*server, entry.0, entry.1));
+        first.into_iter().for_each(|entry| self.update_list(at, entry, true));
     }
 
-    /// One that has acted for too long by a list which tells a server drains to which this one may send: twice the length of a
-    /// lease, by clocks that run unevenly.
-    pub fn sends_in_vain(&self, at: usize) -> Option<(usize, u64, f64)> {
+    /// Finds an instance that has been acting for too long on a list that says a server drains to which this
+    /// instance may still send. The limit is two lease lengths, with an allowance for clocks of different
+    /// speed.
+    pub fn drain_violation(&self, at: usize) -> Option<(usize, u64, f64)> {
         let bound = 2.0 * WITHIN.0 as f64 * 1.02 + 20.0;
-        if !self.acts(at) {
+        if !self.is_acting(at) {
             return None;
         }
         let own = &self.instances[at];
-        let may_send = |server: u64, since: u64| {
+        let may_send = |server: u64, draining: u64| {
             let named = own.list.contains_key(&server);
-            let (life, out, _) = own.list.get(&server).copied().unwrap_or_default();
-            // Nobody sends to a server that its list has never named.
+            let (incarnation, listed_draining, _) = own.list.get(&server).copied().unwrap_or_default();
+            // No instance sends to a server that its list has never named.
             (named || !self.subscribed)
-                && life <= since
-                && !out
-                && own.out.get(&server).is_none_or(|out| *out < life)
+                && incarnation <= draining
+                && !listed_draining
+                && own.excluded.get(&server).is_none_or(|excluded| *excluded < incarnation)
         };
-        let others = (0..self.instances.len()).filter(|other| *other != at && self.acts(*other));
+        let others = (0..self.instances.len()).filter(|other| *other != at && self.is_acting(*other));
         { others }.find_map(|other| {
-            self.instances[other].list.iter().find_map(|(server, (since, out, told))| {
-                let length = self.now - told.max(self.instances[other].since);
-                let long = *out && length > bound;
-                (long && may_send(*server, *since)).then_some((other, *server, length))
+            self.instances[other].list.iter().find_map(|(server, (incarnation, draining, listed_at))| {
+                let length = self.now - listed_at.max(self.instances[other].acting_since);
+                let too_long = *draining && length > bound;
+                (too_long && may_send(*server, *incarnation)).then_some((other, *server, length))
             })
         })
     }
 
-    pub fn acts(&self, at: usize) -> bool {
-        self.instances[at].until > self.member_time(at)
+    pub fn is_acting(&self, at: usize) -> bool {
+        self.instances[at].lease_valid_until > self.holder_time(at)
     }
 
-    /// One that acts together with this one, and shares no version with it that both keep to: each may do what the
-    /// other's rules forbid.
-    pub fn contradicts(&self, at: usize) -> Option<usize> {
-        let own = &self.instances[at].acts_on;
-        let mut others = (0..self.instances.len()).filter(|other| *other != at && self.acts(*other));
-        if !self.acts(at) {
+    /// Finds an instance that acts at the same time as this one without sharing a version that both comply
+    /// with: each might do what the other's rules forbid.
+    pub fn contradiction(&self, at: usize) -> Option<usize> {
+        let own = &self.instances[at].active_versions;
+        let mut others = (0..self.instances.len()).filter(|other| *other != at && self.is_acting(*other));
+        if !self.is_acting(at) {
             return None;
         }
-        others.find(|other| self.instances[*other].acts_on.is_disjoint(own))
+        others.find(|other| self.instances[*other].active_versions.is_disjoint(own))
     }
 }
--- a/sites/src/lib.rs
+++ b/sites/src/lib.rs
@@ -21,16 +21,20 @@
     /// To other sites in fixed shares that add up to one. The share of a site that is lost too is divided
     /// among the rest, in proportion to their shares.
     Shares(Vec<(SiteId, f64)>),
+    /// To no other site: it is refused.
     Drop,
 }
 
+/// One site of a plan.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Site {
+    /// The name of the site.
     pub name: String,
     /// The work per second that its servers can do.
     pub capacity: f64,
     /// The fraction of the capacity that load from other sites must leave free.
     pub reserve: f64,
+    /// Where its load goes if it is lost.
     pub failover: Failover,
     /// The peak load from the site's own clients, in requests per second of each class.
     pub load: Vec<f64>,
@@ -39,7 +43,9 @@
 /// Requests that are refused with the same priority.
 #[derive(Clone, PartialEq, Debug)]
 pub struct TrafficClass {
+    /// The name of the class.
     pub name: String,
+    /// The payoff of one served request.
     pub payoff: f64,
     /// The work of one request, in the unit of capacities.
     pub work: f64,
@@ -47,9 +53,12 @@
     pub floor: f64,
 }
 
+/// The plan for the loss of sites.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Plan {
+    /// All sites.
     pub sites: Vec<Site>,
+    /// All classes of requests.
     pub classes: Vec<TrafficClass>,
     /// The classes that are refused first, in this order, before all classes that are not listed here.
     pub refuse_first: Vec<ClassId>,
--- a/sites/src/simulation.rs
+++ b/sites/src/simulation.rs
@@ -5,24 +5,30 @@
 /// The requests per second of one class at one site.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct ClassOutcome {
-    /// From the site's own clients, then from the clients of lost sites.
+    /// From the site's own clients.
     pub own: f64,
+    /// From the clients of lost sites.
     pub foreign: f64,
+    /// The requests that are served.
     pub served: f64,
 }
 
 impl ClassOutcome {
+    /// The requests from all clients.
     pub fn offered(&self) -> f64 {
         self.own + self.foreign
     }
 
+    /// The requests that are not served.
     pub fn refused(&self) -> f64 {
         self.offered() - self.served
     }
 }
 
+/// The outcome at one site.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SiteOutcome {
+    /// Whether the site is lost.
     pub lost: bool,
     /// One entry for each class.
     pub class_outcomes: Vec<ClassOutcome>,
@@ -35,12 +41,14 @@
 /// The outcome of a simulated loss.
 #[derive(Clone, PartialEq, Debug)]
 pub struct LossOutcome {
+    /// One entry for each site of the plan.
     pub sites: Vec<SiteOutcome>,
     /// The requests per second of lost sites that no site gets, for each class.
     pub dropped: Vec<f64>,
-    /// The payoff per second of the served requests, and the highest that the remaining capacity could serve
-    /// if clients' locations and floors did not matter.
+    /// The payoff per second of the served requests.
     pub payoff: f64,
+    /// The highest payoff per second that the remaining capacity could serve if clients' locations and
+    /// floors did not matter.
     pub max_payoff: f64,
 }
 
--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -18,14 +18,20 @@
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DiscoveryList {
+    /// The state of the list that this message leads to.
     pub index: ListIndex,
+    /// Whether the entries are the whole list.
     pub snapshot: bool,
+    /// The entries.
     pub endpoints: Vec<EndpointEntry>,
 }
 
+/// One endpoint of the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EndpointEntry {
+    /// The name of the endpoint, which identifies it.
     pub name: String,
+    /// The address that requests are sent to.
     pub address: SocketAddr,
     #[serde(default)]
     zone: String,
@@ -76,6 +82,7 @@
         Micros(self.since_ms.saturating_mul(1000))
     }
 
+    /// Whether it was removed from the list.
     pub fn has_left(&self) -> bool {
         matches!(self.status, Status::Left)
     }
--- a/terms/src/maintenance.rs
+++ b/terms/src/maintenance.rs
@@ -11,6 +11,7 @@
 /// Maintenance marks by server name. They override the endpoint list.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct MaintenanceMarks {
+    /// Servers in maintenance.
     pub in_maintenance: BTreeSet<String>,
     /// Servers that were put back in use, and when.
     pub returned: BTreeMap<String, Micros>,
@@ -79,7 +80,9 @@
 /// What a successor process receives in addition to the maintenance marks.
 #[derive(Clone, Default, Debug)]
 pub struct HandoverState {
+    /// The last known endpoint list.
     pub list: Option<DiscoveryList>,
+    /// What was learned about the health of the servers.
     pub learned: LearnedHealth,
 }
 
@@ -119,9 +122,12 @@
 /// A maintenance mark as one process sends it to the other.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct MaintenanceChange {
+    /// The name of the server.
     pub name: String,
+    /// Whether the server is in maintenance.
     #[serde(rename = "out")]
     pub in_maintenance: bool,
+    /// When the mark was set, in microseconds.
     #[serde(rename = "at_us")]
     pub set_at_us: u64,
 }
@@ -130,6 +136,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandoverMessage {
+    /// A maintenance mark was set.
     #[serde(rename = "mark")]
     MaintenanceChange(MaintenanceChange),
     /// It accepts no more connections.
@@ -138,6 +145,7 @@
 }
 
 impl HandoverMessage {
+    /// The message as one line of JSON.
     pub fn to_json(&self) -> String {
         to_json(self)
     }
@@ -152,6 +160,7 @@
     /// How long a return is remembered: longer than the slow start of any server.
     const RETURN_MEMORY: Micros = Micros::millis(600_000);
 
+    /// Sets or clears the maintenance mark of a server.
     pub fn set(&mut self, name: &str, in_maintenance: bool, at: Micros) {
         if in_maintenance {
             self.in_maintenance.insert(name.into());
--- a/terms/src/operator_config.rs
+++ b/terms/src/operator_config.rs
@@ -58,10 +58,13 @@
     /// How long two instances may act on different versions, in seconds: twice the length of a lease.
     #[serde(rename = "within")]
     pub max_divergence_s: f64,
+    /// What an instance does without valid leases from a majority of lease servers.
     #[serde(default, rename = "unsure")]
     pub no_lease_policy: NoLeasePolicy,
+    /// What instances share of their endpoint lists.
     #[serde(default, rename = "lists")]
     pub list_sharing: ListSharing,
+    /// The servers that an instance receives facts about.
     #[serde(default)]
     pub scope: Scope,
     /// Whether a maintenance mark that is set at one instance applies to all.
--- a/terms/src/settings.rs
+++ b/terms/src/settings.rs
@@ -35,16 +35,19 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "SettingsJson")]
 pub struct Settings {
+    /// The settings of the decision module.
     pub balancer: BalancerConfig,
     /// In the order of [`BalancerConfig::workloads`].
     pub workloads: Vec<WorkloadSettings>,
     /// In the order of [`BalancerConfig::tenant_quotas`].
     pub tenants: Vec<String>,
+    /// The names of the zones, in the order of their ids.
     pub zones: Vec<String>,
     /// The tier whose servers this instance sends to.
     pub tier: String,
     /// For how long new attempts may still be sent to a server that drains.
     pub drain_grace: Micros,
+    /// The longest that connecting to a server may take.
     pub connect_timeout: Micros,
     /// The longest that a server keeps an idle connection open.
     pub server_idle_timeout: Micros,
@@ -55,6 +58,7 @@
 /// What the host needs to know of a workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadSettings {
+    /// The name of the workload.
     pub name: String,
     /// The longest that a client waits.
     pub max_client_wait: Micros,
--- a/terms/src/shared_settings.rs
+++ b/terms/src/shared_settings.rs
@@ -25,7 +25,9 @@
 /// The part of the settings that all instances share.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SharedSettings {
+    /// The settings as JSON.
     pub text: String,
+    /// The hash of the text.
     pub hash: u64,
 }
 
@@ -64,7 +66,9 @@
 pub struct Greeting {
     #[serde(rename = "accord")]
     protocol_version: u32,
+    /// The name of the instance.
     pub name: String,
+    /// Distinguishes the incarnations of the instance.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -72,14 +76,17 @@
 impl Greeting {
     const VERSION: u32 = 2;
 
+    /// A greeting of the current protocol version.
     pub fn new(name: &str, incarnation: u64) -> Greeting {
         Greeting { protocol_version: Self::VERSION, name: name.into(), incarnation }
     }
 
+    /// The greeting as one line of JSON.
     pub fn to_json(&self) -> String {
         to_json(self)
     }
 
+    /// Reads a greeting; one of another protocol version is an error.
     pub fn read(line: &[u8]) -> Result<Greeting, String> {
         let greeting: Greeting = read_json(line)?;
         match greeting.protocol_version {
--- a/terms/src/sidecar_config.rs
+++ b/terms/src/sidecar_config.rs
@@ -14,19 +14,26 @@
 /// ```
 #[derive(Clone, Debug, Deserialize)]
 pub struct SidecarConfig {
+    /// The name of this instance.
     #[serde(default)]
     pub name: String,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address of the operators' console; there is no console without it.
     #[serde(default)]
     pub console: Option<SocketAddr>,
+    /// The seed of the random number generators.
     #[serde(deserialize_with = "seed")]
     pub seed: u64,
+    /// The limits of the machine.
     #[serde(default)]
     pub limits: Limits,
+    /// The last known endpoint list, used until discovery sends one.
     #[serde(default, rename = "known")]
     pub known_list: DiscoveryList,
+    /// The settings.
     #[serde(rename = "settings")]
     pub settings: Settings,
     /// The version of the settings; required if instances agree on settings.
@@ -45,8 +52,10 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsVersion {
+    /// Increases when the author restarts its numbers.
     #[serde(default)]
     pub epoch: u64,
+    /// The author's number of the version.
     pub number: u64,
 }
 
@@ -54,7 +63,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
+    /// The memory for the process, in megabytes.
     pub memory_mb: f64,
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
