--- a/sidecar/src/accord.rs
+++ b/sidecar/src/accord.rs
@@ -76,7 +76,7 @@
     HolderConnected(HolderId, Sender<Message>),
     /// Its link is closed.
     HolderDisconnected(HolderId),
-    /// A message to this instance's lease server.
+    /// A message from a lease holder to this instance's lease server.
     ToLeaseServer(HolderId, Message),
     /// A message from a keeper to this instance's lease holder.
     ToLeaseHolder(InstanceId, Message),
@@ -136,13 +136,13 @@
 /// Splits the settings of a configuration file into this instance's own part and the common part, as a document.
 fn split_settings(config: &SidecarConfig) -> Result<(LocalSettings, Document), String> {
     let number = config.settings_version.ok_or("version: missing, and instances agree on settings")?;
-    let (own, common) =
+    let (local_settings, common) =
         LocalSettings::split(&config.settings_text).map_err(|error| format!("settings.{error}"))?;
     if common.text.len() > MAX_DOCUMENT_BYTES {
         return Err(format!("settings: over {MAX_DOCUMENT_BYTES} bytes, the most that is passed on"));
     }
     let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
-    Ok((own, Document { version, text: common.text.into() }))
+    Ok((local_settings, Document { version, text: common.text.into() }))
 }
 
 /// The parts of the rest of the process that the agreement uses.
@@ -164,7 +164,7 @@
     instance_names: Arc<[String]>,
     own_id: InstanceId,
     lease_holder: LeaseHolder,
-    own: Arc<Mutex<LocalSettings>>,
+    local_settings: Arc<Mutex<LocalSettings>>,
     lease_server: Option<LeaseServer>,
     /// The queues to the keepers, and to the lease holders connected to this instance's lease server.
     to_keepers: HashMap<InstanceId, Sender<Message>>,
@@ -181,9 +181,9 @@
 
 /// Starts the agreement. The future returned runs for as long as the process.
 pub fn start(
-    config: &SidecarConfig, known: Arc<DiscoveryList>, parts: Parts,
+    config: &SidecarConfig, known_list: Arc<DiscoveryList>, parts: Parts,
 ) -> Result<(AccordHandle, impl Future<Output = ()>), String> {
-    let (own, document) = split_settings(config)?;
+    let (local_settings, document) = split_settings(config)?;
     // Shared by all links to this lease server: a copy for each would grow with the square of the number of
     // instances.
     let instance_names: Arc<[String]> = parts.config.instances.keys().cloned().collect();
@@ -194,10 +194,10 @@
     let keepers: Vec<InstanceId> = parts.config.keepers.iter().filter_map(id).collect();
     let lease_length =
         oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(parts.config.max_divergence_s));
-    let own = Arc::new(Mutex::new(own));
+    let local_settings = Arc::new(Mutex::new(local_settings));
     let validator: Validator = {
-        let own = own.clone();
-        Arc::new(move |texts: &[Arc<str>]| merge_settings(&own, texts).map(|_| ()))
+        let local_settings = local_settings.clone();
+        Arc::new(move |texts: &[Arc<str>]| merge_settings(&local_settings, texts).map(|_| ()))
     };
     let (inputs, incoming) = bounded(MAX_QUEUED_INPUTS);
     let agreement = Agreement {
@@ -213,7 +213,7 @@
         },
         instance_names,
         own_id,
-        own,
+        local_settings,
         to_keepers: HashMap::new(),
         to_holders: HashMap::new(),
         was_acting: false,
@@ -223,7 +223,7 @@
         parts,
     };
     let accord = AccordHandle { inputs: inputs.clone(), scope: agreement.parts.config.scope };
-    Ok((accord, agreement.run((document, known), keepers, (inputs, incoming))))
+    Ok((accord, agreement.run((document, known_list), keepers, (inputs, incoming))))
 }
 
 /// A list as facts for the agreement. The entries' own JSON is included only where whole lists are shared.
@@ -241,10 +241,11 @@
 
 /// Merges the common part of the settings, as documents, with this instance's own part.
 fn merge_settings(
-    own: &Mutex<LocalSettings>, texts: &[Arc<str>],
+    local_settings: &Mutex<LocalSettings>, texts: &[Arc<str>],
 ) -> Result<oakhollow_terms::Settings, String> {
     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
-    own.lock()
+    local_settings
+        .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .merge(&texts)
         .map_err(|error| format!("settings.{error}"))
@@ -293,14 +294,14 @@
 
     /// Handles inputs and timers for as long as the process lives.
     async fn run_events(
-        &mut self, (first, known): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>,
+        &mut self, (first, known_list): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>,
     ) {
         let (mut actions, now) = (Vec::new(), self.parts.clock.now());
         self.lease_holder.propose(now, first, &mut actions);
-        if !known.endpoints.is_empty() {
+        if !known_list.endpoints.is_empty() {
             self.lease_holder.handle_list_update(
                 now,
-                list_update(&known, self.parts.config.list_sharing),
+                list_update(&known_list, self.parts.config.list_sharing),
                 &mut actions,
             );
         }
@@ -361,9 +362,9 @@
             Some(Input::StatusRequested(to)) => _ = to.try_send(self.status()),
             // Always succeeds: the sender has made the same check.
             Some(Input::ConfigRead(config, rejection)) => {
-                if let Ok((own, document)) = split_settings(&config) {
-                    let lock = || self.own.lock().unwrap_or_else(PoisonError::into_inner);
-                    let previous = std::mem::replace(&mut *lock(), own);
+                if let Ok((local_settings, document)) = split_settings(&config) {
+                    let lock = || self.local_settings.lock().unwrap_or_else(PoisonError::into_inner);
+                    let previous = std::mem::replace(&mut *lock(), local_settings);
                     if self.lease_holder.propose(now, document, &mut actions) {
                         // The file may have changed only in this instance's own part.
                         if !actions.contains(&Action::ApplyDocuments) {
@@ -419,7 +420,7 @@
                 Action::ApplyDocuments => {
                     let texts: Vec<Arc<str>> =
                         self.lease_holder.active_documents().map(|(_, text)| text.clone()).collect();
-                    match merge_settings(&self.own, &texts) {
+                    match merge_settings(&self.local_settings, &texts) {
                         Ok(settings) => {
                             self.settings_unreadable = false;
                             let settings = Arc::new(settings);
@@ -538,7 +539,7 @@
             name,
             if in_maintenance { "out" } else { "back" }
         );
-        self.parts.handover_links.send_mark(&mark, None);
+        self.parts.handover_links.send_maintenance(&mark, None);
         self.parts.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 
@@ -583,12 +584,12 @@
                 );
             }
             for waiting in server.pending_version(now).iter().flat_map(|(version, waiting)| {
-                waiting.iter().map(move |one| {
-                    let how = if one.rejects { "which refuses it" } else { "or its lease" };
+                waiting.iter().map(move |blocking| {
+                    let how = if blocking.rejects { "which refuses it" } else { "or its lease" };
                     format!(
                         "pending: {version} waits for {}, {how}, {}\n",
-                        name(one.holder.instance),
-                        left(one.expires_at)
+                        name(blocking.holder.instance),
+                        left(blocking.expires_at)
                     )
                 })
             }) {
@@ -602,7 +603,7 @@
 /// Exchanges messages until the link breaks, falls silent or delivers a malformed message; returns the error of that.
 async fn exchange_messages(
     stream: Async<TcpStream>, messages: &Receiver<Message>, silence_limit: Duration, inputs: &Sender<Input>,
-    heard: impl Fn(Message) -> Input,
+    to_input: impl Fn(Message) -> Input,
 ) -> Option<String> {
     let (reads, mut writes) = io::split(Uninterrupted(stream));
     let mut reads = BufReader::new(reads);
@@ -619,7 +620,7 @@
                 Timer::at(since + Duration::from_secs(1)).await;
             }
             match read_json::<Message>(line.trim().as_bytes()) {
-                Ok(message) => _ = inputs.send(heard(message)).await,
+                Ok(message) => _ = inputs.send(to_input(message)).await,
                 Err(error) => return Some(error),
             }
         }
@@ -677,14 +678,14 @@
     };
     let mut logged_causes = BTreeSet::new();
     let open = Arc::new(());
-    let (rejections, tell) = bounded::<String>(MAX_QUEUED_MESSAGES);
+    let (rejections, rejected) = bounded::<String>(MAX_QUEUED_MESSAGES);
     loop {
         // Links must not use up the descriptors that clients and endpoints need.
         if Arc::strong_count(&open) > max_links(instance_names.len()) {
             Timer::after(RETRY_DELAY).await;
             continue;
         }
-        while let Ok(cause) = tell.try_recv() {
+        while let Ok(cause) = rejected.try_recv() {
             // Logged once for each cause, and for a limited number of causes.
             if logged_causes.len() < MAX_QUEUED_MESSAGES && logged_causes.insert(cause.clone()) {
                 warn!(log, "accord: a link not taken: {}", cause);
--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -2,7 +2,7 @@
 //! endpoints into maintenance or takes them out of it. It has its own thread, reactor and descriptors, so that it
 //! answers however busy the workers are.
 use crate::accord::AccordHandle;
-use crate::endpoint_registry::{lock, MaintenanceMark, MarkError, SharedRegistry};
+use crate::endpoint_registry::{lock, MaintenanceError, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
 use crate::http1::head::{Head, HttpError};
@@ -200,20 +200,20 @@
     }
 
     async fn set_maintenance(&self, name: &str, in_maintenance: bool) -> Result<Answer, HttpError> {
-        let (marked, saved) = {
+        let (result, saved) = {
             let mut registry = lock(&self.registry);
-            let marked = registry.set_maintenance(name, in_maintenance, self.clock.now());
+            let result = registry.set_maintenance(name, in_maintenance, self.clock.now());
             // Under the lock, so that states are submitted in the order in which they were set.
-            let store = self.store.as_ref().filter(|_| marked.is_ok());
-            (marked, store.map(|store| store.submit(registry.marks().clone(), &self.log)))
+            let store = self.store.as_ref().filter(|_| result.is_ok());
+            (result, store.map(|store| store.submit(registry.marks().clone(), &self.log)))
         };
-        let mark = marked.map_err(|refused| match refused {
-            MarkError::UnknownEndpoint => HttpError { status: 404, message: "nobody has this name" },
-            MarkError::TooMany => HttpError { status: 507, message: "too many are out by hand" },
+        let mark = result.map_err(|error| match error {
+            MaintenanceError::UnknownEndpoint => HttpError { status: 404, message: "nobody has this name" },
+            MaintenanceError::TooMany => HttpError { status: 507, message: "too many are out by hand" },
         })?;
         let mark = &mark;
         let MaintenanceMark { name, in_maintenance, .. } = mark;
-        self.handover_links.send_mark(mark, None);
+        self.handover_links.send_maintenance(mark, None);
         if let Some(accord) = &self.accord {
             accord.apply_maintenance(mark.clone()).await;
         }
@@ -271,7 +271,7 @@
     use super::*;
 
     #[test]
-    fn calls_are_read_by_path_and_method() {
+    fn requests_are_parsed_by_path_and_method() {
         let status = |method, path| parse_request(method, path).map_err(|error| error.status);
         assert_eq!(status("GET", "/healthcheck"), Ok(Request::Health));
         assert_eq!(
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -77,8 +77,11 @@
 
 /// The final result of a request, from which the protocol makes its one answer.
 pub enum RequestOutcome<A> {
+    /// An endpoint's answer.
     Served(A),
+    /// No server has run the request; the client may send it again after this time.
     Refused { retry_after: Micros },
+    /// There is no answer to pass on, and a server may have run the request.
     Failed,
 }
 
@@ -87,8 +90,11 @@
     pub workload: WorkloadId,
     pub class: ClassId,
     pub tenant: TenantId,
+    /// The client says that it repeats an earlier request.
     pub client_retry: bool,
+    /// When the request must be answered.
     pub deadline: Micros,
+    /// The limit of attempts when the request was read.
     pub max_attempts: usize,
     /// The key of the data that the request is about, where servers answer known keys faster.
     pub affinity_key: Option<u64>,
@@ -102,7 +108,7 @@
     pub reply_to: oneshot::Sender<RequestOutcome<P::Answer>>,
 }
 
-/// What the dispatcher is told.
+/// A message to the dispatcher.
 pub enum DispatcherMessage<P: Protocol> {
     /// A client has sent a request.
     NewRequest(NewRequest<P>),
@@ -129,11 +135,11 @@
     AnswerDeadlinePassed,
 }
 
-/// Sends messages to the dispatcher, and holds what its clients read without asking it.
+/// Sends messages to the dispatcher, and holds the figures that others read without a message.
 pub struct DispatcherHandle<P: Protocol> {
     messages: Sender<DispatcherMessage<P>>,
     pub clock: Clock,
-    requests: Cell<u32>,
+    next_id: Cell<u32>,
     /// The number of requests submitted and not yet answered.
     pub open_requests: Gauge,
     /// Whether the list has an endpoint that may be sent to.
@@ -152,8 +158,8 @@
         clock: Clock, open_requests: Gauge,
     ) -> (Rc<DispatcherHandle<P>>, Receiver<DispatcherMessage<P>>) {
         let (messages, receiver) = bounded(MAX_QUEUED_MESSAGES);
-        let (requests, has_ready_endpoint) = (Cell::new(0), Cell::new(false));
-        (Rc::new(DispatcherHandle { messages, clock, requests, open_requests, has_ready_endpoint }), receiver)
+        let (next_id, has_ready_endpoint) = (Cell::new(0), Cell::new(false));
+        (Rc::new(DispatcherHandle { messages, clock, next_id, open_requests, has_ready_endpoint }), receiver)
     }
 
     /// Sends a message; waits while the queue is full.
@@ -164,7 +170,7 @@
 
     /// The id of the next request.
     pub fn next_request_id(&self) -> CallId {
-        CallId(self.requests.replace(self.requests.get().wrapping_add(1)))
+        CallId(self.next_id.replace(self.next_id.get().wrapping_add(1)))
     }
 
     /// Submits a request; its outcome arrives at the receiver returned.
@@ -672,7 +678,7 @@
     fn attempt_allowed(
         &self, request: &RequestState<P>, index: usize, server: ServerId, now: Micros,
     ) -> bool {
-        // First means that index other attempt has sent anything, and of those still connecting none is older.
+        // First means that no other attempt has sent anything, and of those still connecting none is older.
         let is_earlier = |(other, attempt): (usize, &AttemptState)| {
             other != index && (attempt.progress.send_started.get() || other < index && attempt.spawned)
         };
--- a/sidecar/src/durable_file.rs
+++ b/sidecar/src/durable_file.rs
@@ -5,13 +5,13 @@
 
 /// Replaces a file atomically. When this returns without an error, the contents and the name are on the disk.
 pub fn replace(path: &Path, bytes: &[u8]) -> Result<()> {
-    let fresh = path.with_extension(format!("new-{}", std::process::id()));
-    let written = write_synced(&fresh, bytes).and_then(|()| fs::rename(&fresh, path));
+    let temporary = path.with_extension(format!("new-{}", std::process::id()));
+    let written = write_synced(&temporary, bytes).and_then(|()| fs::rename(&temporary, path));
     if written.is_err() {
-        let _ = fs::remove_file(&fresh);
+        let _ = fs::remove_file(&temporary);
     }
     written?;
-    sync_folder_of(path)
+    sync_parent(path)
 }
 
 fn write_synced(path: &Path, bytes: &[u8]) -> Result<()> {
@@ -21,7 +21,7 @@
 }
 
 /// A file's name is on the disk once its folder is synced.
-fn sync_folder_of(path: &Path) -> Result<()> {
+fn sync_parent(path: &Path) -> Result<()> {
     match path.parent() {
         Some(folder) => File::open(folder)?.sync_all(),
         None => Ok(()),
@@ -32,7 +32,7 @@
 pub fn read(path: &Path) -> Result<Option<Vec<u8>>> {
     match fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
-        Err(fault) if fault.kind() == ErrorKind::NotFound => Ok(None),
-        Err(fault) => Err(fault),
+        Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(error),
     }
 }
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -17,7 +17,7 @@
 
 /// Why a mark is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum MarkError {
+pub enum MaintenanceError {
     UnknownEndpoint,
     TooMany,
 }
@@ -107,15 +107,15 @@
     /// rejected.
     pub fn set_maintenance(
         &mut self, name: &str, in_maintenance: bool, now: Micros,
-    ) -> Result<MaintenanceMark, MarkError> {
+    ) -> Result<MaintenanceMark, MaintenanceError> {
         let was_in_maintenance = self.marks.in_maintenance.contains(name);
         if !was_in_maintenance && !self.entries.contains_key(name) {
-            return Err(MarkError::UnknownEndpoint);
+            return Err(MaintenanceError::UnknownEndpoint);
         }
         let mut mark = MaintenanceMark { name: name.to_string(), in_maintenance, set_at: now };
         match (was_in_maintenance, in_maintenance) {
             (false, true) if self.marks.in_maintenance.len() >= MaintenanceMarks::MAX_ENTRIES => {
-                return Err(MarkError::TooMany)
+                return Err(MaintenanceError::TooMany)
             }
             (false, true) => self.apply_maintenance(&mark),
             (true, false) => self.apply_maintenance(&mark),
@@ -172,7 +172,7 @@
     fn a_repeated_mark_changes_nothing_and_an_unknown_name_is_rejected() {
         let mut registry = EndpointRegistry::new(&list("a b"), MaintenanceMarks::default());
         let at = Micros::millis;
-        assert_eq!(registry.set_maintenance("c", true, at(1)), Err(MarkError::UnknownEndpoint));
+        assert_eq!(registry.set_maintenance("c", true, at(1)), Err(MaintenanceError::UnknownEndpoint));
         assert!(
             registry.set_maintenance("a", true, at(1)).is_ok()
                 && registry.set_maintenance("a", true, at(2)).is_ok()
@@ -204,6 +204,6 @@
             (0..=MaintenanceMarks::MAX_ENTRIES).map(|number| format!("s{number}")).collect();
         let mut registry = EndpointRegistry::new(&list(&names.join(" ")), MaintenanceMarks::default());
         let refused = names.iter().filter_map(|name| registry.set_maintenance(name, true, Micros(1)).err());
-        assert_eq!(refused.collect::<Vec<_>>(), [MarkError::TooMany]);
+        assert_eq!(refused.collect::<Vec<_>>(), [MaintenanceError::TooMany]);
     }
 }
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sends a mark to all other processes but the one that it came from.
-    pub fn send_mark(&self, mark: &MaintenanceMark, from: Option<&Sender<HandoverMessage>>) {
+    pub fn send_maintenance(&self, mark: &MaintenanceMark, from: Option<&Sender<HandoverMessage>>) {
         let MaintenanceMark { name, in_maintenance, set_at } = mark.clone();
         self.send(
             HandoverMessage::MaintenanceChange(MaintenanceChange {
@@ -204,7 +204,7 @@
                         in_maintenance,
                         ..
                     })) => {
-                        self.apply_mark(
+                        self.apply_maintenance(
                             MaintenanceMark { name, in_maintenance, set_at: self.clock.now() },
                             &link,
                         )
@@ -247,7 +247,7 @@
     }
 
     /// Applies a mark that was set at another process.
-    async fn apply_mark(&self, mark: MaintenanceMark, from: &Sender<HandoverMessage>) {
+    async fn apply_maintenance(&self, mark: MaintenanceMark, from: &Sender<HandoverMessage>) {
         {
             let mut registry = lock(&self.registry);
             registry.apply_maintenance(&mark);
@@ -259,7 +259,7 @@
             mark.name,
             if mark.in_maintenance { "out" } else { "back" }
         );
-        self.links.send_mark(&mark, Some(from));
+        self.links.send_maintenance(&mark, Some(from));
         self.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 }
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::lease::Lease;
 use crate::limits::SharedLimit;
 use crate::list_deadline::ListDeadline;
-use crate::listeners::{bind, descriptors, passed_on};
+use crate::listeners::{bind, descriptor_limit, passed_listeners};
 use crate::maintenance_store::MaintenanceStore;
 use crate::metrics::Metrics;
 use crate::tasks::Tasks;
@@ -183,8 +183,8 @@
     }))
 }
 
-/// Runs one sidecar until `commands` say stop, or end, and then until it has shut down in order. `reload` reads the
-/// current configuration. An error is one line.
+/// Runs one sidecar until `control` says stop, or ends, and then until it has shut down in order. `reload_config`
+/// reads the current configuration. An error is one line.
 pub fn run(
     config: SidecarConfig, operator: OperatorConfig,
     reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
@@ -194,7 +194,7 @@
     let tasks = Tasks::new(&executor);
     block_on(executor.run(async {
         let (address, mut config) = (config.listen, config);
-        let (listeners, listener_passed) = match passed_on(operator.workers) {
+        let (listeners, listener_passed) = match passed_listeners(operator.workers) {
             Some(listeners) => (listeners, true),
             None => (bind(address, operator.workers).await, false),
         };
@@ -272,7 +272,7 @@
             + DESCRIPTORS_PER_WORKER * (workers - 1)
             + console_descriptors
             + accord_descriptors;
-        let descriptors = limits.sockets.min(descriptors());
+        let descriptors = limits.sockets.min(descriptor_limit());
         let max_connections = descriptors.saturating_sub(reserved).min(by_memory) / 2;
         if max_connections == 0 {
             return Err(format!(
--- a/sidecar/src/list_freshness.rs
+++ b/sidecar/src/list_freshness.rs
@@ -12,17 +12,17 @@
 const NOTIFIED_WITHIN: Micros = Micros::millis(6_000);
 /// For this long, where the list is long, list requests that are rejected count as sent to a discovery that is down.
 /// The platform lets an instance go this long without asking.
-const OUTAGE: Micros = Micros(2 * oakhollow_terms::SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
+const ASSUMED_OUTAGE: Micros = Micros(2 * oakhollow_terms::SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// A list of this many endpoints is long. The cost of a fleet's list requests grows with the lines of the answers:
 /// the shorter the list, the likelier a rejection means that discovery is down, and not that it is overloaded.
-const LONG_LIST: f64 = 1_000.0;
-/// The factor by which [`OUTAGE`] is longer where the list is short.
-const MOST_TIMES: f64 = 2.0;
+const LONG_LIST_ENDPOINTS: f64 = 1_000.0;
+/// The factor by which [`ASSUMED_OUTAGE`] is longer where the list is short.
+const SHORT_LIST_FACTOR: f64 = 2.0;
 /// A process may be delayed between the last check of the deadline and an attempt's first byte, which a server
 /// times by another clock.
-const MARGIN: Micros = Micros::millis(300);
+const DELAY_MARGIN: Micros = Micros::millis(300);
 /// If a connection takes longer than this to come up, the network kept this instance from discovery until then.
-const CONNECTS_WITHIN: Micros = Micros::millis(500);
+const MAX_CONNECT_TIME: Micros = Micros::millis(500);
 
 /// What is known of the age of the list.
 #[derive(Clone, Debug)]
@@ -58,19 +58,20 @@
         *self = ListFreshness::started_at(now);
     }
 
-    /// The connection of a list request that began at `begun` has come up, while `endpoints` are listed.
-    pub fn connected(&mut self, begun: Micros, now: Micros, endpoints: usize) {
-        if now - begun > CONNECTS_WITHIN {
+    /// The connection of a list request that began at `began` has come up, while `endpoints` are listed.
+    pub fn connected(&mut self, began: Micros, now: Micros, endpoints: usize) {
+        if now - began > MAX_CONNECT_TIME {
             self.up_to_date = self.up_to_date.max(now);
         }
-        let outage = OUTAGE.times((LONG_LIST / endpoints.max(1) as f64).clamp(1.0, MOST_TIMES));
+        let outage = ASSUMED_OUTAGE
+            .times((LONG_LIST_ENDPOINTS / endpoints.max(1) as f64).clamp(1.0, SHORT_LIST_FACTOR));
         let since = if self.may_be_down { self.up_to_date + outage } else { self.up_to_date };
         self.reachable_since.get_or_insert(since);
     }
 
-    /// A list request that began at `begun` is being answered with a list.
-    pub fn answered(&mut self, begun: Micros) {
-        let since = begun.max(self.up_to_date);
+    /// A list request that began at `began` is being answered with a list.
+    pub fn answered(&mut self, began: Micros) {
+        let since = began.max(self.up_to_date);
         self.reachable_since = Some(self.reachable_since.map_or(since, |before| before.min(since)));
     }
 
@@ -78,6 +79,6 @@
     /// reachable.
     pub fn usable_until(&self, grace: Micros) -> Option<Micros> {
         let since = self.reachable_since.filter(|_| grace.0 > 0)?;
-        Some(since + NOTIFIED_WITHIN + grace - MARGIN)
+        Some(since + NOTIFIED_WITHIN + grace - DELAY_MARGIN)
     }
 }
--- a/sidecar/src/listeners.rs
+++ b/sidecar/src/listeners.rs
@@ -7,40 +7,45 @@
 use std::time::{Duration, Instant};
 
 /// How long binding an address that is in use is retried.
-const REBIND: Duration = Duration::from_secs(2);
+const BIND_RETRY_TIME: Duration = Duration::from_secs(2);
 /// The listen backlog: connections that may wait in the kernel, where they use no descriptor of this process.
-const QUEUE: i32 = 4096;
+const LISTEN_BACKLOG: i32 = 4096;
 
 /// The environment variable with the descriptor of a listening socket that the platform passes on.
-const PASSED: &str = "RELAY_PASSED_SOCKET";
+const PASSED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
 
 /// A listener for each worker on the socket that the platform passes on to all processes of this sidecar, if it does.
-pub fn passed_on(workers: usize) -> Option<Result<Vec<TcpListener>>> {
-    let number = std::env::var(PASSED).ok().filter(|number| !number.is_empty())?;
-    let open = || {
-        let odd = || Error::new(ErrorKind::InvalidInput, format!("{PASSED}: {number:?} is no descriptor"));
-        let number: RawFd = number.parse().ok().filter(|number| *number > 2).ok_or_else(odd)?;
+pub fn passed_listeners(workers: usize) -> Option<Result<Vec<TcpListener>>> {
+    let number = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|number| !number.is_empty())?;
+    let duplicate = || {
+        let invalid = || {
+            Error::new(
+                ErrorKind::InvalidInput,
+                format!("{PASSED_SOCKET_VARIABLE}: {number:?} is not a descriptor"),
+            )
+        };
+        let number: RawFd = number.parse().ok().filter(|number| *number > 2).ok_or_else(invalid)?;
         // SAFETY: borrowed only for the next line; if the descriptor is not open, the duplication fails.
         let passed = unsafe { BorrowedFd::borrow_raw(number) };
-        let socket = TcpListener::from(passed.try_clone_to_owned().map_err(|_| odd())?);
+        let socket = TcpListener::from(passed.try_clone_to_owned().map_err(|_| invalid())?);
         if !sockopt::socket_acceptconn(&socket)? {
-            net::listen(&socket, QUEUE)?;
+            net::listen(&socket, LISTEN_BACKLOG)?;
         }
         (0..workers).map(|_| socket.try_clone()).collect()
     };
-    Some(open())
+    Some(duplicate())
 }
 
 /// Binds a listener for each worker. An address in use is retried for a while, because after a quick restart the
 /// previous process may still hold it.
 pub async fn bind(listen: SocketAddr, workers: usize) -> Result<Vec<TcpListener>> {
-    let first = Instant::now();
+    let start = Instant::now();
     loop {
         match bind_all(listen, workers) {
-            Err(fault) if fault.kind() == ErrorKind::AddrInUse && first.elapsed() < REBIND => {
-                Timer::after(REBIND / 20).await;
+            Err(error) if error.kind() == ErrorKind::AddrInUse && start.elapsed() < BIND_RETRY_TIME => {
+                Timer::after(BIND_RETRY_TIME / 20).await;
             }
-            bound => return bound,
+            result => return result,
         }
     }
 }
@@ -69,14 +74,14 @@
     }
     for listener in &listeners {
         // With a short backlog the kernel would drop connections of a burst, and those are retried only after 1 s.
-        net::listen(listener, QUEUE)?;
+        net::listen(listener, LISTEN_BACKLOG)?;
     }
     Ok(listeners)
 }
 
 /// The descriptors that the kernel allows this process. If that is less than `limits.sockets`, clients must not use
 /// up the descriptors that discovery and endpoints need.
-pub fn descriptors() -> usize {
-    let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    most.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
+pub fn descriptor_limit() -> usize {
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX)
 }
--- a/sidecar/src/logging.rs
+++ b/sidecar/src/logging.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// How long the end of the process may wait for lines that are not written yet.
-const FLUSH: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A logger of that level and above to standard error.
 pub fn to_stderr(name: &str, level: Level) -> (Logger, FlushGuard) {
@@ -38,7 +38,7 @@
         });
         // If no thread can be started, the queued lines are lost.
         if flushing.is_ok() {
-            let _ = written.recv_timeout(FLUSH);
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -12,23 +12,23 @@
 struct Args {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The sidecar's file, as the platform writes it.
+    /// The sidecar's configuration file, as the platform writes it.
     #[arg(env = "RELAY_CONFIG")]
     file: Option<PathBuf>,
     /// The operator's own file; see deploy/oakhollow.toml.
     #[arg(long, env = "OAKHOLLOW_OPERATOR", value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// What is logged.
+    /// The least severe level that is logged.
     #[arg(long, env = "OAKHOLLOW_LOG_LEVEL", value_enum, default_value_t = LogLevel::Info)]
     log_level: LogLevel,
 }
 
-/// What is logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogLevel {
-    /// Changes of mode, faults and broken rules.
+    /// Changes of state, errors and broken rules.
     Info,
-    /// Every transition of every request, connection, attempt and the watch besides.
+    /// Also every transition of each request, connection and attempt, and of the watch of the list.
     Debug,
 }
 
@@ -43,14 +43,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints what the plan for the loss of sites comes to.
+    /// Evaluates the plan for the loss of sites and prints a report.
     Plan {
         /// The operator's file.
         file: PathBuf,
-        /// A site that is lost; may stand several times. Without it: none, each and each two.
+        /// A lost site; may be repeated. Without it: no loss, each single and each double loss.
         #[arg(long)]
         lost: Vec<String>,
-        /// The part of the load at peak that is offered.
+        /// The offered load, as a share of the peak.
         #[arg(long, default_value_t = 1.0)]
         part: f64,
     },
@@ -69,18 +69,20 @@
 
 fn serve(args: Args) -> Result<(), String> {
     // Before anything is read, so that a signal that arrives meanwhile waits and does not kill the process.
-    let words = signals().map_err(|fault| format!("signals: {fault}"))?;
+    let control = signals().map_err(|error| format!("signals: {error}"))?;
     let path = args.file.ok_or("RELAY_CONFIG: not set, and no file was named")?;
     let operator =
         args.operator.map(|path| OperatorConfig::from_file(&path, cores())).transpose()?.unwrap_or_default();
-    let start = SidecarConfig::from_file(&path)?;
-    let read = |before: &KeySet| SidecarConfig::from_replacement_file(before, &path);
-    let (log, _flush) = logging::to_stderr(&start.name, args.log_level.into());
+    let config = SidecarConfig::from_file(&path)?;
+    let reload_config = |previous: &KeySet| SidecarConfig::from_replacement_file(previous, &path);
+    let (log, _flush) = logging::to_stderr(&config.name, args.log_level.into());
     if let Some(plan) = operator.site_plan() {
-        planned::doubts(&plan).iter().for_each(|doubt| warn!(log, "the plan does not hold {}", doubt));
+        planned::single_loss_warnings(&plan)
+            .iter()
+            .for_each(|warning| warn!(log, "the plan does not hold {}", warning));
     }
     workers::capture_panics();
-    run(start, operator, read, log, words)
+    run(config, operator, reload_config, log, control)
 }
 
 fn main() -> ExitCode {
@@ -91,8 +93,8 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("oakhollow: {fault}");
+        Err(error) => {
+            eprintln!("oakhollow: {error}");
             ExitCode::FAILURE
         }
     }
--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -196,7 +196,7 @@
     denials: Vec<IntCounter>,
     closes: Vec<IntCounter>,
     violations: Vec<IntCounter>,
-    list_calls: Vec<IntCounter>,
+    list_requests: Vec<IntCounter>,
     list_stale: IntCounter,
     system_errors: IntCounterVec,
     latency: Histogram,
@@ -216,50 +216,63 @@
 
     fn build() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
-        let by_list_call: Vec<&str> = ListRequestOutcome::ALL.iter().map(|outcome| outcome.name()).collect();
-        let by_rule: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
-        let by_close: Vec<&str> = CloseReason::ALL.iter().map(|reason| reason.name()).collect();
-        let by_denial: Vec<&str> = Denial::ALL.iter().map(|denial| denial.name()).collect();
-        let by_refusal: Vec<&str> = RefusalReason::ALL.iter().map(|reason| reason.name()).collect();
+        let list_request_outcomes: Vec<&str> =
+            ListRequestOutcome::ALL.iter().map(|outcome| outcome.name()).collect();
+        let rules: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
+        let close_reasons: Vec<&str> = CloseReason::ALL.iter().map(|reason| reason.name()).collect();
+        let denials: Vec<&str> = Denial::ALL.iter().map(|denial| denial.name()).collect();
+        let refusals: Vec<&str> = RefusalReason::ALL.iter().map(|reason| reason.name()).collect();
         Ok(Metrics {
-            requests: vec(
+            requests: counter_vec(
                 &registry,
                 "requests_total",
                 "Requests answered or withdrawn",
                 &["class", "outcome"],
             )?,
-            refusals: each(&registry, "refusals_total", "Requests refused", "reason", &by_refusal)?,
-            attempts: attempts(&registry)?,
-            denials: each(
+            refusals: counters_by_label(
+                &registry,
+                "refusals_total",
+                "Requests refused",
+                "reason",
+                &refusals,
+            )?,
+            attempts: attempt_counters(&registry)?,
+            denials: counters_by_label(
                 &registry,
                 "attempt_denials_total",
                 "Attempts not started or not sent",
                 "reason",
-                &by_denial,
+                &denials,
             )?,
-            closes: each(
+            closes: counters_by_label(
                 &registry,
                 "connections_closed_total",
-                "Connections of clients closed",
+                "Client connections closed",
                 "reason",
-                &by_close,
+                &close_reasons,
+            )?,
+            violations: counters_by_label(
+                &registry,
+                "violations_total",
+                "Broken rules of the guard",
+                "rule",
+                &rules,
             )?,
-            violations: each(&registry, "violations_total", "Broken rules", "rule", &by_rule)?,
-            list_calls: each(
+            list_requests: counters_by_label(
                 &registry,
                 "list_calls_total",
-                "Calls to discovery for the list that told a line or ended with none",
+                "List requests to discovery that received a line or ended without one",
                 "outcome",
-                &by_list_call,
+                &list_request_outcomes,
             )?,
             list_stale: register(
                 &registry,
-                IntCounter::with_opts(named(
+                IntCounter::with_opts(opts(
                     "list_stale_total",
-                    "Times that the list was not heard for too long to be used",
+                    "Times that the list became too old to be used",
                 ))?,
             )?,
-            system_errors: vec(
+            system_errors: counter_vec(
                 &registry,
                 "system_errors_total",
                 "System calls that failed",
@@ -270,7 +283,7 @@
                 Histogram::with_opts(
                     HistogramOpts::new(
                         "oakhollow_request_seconds",
-                        "From a request's last byte to its answer's first",
+                        "Time from a request's last byte to its answer's first",
                     )
                     .buckets(LATENCY_BOUNDS.to_vec()),
                 )?,
@@ -280,21 +293,21 @@
                 "retry_budget_used",
                 "Attempts beyond requests' first in the last window",
             )?,
-            open_requests: gauge(&registry, "open_requests", "Requests taken and not yet answered")?,
-            connections: gauge(&registry, "client_connections", "Connections of clients")?,
+            open_requests: gauge(&registry, "open_requests", "Requests not yet answered")?,
+            connections: gauge(&registry, "client_connections", "Client connections")?,
             servers: register(
                 &registry,
-                IntGaugeVec::new(Opts::new("oakhollow_servers", "Servers by state"), &["state"])?,
+                IntGaugeVec::new(Opts::new("oakhollow_servers", "Endpoints by state"), &["state"])?,
             )?,
             list_age_ms: gauge(
                 &registry,
                 "list_age_milliseconds",
-                "Since the list was last told; -1 if never",
+                "Time since the list was last received; -1 if never",
             )?,
             watch_open: gauge(
                 &registry,
                 "watch_open",
-                "1 while the watch of the list is open and has told something",
+                "1 while the watch of the list is open and has received something",
             )?,
             registry,
         })
@@ -312,7 +325,7 @@
 
     /// Counts an attempt that has ended, by kind and outcome.
     pub fn count_attempt(&self, kind: AttemptKind, outcome: Outcome) {
-        let at = OUTCOMES.iter().position(|one| *one == outcome).unwrap_or_default();
+        let at = OUTCOMES.iter().position(|counted| *counted == outcome).unwrap_or_default();
         self.attempts[kind as usize * OUTCOMES.len() + at].inc();
     }
 
@@ -333,7 +346,7 @@
 
     /// Counts a list request that has ended, or whose first line has arrived.
     pub fn count_list_request(&self, outcome: ListRequestOutcome) {
-        self.list_calls[outcome as usize].inc();
+        self.list_requests[outcome as usize].inc();
     }
 
     /// Counts that the list has become too old to be used.
@@ -353,8 +366,8 @@
     }
 
     /// Records how long a request took.
-    pub fn observe_latency(&self, length: Micros) {
-        self.latency.observe(length.secs());
+    pub fn observe_latency(&self, time: Micros) {
+        self.latency.observe(time.secs());
     }
 
     /// Sets how much of the retry budget is used.
@@ -395,31 +408,33 @@
     Ok(collector)
 }
 
-fn named(name: &str, help: &str) -> Opts {
+fn opts(name: &str, help: &str) -> Opts {
     Opts::new(format!("oakhollow_{name}"), help)
 }
 
-fn vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> prometheus::Result<IntCounterVec> {
-    register(registry, IntCounterVec::new(named(name, help), labels)?)
+fn counter_vec(
+    registry: &Registry, name: &str, help: &str, labels: &[&str],
+) -> prometheus::Result<IntCounterVec> {
+    register(registry, IntCounterVec::new(opts(name, help), labels)?)
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> prometheus::Result<IntGauge> {
-    register(registry, IntGauge::with_opts(named(name, help))?)
+    register(registry, IntGauge::with_opts(opts(name, help))?)
 }
 
 /// A counter for each value of one label, in their order.
-fn each(
+fn counters_by_label(
     registry: &Registry, name: &str, help: &str, label: &str, values: &[&str],
 ) -> prometheus::Result<Vec<IntCounter>> {
-    let counters = vec(registry, name, help, &[label])?;
+    let counters = counter_vec(registry, name, help, &[label])?;
     Ok(values.iter().map(|value| counters.with_label_values(&[value])).collect())
 }
 
 /// A counter for each kind of attempt and each outcome.
-fn attempts(registry: &Registry) -> prometheus::Result<Vec<IntCounter>> {
-    let counters = vec(registry, "attempts_total", "Attempts that have ended", &["kind", "outcome"])?;
+fn attempt_counters(registry: &Registry) -> prometheus::Result<Vec<IntCounter>> {
+    let counters = counter_vec(registry, "attempts_total", "Attempts that have ended", &["kind", "outcome"])?;
     let kinds = AttemptKind::ALL.iter();
-    let both =
+    let labels =
         kinds.flat_map(|kind| OUTCOMES.iter().map(move |outcome| (kind.name(), outcome_name(*outcome))));
-    Ok(both.map(|(kind, outcome)| counters.with_label_values(&[kind, outcome])).collect())
+    Ok(labels.map(|(kind, outcome)| counters.with_label_values(&[kind, outcome])).collect())
 }
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// Log lines per second of one worker about broken rules.
-const MOST_LINES: u32 = 5;
+const MAX_VIOLATION_LINES: u32 = 5;
 const SECOND: Micros = Micros::millis(1_000);
 
 /// Records what happens in one worker.
@@ -28,7 +28,7 @@
     /// Whether every transition is logged.
     verbose: bool,
     /// The second of the last log line about a broken rule, and how many lines it has had.
-    lines: Cell<(Micros, u32)>,
+    violation_lines: Cell<(Micros, u32)>,
 }
 
 /// Whether requests of a workload may be sent again, as the guard sees it.
@@ -41,10 +41,10 @@
 }
 
 /// The settings that the guard checks.
-pub fn limits(terms: &BalancerConfig, drain_grace: Micros) -> Limits {
-    let budget = terms.retry_budget.as_ref();
+pub fn limits(config: &BalancerConfig, drain_grace: Micros) -> Limits {
+    let budget = config.retry_budget.as_ref();
     let retry_budget =
-        budget.map(|bound| RetryBudget { base: bound.base, ratio: bound.ratio, window: bound.window });
+        budget.map(|budget| RetryBudget { base: budget.base, ratio: budget.ratio, window: budget.window });
     Limits { drain_grace, retry_budget }
 }
 
@@ -53,7 +53,7 @@
     pub fn new(limits: Limits, metrics: Arc<Metrics>, clock: Clock, log: Logger) -> Rc<Monitor> {
         let verbose = log.is_enabled(Level::Debug);
         let guard = RefCell::new(Guard::new(limits));
-        Rc::new(Monitor { guard, metrics, clock, log, verbose, lines: Cell::default() })
+        Rc::new(Monitor { guard, metrics, clock, log, verbose, violation_lines: Cell::default() })
     }
 
     /// The metrics of the process.
@@ -90,7 +90,7 @@
     ) -> Result<AttemptPermit, Denial> {
         let now = self.clock.now();
         let allowed = self.guard.borrow_mut().start_attempt(now, request, attempt, server);
-        self.tell_violations();
+        self.report_violations();
         if self.verbose {
             debug!(
                 self.log,
@@ -109,9 +109,11 @@
     }
 
     /// Whether the first byte of an attempt may be written, by what is known now.
-    pub fn permit_send(&self, permit: &AttemptPermit, look: SendConditions) -> Result<SendPermit, Denial> {
-        let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, look);
-        self.tell_violations();
+    pub fn permit_send(
+        &self, permit: &AttemptPermit, conditions: SendConditions,
+    ) -> Result<SendPermit, Denial> {
+        let allowed = self.guard.borrow_mut().send(self.clock.now(), permit, conditions);
+        self.report_violations();
         if self.verbose {
             let (request, attempt) = (permit.request().0, permit.attempt().0);
             debug!(
@@ -176,29 +178,29 @@
             debug!(self.log, "{:?}", event);
         }
         self.guard.borrow_mut().observe(self.clock.now(), event);
-        self.tell_violations();
+        self.report_violations();
     }
 
-    fn tell_violations(&self) {
+    fn report_violations(&self) {
         if !self.guard.borrow().has_violations() {
             return;
         }
-        let found = self.guard.borrow_mut().take_violations();
-        for violation in found {
+        let violations = self.guard.borrow_mut().take_violations();
+        for violation in violations {
             self.metrics.count_violation(violation.rule);
-            if self.has_line(violation.at) {
+            if self.may_log_violation(violation.at) {
                 error!(self.log, "rule broken: {}", violation);
             }
         }
     }
 
     /// Whether another line about a broken rule may be logged; one fault must not flood the log.
-    fn has_line(&self, at: Micros) -> bool {
-        let (since, lines) = self.lines.get();
-        let fresh = since.0 == 0 || at - since >= SECOND;
-        let lines = if fresh { 0 } else { lines };
-        self.lines.set((if fresh { at } else { since }, lines + 1));
-        lines < MOST_LINES
+    fn may_log_violation(&self, at: Micros) -> bool {
+        let (since, lines) = self.violation_lines.get();
+        let new_second = since.0 == 0 || at - since >= SECOND;
+        let lines = if new_second { 0 } else { lines };
+        self.violation_lines.set((if new_second { at } else { since }, lines + 1));
+        lines < MAX_VIOLATION_LINES
     }
 
     /// How often a rule was broken in this process.
--- a/sidecar/src/oneshot.rs
+++ b/sidecar/src/oneshot.rs
@@ -7,13 +7,13 @@
 
 struct Slot<T> {
     value: Cell<Option<T>>,
-    ended: Cell<bool>,
+    closed: Cell<bool>,
     waiting: Cell<Option<Waker>>,
 }
 
 impl<T> Slot<T> {
-    fn end(&self) {
-        self.ended.set(true);
+    fn close(&self) {
+        self.closed.set(true);
         if let Some(waker) = self.waiting.take() {
             waker.wake();
         }
@@ -28,7 +28,7 @@
 
 /// Creates a channel.
 pub fn oneshot<T>() -> (Sender<T>, Receiver<T>) {
-    let slot = Rc::new(Slot { value: Cell::new(None), ended: Cell::new(false), waiting: Cell::new(None) });
+    let slot = Rc::new(Slot { value: Cell::new(None), closed: Cell::new(false), waiting: Cell::new(None) });
     (Sender(slot.clone()), Receiver(slot))
 }
 
@@ -41,7 +41,7 @@
 
 impl<T> Drop for Sender<T> {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.close();
     }
 }
 
@@ -49,7 +49,7 @@
     type Output = Option<T>;
 
     fn poll(self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<T>> {
-        if self.0.ended.get() {
+        if self.0.closed.get() {
             return Poll::Ready(self.0.value.take());
         }
         self.0.waiting.set(Some(context.waker().clone()));
@@ -63,7 +63,7 @@
     use futures_lite::future;
 
     #[test]
-    fn a_value_or_none_is_told() {
+    fn the_receiver_gets_the_value_or_none() {
         let (sender, receiver) = oneshot();
         assert!(future::block_on(future::poll_once(&receiver)).is_none());
         sender.send(5);
--- a/sidecar/src/planned.rs
+++ b/sidecar/src/planned.rs
@@ -4,34 +4,36 @@
 use std::fmt::Write;
 
 /// A plan holds if it serves at least this share of the highest payoff that the remaining capacity allows.
-const HOLDS: f64 = 0.95;
+const REQUIRED_PAYOFF_SHARE: f64 = 0.95;
 
 /// Why a plan does not hold in this loss, a line for each reason.
-fn faults(plan: &Plan, held: &LossOutcome) -> Vec<String> {
-    let starved = held.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
-    let mut faults: Vec<String> =
+fn shortfalls(plan: &Plan, outcome: &LossOutcome) -> Vec<String> {
+    let starved = outcome.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
+    let mut shortfalls: Vec<String> =
         starved.map(|(_, site)| format!("the floors are over the room of {}", site.name)).collect();
-    if held.payoff < HOLDS * held.max_payoff {
-        faults.push(format!(
+    if outcome.payoff < REQUIRED_PAYOFF_SHARE * outcome.max_payoff {
+        shortfalls.push(format!(
             "{:.1} % of the payoff that the room left could serve",
-            100.0 * held.payoff / held.max_payoff
+            100.0 * outcome.payoff / outcome.max_payoff
         ));
     }
-    faults
+    shortfalls
 }
 
 /// The single losses for which a plan does not hold, and why, a line for each reason.
-pub fn doubts(plan: &Plan) -> Vec<String> {
+pub fn single_loss_warnings(plan: &Plan) -> Vec<String> {
     let each = (0..plan.sites.len()).map(SiteId).filter(|_| plan.sites.len() > 1);
     each.flat_map(|lost| {
-        let faults = faults(plan, &plan.simulate_loss(&[lost], 1.0));
-        faults.into_iter().map(move |fault| format!("without {}: {fault}", plan.sites[lost.0].name))
+        let shortfalls = shortfalls(plan, &plan.simulate_loss(&[lost], 1.0));
+        shortfalls
+            .into_iter()
+            .map(move |shortfall| format!("without {}: {shortfall}", plan.sites[lost.0].name))
     })
     .collect()
 }
 
-fn tell(plan: &Plan, lost: &[SiteId], part: f64, text: &mut String) {
-    let held = plan.simulate_loss(lost, part);
+fn describe(plan: &Plan, lost: &[SiteId], part: f64, text: &mut String) {
+    let outcome = plan.simulate_loss(lost, part);
     let names: Vec<&str> = lost.iter().map(|site| plan.sites[site.0].name.as_str()).collect();
     let title =
         if names.is_empty() { "nothing lost".to_string() } else { format!("lost: {}", names.join(", ")) };
@@ -41,21 +43,21 @@
         "  {:<12} {:>10} {:>10} {:>10} {:>10} {:>6}",
         "site", "room", "own", "others'", "served", "full"
     );
-    for (site, held) in plan.sites.iter().zip(&held.sites).filter(|(_, held)| !held.lost) {
+    for (site, outcome) in plan.sites.iter().zip(&outcome.sites).filter(|(_, outcome)| !outcome.lost) {
         let (own, others) = (
-            plan.total_work(&held.class_outcomes, |row| row.own),
-            plan.total_work(&held.class_outcomes, |row| row.others),
+            plan.total_work(&outcome.class_outcomes, |row| row.own),
+            plan.total_work(&outcome.class_outcomes, |row| row.others),
         );
-        let full = held.served_work / site.capacity;
+        let full = outcome.served_work / site.capacity;
         let _ = writeln!(
             text,
             "  {:<12} {:>10.1} {own:>10.1} {others:>10.1} {:>10.1} {full:>6.2}",
-            site.name, site.capacity, held.served_work
+            site.name, site.capacity, outcome.served_work
         );
     }
     for calls in plan.refusal_order() {
-        let refused: f64 = held.sites.iter().map(|site| site.class_outcomes[calls.0].refused()).sum();
-        let (nowhere, calls) = (held.dropped[calls.0], &plan.classes[calls.0]);
+        let refused: f64 = outcome.sites.iter().map(|site| site.class_outcomes[calls.0].refused()).sum();
+        let (nowhere, calls) = (outcome.dropped[calls.0], &plan.classes[calls.0]);
         if refused + nowhere > 1e-6 {
             let _ = writeln!(
                 text,
@@ -64,14 +66,14 @@
             );
         }
     }
-    let of_most = if held.max_payoff > 0.0 { held.payoff / held.max_payoff } else { 1.0 };
+    let of_most = if outcome.max_payoff > 0.0 { outcome.payoff / outcome.max_payoff } else { 1.0 };
     let _ = writeln!(
         text,
         "  payoff {:.1} a second, {of_most:.3} of the most that the room left could serve",
-        held.payoff
+        outcome.payoff
     );
-    for fault in faults(plan, &held) {
-        let _ = writeln!(text, "  does not hold: {fault}");
+    for shortfall in shortfalls(plan, &outcome) {
+        let _ = writeln!(text, "  does not hold: {shortfall}");
     }
 }
 
@@ -86,14 +88,14 @@
         plan.refusal_order().iter().map(|calls| plan.classes[calls.0].name.as_str()).collect();
     let mut text = format!("refused first: {}\n", order.join(", "));
     if !lost.is_empty() {
-        tell(plan, &lost, part, &mut text);
+        describe(plan, &lost, part, &mut text);
         return Ok(text);
     }
     let all: Vec<SiteId> = (0..plan.sites.len()).map(SiteId).collect();
-    tell(plan, &[], part, &mut text);
-    all.iter().for_each(|site| tell(plan, &[*site], part, &mut text));
+    describe(plan, &[], part, &mut text);
+    all.iter().for_each(|site| describe(plan, &[*site], part, &mut text));
     for (at, one) in all.iter().enumerate().filter(|_| all.len() > 2) {
-        all[at + 1..].iter().for_each(|other| tell(plan, &[*one, *other], part, &mut text));
+        all[at + 1..].iter().for_each(|other| describe(plan, &[*one, *other], part, &mut text));
     }
     Ok(text)
 }
@@ -107,7 +109,7 @@
         lj = { room = 100.0, load = { order = 40.0, search = 40.0 } }\nmb = { room = 60.0, load = { order = 20.0, search = 20.0 } }\n";
 
     #[test]
-    fn a_plan_tells_what_is_refused_first_and_how_much() {
+    fn the_report_says_what_is_refused_first_and_how_much() {
         let plan = OperatorConfig::from_toml(FILE, 8).expect("a file").site_plan().expect("a plan");
         let text = report(&plan, &["lj".into()], 1.0).expect("a report");
         assert!(text.starts_with("refused first: search, order\n"), "{text}");
@@ -116,7 +118,7 @@
         assert!(text.contains("refused: order 30.0 calls/s"), "{text}");
         assert!(text.contains("does not hold: 60.0 % of the payoff"), "{text}");
         assert_eq!(report(&plan, &["kp".into()], 1.0), Err("--lost: there is no site \"kp\"".into()));
-        assert_eq!(doubts(&plan).len(), 1);
+        assert_eq!(single_loss_warnings(&plan).len(), 1);
         assert!(report(&plan, &[], 1.0).expect("all").contains("nothing lost"));
     }
 }
--- a/sidecar/src/start_time.rs
+++ b/sidecar/src/start_time.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// How long after its start an endpoint may first appear on a list that is otherwise up to date.
-const LATENESS: Micros = Micros::millis(2_000);
+const MAX_LISTING_DELAY: Micros = Micros::millis(2_000);
 
 /// When a list arrived, by the monotonic clock.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -37,7 +37,7 @@
     /// The start time of an endpoint for which the list says `listed`, where 0 means long ago. A time outside the
     /// window is replaced by the time of the list's arrival: a cold server must not get the load of a warm one.
     pub fn plausible_start(&self, listed: Micros) -> Micros {
-        let too_early = self.earliest.is_some_and(|earliest| listed + LATENESS < earliest);
+        let too_early = self.earliest.is_some_and(|earliest| listed + MAX_LISTING_DELAY < earliest);
         if listed.0 > 0 && (too_early || listed > self.latest) {
             return self.latest;
         }
--- a/sidecar/src/tasks.rs
+++ b/sidecar/src/tasks.rs
@@ -13,31 +13,31 @@
 #[derive(Clone)]
 pub struct Tasks {
     executor: Weak<LocalExecutor<'static>>,
-    doom: Rc<Cell<Option<Sender<()>>>>,
-    doomed: Rc<Receiver<()>>,
+    panic_sender: Rc<Cell<Option<Sender<()>>>>,
+    panic_receiver: Rc<Receiver<()>>,
 }
 
 impl Tasks {
     /// For tasks on that executor.
     pub fn new(executor: &Rc<LocalExecutor<'static>>) -> Tasks {
-        let (doom, doomed) = oneshot();
+        let (panic_sender, panic_receiver) = oneshot();
         Tasks {
             executor: Rc::downgrade(executor),
-            doom: Rc::new(Cell::new(Some(doom))),
-            doomed: Rc::new(doomed),
+            panic_sender: Rc::new(Cell::new(Some(panic_sender))),
+            panic_receiver: Rc::new(panic_receiver),
         }
     }
 
     /// Spawns a task; none if the executor has ended. Dropping the task cancels it.
     pub fn spawn<T: 'static>(&self, future: impl Future<Output = T> + 'static) -> Option<Task<T>> {
-        let doom = self.doom.clone();
-        let watched = async move {
+        let panic_sender = self.panic_sender.clone();
+        let reporting = async move {
             AssertUnwindSafe(future).catch_unwind().await.unwrap_or_else(|panic| {
-                drop(doom.take());
+                drop(panic_sender.take());
                 resume_unwind(panic)
             })
         };
-        self.executor.upgrade().map(|executor| executor.spawn(watched))
+        self.executor.upgrade().map(|executor| executor.spawn(reporting))
     }
 
     /// Spawns a task that runs until it ends or the executor does.
@@ -49,6 +49,6 @@
 
     /// Waits until a task has panicked. The thread should end then, instead of running on without that task.
     pub async fn panicked(&self) {
-        (&*self.doomed).await;
+        (&*self.panic_receiver).await;
     }
 }
--- a/sidecar/src/uninterrupted.rs
+++ b/sidecar/src/uninterrupted.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
-fn retried<T>(mut work: impl FnMut() -> Poll<Result<T>>) -> Poll<Result<T>> {
+fn retry_interrupted<T>(mut work: impl FnMut() -> Poll<Result<T>>) -> Poll<Result<T>> {
     loop {
         match work() {
             Poll::Ready(Err(error)) if error.kind() == ErrorKind::Interrupted => {}
@@ -19,20 +19,20 @@
 
 impl<S: AsyncRead + Unpin> AsyncRead for Uninterrupted<S> {
     fn poll_read(mut self: Pin<&mut Self>, context: &mut Context, buffer: &mut [u8]) -> Poll<Result<usize>> {
-        retried(|| Pin::new(&mut self.0).poll_read(context, buffer))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_read(context, buffer))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<S> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<Result<usize>> {
-        retried(|| Pin::new(&mut self.0).poll_write(context, bytes))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_write(context, bytes))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Result<()>> {
-        retried(|| Pin::new(&mut self.0).poll_flush(context))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_flush(context))
     }
 
     fn poll_close(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<Result<()>> {
-        retried(|| Pin::new(&mut self.0).poll_close(context))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_close(context))
     }
 }
