--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -3,7 +3,6 @@
 //! the module returns. It makes no decisions itself, and knows the protocol only through [`Protocol`].
 use crate::endpoint_list::{self, EndpointList, PeerDrains};
 use crate::endpoint_registry::MaintenanceMark;
-use crate::generations::{ClassId, Restriction};
 use crate::lease::Lease;
 use crate::limits::Gauge;
 use crate::list_deadline::ListDeadline;
@@ -14,6 +13,7 @@
 use crate::start_time::{ListArrival, StartWindow};
 use crate::tasks::Tasks;
 use crate::timers::{duration, Clock, Timers};
+use crate::workload_ids::{ClassId, Restriction};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::Task;
 use fnv::FnvHashMap;
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -12,11 +12,11 @@
 pub mod watch;
 
 use crate::dispatcher::{AttemptEnd, AttemptProgress, Protocol};
-use crate::generations::{ClassId, WorkloadIds};
 use crate::lease::Lease;
 use crate::list_deadline::ListDeadline;
 use crate::monitor::Monitor;
 use crate::timers::Clock;
+use crate::workload_ids::{ClassId, WorkloadIds};
 use oakhollow_guard::{AttemptPermit, RepeatSafety};
 use oakhollow_terms::WorkloadSettings;
 use std::future::Future;
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod endpoint_list;
 pub mod endpoint_registry;
 pub mod eviction;
-pub mod generations;
 pub mod handover;
 pub mod host_clock;
 pub mod http1;
@@ -33,5 +32,6 @@
 pub mod timers;
 pub mod uninterrupted;
 pub mod workers;
+pub mod workload_ids;
 
 pub use lifecycle::{run, signals, ControlCommand};
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -55,6 +55,7 @@
 /// The share of the memory that one line of the list may take: it is held as bytes, as text and as entries.
 const LIST_LINE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
+/// The phases of the process. The log has them by these names.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     /// Listening, and not accepting yet.
@@ -70,6 +71,7 @@
     Over,
 }
 
+/// What may end a phase, or changes something within it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Event {
     /// The listeners are bound; during a handover, also the list is known and sending is allowed.
@@ -103,6 +105,7 @@
     }
 }
 
+/// What a transition does.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Action {
     StartAccepting,
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -4,7 +4,6 @@
 use crate::dispatcher::Parts;
 use crate::endpoint_list::PeerDrains;
 use crate::endpoint_registry::MaintenanceMark;
-use crate::generations::{ClassId, Classes, Generations, Restriction, WorkloadIds};
 use crate::http1::acceptor::Acceptor;
 use crate::http1::connections::{Connections, OpenRequestIds};
 use crate::http1::pool::Pool;
@@ -18,6 +17,7 @@
 use crate::start_time::ListArrival;
 use crate::tasks::Tasks;
 use crate::timers::Clock;
+use crate::workload_ids::{ClassId, KnownClasses, KnownWorkloads, Restriction, WorkloadIds};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
 use fnv::FnvHashMap;
@@ -300,11 +300,11 @@
 
 /// The class ids of the settings' workloads, and the restrictions on open requests of all others.
 fn update_classes(
-    classes: &mut Classes, settings: &Settings,
+    known_classes: &mut KnownClasses, settings: &Settings,
 ) -> (Vec<ClassId>, FnvHashMap<ClassId, Restriction>) {
     let kinds = settings.balancer.workloads.iter().map(|workload| workload.idempotency);
     let named: Vec<_> = settings.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
-    classes.update(&named)
+    known_classes.update(&named)
 }
 
 /// What client connections need of the settings to read requests.
@@ -333,10 +333,10 @@
 ) -> std::io::Result<()> {
     let WorkerContext { number, commands, gauges } = context;
     let mut settings = worker_settings(setup.settings, number, setup.workers);
-    let (mut generations, mut classes) = (Generations::default(), Classes::default());
-    let (class_ids, mut restrictions) = update_classes(&mut classes, &settings);
+    let (mut known_workloads, mut known_classes) = (KnownWorkloads::default(), KnownClasses::default());
+    let (class_ids, mut restrictions) = update_classes(&mut known_classes, &settings);
     let workload_ids;
-    (settings.balancer, workload_ids) = generations.update(settings.balancer);
+    (settings.balancer, workload_ids) = known_workloads.update(settings.balancer);
     let log = if setup.workers > 1 { setup.log.new(o!("worker" => number)) } else { setup.log };
     let (dispatcher, messages) = DispatcherHandle::new(setup.clock, gauges.requests);
     let limits = monitor::limits(&settings.balancer, settings.drain_grace);
@@ -413,8 +413,8 @@
             WorkerCommand::ApplySettings(settings, done) => {
                 let mut settings = worker_settings(Settings::clone(&settings), number, setup.workers);
                 let (workload_ids, class_ids);
-                (class_ids, restrictions) = update_classes(&mut classes, &settings);
-                (settings.balancer, workload_ids) = generations.update(settings.balancer);
+                (class_ids, restrictions) = update_classes(&mut known_classes, &settings);
+                (settings.balancer, workload_ids) = known_workloads.update(settings.balancer);
                 pool.set_timeouts(settings.connect_timeout, settings.server_idle_timeout);
                 monitor.set_limits(monitor::limits(&settings.balancer, settings.drain_grace));
                 let request_settings = build_request_settings(&mut settings, workload_ids, class_ids);
--- a/sidecar/src/generations.rs
+++ b/sidecar/src/workload_ids.rs
@@ -22,28 +22,28 @@
 }
 
 impl Restriction {
-    /// The restriction on requests of a workload that was of kind `then`; none if everything that was allowed is
-    /// still allowed. `now` is the kind of the workload with the same name, if there still is one.
-    fn between(then: Idempotency, now: Option<Idempotency>) -> Option<Restriction> {
-        match (then, now) {
+    /// The restriction on requests of a workload that was of idempotency `before`; none if everything that was
+    /// allowed is still allowed. `after` is that of the workload with the same name, if there still is one.
+    fn between(before: Idempotency, after: Option<Idempotency>) -> Option<Restriction> {
+        match (before, after) {
             (_, None) => Some(Restriction::NoAttempts),
             (Idempotency::NonIdempotent, _) | (_, Some(Idempotency::Idempotent)) => None,
-            (then, Some(now)) if then == now => None,
-            // With another group or a shorter memory, servers may not recognise a repeat as one.
+            (before, Some(after)) if before == after => None,
+            // With another scope or a shorter window, servers may not recognise a repeat as one.
             _ => Some(Restriction::FirstAttemptOnly),
         }
     }
 }
 
-/// The id of a workload's name and kind; it never changes.
+/// The id of a workload's name and idempotency; it never changes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Default, Debug)]
 pub struct ClassId(usize);
 
-/// All pairs of workload name and kind that the settings have ever had.
+/// All pairs of workload name and idempotency that the settings have ever had.
 #[derive(Default)]
-pub struct Classes(Vec<(String, Idempotency)>);
+pub struct KnownClasses(Vec<(String, Idempotency)>);
 
-impl Classes {
+impl KnownClasses {
     /// Takes the workloads of new settings. Returns their ids, in order, and the restrictions on open requests of all
     /// others.
     pub fn update(
@@ -53,22 +53,25 @@
         self.0.extend(added);
         let id = |workload| ClassId(self.0.iter().position(|other| other == workload).unwrap_or_default());
         let ids = offered.iter().map(id).collect();
-        let now = |name: &String| offered.iter().find(|(other, _)| other == name).map(|(_, kind)| *kind);
+        let current = |name: &String| {
+            offered.iter().find(|(other, _)| other == name).map(|(_, idempotency)| *idempotency)
+        };
         let every = self.0.iter().enumerate();
-        let restrictions = every
-            .filter_map(|(at, (name, kind))| Some((ClassId(at), Restriction::between(*kind, now(name))?)));
+        let restrictions = every.filter_map(|(at, (name, idempotency))| {
+            Some((ClassId(at), Restriction::between(*idempotency, current(name))?))
+        });
         (ids, restrictions.collect())
     }
 }
 
 /// All workloads that the settings have ever had. They grow only by what an operator writes, so none is ever removed.
 #[derive(Default)]
-pub struct Generations(Vec<Workload>);
+pub struct KnownWorkloads(Vec<Workload>);
 
-impl Generations {
+impl KnownWorkloads {
     /// Takes new settings. Returns them with every workload there ever was, indexed by id, and the ids of their own
     /// workloads, in order.
-    pub fn update(&mut self, terms: BalancerConfig) -> (BalancerConfig, Vec<WorkloadIds>) {
+    pub fn update(&mut self, config: BalancerConfig) -> (BalancerConfig, Vec<WorkloadIds>) {
         let mut id_of = |workload: Workload| {
             let known = self.0.iter().position(|other| *other == workload);
             WorkloadId(known.unwrap_or_else(|| {
@@ -76,7 +79,7 @@
                 self.0.len() - 1
             }))
         };
-        let ids: Vec<WorkloadIds> = terms
+        let ids: Vec<WorkloadIds> = config
             .workloads
             .iter()
             .map(|workload| WorkloadIds {
@@ -91,7 +94,7 @@
         let workloads = every
             .map(|(at, workload)| Workload { payoff: payoff(at, workload), ..workload.clone() })
             .collect();
-        (BalancerConfig { workloads, ..terms }, ids)
+        (BalancerConfig { workloads, ..config }, ids)
     }
 }
 
@@ -121,9 +124,9 @@
             window: Micros::millis(ms),
         });
         let named = |all: &[(&str, Idempotency)]| {
-            all.iter().map(|(name, kind)| (name.to_string(), *kind)).collect::<Vec<_>>()
+            all.iter().map(|(name, idempotency)| (name.to_string(), *idempotency)).collect::<Vec<_>>()
         };
-        let mut classes = Classes::default();
+        let mut classes = KnownClasses::default();
         let (first, restrictions) = classes.update(&named(&[
             ("view", view),
             ("save", tagged(5)),
@@ -147,11 +150,11 @@
 
     #[test]
     fn an_unchanged_workload_keeps_its_id_and_a_dropped_one_its_rules() {
-        let mut generations = Generations::default();
-        let (_, first) = generations.update(terms(&[("read_like", 1.0), ("read_like", 9.0)]));
-        let (all, second) = generations.update(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
+        let mut known_workloads = KnownWorkloads::default();
+        let (_, first) = known_workloads.update(terms(&[("read_like", 1.0), ("read_like", 9.0)]));
+        let (all, second) = known_workloads.update(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
         assert_eq!(second[1], first[0]);
-        // A request of the dropped workload keeps its kind, and has no payoff.
+        // A request of the dropped workload keeps its idempotency, and has no payoff.
         let dropped = &all.workloads[first[1].buffered.0];
         assert_eq!((dropped.idempotency, dropped.payoff), (Idempotency::Idempotent, 0.0));
         assert_eq!(all.workloads[second[0].buffered.0].idempotency, Idempotency::NonIdempotent);
@@ -159,7 +162,7 @@
             .iter()
             .all(|one| all.workloads[one.streamed.0].idempotency == Idempotency::NonIdempotent));
         // A workload that returns gets its former id.
-        let (all, third) = generations.update(terms(&[("read_like", 9.0)]));
+        let (all, third) = known_workloads.update(terms(&[("read_like", 9.0)]));
         assert_eq!((third[0], all.workloads[third[0].buffered.0].payoff), (first[1], 9.0));
     }
 }
