--- a/sidecar/src/planned.rs
+++ b/sidecar/src/planned.rs
@@ -46,7 +46,7 @@
     for (site, outcome) in plan.sites.iter().zip(&outcome.sites).filter(|(_, outcome)| !outcome.lost) {
         let (own, others) = (
             plan.total_work(&outcome.class_outcomes, |row| row.own),
-            plan.total_work(&outcome.class_outcomes, |row| row.others),
+            plan.total_work(&outcome.class_outcomes, |row| row.foreign),
         );
         let full = outcome.served_work / site.capacity;
         let _ = writeln!(
