--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -1,6 +1,7 @@
-//! The watch of the list: followed while the module has asked for it, told to the module as it comes. A call that is slow is not given
-//! up: another is made beside it, the first whole line of either counts, and the other is cancelled.
-mod call;
+//! The watch of discovery's endpoint list. It runs once the decision module has subscribed, and passes each update on to the
+//! workers. A slow list request is not given up: another is sent beside it (a hedge), the first whole line of either counts,
+//! and the other request is cancelled.
+mod list_request;
 pub mod pacing;
 mod progress;
 
@@ -14,8 +15,8 @@
 use crate::workers::{CommandBroadcaster, WorkerCommand};
 use async_channel::Receiver;
 use async_io::Timer;
-use call::{CallEvent, CallFailure, ListCall, Request};
 use futures_lite::future;
+use list_request::{ListEvent, ListQuery, ListRequest, ListRequestFailure};
 use oakhollow::types::{ListKind, Micros};
 use oakhollow::SeededRng;
 use oakhollow_terms::{read_json, DiscoveryList, ListIndex, SidecarConfig};
@@ -26,115 +27,115 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Discovery sends an empty line every 2 s while nothing changes: two of them have failed to come. What a silent watch
-/// misses counts as told 6 s after it fell silent, so the second that is left is for another call.
-const SILENCE: Duration = Duration::from_millis(5_000);
-/// A call that tells nothing gets another beside it between this and that, by lot: guards against a whole fleet, started or cut
-/// off in one moment, that calls again in one.
-const LEAST_SILENCE: Duration = Duration::from_millis(4_000);
-/// How long a pause within a line may be that takes longer than that.
-const FLOWS: Duration = Duration::from_millis(500);
-/// A call that told nothing for the longest back-off has been a pause itself. Guards against the sum of both, which may
-/// come to more than what is missed counts as told after.
-const PAUSE: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
-/// The slowest pace of a line, in bytes a second, that needs no other call beside it.
-const SLOWEST: f64 = 48_000.0;
-/// Calls that may be under way at a time: guards against a fleet whose calls pile up at a discovery that is slow for all.
-const MOST_CALLS: usize = 2;
-
-/// What a watch is made of.
+/// How long a watch may be silent. Discovery sends an empty line every 2 s while nothing changes, so two have failed to come.
+/// A change that a silent watch misses counts as notified 6 s after the silence began, which leaves 1 s for another request.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// A request that has brought nothing gets another beside it after a random time between this and [`SILENCE_TIMEOUT`]: guards
+/// against a fleet whose instances start, or lose discovery, at one moment and repeat their requests at one moment.
+const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The longest pause within a line that takes longer than that.
+const MAX_PAUSE_IN_LINE: Duration = Duration::from_millis(500);
+/// A request that brought nothing for as long as the longest backoff is not followed by a backoff: the two together could
+/// take longer than the time after which a missed change counts as notified.
+const SKIP_BACKOFF_AFTER: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
+/// The slowest rate at which a long line may come before another request is sent.
+const MIN_LINE_BYTES_PER_S: f64 = 48_000.0;
+/// The most requests at a time: guards against a fleet whose requests pile up at a discovery that is slow for all.
+const MAX_REQUESTS: usize = 2;
+
+/// What a watch is built from.
 pub struct Parts {
-    /// Where the list is watched at first.
+    /// Discovery's address at first.
     pub discovery: SocketAddr,
     /// The version of the list that is known at first.
-    pub known: ListIndex,
-    /// All workers.
-    pub orders: CommandBroadcaster,
-    /// What the program knows by name.
+    pub initial_version: ListIndex,
+    /// Sends commands to all workers.
+    pub workers: CommandBroadcaster,
+    /// The endpoints by name.
     pub registry: SharedRegistry,
-    /// The other instances, where instances agree.
+    /// The lease protocol with the other instances, if it is configured.
     pub accord: Option<AccordHandle>,
-    /// One for each time that the module asks.
+    /// Receives a message each time the decision module subscribes to the list.
     pub subscriptions: Receiver<()>,
-    /// One for each time that the file was read again.
+    /// Receives the new settings each time the configuration file is reloaded.
     pub reloads: Receiver<Reload>,
     /// Until when workers may use the list.
     pub deadline: ListDeadline,
-    /// How long after it was notified of a drain an instance may send, as the settings have it; 0 where they don't state it.
+    /// How long an instance may still send to an endpoint after it was notified of the endpoint's drain; 0 if the settings
+    /// don't state it.
     pub drain_grace: Micros,
-    /// How many instances the tier has, as the settings have it.
+    /// How many instances the tier has.
     pub instances: u32,
-    /// By which times are told to workers.
+    /// The clock that workers use.
     pub clock: Clock,
-    /// Where calls are counted.
+    /// Counts the requests.
     pub metrics: Arc<Metrics>,
-    /// By which its calls are spread.
+    /// Seeds the random delays between requests.
     pub seed: u64,
-    /// The longest line that is taken, in bytes.
+    /// The longest line that is accepted, in bytes.
     pub max_line_bytes: usize,
-    /// Where lines go that say what happens.
     pub log: Logger,
 }
 
-/// What holds for the watch once the file was read again.
+/// The watch's settings after a reload of the configuration file.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Reload {
-    /// Where the list is watched from then on.
+    /// Discovery's address from now on.
     pub discovery: SocketAddr,
-    /// As [`Parts::drain_grace`].
+    /// See [`Parts::drain_grace`].
     pub drain_grace: Micros,
-    /// As [`Parts::instances`].
+    /// See [`Parts::instances`].
     pub instances: u32,
 }
 
-/// The watch of the list.
+/// The watch of the endpoint list.
 pub struct Watch {
     parts: Parts,
     discovery: SocketAddr,
-    /// The version of the list that was told last.
-    told: ListIndex,
-    /// Calls under way, the newest last.
-    calls: Vec<ListCall>,
+    /// The version of the list that was last passed on to the workers.
+    version: ListIndex,
+    /// Requests in progress, the newest last.
+    requests: Vec<ListRequest>,
     /// When the last whole line came.
     last_line: Option<Instant>,
-    /// When a call is made again that had to wait.
+    /// When the next request is sent, if one is due.
     retry_at: Option<Instant>,
-    /// No call is made before this, though the module asks.
+    /// No request is sent before this, even if the module subscribes.
     not_before: Option<Instant>,
-    /// When this discovery last told something, or that nothing has changed.
-    up_to_date: Option<Instant>,
+    /// When this discovery last sent an update or said that nothing has changed.
+    complete_until: Option<Instant>,
     freshness: ListFreshness,
-    /// Workers were told that the list may not be used.
+    /// Workers have been told that the list may not be used.
     is_stale: bool,
-    chance: SeededRng,
+    rng: SeededRng,
 }
 
-/// What the watch waits for.
+/// What the watch reacts to.
 enum Event {
-    Asked,
+    Subscribed,
     Reloaded(Reload),
-    /// Of the call in that place.
-    Call(usize, Result<CallEvent, CallFailure>),
-    /// A moment has come that was waited for.
+    /// An event, or the end, of the request at this position.
+    Request(usize, Result<ListEvent, ListRequestFailure>),
+    /// The time returned by [`Watch::next_due`] has come.
     Due,
     /// The program ends.
-    Over,
+    Shutdown,
 }
 
 impl Watch {
-    /// A watch that waits to be asked for.
+    /// A watch that sends its first request when the module subscribes.
     pub fn new(parts: Parts) -> Watch {
         Watch {
             discovery: parts.discovery,
-            told: parts.known,
-            calls: Vec::with_capacity(MOST_CALLS),
+            version: parts.initial_version,
+            requests: Vec::with_capacity(MAX_REQUESTS),
             last_line: None,
             retry_at: None,
             not_before: None,
-            up_to_date: None,
+            complete_until: None,
             freshness: ListFreshness::started_at(parts.clock.now()),
             is_stale: false,
-            chance: SeededRng::new(parts.seed),
+            rng: SeededRng::new(parts.seed),
             parts,
         }
     }
@@ -142,16 +143,16 @@
     /// Follows the list until the program ends.
     pub async fn run(mut self) {
         loop {
-            let event = self.next().await;
-            // Before what has come is told: workers stop using the list ahead of hearing the next one.
-            self.look_at_deadline().await;
+            let event = self.next_event().await;
+            // Before the event is handled: workers must stop using a stale list before they hear of the next one.
+            self.check_deadline().await;
             match event {
-                Event::Asked => self.asked(),
-                Event::Reloaded(reload) => self.reload(reload),
-                Event::Call(at, Ok(event)) => self.heard(at, event).await,
-                Event::Call(at, Err(failure)) => self.failed(at, failure).await,
-                Event::Due => self.due().await,
-                Event::Over => return,
+                Event::Subscribed => self.on_subscribed(),
+                Event::Reloaded(reload) => self.on_reloaded(reload),
+                Event::Request(at, Ok(event)) => self.on_list_event(at, event).await,
+                Event::Request(at, Err(failure)) => self.on_failure(at, failure).await,
+                Event::Due => self.on_due().await,
+                Event::Shutdown => return,
             }
             self.parts.deadline.set(self.usable_until());
         }
@@ -161,8 +162,8 @@
         self.freshness.usable_until(self.parts.drain_grace)
     }
 
-    /// Has all workers send nothing more by a list that has not been heard for too long.
-    async fn look_at_deadline(&mut self) {
+    /// Makes all workers stop sending by a list that has not been updated for too long.
+    async fn check_deadline(&mut self) {
         let clock = self.parts.clock;
         if self.is_stale || !self.parts.deadline.has_passed(|| clock.now()) {
             return;
@@ -172,27 +173,27 @@
         lock(&self.parts.registry).list_fresh = false;
         warn!(
             self.parts.log,
-            "list not heard in time, nothing is sent by it any more: version {}", self.told.0
+            "no list update in time, nothing is sent by the list any more: version {}", self.version.0
         );
-        self.parts.orders.send(WorkerCommand::RecheckDeadlines).await;
+        self.parts.workers.send(WorkerCommand::RecheckDeadlines).await;
     }
 
-    fn became_fresh(&mut self) {
+    fn mark_fresh(&mut self) {
         if std::mem::take(&mut self.is_stale) {
             lock(&self.parts.registry).list_fresh = true;
-            info!(self.parts.log, "list heard again, it is used: version {}", self.told.0);
+            info!(self.parts.log, "list updates come again, the list is used: version {}", self.version.0);
         }
     }
 
-    async fn next(&mut self) -> Event {
+    async fn next_event(&mut self) -> Event {
         let due = self.next_due();
         let (subscriptions, reloads) = (&self.parts.subscriptions, &self.parts.reloads);
-        let asked = async { subscriptions.recv().await.map_or(Event::Over, |()| Event::Asked) };
-        let reloaded = async { reloads.recv().await.map_or(Event::Over, Event::Reloaded) };
-        let mut calls = self.calls.iter_mut();
-        let (older, newer) = (calls.next(), calls.next());
-        let event_of = |at: usize, call| async move { Event::Call(at, next_of(call).await) };
-        let called = future::or(event_of(0, older), event_of(1, newer));
+        let subscribed = async { subscriptions.recv().await.map_or(Event::Shutdown, |()| Event::Subscribed) };
+        let reloaded = async { reloads.recv().await.map_or(Event::Shutdown, Event::Reloaded) };
+        let mut requests = self.requests.iter_mut();
+        let (older, newer) = (requests.next(), requests.next());
+        let event_of = |at: usize, request| async move { Event::Request(at, next_event_of(request).await) };
+        let progressed = future::or(event_of(0, older), event_of(1, newer));
         let due = async {
             match due {
                 Some(due) => _ = Timer::at(due).await,
@@ -200,214 +201,221 @@
             }
             Event::Due
         };
-        future::or(reloaded, future::or(called, future::or(asked, due))).await
+        future::or(reloaded, future::or(progressed, future::or(subscribed, due))).await
     }
 
-    /// When something is to be done that nobody tells of.
+    /// When the watch next has to act without an event from outside.
     fn next_due(&self) -> Option<Instant> {
-        let patience = self.calls.last().map(|newest| self.patience_ends(newest));
+        let hedge = self.requests.last().map(|newest| self.hedge_at(newest));
         let clock = self.parts.clock;
         let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant_at(until));
-        patience.into_iter().chain(self.retry_at).chain(stale).min()
+        hedge.into_iter().chain(self.retry_at).chain(stale).min()
     }
 
-    /// Until when the older of two calls is waited for, whatever the newer does: it is in the middle of its line.
-    fn older_flows_until(&self) -> Option<Instant> {
-        let older = self.calls.first().filter(|_| self.calls.len() >= MOST_CALLS)?.progress();
-        (older.line_bytes() > 0).then(|| older.last_sign() + SILENCE)
+    /// Until when the older of two requests is kept, whatever the newer does, since it is in the middle of a line.
+    fn older_kept_until(&self) -> Option<Instant> {
+        let older = self.requests.first().filter(|_| self.requests.len() >= MAX_REQUESTS)?.progress();
+        (older.line_bytes() > 0).then(|| older.last_activity() + SILENCE_TIMEOUT)
     }
 
-    /// When another call is made beside the newest.
-    fn patience_ends(&self, newest: &ListCall) -> Instant {
-        // Counted from the last whole line: guards against bytes that drip, by which nothing is ever told. A long line has
-        // longer, but only while it flows: guards against waiting on for one that was cut off.
-        let due = self.waits_since(newest) + newest.patience;
+    /// When another request is sent beside the newest.
+    fn hedge_at(&self, newest: &ListRequest) -> Instant {
+        // Counted from the last whole line: guards against single bytes that never make up a line. A long line has more
+        // time, but only while its bytes keep coming: guards against waiting for one that was cut off.
+        let due = self.waiting_since(newest) + newest.hedge_delay;
         let progress = newest.progress();
-        let longest = due + Duration::from_secs_f64(progress.line_bytes() as f64 / SLOWEST);
-        let ends = longest.min(due.max(progress.last_sign() + FLOWS));
-        self.older_flows_until().map_or(ends, |until| ends.max(until))
+        let longest = due + Duration::from_secs_f64(progress.line_bytes() as f64 / MIN_LINE_BYTES_PER_S);
+        let ends = longest.min(due.max(progress.last_activity() + MAX_PAUSE_IN_LINE));
+        self.older_kept_until().map_or(ends, |until| ends.max(until))
     }
 
-    /// Since when a whole line of a call has been waited for.
-    fn waits_since(&self, call: &ListCall) -> Instant {
-        let begun = call.progress().begun();
-        self.last_line.filter(|_| call.has_told).unwrap_or(begun)
+    /// Since when a whole line of a request has been awaited.
+    fn waiting_since(&self, request: &ListRequest) -> Instant {
+        let started = request.progress().started();
+        self.last_line.filter(|_| request.has_delivered).unwrap_or(started)
     }
 
-    fn asked(&mut self) {
-        // An ask meanwhile changes nothing, since each watch ends by itself: guards against giving one up, again and
-        // again, that discovery has not come to yet.
-        if self.calls.is_empty() && self.retry_at.is_none() {
+    fn on_subscribed(&mut self) {
+        // A request in progress is kept, since each ends by itself: guards against repeatedly giving up a request that
+        // discovery has not yet come to.
+        if self.requests.is_empty() && self.retry_at.is_none() {
             self.retry_at = Some(self.not_before.unwrap_or_else(Instant::now));
         }
     }
 
-    fn reload(&mut self, reload: Reload) {
+    fn on_reloaded(&mut self, reload: Reload) {
         let Reload { discovery, drain_grace, instances } = reload;
         (self.parts.drain_grace, self.parts.instances) = (drain_grace, instances);
         if discovery != self.discovery {
-            // The version stays: it is the platform's, whose files name one list and, from file to file, its address.
-            (self.discovery, self.up_to_date, self.not_before) = (discovery, None, None);
-            self.calls.clear();
+            // The version is kept: the platform numbers its one list's versions, and the file only names another address.
+            (self.discovery, self.complete_until, self.not_before) = (discovery, None, None);
+            self.requests.clear();
             self.freshness.watch_ended(self.parts.clock.now());
-            self.note_watch();
+            self.publish_state();
         }
-        // Guards against beginning anew, from nothing, a call that the file does not change.
-        if self.calls.is_empty() {
+        // A request that the reload does not concern goes on.
+        if self.requests.is_empty() {
             self.retry_at = Some(self.not_before.unwrap_or_else(Instant::now));
         }
     }
 
-    fn open_call(&mut self) {
-        let lot = (SILENCE - LEAST_SILENCE).mul_f64(self.chance.uniform());
-        info!(self.parts.log, "list asked for at {} from version {}", self.discovery, self.told.0);
-        let request =
-            Request { discovery: self.discovery, from: self.told, max_line_bytes: self.parts.max_line_bytes };
+    fn send_request(&mut self) {
+        let jitter = (SILENCE_TIMEOUT - MIN_FIRST_LINE_TIMEOUT).mul_f64(self.rng.uniform());
+        info!(self.parts.log, "list requested from {} after version {}", self.discovery, self.version.0);
+        let query = ListQuery {
+            discovery: self.discovery,
+            from: self.version,
+            max_line_bytes: self.parts.max_line_bytes,
+        };
         (self.retry_at, self.not_before) = (None, None);
-        self.calls.push(ListCall::begin(request, LEAST_SILENCE + lot));
+        self.requests.push(ListRequest::start(query, MIN_FIRST_LINE_TIMEOUT + jitter));
     }
 
-    async fn due(&mut self) {
+    async fn on_due(&mut self) {
         let now = Instant::now();
         if self.retry_at.is_some_and(|at| at <= now) {
-            return self.open_call();
+            return self.send_request();
         }
-        let Some(newest) = self.calls.last().filter(|newest| self.patience_ends(newest) <= now) else {
+        let Some(newest) = self.requests.last().filter(|newest| self.hedge_at(newest) <= now) else {
             return;
         };
-        let silent = newest.patience.as_millis();
+        let silent = newest.hedge_delay.as_millis();
         info!(
             self.parts.log,
-            "watch of the list silent for {} ms, another call beside it: {}",
+            "watch of the list silent for {} ms, another request beside it: {}",
             silent,
             newest.progress()
         );
-        if !newest.has_told {
-            self.fails().await;
+        if !newest.has_delivered {
+            self.report_unavailable().await;
         }
-        if self.calls.len() >= MOST_CALLS {
-            // Whichever has come further stays: it may be at the head of the queue, or in the middle of its line.
-            let dropped =
-                usize::from(self.calls[0].progress().last_sign() > self.calls[1].progress().last_sign());
-            self.calls.remove(dropped);
+        if self.requests.len() >= MAX_REQUESTS {
+            // The request with the later activity stays: it may be first in discovery's queue, or in the middle of a line.
+            let dropped = usize::from(
+                self.requests[0].progress().last_activity() > self.requests[1].progress().last_activity(),
+            );
+            self.requests.remove(dropped);
             self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
         }
-        self.open_call();
+        self.send_request();
     }
 
-    async fn heard(&mut self, at: usize, event: CallEvent) {
+    async fn on_list_event(&mut self, at: usize, event: ListEvent) {
         match event {
-            CallEvent::Connected(after) => {
-                let (begun, endpoints) = (self.begun(at), lock(&self.parts.registry).len());
-                let came_up = begun + Micros(after.as_micros() as u64);
-                self.freshness.connected(begun, came_up, endpoints);
+            ListEvent::Connected(after) => {
+                let (started, endpoints) = (self.started(at), lock(&self.parts.registry).len());
+                let connected = started + Micros(after.as_micros() as u64);
+                self.freshness.connected(started, connected, endpoints);
             }
-            CallEvent::Answered => self.freshness.answered(self.begun(at)),
-            CallEvent::Line(line, arrival) => {
-                let first = !self.calls[at].has_told;
-                match self.tell(&line, first, arrival).await {
-                    Ok(()) => self.line_told(at, arrival),
-                    Err(why) => self.failed(at, CallFailure::Malformed(why)).await,
+            ListEvent::Answered => self.freshness.answered(self.started(at)),
+            ListEvent::Line(line, arrival) => {
+                let first = !self.requests[at].has_delivered;
+                match self.apply_line(&line, first, arrival).await {
+                    Ok(()) => self.on_line_applied(at, arrival),
+                    Err(why) => self.on_failure(at, ListRequestFailure::Malformed(why)).await,
                 }
             }
         }
     }
 
-    /// When the call in that place was begun.
-    fn begun(&self, at: usize) -> Micros {
-        self.parts.clock.micros_at(self.calls[at].progress().begun())
+    /// When the request at this position started.
+    fn started(&self, at: usize) -> Micros {
+        self.parts.clock.micros_at(self.requests[at].progress().started())
     }
 
-    /// The call has told a whole line: it is the one that is followed.
-    fn line_told(&mut self, at: usize, arrival: LineArrival) {
+    /// A request has delivered a whole line: it becomes the watch, and the other request is cancelled.
+    fn on_line_applied(&mut self, at: usize, arrival: LineArrival) {
         self.freshness.heard(self.parts.clock.micros_at(arrival.first_byte_at));
-        let mut call = self.calls.swap_remove(at);
-        for slower in self.calls.drain(..) {
+        let mut request = self.requests.swap_remove(at);
+        for slower in self.requests.drain(..) {
             self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
-            info!(self.parts.log, "call for the list cancelled, another was faster: {}", slower.progress());
+            info!(self.parts.log, "list request cancelled, another was faster: {}", slower.progress());
         }
-        if !call.has_told {
+        if !request.has_delivered {
             self.parts.metrics.count_list_request(ListRequestOutcome::LineReceived);
         }
-        (call.has_told, call.patience) = (true, SILENCE);
-        self.calls.push(call);
+        (request.has_delivered, request.hedge_delay) = (true, SILENCE_TIMEOUT);
+        self.requests.push(request);
         self.last_line = Some(Instant::now());
-        self.up_to_date = Some(arrival.first_byte_at);
-        self.became_fresh();
-        self.note_watch();
+        self.complete_until = Some(arrival.first_byte_at);
+        self.mark_fresh();
+        self.publish_state();
     }
 
-    async fn failed(&mut self, at: usize, failure: CallFailure) {
-        let call = self.calls.remove(at);
-        let progress = call.progress();
-        self.weigh(&call, &failure);
-        if !self.calls.is_empty() {
-            info!(self.parts.log, "a call for the list ended: {}: {}", failure, progress);
+    async fn on_failure(&mut self, at: usize, failure: ListRequestFailure) {
+        let request = self.requests.remove(at);
+        let progress = request.progress();
+        self.record_failure(&request, &failure);
+        if !self.requests.is_empty() {
+            info!(self.parts.log, "a list request ended: {}: {}", failure, progress);
             return;
         }
-        let waited = self.waits_since(&call).elapsed();
-        self.note_watch();
-        if waited >= PAUSE {
-            // By lot, within the time that is left: guards against all that a discovery holds unanswered, and
-            // resets when it is back.
-            let most = if call.has_told { SILENCE } else { SILENCE + FLOWS };
-            let wait = most.saturating_sub(waited).mul_f64(self.chance.uniform());
-            info!(self.parts.log, "watch of the list {}, opened anew: {}", failure, progress);
+        let waited = self.waiting_since(&request).elapsed();
+        self.publish_state();
+        if waited >= SKIP_BACKOFF_AFTER {
+            // After a random part of the time that is left: guards against all instances coming at once when a discovery
+            // that held their requests unanswered, and reset them, is back.
+            let longest =
+                if request.has_delivered { SILENCE_TIMEOUT } else { SILENCE_TIMEOUT + MAX_PAUSE_IN_LINE };
+            let wait = longest.saturating_sub(waited).mul_f64(self.rng.uniform());
+            info!(self.parts.log, "watch of the list lost, requested again: {}: {}", failure, progress);
             let at = Instant::now() + wait;
             self.retry_at = Some(self.not_before.map_or(at, |not_before| not_before.max(at)));
-            if !call.has_told {
-                self.fails().await;
+            if !request.has_delivered {
+                self.report_unavailable().await;
             }
             return;
         }
         info!(self.parts.log, "watch of the list ended: {}: {}", failure, progress);
-        // What was asked while a watch was under way has had its answer. Before the module hears: guards
-        // against losing the ask with which it answers this.
+        // Subscriptions made while this watch was open are served by it. Dropped before the module hears of its end: guards
+        // against losing the subscription with which it reacts.
         while self.parts.subscriptions.try_recv().is_ok() {}
         let failed = WorkerCommand::ApplyList(ListKind::Failed, Arc::default(), ListArrival::now());
-        self.parts.orders.send(failed).await;
-        self.fails().await;
+        self.parts.workers.send(failed).await;
+        self.report_unavailable().await;
     }
 
-    /// What the end of a call says of discovery.
-    fn weigh(&mut self, call: &ListCall, failure: &CallFailure) {
+    /// Records what the end of a request shows about discovery.
+    fn record_failure(&mut self, request: &ListRequest, failure: &ListRequestFailure) {
         match failure {
-            CallFailure::Rejected(_) => {
-                let waited = call.progress().begun().elapsed();
-                let pause = pause_after_rejection(waited, self.parts.instances, self.chance.uniform());
+            ListRequestFailure::Rejected(_) => {
+                let waited = request.progress().started().elapsed();
+                let pause = pause_after_rejection(waited, self.parts.instances, self.rng.uniform());
                 self.not_before = Some(Instant::now() + pause);
             }
-            CallFailure::Unreachable(_) => self.freshness.unreachable(self.parts.clock.now()),
-            _ if call.has_told => self.freshness.watch_ended(self.parts.clock.now()),
+            ListRequestFailure::Unreachable(_) => self.freshness.unreachable(self.parts.clock.now()),
+            _ if request.has_delivered => self.freshness.watch_ended(self.parts.clock.now()),
             _ => {}
         }
-        if !call.has_told {
+        if !request.has_delivered {
             self.parts.metrics.count_list_request(failure.outcome());
         }
     }
 
-    /// Whether the watch is open, for whoever asks at the console.
-    fn note_watch(&self) {
-        let open = self.calls.iter().any(|call| call.has_told);
+    /// Publishes in the registry, for the console, whether the watch is open.
+    fn publish_state(&self) {
+        let open = self.requests.iter().any(|request| request.has_delivered);
         let mut registry = lock(&self.parts.registry);
         registry.watch_open = open;
         if open {
-            registry.last_heard = self.up_to_date;
+            registry.last_heard = self.complete_until;
         }
     }
 
-    /// Discovery has been called, and has told nothing.
-    async fn fails(&self) {
+    /// Reports that discovery was asked for the list and has sent nothing.
+    async fn report_unavailable(&self) {
         lock(&self.parts.registry).list_settled = true;
         if let Some(accord) = &self.parts.accord {
             accord.list_unavailable().await;
         }
     }
 
-    async fn tell(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
-        let unchanged = || DiscoveryList { index: self.told, ..DiscoveryList::default() };
+    /// Passes a line on to the registry, the workers and the other instances.
+    async fn apply_line(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
+        let unchanged = || DiscoveryList { index: self.version, ..DiscoveryList::default() };
         let list: Result<DiscoveryList, String> = match line {
-            // Guards against asking again and again where nothing has changed: the module waits for an answer.
+            // The first line is passed on even if nothing has changed: the module waits for an answer, and would otherwise
+            // subscribe again and again.
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
                 if let Some(accord) = &self.parts.accord {
@@ -417,10 +425,10 @@
             }
             _ => read_json(line),
         };
-        let list = list.and_then(|list| follows(list, self.told)).map_err(|fault| {
-            // What a line that can't be read would have told is unknown: the next call starts from the whole list.
-            self.told = ListIndex::default();
-            info!(self.parts.log, "a line of the list makes no sense: {}", fault);
+        let list = list.and_then(|list| check_version(list, self.version)).map_err(|fault| {
+            // The changes in a malformed line are unknown, so the next request asks for the whole list.
+            self.version = ListIndex::default();
+            info!(self.parts.log, "a line of the list is malformed: {}", fault);
             fault
         })?;
         {
@@ -432,40 +440,40 @@
         let entries = list.endpoints.len();
         info!(
             self.parts.log,
-            "list heard: version {}, {:?}, {} entries, {}", list.index.0, kind, entries, arrival
+            "list received: version {}, {:?}, {} entries, {}", list.index.0, kind, entries, arrival
         );
         let (index, list) = (list.index, Arc::new(list));
-        let heard = ListArrival { at: Instant::now(), complete_until: self.up_to_date };
+        let list_arrival = ListArrival { at: Instant::now(), complete_until: self.complete_until };
         let before = match &self.parts.accord {
             Some(accord) => accord.apply_list_before_workers(&list).await,
             None => false,
         };
-        // Workers look at it when they hear of the list, not before: they were told that it had passed.
+        // Workers look at the deadline when they apply the list, not before: they were told that it had passed.
         self.parts.deadline.set(None);
-        self.parts.orders.send(WorkerCommand::ApplyList(kind, list.clone(), heard)).await;
+        self.parts.workers.send(WorkerCommand::ApplyList(kind, list.clone(), list_arrival)).await;
         if let Some(accord) = self.parts.accord.as_ref().filter(|_| !before) {
             accord.apply_list(list).await;
         }
-        let after = heard.at.elapsed().as_millis();
+        let after = list_arrival.at.elapsed().as_millis();
         info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, after);
-        // Not before all have been told: guards against a change that nobody asks for any more if this is given up between.
-        self.told = index;
+        // Set last: if this future is dropped midway, the change is requested again.
+        self.version = index;
         Ok(())
     }
 }
 
-/// Of a call, if there is one.
-async fn next_of(call: Option<&mut ListCall>) -> Result<CallEvent, CallFailure> {
-    match call {
-        Some(call) => call.next().await,
+/// The next event of a request, if there is one.
+async fn next_event_of(request: Option<&mut ListRequest>) -> Result<ListEvent, ListRequestFailure> {
+    match request {
+        Some(request) => request.next().await,
         None => future::pending().await,
     }
 }
 
-/// Changes follow the version that was asked from. Guards against following another list by this one's versions.
-fn follows(list: DiscoveryList, told: ListIndex) -> Result<DiscoveryList, String> {
-    if !list.snapshot && list.index.0 < told.0 {
-        return Err(format!("index: changes up to version {}, after version {}", list.index.0, told.0));
+/// Rejects changes that end before the version from which they were requested: the versions are then those of another list.
+fn check_version(list: DiscoveryList, version: ListIndex) -> Result<DiscoveryList, String> {
+    if !list.snapshot && list.index.0 < version.0 {
+        return Err(format!("index: changes up to version {}, after version {}", list.index.0, version.0));
     }
     Ok(list)
 }
@@ -489,8 +497,8 @@
         )));
         Watch::new(Parts {
             discovery: at,
-            known: ListIndex(41),
-            orders: CommandBroadcaster::new(workers),
+            initial_version: ListIndex(41),
+            workers: CommandBroadcaster::new(workers),
             registry,
             accord: None,
             subscriptions,
@@ -507,16 +515,16 @@
     }
 
     #[test]
-    fn what_the_module_asks_while_the_end_of_a_watch_is_told_is_not_lost() {
-        let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|one| one.local_addr());
-        let ((ask, subscriptions), (_moves, moves)) = (bounded(1), bounded(1));
+    fn a_subscription_made_while_the_end_of_a_watch_is_reported_is_not_lost() {
+        let closed = std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
+        let ((subscribe, subscriptions), (_reload, reloads)) = (bounded(1), bounded(1));
         let ((sender, first), (last, others)) = (bounded(1), bounded(1));
         let mut watch =
-            pin!(watch(nobody.expect("a port"), vec![sender, last.clone()], subscriptions, moves).run());
-        // Another worker's queue is full, so that the end is told to the first, who asks, and not yet to all.
+            pin!(watch(closed.expect("a port"), vec![sender, last.clone()], subscriptions, reloads).run());
+        // The other worker's queue is full, so the first worker hears of the end, and subscribes, before the other does.
         last.try_send(WorkerCommand::RecheckDeadlines).expect("room");
-        let mut fails = |queue: &Receiver<WorkerCommand>| {
-            let told =
+        let mut hears_of_end = |queue: &Receiver<WorkerCommand>| {
+            let heard =
                 async { matches!(queue.recv().await, Ok(WorkerCommand::ApplyList(ListKind::Failed, ..))) };
             let over = async {
                 (&mut watch).await;
@@ -526,45 +534,53 @@
                 Timer::after(Duration::from_secs(10)).await;
                 false
             };
-            async_io::block_on(future::or(told, future::or(over, late)))
+            async_io::block_on(future::or(heard, future::or(over, late)))
         };
-        ask.try_send(()).expect("room");
-        assert!(fails(&first));
-        ask.try_send(()).expect("room");
+        subscribe.try_send(()).expect("room");
+        assert!(hears_of_end(&first));
+        subscribe.try_send(()).expect("room");
         assert!(matches!(others.try_recv(), Ok(WorkerCommand::RecheckDeadlines)));
-        assert!(fails(&others) && fails(&first));
+        assert!(hears_of_end(&others) && hears_of_end(&first));
     }
 
     #[test]
-    fn a_change_that_was_given_up_while_it_was_told_is_asked_for_again() {
-        let (sender, orders) = bounded(1);
-        let (subscriptions, moves) = (bounded(1).1, bounded(1).1);
+    fn a_change_dropped_while_it_was_passed_on_is_requested_again() {
+        let (sender, commands) = bounded(1);
+        let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender.clone()], subscriptions, moves);
+        let mut watch = watch(at, vec![sender.clone()], subscriptions, reloads);
         let line = br#"{"index":42,"snapshot":false,"endpoints":[]}"#;
-        let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
-        // The worker's queue is full, so that telling it waits, and meanwhile the watch is moved.
+        let arrival = progress::Progress::started_at(Instant::now()).line_ended(Instant::now());
+        // The worker's queue is full, so the line waits to be passed on, and is dropped meanwhile.
         sender.try_send(WorkerCommand::RecheckDeadlines).expect("room");
-        let given_up = future::block_on(future::poll_once(watch.tell(line, true, arrival)));
-        assert!(given_up.is_none() && watch.told == ListIndex(41), "{:?}", watch.told);
-        orders.try_recv().expect("the one before");
-        assert!(future::block_on(watch.tell(line, true, arrival)).is_ok() && watch.told == ListIndex(42));
-        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Changes, ..))));
+        let dropped = future::block_on(future::poll_once(watch.apply_line(line, true, arrival)));
+        assert!(dropped.is_none() && watch.version == ListIndex(41), "{:?}", watch.version);
+        commands.try_recv().expect("the one before");
+        assert!(
+            future::block_on(watch.apply_line(line, true, arrival)).is_ok() && watch.version == ListIndex(42)
+        );
+        assert!(matches!(commands.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Changes, ..))));
     }
 
     #[test]
-    fn changes_that_end_before_the_version_asked_from_are_followed_by_a_call_for_the_whole_list() {
-        let (sender, orders) = bounded(1);
+    fn after_changes_that_end_before_the_requested_version_the_whole_list_is_requested() {
+        let (sender, commands) = bounded(1);
         let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
         let at = "127.0.0.1:1".parse().expect("an address");
         let mut watch = watch(at, vec![sender], subscriptions, reloads);
-        let arrival = progress::Progress::begun_at(Instant::now()).line_ended(Instant::now());
+        let arrival = progress::Progress::started_at(Instant::now()).line_ended(Instant::now());
         let lower = br#"{"index":40,"snapshot":false,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(lower, true, arrival)).is_err() && watch.told == ListIndex(0));
-        assert!(orders.try_recv().is_err());
-        // A whole list holds whatever its number.
+        assert!(
+            future::block_on(watch.apply_line(lower, true, arrival)).is_err()
+                && watch.version == ListIndex(0)
+        );
+        assert!(commands.try_recv().is_err());
+        // A whole list is accepted whatever its version.
         let whole = br#"{"index":40,"snapshot":true,"endpoints":[]}"#;
-        assert!(future::block_on(watch.tell(whole, true, arrival)).is_ok() && watch.told == ListIndex(40));
-        assert!(matches!(orders.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Whole, ..))));
+        assert!(
+            future::block_on(watch.apply_line(whole, true, arrival)).is_ok()
+                && watch.version == ListIndex(40)
+        );
+        assert!(matches!(commands.try_recv(), Ok(WorkerCommand::ApplyList(ListKind::Whole, ..))));
     }
 }
--- a/sidecar/src/http1/watch/pacing.rs
+++ b/sidecar/src/http1/watch/pacing.rs
@@ -1,23 +1,24 @@
-//! How long a call for the list waits that follows one which discovery turned away late: a queue that is longer than its callers wait
-//! works for calls that were given up, and gets no shorter while each of them is soon made again.
+//! How long to wait after a list request that discovery rejected late. A request queue whose wait exceeds its clients'
+//! patience serves requests that were given up, and does not shrink while each of them is soon repeated.
 use std::time::Duration;
 
-/// A call that was turned away sooner found no queue: discovery refused it at once, and the module's back-off is enough.
-const LATE: Duration = Duration::from_millis(500);
-/// Calls a second that all instances of a tier make together at the least pace.
-const CALLS_A_SECOND: f64 = 32.0;
-/// No wait is longer than so many times what the call has waited: with it, one call in four or more of the tier is in the queue.
-const MOST_TIMES: f64 = 5.0;
-/// The shortest wait, as a part of the longest.
-const LEAST_PART: f64 = 0.25;
+/// A request rejected sooner than this met no queue, and the decision module's backoff is enough.
+const LATE_REJECTION: Duration = Duration::from_millis(500);
+/// Requests per second that all instances of a tier make together at the slowest.
+const TIER_REQUESTS_PER_S: f64 = 32.0;
+/// The longest pause, as a multiple of the time that the request waited. It keeps a quarter or more of the tier's requests in the
+/// queue.
+const MAX_PAUSE_PER_WAIT: f64 = 5.0;
+/// The shortest pause, as a share of the longest.
+const MIN_PAUSE_SHARE: f64 = 0.25;
 
-/// How long the next call waits after one that was turned away when it had waited for so long, in a tier of so many instances. `lot` is
-/// drawn from 0 to 1: guards against calls that come together again.
-pub fn pause_after_rejection(waited: Duration, instances: u32, lot: f64) -> Duration {
-    if waited < LATE {
+/// How long to wait after a request that was rejected after `waited`, in a tier of so many instances. `random` is drawn
+/// uniformly from 0 to 1: guards against requests that come all at once again.
+pub fn pause_after_rejection(waited: Duration, instances: u32, random: f64) -> Duration {
+    if waited < LATE_REJECTION {
         return Duration::ZERO;
     }
-    let by_tier = Duration::from_secs_f64(f64::from(instances) / CALLS_A_SECOND);
-    let longest = by_tier.min(waited.mul_f64(MOST_TIMES));
-    longest.mul_f64(LEAST_PART + (1.0 - LEAST_PART) * lot)
+    let by_tier = Duration::from_secs_f64(f64::from(instances) / TIER_REQUESTS_PER_S);
+    let longest = by_tier.min(waited.mul_f64(MAX_PAUSE_PER_WAIT));
+    longest.mul_f64(MIN_PAUSE_SHARE + (1.0 - MIN_PAUSE_SHARE) * random)
 }
--- a/sidecar/src/http1/watch/progress.rs
+++ b/sidecar/src/http1/watch/progress.rs
@@ -1,14 +1,14 @@
-//! How far one call for the list of endpoints has come, for the log: which stage it is at, how many bytes it has brought and when.
+//! How far a list request has come, for the log: its stage, and how many bytes came when.
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
-/// What a call waits for.
+/// What a request waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
-    /// Its connection.
+    /// The connection.
     Connecting,
-    /// Its request to be written.
-    Asking,
+    /// The request to be written.
+    SendingRequest,
     /// The head of the answer.
     Head,
     /// The first line of the list.
@@ -21,7 +21,7 @@
     fn name(self) -> &'static str {
         match self {
             Stage::Connecting => "connecting",
-            Stage::Asking => "asking",
+            Stage::SendingRequest => "asking",
             Stage::Head => "waiting for the head",
             Stage::FirstLine => "waiting for the first line",
             Stage::NextLine => "waiting for a further line",
@@ -29,83 +29,83 @@
     }
 }
 
-/// The progress of one call.
+/// The progress of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    begun: Instant,
+    started: Instant,
     stage: Stage,
-    /// When the call last got any byte.
+    /// When the last byte came.
     last_byte: Option<Instant>,
-    /// Bytes since the last whole line.
+    /// Bytes that came after the last whole line.
     line_bytes: usize,
-    /// When the first byte came since the last whole line.
-    line_begun: Option<Instant>,
+    /// When the first byte after the last whole line came.
+    line_started: Option<Instant>,
 }
 
-/// How a whole line came.
+/// When a whole line came.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LineArrival {
-    /// When its first byte came: what it tells was so by then.
+    /// When its first byte came. What the line says is at least as recent as that.
     pub first_byte_at: Instant,
-    /// Its bytes, those of the framing included.
+    /// Its length in bytes, including the framing.
     pub bytes: usize,
-    /// From the beginning of the call to its first byte.
+    /// The time from the start of the request to its first byte.
     pub first_byte_after: Duration,
-    /// From its first byte to its end.
+    /// The time from its first byte to its end.
     pub took: Duration,
 }
 
 impl Progress {
-    /// A call that begins at that moment.
-    pub fn begun_at(begun: Instant) -> Progress {
-        Progress { begun, stage: Stage::Connecting, last_byte: None, line_bytes: 0, line_begun: None }
+    /// A request that starts now.
+    pub fn started_at(started: Instant) -> Progress {
+        Progress { started, stage: Stage::Connecting, last_byte: None, line_bytes: 0, line_started: None }
     }
 
-    /// It waits for that from now on.
+    /// Moves to a stage.
     pub fn reach(&mut self, stage: Stage) {
         self.stage = stage;
     }
 
-    /// Bytes of the answer have come.
+    /// Records bytes of the answer.
     pub fn received(&mut self, bytes: usize, now: Instant) {
         self.last_byte = Some(now);
-        self.line_begun.get_or_insert(now);
+        self.line_started.get_or_insert(now);
         self.line_bytes += bytes;
     }
 
-    /// When the call began.
-    pub fn begun(&self) -> Instant {
-        self.begun
+    /// When the request started.
+    pub fn started(&self) -> Instant {
+        self.started
     }
 
-    /// When the call last got any byte, or began.
-    pub fn last_sign(&self) -> Instant {
-        self.last_byte.unwrap_or(self.begun)
+    /// When the last byte came, or the request started.
+    pub fn last_activity(&self) -> Instant {
+        self.last_byte.unwrap_or(self.started)
     }
 
-    /// Bytes since the last whole line.
+    /// Bytes that came after the last whole line.
     pub fn line_bytes(&self) -> usize {
         self.line_bytes
     }
 
-    /// A line is whole.
+    /// Records the end of a line.
     pub fn line_ended(&mut self, now: Instant) -> LineArrival {
-        let line_begun = self.line_begun.unwrap_or(now);
+        let line_started = self.line_started.unwrap_or(now);
         let arrival = LineArrival {
-            first_byte_at: line_begun,
+            first_byte_at: line_started,
             bytes: self.line_bytes,
-            first_byte_after: line_begun - self.begun,
-            took: now - line_begun,
+            first_byte_after: line_started - self.started,
+            took: now - line_started,
         };
-        (self.stage, self.line_bytes, self.line_begun) = (Stage::NextLine, 0, None);
+        (self.stage, self.line_bytes, self.line_started) = (Stage::NextLine, 0, None);
         arrival
     }
 }
 
 impl Display for Progress {
     fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
-        let age = self.begun.elapsed().as_millis();
-        write!(to, "{}, {age} ms after the call, {} bytes", self.stage.name(), self.line_bytes)?;
+        let age = self.started.elapsed().as_millis();
+        write!(to, "{}, {age} ms after the request, {} bytes", self.stage.name(), self.line_bytes)?;
         match self.last_byte {
             Some(last) => write!(to, ", the last {} ms ago", last.elapsed().as_millis()),
             None => Ok(()),
@@ -116,6 +116,6 @@
 impl Display for LineArrival {
     fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
         let (first, took) = (self.first_byte_after.as_millis(), self.took.as_millis());
-        write!(to, "{} bytes, the first {first} ms after the call, then {took} ms", self.bytes)
+        write!(to, "{} bytes, the first {first} ms after the request, then {took} ms", self.bytes)
     }
 }
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -315,8 +315,8 @@
         }
         let watch = Watch::new(watch::Parts {
             discovery: start.discovery,
-            known: told,
-            orders: orders.clone(),
+            initial_version: told,
+            workers: orders.clone(),
             registry: registry.clone(),
             accord: agreed.clone(),
             subscriptions: asks,
