--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -86,7 +86,8 @@
         Ok(OutgoingRequest { head: bytes, body, client_end, stream: None })
     }
 
-    /// A request of which only the first part of the body has been read; the rest is written to what is returned with it.
+    /// A request of which only the first part of the body has been read; the rest is written to what is returned
+    /// with it.
     pub fn streamed(
         head: &Head, buffered: Vec<u8>, rest: &BodyReader, answer_timeout: Micros, client_end: PeerEnd,
     ) -> Result<(OutgoingRequest, BodyStreamWriter), HttpError> {
--- a/sidecar/src/http1/chunks.rs
+++ b/sidecar/src/http1/chunks.rs
@@ -25,7 +25,8 @@
 }
 
 impl ChunkDecoder {
-    /// Decodes from the front of `bytes` into `body`, until that holds `max` bytes. Returns how many of `bytes` are used up.
+    /// Decodes from the front of `bytes` into `body`, until that holds `max` bytes. Returns how many of `bytes` are
+    /// used up.
     pub fn decode(&mut self, bytes: &[u8], body: &mut Vec<u8>, max: usize) -> Result<usize, HttpError> {
         let mut at = 0;
         loop {
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a client may take to send a whole request: from connecting, or from the first byte of a later request. A body
-/// adds the time that it takes at [`MIN_BODY_BYTES_PER_S`].
+/// How long a client may take to send a whole request: from connecting, or from the first byte of a later request.
+/// A body adds the time that it takes at [`MIN_BODY_BYTES_PER_S`].
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a connection is kept open between requests.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -77,8 +77,8 @@
 }
 
 impl PendingAnswer {
-    /// The answer to a request that was not accepted. It closes the connection: guards against clients that send hundreds
-    /// of such requests.
+    /// The answer to a request that was not accepted. It closes the connection: guards against clients that send
+    /// hundreds of such requests.
     fn rejection(error: HttpError) -> PendingAnswer {
         PendingAnswer { answer: error.into(), keep_alive: false, http10: false, request: None }
     }
@@ -101,8 +101,8 @@
     pub async fn serve(mut self) -> Closed {
         loop {
             let pending = match self.next_request().await {
-                // Closed at once: between requests there is nothing to lose, and lingering would keep out clients that wait
-                // to be accepted.
+                // Closed at once: between requests there is nothing to lose, and lingering would keep out clients
+                // that wait to be accepted.
                 NextRequest::Closed(reason) => return Closed::new(reason),
                 NextRequest::Malformed(error) => PendingAnswer::rejection(error),
                 NextRequest::Complete(message) => {
@@ -204,8 +204,8 @@
                     (until, allowed_body_bytes) = (until + body_time(more), allowed_body_bytes + more);
                 }
                 Some(None) => return NextRequest::Closed(CloseReason::ClientClosed),
-                // Shutdown waits for a request that has begun, and for a little time for the first request of a connection
-                // accepted at the last moment.
+                // Shutdown waits for a request that has begun, and for a little time for the first request of a
+                // connection accepted at the last moment.
                 None if idle.is_none()
                     && shared.closing()
                     && until > Instant::now()
@@ -247,7 +247,8 @@
         let _open = shared
             .register_request_id(&identity.id)
             .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
-        // Guards against an attempt for a client that left before its request was read: it may have waited to be accepted.
+        // Guards against an attempt for a client that left before its request was read: it may have waited to be
+        // accepted.
         if self.stream.has_ended() {
             return Ok(None);
         }
@@ -369,8 +370,8 @@
         Err(reason)
     }
 
-    /// Reads a request's headers: what the dispatcher needs, the time that its client gives it, its workload if its body
-    /// is streamed, and what identifies it.
+    /// Reads a request's headers: what the dispatcher needs, the time that its client gives it, its workload if its
+    /// body is streamed, and what identifies it.
     fn read_request(
         &self, head: &Head,
     ) -> Result<(RequestParams, Micros, WorkloadId, RequestIdentity), HttpError> {
@@ -425,8 +426,8 @@
         Ok((params, left, settings.workload_ids[workload].streamed, identity))
     }
 
-    /// Shuts down our side, and waits a little for the client to shut down its own: closing with bytes unread would reset
-    /// the connection, and the client could lose its answer.
+    /// Shuts down our side, and waits a little for the client to shut down its own: closing with bytes unread would
+    /// reset the connection, and the client could lose its answer.
     async fn close_gracefully(&self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -469,8 +470,8 @@
     Duration::from_secs_f64(bytes as f64 / MIN_BODY_BYTES_PER_S)
 }
 
-/// Waits until the client leaves, then returns none. Sees that wherever the request waits, also behind bytes that are not
-/// read: guards against an attempt for a client that has gone.
+/// Waits until the client leaves, then returns none. Sees that wherever the request waits, also behind bytes that
+/// are not read: guards against an attempt for a client that has gone.
 async fn client_gone<T>(stream: &Async<TcpStream>) -> Option<T> {
     stream.ended().await;
     None
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -1,5 +1,5 @@
-//! What all client connections of a worker share: how many there may be, which have no open request and may be closed, the
-//! ids of open requests, and whether the process still takes requests.
+//! What all client connections of a worker share: how many there may be, which have no open request and may be
+//! closed, the ids of open requests, and whether the process still takes requests.
 use super::{DispatcherHandle, RequestSettings};
 use crate::eviction::{self, IdleConnection};
 use crate::limits::{Gauge, LimitShare, Slot};
@@ -180,8 +180,8 @@
         self.limit.held()
     }
 
-    /// Takes a slot for one more connection. If there is none, closes one idle connection, and until the next successful
-    /// call each answer ends its connection.
+    /// Takes a slot for one more connection. If there is none, closes one idle connection, and until the next
+    /// successful call each answer ends its connection.
     pub fn try_slot(&self) -> Option<Slot> {
         let slot = self.limit.try_acquire();
         self.slot_awaited.set(slot.is_none());
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -1,5 +1,5 @@
-//! Parses the load report that an endpoint sends with an answer. The platform's protocol has no header for it; this one is
-//! oakhollow's own: `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, with the names of `report.columns`.
+//! Parses the load report that an endpoint sends with an answer. The platform's protocol has no header for it; this
+//! one is oakhollow's own: `Load-Report: busy_reqs=3,pending=1,cpu_share=0.4`, with the names of `report.columns`.
 use super::head::Head;
 use crate::dispatcher::LoadReport;
 use oakhollow::types::ServerLoad;
@@ -9,8 +9,8 @@
 /// The most values in a report. Guards against parsing a header of many kilobytes with each answer.
 const MAX_VALUES: usize = 8;
 
-/// Reads an answer's load report. A report with anything malformed in it is dropped whole, since half of one is worse than
-/// none.
+/// Reads an answer's load report. A report with anything malformed in it is dropped whole, since half of one is
+/// worse than none.
 pub fn report(head: &Head) -> LoadReport {
     match head.single(LOAD_REPORT_HEADER) {
         Ok(None) => LoadReport::Absent,
--- a/sidecar/src/http1/messages.rs
+++ b/sidecar/src/http1/messages.rs
@@ -176,8 +176,9 @@
             .is_some_and(|message| message.head.has_token("Expect", "100-continue"))
     }
 
-    /// Whether the bytes hold a whole head, or more than a head may have. Searches each byte only once, which matters for
-    /// a head that comes in small pieces. Checks the first bytes at once, since noise may never hold the end of a head.
+    /// Whether the bytes hold a whole head, or more than a head may have. Searches each byte only once, which
+    /// matters for a head that comes in small pieces. Checks the first bytes at once, since noise may never hold
+    /// the end of a head.
     fn has_whole_head(&mut self) -> Result<bool, HttpError> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.bytes.len();
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -33,8 +33,8 @@
     pub monitor: Rc<Monitor>,
 }
 
-/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than its lease
-/// lasts, or than its list may be used.
+/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than
+/// its lease lasts, or than its list may be used.
 #[derive(Clone)]
 pub struct Fence {
     pub lease: Lease,
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -20,8 +20,8 @@
 /// How often idle connections are searched for those that the endpoint has closed or that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a connection stays unused after an answer. Some endpoints send a second answer a few milliseconds late, which
-/// must not be taken for the answer to the next request.
+/// How long a connection stays unused after an answer. Some endpoints send a second answer a few milliseconds late,
+/// which must not be taken for the answer to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// How many requests may wait at an address for a connection's [`REUSE_DELAY`] while no endpoint has been seen to send
@@ -331,8 +331,8 @@
         !addresses.is_empty()
     }
 
-    /// Closes the idle connections to an address whose endpoint takes no new requests. Connections to it that are in use
-    /// are closed after their answer.
+    /// Closes the idle connections to an address whose endpoint takes no new requests. Connections to it that are
+    /// in use are closed after their answer.
     pub fn retire(&self, at: SocketAddr) {
         if let Some(address) = self.addresses.borrow_mut().remove(&at) {
             address.active.set(false);
@@ -347,8 +347,8 @@
     }
 }
 
-/// Half of the time after which endpoints close an idle connection: guards against writing a request to a connection that
-/// the endpoint is about to close.
+/// Half of the time after which endpoints close an idle connection: guards against writing a request to a
+/// connection that the endpoint is about to close.
 fn max_idle_time(server_idle_timeout: Micros) -> Micros {
     server_idle_timeout.times(0.5)
 }
--- a/sidecar/src/http1/watch/list_request.rs
+++ b/sidecar/src/http1/watch/list_request.rs
@@ -117,7 +117,8 @@
         ListRequest { events, work: Box::pin(work), progress, hedge_delay, has_delivered: false }
     }
 
-    /// The next event, or the end of the request. The future may be dropped before it is ready; no event is lost by that.
+    /// The next event, or the end of the request. The future may be dropped before it is ready; no event is lost by
+    /// that.
     pub async fn next(&mut self) -> Result<ListEvent, ListRequestFailure> {
         let events = self.events.clone();
         let received = async {
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -1,6 +1,6 @@
-//! The watch of discovery's endpoint list. It runs once the decision module has subscribed, and passes each update on to the
-//! workers. A slow list request is not given up: another is sent beside it (a hedge), the first whole line of either counts,
-//! and the other request is cancelled.
+//! The watch of discovery's endpoint list. It runs once the decision module has subscribed, and passes each update
+//! on to the workers. A slow list request is not given up: another is sent beside it (a hedge), the first whole
+//! line of either counts, and the other request is cancelled.
 mod list_request;
 pub mod pacing;
 mod progress;
@@ -27,16 +27,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a watch may be silent. Discovery sends an empty line every 2 s while nothing changes, so two have failed to come.
-/// A change that a silent watch misses counts as notified 6 s after the silence began, which leaves 1 s for another request.
+/// How long a watch may be silent. Discovery sends an empty line every 2 s while nothing changes, so two have
+/// failed to come. A change that a silent watch misses counts as notified 6 s after the silence began, which leaves
+/// 1 s for another request.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A request that has brought nothing gets another beside it after a random time between this and [`SILENCE_TIMEOUT`]: guards
-/// against a fleet whose instances start, or lose discovery, at one moment and repeat their requests at one moment.
+/// A request that has brought nothing gets another beside it after a random time between this and
+/// [`SILENCE_TIMEOUT`]: guards against a fleet whose instances start, or lose discovery, at one moment and repeat
+/// their requests at one moment.
 const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// The longest pause within a line that takes longer than that.
 const MAX_PAUSE_IN_LINE: Duration = Duration::from_millis(500);
-/// A request that brought nothing for as long as the longest backoff is not followed by a backoff: the two together could
-/// take longer than the time after which a missed change counts as notified.
+/// A request that brought nothing for as long as the longest backoff is not followed by a backoff: the two together
+/// could take longer than the time after which a missed change counts as notified.
 const SKIP_BACKOFF_AFTER: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// The slowest rate at which a long line may come before another request is sent.
 const MIN_LINE_BYTES_PER_S: f64 = 48_000.0;
@@ -61,8 +63,8 @@
     pub reloads: Receiver<Reload>,
     /// Until when workers may use the list.
     pub deadline: ListDeadline,
-    /// How long an instance may still send to an endpoint after it was notified of the endpoint's drain; 0 if the settings
-    /// don't state it.
+    /// How long an instance may still send to an endpoint after it was notified of the endpoint's drain; 0 if the
+    /// settings don't state it.
     pub drain_grace: Micros,
     /// How many instances the tier has.
     pub instances: u32,
@@ -247,7 +249,8 @@
         let Reload { discovery, drain_grace, instances } = reload;
         (self.parts.drain_grace, self.parts.instances) = (drain_grace, instances);
         if discovery != self.discovery {
-            // The version is kept: the platform numbers its one list's versions, and the file only names another address.
+            // The version is kept: the platform numbers its one list's versions, and the file only names another
+            // address.
             (self.discovery, self.complete_until, self.not_before) = (discovery, None, None);
             self.requests.clear();
             self.freshness.watch_ended(self.parts.clock.now());
@@ -290,7 +293,8 @@
             self.report_unavailable().await;
         }
         if self.requests.len() >= MAX_REQUESTS {
-            // The request with the later activity stays: it may be first in discovery's queue, or in the middle of a line.
+            // The request with the later activity stays: it may be first in discovery's queue, or in the middle of
+            // a line.
             let dropped = usize::from(
                 self.requests[0].progress().last_activity() > self.requests[1].progress().last_activity(),
             );
@@ -353,8 +357,8 @@
         let waited = self.waiting_since(&request).elapsed();
         self.publish_state();
         if waited >= SKIP_BACKOFF_AFTER {
-            // After a random part of the time that is left: guards against all instances coming at once when a discovery
-            // that held their requests unanswered, and reset them, is back.
+            // After a random part of the time that is left: guards against all instances coming at once when a
+            // discovery that held their requests unanswered, and reset them, is back.
             let longest =
                 if request.has_delivered { SILENCE_TIMEOUT } else { SILENCE_TIMEOUT + MAX_PAUSE_IN_LINE };
             let wait = longest.saturating_sub(waited).mul_f64(self.rng.uniform());
@@ -367,8 +371,8 @@
             return;
         }
         info!(self.parts.log, "watch of the list ended: {}: {}", failure, progress);
-        // Subscriptions made while this watch was open are served by it. Dropped before the module hears of its end: guards
-        // against losing the subscription with which it reacts.
+        // Subscriptions made while this watch was open are served by it. Dropped before the module hears of its
+        // end: guards against losing the subscription with which it reacts.
         while self.parts.subscriptions.try_recv().is_ok() {}
         let failed = WorkerCommand::ApplyList(ListKind::Failed, Arc::default(), ListArrival::now());
         self.parts.workers.send(failed).await;
@@ -414,8 +418,8 @@
     async fn apply_line(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
         let unchanged = || DiscoveryList { index: self.version, ..DiscoveryList::default() };
         let list: Result<DiscoveryList, String> = match line {
-            // The first line is passed on even if nothing has changed: the module waits for an answer, and would otherwise
-            // subscribe again and again.
+            // The first line is passed on even if nothing has changed: the module waits for an answer, and would
+            // otherwise subscribe again and again.
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
                 if let Some(accord) = &self.parts.accord {
@@ -470,7 +474,8 @@
     }
 }
 
-/// Rejects changes that end before the version from which they were requested: the versions are then those of another list.
+/// Rejects changes that end before the version from which they were requested: the versions are then those of
+/// another list.
 fn check_version(list: DiscoveryList, version: ListIndex) -> Result<DiscoveryList, String> {
     if !list.snapshot && list.index.0 < version.0 {
         return Err(format!("index: changes up to version {}, after version {}", list.index.0, version.0));
@@ -521,7 +526,8 @@
         let ((sender, first), (last, others)) = (bounded(1), bounded(1));
         let mut watch =
             pin!(watch(closed.expect("a port"), vec![sender, last.clone()], subscriptions, reloads).run());
-        // The other worker's queue is full, so the first worker hears of the end, and subscribes, before the other does.
+        // The other worker's queue is full, so the first worker hears of the end, and subscribes, before the other
+        // does.
         last.try_send(WorkerCommand::RecheckDeadlines).expect("room");
         let mut hears_of_end = |queue: &Receiver<WorkerCommand>| {
             let heard =
--- a/sidecar/src/http1/watch/pacing.rs
+++ b/sidecar/src/http1/watch/pacing.rs
@@ -6,8 +6,8 @@
 const LATE_REJECTION: Duration = Duration::from_millis(500);
 /// Requests per second that all instances of a tier make together at the slowest.
 const TIER_REQUESTS_PER_S: f64 = 32.0;
-/// The longest pause, as a multiple of the time that the request waited. It keeps a quarter or more of the tier's requests in the
-/// queue.
+/// The longest pause, as a multiple of the time that the request waited. It keeps a quarter or more of the tier's
+/// requests in the queue.
 const MAX_PAUSE_PER_WAIT: f64 = 5.0;
 /// The shortest pause, as a share of the longest.
 const MIN_PAUSE_SHARE: f64 = 0.25;
--- a/sidecar/src/reactor/mod.rs
+++ b/sidecar/src/reactor/mod.rs
@@ -1,7 +1,7 @@
-//! Sockets and timers of one thread, for that thread alone: each socket is registered once, edge by edge, and wakes whoever
-//! waits for it without a lock or another thread. It stands beside async-io, whose one reactor is shared by all threads and
-//! registers a socket anew for each wait; `docs/scale.md` has the measured difference. Where the names are async-io's they
-//! mean the same.
+//! A reactor per thread, for the sockets and timers of that thread alone. Each socket is registered once,
+//! edge-triggered, and its tasks are woken without a lock or another thread. async-io, in contrast, has one reactor
+//! for all threads and registers a socket anew for each wait; `docs/scale.md` has the difference in cost. Names
+//! shared with async-io mean the same.
 mod poll;
 mod readiness;
 mod socket;
--- a/sidecar/src/reactor/poll.rs
+++ b/sidecar/src/reactor/poll.rs
@@ -1,5 +1,5 @@
-//! The thread's one loop: it asks the kernel what has become ready, and wakes whoever waits for that or for a moment.
-use super::readiness::{Side, Source};
+//! The event loop of a thread: polls the kernel for readiness, and wakes the tasks that wait for sockets and timers.
+use super::readiness::{Direction, Source};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::event::{eventfd, EventfdFlags, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
@@ -16,33 +16,34 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Events taken from the kernel at a time.
-const BATCH: usize = 256;
-/// What the kernel was asked for no longer ago than that counts as now.
-pub(super) const FRESH: Duration = Duration::from_millis(10);
-/// How long a socket of which a read left room may wait, on a thread that has no time to sleep, until it is tried again.
-const CONFIRM_AFTER: Duration = Duration::from_millis(1);
-/// Marks the thread_waker among the registered.
-const THREAD_WAKER: u64 = u64::MAX;
+/// How many events are taken from the kernel at a time.
+const EVENT_BATCH: usize = 256;
+/// Events polled no longer ago than this count as current.
+pub(super) const MAX_EVENT_AGE: Duration = Duration::from_millis(10);
+/// On a thread that is never idle: how long a socket waits after a short read until it is tried again without an event.
+const RECHECK_AFTER: Duration = Duration::from_millis(1);
+/// The epoll key of the thread's waker.
+const THREAD_WAKER_KEY: u64 = u64::MAX;
 
 thread_local! {
     static REACTOR: RefCell<Option<Rc<Reactor>>> = const { RefCell::new(None) };
 }
 
+/// The sockets and timers of a thread.
 pub(super) struct Reactor {
     pub(super) epoll: OwnedFd,
     pub(super) sources: RefCell<Slab<Rc<Source>>>,
     pub(super) timers: RefCell<BTreeMap<(Instant, u64), Waker>>,
-    /// Numbers given to sources and timers, so that none is taken for another.
-    given: Cell<u64>,
-    /// When the kernel was last asked: what it told may be as old as that.
-    asked: Cell<Instant>,
-    /// Sockets that wait for more after a read that left room, and since when.
+    /// The next number for a source or timer, so that none is taken for another.
+    next_number: Cell<u64>,
+    /// When the kernel was last polled: what is known may be as old as that.
+    polled_at: Cell<Instant>,
+    /// Sockets that wait for more after a short read, and since when.
     pub(super) unconfirmed: RefCell<Vec<(Instant, Rc<Source>)>>,
     thread_waker: Arc<ThreadWaker>,
 }
 
-/// Wakes the thread, also from another one.
+/// Wakes the thread, also from other threads.
 pub(super) struct ThreadWaker {
     woken: AtomicBool,
     asleep: AtomicBool,
@@ -55,7 +56,7 @@
     }
 
     fn wake_by_ref(self: &Arc<Self>) {
-        // Only one who sleeps in the kernel needs more than the mark.
+        // A thread that is not asleep in the kernel sees the flag by itself.
         if !self.woken.swap(true, Ordering::SeqCst) && self.asleep.load(Ordering::SeqCst) {
             let _ = rustix::io::write(&self.fd, &1_u64.to_ne_bytes());
         }
@@ -63,13 +64,14 @@
 }
 
 impl Reactor {
-    pub(super) fn here() -> Result<Rc<Reactor>> {
+    /// The reactor of this thread.
+    pub(super) fn current() -> Result<Rc<Reactor>> {
         REACTOR.with_borrow_mut(|reactor| match reactor {
             Some(reactor) => Ok(reactor.clone()),
             None => {
-                let made = Rc::new(Reactor::new()?);
-                *reactor = Some(made.clone());
-                Ok(made)
+                let created = Rc::new(Reactor::new()?);
+                *reactor = Some(created.clone());
+                Ok(created)
             }
         })
     }
@@ -77,128 +79,133 @@
     pub(super) fn new() -> Result<Reactor> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
-        epoll::add(&epoll, &fd, EventData::new_u64(THREAD_WAKER), EventFlags::IN)?;
+        epoll::add(&epoll, &fd, EventData::new_u64(THREAD_WAKER_KEY), EventFlags::IN)?;
         let thread_waker = ThreadWaker { woken: AtomicBool::new(false), asleep: AtomicBool::new(false), fd };
         Ok(Reactor {
             epoll,
             sources: RefCell::default(),
             timers: RefCell::default(),
-            given: Cell::new(0),
-            asked: Cell::new(Instant::now()),
+            next_number: Cell::new(0),
+            polled_at: Cell::new(Instant::now()),
             unconfirmed: RefCell::default(),
             thread_waker: Arc::new(thread_waker),
         })
     }
 
-    pub(super) fn number(&self) -> u64 {
-        self.given.replace(self.given.get() + 1)
+    pub(super) fn next_number(&self) -> u64 {
+        self.next_number.replace(self.next_number.get() + 1)
     }
 
+    /// Registers a socket, which starts out as writable or not.
     pub(super) fn register(&self, fd: impl AsFd, writable: bool) -> Result<Rc<Source>> {
         let source = Rc::new(Source {
             slot: Cell::new(0),
-            number: self.number() & 0xFFFF_FFFF,
-            // The kernel tells at the next turn what there is, and then whether its sender has gone since.
-            reads: Side::new(false),
-            writes: Side::new(writable),
+            number: self.next_number() & 0xFFFF_FFFF,
+            // Not readable at first: the next poll reports what there is, and also whether the peer has gone since.
+            reads: Direction::new(false),
+            writes: Direction::new(writable),
             unconfirmed: Cell::new(false),
-            listed: Cell::new(false),
+            queued: Cell::new(false),
             ended: Cell::new(false),
-            end_awaited: Cell::default(),
+            end_waker: Cell::default(),
         });
         let slot = self.sources.borrow_mut().insert(source.clone());
         source.slot.set(slot);
         let data = EventData::new_u64(source.number << 32 | slot as u64);
         let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
-        if let Err(fault) = epoll::add(&self.epoll, fd, data, flags) {
+        if let Err(error) = epoll::add(&self.epoll, fd, data, flags) {
             self.sources.borrow_mut().remove(slot);
-            return Err(fault.into());
+            return Err(error.into());
         }
         Ok(source)
     }
 
-    /// Takes what the kernel has to tell, waiting for it until the next timer if `wait`, and wakes those concerned.
+    /// Polls the kernel, waiting for events until the next timer if `wait`, and wakes the tasks concerned.
     fn poll(&self, wait: bool) -> Result<()> {
-        let wait = !self.confirm_drained(wait) && wait;
+        let wait = !self.recheck_unconfirmed(wait) && wait;
         let next = self.timers.borrow().first_key_value().map(|((at, _), _)| *at);
         let timeout = if wait {
             next.map(|at| at.saturating_duration_since(Instant::now()))
         } else {
             Some(Duration::ZERO)
         };
-        self.ask(timeout)?;
-        self.wake_due();
+        self.poll_events(timeout)?;
+        self.wake_expired_timers();
         Ok(())
     }
 
-    pub(super) fn confirm_later(&self, source: &Rc<Source>) {
-        if !source.listed.replace(true) {
-            self.unconfirmed.borrow_mut().push((self.asked.get(), source.clone()));
+    /// Queues a socket for [`Reactor::recheck_unconfirmed`].
+    pub(super) fn recheck_later(&self, source: &Rc<Source>) {
+        if !source.queued.replace(true) {
+            self.unconfirmed.borrow_mut().push((self.polled_at.get(), source.clone()));
         }
     }
 
-    /// Has the sockets tried again that wait for more after a read that left room: all of them before the thread sleeps, else
-    /// those that have waited for a moment. Returns whether there was any. Guards against bytes that no event tells of, since
-    /// a read may be short; put off, so that a socket which tells of more meanwhile needs no second read.
-    fn confirm_drained(&self, sleeps: bool) -> bool {
+    /// Marks sockets as readable that wait for more after a short read: all of them before the thread sleeps,
+    /// otherwise those that have waited for [`RECHECK_AFTER`]. Returns whether there was any. Guards against bytes
+    /// for which no event comes, since a read may be short although there is more. Delayed, since a socket with a
+    /// new event needs no further read.
+    fn recheck_unconfirmed(&self, sleeps: bool) -> bool {
         let mut unconfirmed = self.unconfirmed.borrow_mut();
         if unconfirmed.is_empty() {
             return false;
         }
-        let (now, mut any) = (self.asked.get(), false);
+        let (now, mut any) = (self.polled_at.get(), false);
         unconfirmed.retain(|(since, source)| {
-            let due = sleeps || now.saturating_duration_since(*since) >= CONFIRM_AFTER;
+            let due = sleeps || now.saturating_duration_since(*since) >= RECHECK_AFTER;
             if due {
-                source.listed.set(false);
+                source.queued.set(false);
             }
             if due && source.unconfirmed.replace(false) {
                 any = true;
-                source.reads.told();
+                source.reads.set_ready();
             }
             !due
         });
         any
     }
 
-    /// Asks the kernel again if it was not asked a moment ago. Guards against acting on what was so before the thread stood
-    /// still: it may have been told of one thing that happened, and be let run again long after others did.
-    pub(super) fn catch_up(&self) {
-        if self.asked.get().elapsed() >= FRESH {
-            while self.ask(Some(Duration::ZERO)).is_ok_and(|told| told == BATCH) {}
+    /// Polls the kernel again unless it was polled a moment ago. Guards against acting on outdated readiness after
+    /// the thread was suspended: it may know of one event, and run on long after others have happened.
+    pub(super) fn refresh(&self) {
+        if self.polled_at.get().elapsed() >= MAX_EVENT_AGE {
+            while self.poll_events(Some(Duration::ZERO)).is_ok_and(|count| count == EVENT_BATCH) {}
         }
     }
 
-    /// Takes what the kernel has to tell within that time, and wakes those concerned. Returns how much that was.
-    fn ask(&self, timeout: Option<Duration>) -> Result<usize> {
+    /// Takes a batch of events, waiting for `timeout` at most, and wakes the tasks concerned. Returns how many
+    /// events it was.
+    fn poll_events(&self, timeout: Option<Duration>) -> Result<usize> {
         let timeout = timeout
             .map(|length| Timespec { tv_sec: length.as_secs() as _, tv_nsec: length.subsec_nanos() as _ });
-        let mut events = [const { std::mem::MaybeUninit::uninit() }; BATCH];
-        self.asked.set(Instant::now());
+        let mut events = [const { std::mem::MaybeUninit::uninit() }; EVENT_BATCH];
+        self.polled_at.set(Instant::now());
         let waited = epoll::wait(&self.epoll, &mut events, timeout.as_ref());
-        // Whoever is woken from here on is polled next: guards against a thread_waker that this thread rings for itself.
+        // A task woken from here on is polled next: guards against a wake-up call of this thread to itself.
         self.thread_waker.asleep.store(false, Ordering::SeqCst);
-        let told = match waited {
-            Ok((told, _)) => told,
+        let ready = match waited {
+            Ok((ready, _)) => ready,
             Err(Errno::INTR) => return Ok(0),
-            Err(fault) => return Err(fault.into()),
+            Err(error) => return Err(error.into()),
         };
-        let count = told.len();
-        for event in told {
+        let count = ready.len();
+        for event in ready {
             let (flags, data) = (event.flags, event.data.u64());
-            if data == THREAD_WAKER {
+            if data == THREAD_WAKER_KEY {
                 let _ = rustix::io::read(&self.thread_waker.fd, &mut [0; 8]);
                 continue;
             }
-            // Guards against waking one that took the place of another which is closed by now.
+            // Guards against waking a socket that took the slot of one that is closed by now.
             let source = self.sources.borrow().get(data as u32 as usize).cloned();
             if let Some(source) = source.filter(|source| source.number == data >> 32) {
-                source.told(flags);
+                source.on_event(flags);
             }
         }
         Ok(count)
     }
 
-    fn wake_due(&self) {
+    /// Wakes the tasks whose timers have expired.
+    fn wake_expired_timers(&self) {
         if self.timers.borrow().is_empty() {
             return;
         }
@@ -217,9 +224,9 @@
     }
 }
 
-/// Runs a future to its end on this thread, with its sockets and timers.
+/// Runs a future to completion on this thread, with the thread's sockets and timers.
 pub fn block_on<T>(future: impl Future<Output = T>) -> Result<T> {
-    let reactor = Reactor::here()?;
+    let reactor = Reactor::current()?;
     let thread_waker = reactor.thread_waker.clone();
     let waker = Waker::from(thread_waker.clone());
     let mut context = Context::from_waker(&waker);
@@ -229,7 +236,7 @@
         if let Poll::Ready(done) = future.as_mut().poll(&mut context) {
             return Ok(done);
         }
-        // Guards against a sleep that misses a ring: who rings from now on sees that the thread sleeps.
+        // Set before the flag is read: guards against a sleep that misses a wake-up, since a waker from now on sees it.
         thread_waker.asleep.store(true, Ordering::SeqCst);
         let wait = !thread_waker.woken.load(Ordering::SeqCst);
         let polled = reactor.poll(wait);
--- a/sidecar/src/reactor/readiness.rs
+++ b/sidecar/src/reactor/readiness.rs
@@ -1,61 +1,63 @@
-//! What is known of one socket's readiness, and who waits for more.
+//! The readiness of one socket, and the tasks that wait for it.
 use rustix::event::epoll::EventFlags;
 use std::cell::Cell;
 use std::io::{ErrorKind, Result};
 use std::task::{Context, Poll, Waker};
 
-/// What is known of one socket's readiness, and who waits for more.
+/// The readiness of one socket.
 pub(super) struct Source {
     pub(super) slot: Cell<usize>,
     pub(super) number: u64,
-    pub(super) reads: Side,
-    pub(super) writes: Side,
-    /// The last read left room, and nothing has been told since: there may be more all the same.
+    pub(super) reads: Direction,
+    pub(super) writes: Direction,
+    /// The last read was short and no event has come since. There may be more to read all the same.
     pub(super) unconfirmed: Cell<bool>,
-    /// It is among those that are tried again for that.
-    pub(super) listed: Cell<bool>,
-    /// The other side has ended its sending, or the connection is broken: reads tell at once, from now on.
+    /// It is queued to be tried again for that.
+    pub(super) queued: Cell<bool>,
+    /// The peer has shut down its side, or the connection is broken: from now on reads return at once.
     pub(super) ended: Cell<bool>,
-    /// Who waits for that, whatever is still to be read before it.
-    pub(super) end_awaited: Cell<Option<Waker>>,
+    /// The task that waits for the end, which need not have read everything before it.
+    pub(super) end_waker: Cell<Option<Waker>>,
 }
 
-/// Reading or writing: whether it may be tried, and who waits for that.
-pub(super) struct Side {
+/// Reading or writing: whether it may be tried, and the task that waits for it.
+pub(super) struct Direction {
     pub(super) ready: Cell<bool>,
-    pub(super) waiting: Cell<Option<Waker>>,
+    pub(super) waker: Cell<Option<Waker>>,
 }
 
-impl Side {
-    pub(super) fn new(ready: bool) -> Side {
-        Side { ready: Cell::new(ready), waiting: Cell::default() }
+impl Direction {
+    pub(super) fn new(ready: bool) -> Direction {
+        Direction { ready: Cell::new(ready), waker: Cell::default() }
     }
 
-    pub(super) fn told(&self) {
+    pub(super) fn set_ready(&self) {
         self.ready.set(true);
-        if let Some(waker) = self.waiting.take() {
+        if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    pub(super) fn wait(&self, context: &Context) {
-        let waker = match self.waiting.take() {
+    pub(super) fn store_waker(&self, context: &Context) {
+        let waker = match self.waker.take() {
             Some(waker) if waker.will_wake(context.waker()) => waker,
             _ => context.waker().clone(),
         };
-        self.waiting.set(Some(waker));
+        self.waker.set(Some(waker));
     }
 
-    /// Tries `work` until it does not block any more, waiting to be ready between.
-    pub(super) fn poll<R>(&self, context: &Context, mut work: impl FnMut() -> Result<R>) -> Poll<Result<R>> {
+    /// Performs an I/O operation when ready. If it would block, waits for readiness.
+    pub(super) fn poll<R>(
+        &self, context: &Context, mut operation: impl FnMut() -> Result<R>,
+    ) -> Poll<Result<R>> {
         loop {
             if !self.ready.get() {
-                self.wait(context);
+                self.store_waker(context);
                 return Poll::Pending;
             }
-            match work() {
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => self.ready.set(false),
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
+            match operation() {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.ready.set(false),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 done => return Poll::Ready(done),
             }
         }
@@ -63,23 +65,25 @@
 }
 
 impl Source {
-    pub(super) fn end(&self) {
+    /// Records the end of the connection, and wakes the task that waits for it.
+    pub(super) fn set_ended(&self) {
         self.ended.set(true);
-        if let Some(waker) = self.end_awaited.take() {
+        if let Some(waker) = self.end_waker.take() {
             waker.wake();
         }
     }
 
-    pub(super) fn told(&self, flags: EventFlags) {
+    /// Applies an event of the kernel.
+    pub(super) fn on_event(&self, flags: EventFlags) {
         if flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
-            self.end();
+            self.set_ended();
         }
         if flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
             self.unconfirmed.set(false);
-            self.reads.told();
+            self.reads.set_ready();
         }
         if flags.intersects(EventFlags::OUT | EventFlags::HUP | EventFlags::ERR) {
-            self.writes.told();
+            self.writes.set_ready();
         }
     }
 }
--- a/sidecar/src/reactor/socket.rs
+++ b/sidecar/src/reactor/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets of one thread.
+//! The sockets of a thread.
 use super::poll::Reactor;
 use super::readiness::Source;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -15,19 +15,19 @@
 use std::task::{Context, Poll};
 
 thread_local! {
-    static BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; 16 * 1024].into());
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; 16 * 1024].into());
 }
 
-/// A socket of this thread.
+/// A nonblocking socket that belongs to this thread's reactor.
 pub struct Async<T: AsFd> {
     inner: T,
     source: Rc<Source>,
     reactor: Rc<Reactor>,
-    /// Another process may hold the same socket.
+    /// Another process may hold the same socket open.
     shared: bool,
 }
 
-/// Tells of the end of a socket, also to one that doesn't hold it.
+/// Reports the end of a connection without holding its socket.
 #[derive(Clone)]
 pub struct PeerEnd {
     source: Rc<Source>,
@@ -35,16 +35,16 @@
 }
 
 impl PeerEnd {
-    /// As [`Async::has_ended`], but by what the kernel tells now.
+    /// As [`Async::has_ended`], but asks the kernel if what is known may be outdated.
     pub fn has_come(&self) -> bool {
-        self.reactor.catch_up();
+        self.reactor.refresh();
         self.source.ended.get()
     }
 }
 
 impl<T: AsFd> Drop for Async<T> {
     fn drop(&mut self) {
-        // The close, which follows, ends the registration of a socket that no other process holds.
+        // Closing the socket, which follows, also deregisters it, but not if another process holds it open.
         if self.shared {
             let _ = epoll::delete(&self.reactor.epoll, &self.inner);
         }
@@ -54,22 +54,25 @@
 
 impl<T: AsFd> Async<T> {
     fn registered(inner: T, writable: bool, shared: bool) -> Result<Async<T>> {
-        let reactor = Reactor::here()?;
+        let reactor = Reactor::current()?;
         let source = reactor.register(&inner, writable)?;
         Ok(Async { inner, source, reactor, shared })
     }
 
+    /// The socket itself.
     pub fn get_ref(&self) -> &T {
         &self.inner
     }
 }
 
 impl Async<TcpListener> {
+    /// Registers a listener.
     pub fn from_listener(listener: TcpListener) -> Result<Async<TcpListener>> {
         listener.set_nonblocking(true)?;
         Async::registered(listener, false, true)
     }
 
+    /// Waits for the next connection.
     pub async fn accept(&self) -> Result<(Async<TcpStream>, SocketAddr)> {
         let (stream, peer) =
             poll_fn(|context| self.source.reads.poll(context, || self.inner.accept())).await?;
@@ -78,34 +81,37 @@
 }
 
 impl Async<TcpStream> {
+    /// Registers a connected stream.
     pub fn from_stream(stream: TcpStream) -> Result<Async<TcpStream>> {
         stream.set_nonblocking(true)?;
         Async::registered(stream, true, false)
     }
 
+    /// Opens a connection.
     pub async fn connect(to: SocketAddr) -> Result<Async<TcpStream>> {
         let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-        let under_way = match rustix::net::connect(&socket, &to) {
+        let in_progress = match rustix::net::connect(&socket, &to) {
             Ok(()) => false,
             Err(Errno::INPROGRESS) => true,
-            Err(fault) => return Err(fault.into()),
+            Err(error) => return Err(error.into()),
         };
-        let stream = Async::registered(TcpStream::from(socket), !under_way, false)?;
-        if under_way {
-            // Writable once it is up, or broken.
+        let stream = Async::registered(TcpStream::from(socket), !in_progress, false)?;
+        if in_progress {
+            // The socket becomes writable when it is connected, or when connecting has failed.
             poll_fn(|context| stream.source.writes.poll(context, || Ok(()))).await?;
             sockopt::socket_error(&stream.inner)??;
         }
         Ok(stream)
     }
 
-    /// Reads what there is, up to the size of the thread's one buffer, behind what `into` holds. Nothing is the end. Guards
-    /// against a buffer in each of thousands of tasks, cleared and copied with them.
+    /// Reads what there is, up to the size of the thread's buffer, and appends it to `into`. Returns 0 at the end
+    /// of the stream. One buffer per thread guards against thousands of tasks that each hold, clear and copy their
+    /// own.
     pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
         poll_fn(|context| {
-            BUFFER.with_borrow_mut(|buffer| {
+            READ_BUFFER.with_borrow_mut(|buffer| {
                 let read = pin!(self).as_mut().poll_read(context, buffer);
                 if let Poll::Ready(Ok(count)) = read {
                     into.extend_from_slice(&buffer[..count]);
@@ -116,29 +122,30 @@
         .await
     }
 
-    /// Whether the other side has ended its sending, or the connection is broken, as far as the thread has been told.
-    /// Bytes that came before that may still be unread.
+    /// Whether the peer has shut down its side, or the connection is broken, as far as the reactor knows. Bytes
+    /// that came before may still be unread.
     pub fn has_ended(&self) -> bool {
         self.source.ended.get()
     }
 
+    /// A handle that reports the end of this connection.
     pub fn peer_end(&self) -> PeerEnd {
         PeerEnd { source: self.source.clone(), reactor: self.reactor.clone() }
     }
 
-    /// Waits for that, without reading.
+    /// Waits for the end of the connection, without reading.
     pub async fn ended(&self) {
         poll_fn(|context| match self.has_ended() {
             true => Poll::Ready(()),
             false => {
-                self.source.end_awaited.set(Some(context.waker().clone()));
+                self.source.end_waker.set(Some(context.waker().clone()));
                 Poll::Pending
             }
         })
         .await
     }
 
-    /// Whether something has come, an end or a fault included, as far as the thread has been told.
+    /// Whether there is something to read, an end or an error included, as far as the reactor knows.
     pub fn is_readable(&self) -> bool {
         self.source.reads.ready.get()
     }
@@ -146,19 +153,20 @@
 
 impl AsyncRead for &Async<TcpStream> {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut [u8]) -> Poll<Result<usize>> {
-        let room = buffer.len();
+        let space = buffer.len();
         let read = self.source.reads.poll(context, || (&self.inner).read(buffer));
-        // A read that leaves room has mostly taken all there was, and what comes after it is told anew; a short one has not, and
-        // is told of nothing. After an end nothing is told.
-        if matches!(read, Poll::Ready(Ok(count)) if count > 0 && count < room) && !self.source.ended.get() {
+        // A read that leaves space in the buffer has usually taken all there was, and an event comes with more. But
+        // it may also be short although there is more, for which no event comes: so it is tried again later. After
+        // the end of the stream no event comes at all.
+        if matches!(read, Poll::Ready(Ok(count)) if count > 0 && count < space) && !self.source.ended.get() {
             self.source.reads.ready.set(false);
             self.source.unconfirmed.set(true);
         }
         if read.is_pending() && self.source.unconfirmed.get() {
-            self.reactor.confirm_later(&self.source);
+            self.reactor.recheck_later(&self.source);
         }
-        if matches!(read, Poll::Ready(Ok(0) | Err(_))) && room > 0 {
-            self.source.end();
+        if matches!(read, Poll::Ready(Ok(0) | Err(_))) && space > 0 {
+            self.source.set_ended();
         }
         read
     }
