--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -380,8 +380,8 @@
         }
         let watch = Watch::new(watch::Parts {
             discovery: config.discovery,
-            known: known_index,
-            orders: commands.clone(),
+            initial_version: known_index,
+            workers: commands.clone(),
             registry: registry.clone(),
             accord: accord_handle.clone(),
             subscriptions,
