--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -12,11 +12,11 @@
 pub mod watch;
 
 use crate::dispatcher::{AttemptEnd, AttemptProgress, Protocol};
-use crate::generations::{ClassId, WorkloadIds};
 use crate::lease::Lease;
 use crate::list_deadline::ListDeadline;
 use crate::monitor::Monitor;
 use crate::timers::Clock;
+use crate::workload_ids::{ClassId, WorkloadIds};
 use oakhollow_guard::{AttemptPermit, RepeatSafety};
 use oakhollow_terms::WorkloadSettings;
 use std::future::Future;
@@ -33,8 +33,8 @@
     pub monitor: Rc<Monitor>,
 }
 
-/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than its lease
-/// lasts, or than its list may be used.
+/// Checked before an attempt's first byte: guards against attempts of a process that was stopped for longer than
+/// its lease lasts, or than its list may be used.
 #[derive(Clone)]
 pub struct Fence {
     pub lease: Lease,
