--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -359,7 +359,7 @@
         let names_revision = request.map_or(0, |request| request.names_revision);
         let valid_from = request.map(|request| request.sent_at - lag);
         let Some(valid_from) = valid_from.filter(|from| *from + self.lease_duration > now) else {
-            // The grant is for a request that is too old to be remembered.
+            // The lease has already expired, or its request is too old to be remembered.
             if lag == Micros(0) && self.slow_servers.insert(from) {
                 let lease_duration = self.lease_duration.secs();
                 out.push(Action::Log(format!(
--- a/accord/src/subscriptions.rs
+++ b/accord/src/subscriptions.rs
@@ -165,9 +165,9 @@
         }
     }
 
-    /// The ledger of the published facts about the servers with these names, each dated when its exclusion became known.
-    /// Without these dates a holder that begins to name a server late would get a longer lease than it may
-    /// have.
+    /// The ledger of the published facts about the servers with these names, each dated when its exclusion
+    /// became known. Without these dates a holder that begins to name a server late would get a longer lease
+    /// than it may have.
     fn ledger_for_names(&mut self, names: &NameSet) -> Ledger {
         let subjects =
             names.iter().flat_map(|name| [Subject::Server(name.clone()), Subject::Maintenance(name.clone())]);
--- a/terms/src/maintenance.rs
+++ b/terms/src/maintenance.rs
@@ -48,7 +48,7 @@
 
 impl HostClock {
     /// Converts a time of a process with the clock `writer` to our clock, which says `now`. If the boots
-    /// differ or are unknown, both clocks are taken as equal. The result is never later than `now`.
+    /// differ or are unknown, the wall-clock time is used unchanged. The result is never later than `now`.
     fn rebase(ours: Option<&HostClock>, writer: Option<&HostClock>, at: Micros, now: Micros) -> Micros {
         let offset = match (ours, writer) {
             (Some(ours), Some(writer)) if ours.boot_id == writer.boot_id => ours.offset_us - writer.offset_us,
@@ -193,23 +193,26 @@
     /// `ours` is the clock of this process, which says `now`; the times are converted to it.
     ///
     /// ```
-    /// use oakhollow::types::Micros;
+    /// use oakhollow::{server_health::ServerHealth, types::Micros};
     /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearnedHealth};
     /// let (here, there) = ("127.0.0.1:70".parse().unwrap(), "127.0.0.1:71".parse().unwrap());
-    /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, Micros::millis(9));
+    /// let now = Micros::millis(9);
+    /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, now);
     /// let mut marks = MaintenanceMarks::default();
     /// marks.in_maintenance.insert("s-1".into());
     /// assert_eq!(read(marks.to_json(here, HandoverState::default(), None), here).unwrap().0, marks);
-    /// let learned: LearnedHealth = vec![("s-2".into(), oakhollow::server_health::ServerHealth { weight_factor: 0.5, ..Default::default() })];
+    /// let health = ServerHealth { weight_factor: 0.5, ..Default::default() };
+    /// let learned: LearnedHealth = vec![("s-2".into(), health)];
     /// let state = HandoverState { learned: learned.clone(), ..HandoverState::default() };
     /// assert_eq!(read(marks.to_json(here, state, None), here).unwrap().1.learned, learned);
-    /// assert!(read(marks.to_json(here, HandoverState::default(), None), there).unwrap_err().starts_with("listen: "));
+    /// let error = read(marks.to_json(here, HandoverState::default(), None), there).unwrap_err();
+    /// assert!(error.starts_with("listen: "));
     ///
     /// // Put back 2 ms ago by a clock that was 5 ms ahead of ours.
-    /// let clock = |ahead_us| Some(HostClock { boot_id: "one".into(), offset_us: ahead_us });
+    /// let clock = |offset_us| Some(HostClock { boot_id: "one".into(), offset_us });
     /// marks.set("s-3", false, Micros::millis(12));
     /// let json = marks.to_json(here, HandoverState::default(), clock(5_000));
-    /// let ours = MaintenanceMarks::from_json(json.as_bytes(), here, clock(0).as_ref(), Micros::millis(9)).unwrap().0;
+    /// let ours = MaintenanceMarks::from_json(json.as_bytes(), here, clock(0).as_ref(), now).unwrap().0;
     /// assert_eq!(ours.returned["s-3"], Micros::millis(7));
     /// assert_eq!(read(json, here).unwrap().0.returned["s-3"], Micros::millis(9));
     /// ```
--- a/terms/src/operator_config.rs
+++ b/terms/src/operator_config.rs
@@ -37,8 +37,9 @@
 ///
 /// ```
 /// use oakhollow_terms::OperatorConfig;
+/// let instances = r#"instances = { a = "127.0.0.1:1", b = "127.0.0.1:2", c = "127.0.0.1:3" }"#;
 /// let error = |keepers: &str, within: &str| {
-///     let text = format!("[accord]\nwithin = {within}\nkeepers = [{keepers}]\ninstances = {{ a = \"127.0.0.1:1\", b = \"127.0.0.1:2\", c = \"127.0.0.1:3\" }}");
+///     let text = format!("[accord]\nwithin = {within}\nkeepers = [{keepers}]\n{instances}");
 ///     OperatorConfig::from_toml(&text, 8).map(|_| ()).unwrap_err()
 /// };
 /// assert_eq!(error(r#""a", "b""#, "2.0"), "line 3: accord.keepers: must be 1, 3 or 5 of the instances, not 2");
--- a/terms/src/settings.rs
+++ b/terms/src/settings.rs
@@ -6,30 +6,38 @@
 /// The settings of one instance.
 ///
 /// ```
-/// let json = r#"{"me":0,"balancers":2,"bounds":{"most_hops":3},"rules":{"cold_from":0.5,"fall_s":1,"warm_within_s":5},
+/// use oakhollow::types::{DedupScope, Idempotency, Micros};
+/// use oakhollow_terms::{read_json, Settings};
+/// let json = r#"{"me":0,"balancers":2,"bounds":{"most_hops":3},
+///   "rules":{"cold_from":0.5,"fall_s":1,"warm_within_s":5},
 ///   "workloads":[{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":-1,"semantics":"read_like"}]}"#;
-/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// let error = read_json::<Settings>(json.as_bytes()).unwrap_err();
 /// assert_eq!(error, "workloads[0].payoff: must be a number from 0 up");
 /// let json = json.replace("-1", "1").replace("read_like", "sometimes");
-/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// let error = read_json::<Settings>(json.as_bytes()).unwrap_err();
 /// assert!(error.starts_with("workloads[0].semantics: unknown variant `sometimes`"), "{error}");
 /// let json = json.replace("sometimes", "idempotency_key");
-/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(json.as_bytes()).unwrap_err();
+/// let error = read_json::<Settings>(json.as_bytes()).unwrap_err();
 /// assert_eq!(error, "workloads[0].group: must be all, zone or cell for idempotency_key, not \"\"");
-/// let part = json.replace("idempotency_key", "read_like").replace("fall_s", "spare_attempts\":3,\"budget_share\":0.1,\"fall_s");
-/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(part.as_bytes()).unwrap_err();
+/// let part = json.replace("idempotency_key", "read_like");
+/// let part = part.replace("fall_s", "spare_attempts\":3,\"budget_share\":0.1,\"fall_s");
+/// let error = read_json::<Settings>(part.as_bytes()).unwrap_err();
 /// assert!(error.starts_with("rules.extra_window_s: must be set where another"), "{error}");
-/// let error = part.replace("fall_s", "extra_window_s\":-2,\"fall_s");
-/// let error = oakhollow_terms::read_json::<oakhollow_terms::Settings>(error.as_bytes()).unwrap_err();
+/// let negative = part.replace("fall_s", "extra_window_s\":-2,\"fall_s");
+/// let error = read_json::<Settings>(negative.as_bytes()).unwrap_err();
 /// assert_eq!(error, "rules.extra_window_s: must be over 0 and at most 3600");
-/// let settings: oakhollow_terms::Settings = oakhollow_terms::read_json(json.replace("idempotency_key", "read_like").as_bytes()).unwrap();
+/// let read_like = json.replace("idempotency_key", "read_like");
+/// let settings: Settings = read_json(read_like.as_bytes()).unwrap();
 /// assert_eq!(settings.balancer.max_hops, 3);
-/// // A repeat may arrive as much later than it is decided on as its connection takes: a quarter of a second here.
-/// let json = json.replace("\"group\":\"cell\"", "").replace("idempotency_key", "idempotency_key\",\"group\":\"cell\",\"memory_span_s\":\"x")
-///     .replace("\"x\"", "1.5").replace("\"most_hops\":3", "\"most_hops\":3,\"connect_timeout_s\":0.25");
-/// let settings: oakhollow_terms::Settings = oakhollow_terms::read_json(json.as_bytes()).unwrap();
-/// let memory = oakhollow::types::Micros::millis(1_250);
-/// assert_eq!(settings.balancer.workloads[0].idempotency, oakhollow::types::Idempotency::ByKey { scope: oakhollow::types::DedupScope::Cell, window: memory });
+/// // The window is shorter than the memory span by the connect timeout, 0.25 s here.
+/// let json = json
+///     .replace("\"group\":\"cell\"", "")
+///     .replace("idempotency_key", "idempotency_key\",\"group\":\"cell\",\"memory_span_s\":\"x")
+///     .replace("\"x\"", "1.5")
+///     .replace("\"most_hops\":3", "\"most_hops\":3,\"connect_timeout_s\":0.25");
+/// let settings: Settings = read_json(json.as_bytes()).unwrap();
+/// let by_key = Idempotency::ByKey { scope: DedupScope::Cell, window: Micros::millis(1_250) };
+/// assert_eq!(settings.balancer.workloads[0].idempotency, by_key);
 /// assert_eq!(settings.workloads[0].name, "view");
 /// ```
 #[derive(Clone, Debug, Deserialize)]
--- a/terms/src/sidecar_config.rs
+++ b/terms/src/sidecar_config.rs
@@ -79,8 +79,8 @@
     /// The fewest file descriptors that a sidecar can work with.
     const MIN_SOCKETS: usize = 64;
     /// The longest interval between two list requests, half of the time within which the decision module has
-    /// to make one. Whatever the settings allow, a change must take effect within 6 s of being available at a
-    /// reachable discovery: two such intervals, one of them for a request that failed, and one second for a
+    /// to make one. Whatever the settings allow, a sidecar counts as knowing a change 6 s after discovery has
+    /// it and can be reached: two such intervals, one of them for a request that failed, and one second for a
     /// request that succeeds and for a slow machine.
     pub const MAX_LIST_REQUEST_INTERVAL: Micros = Micros::millis(2_500);
     /// How long the list may go without a list request, if the settings don't say, or allow more.
@@ -181,8 +181,8 @@
             resubscribe_within("on_request", r#","stop_sending_within_s":0.15"#),
             SidecarConfig::MAX_LIST_REQUEST_GAP
         );
-        // Whatever the settings allow, two intervals leave one second of the 6 s within which a change must
-        // take effect.
+        // Whatever the settings allow, two intervals leave one second of the 6 s after which a change counts
+        // as known.
         assert_eq!(resubscribe_within("on_request", r#","ask_within_s":60"#), Micros::millis(5_000));
     }
 }
--- a/terms/src/site_plan.rs
+++ b/terms/src/site_plan.rs
@@ -16,12 +16,14 @@
 /// lj = {{ room = 100.0, goes = {goes}, load = {{ order = 80.0, search = 10.0 }} }}
 /// mb = {{ room = 60.0, load = {{ order = 70.0 }} }}
 /// "#);
-/// let error = |goes: &str, first: &str, floor: f64| OperatorConfig::from_toml(&text(goes, first, floor), 8).map(|_| ()).unwrap_err();
-/// assert!(OperatorConfig::from_toml(&text("\"room\"", "search", 0.2), 8).unwrap().site_plan().is_some());
+/// let read = |goes: &str, first: &str, floor: f64| OperatorConfig::from_toml(&text(goes, first, floor), 8);
+/// let error = |goes: &str, first: &str, floor: f64| read(goes, first, floor).map(|_| ()).unwrap_err();
+/// assert!(read("\"room\"", "search", 0.2).unwrap().site_plan().is_some());
 /// assert_eq!(error("{ kp = 1.0 }", "search", 0.2), "line 7: plan.sites.lj.goes: there is no site \"kp\"");
 /// assert_eq!(error("{ mb = 0.5 }", "search", 0.2), "line 7: plan.sites.lj.goes: shares add up to 0.5, not to 1");
 /// assert_eq!(error("\"room\"", "sarch", 0.2), "line 2: plan.refuse_first: there is no class \"sarch\"");
-/// assert_eq!(error("\"room\"", "search", 0.9), "line 8: plan.sites.mb.room: the floors of its own load take 63, more than its room");
+/// let floors = error("\"room\"", "search", 0.9);
+/// assert_eq!(floors, "line 8: plan.sites.mb.room: the floors of its own load take 63, more than its room");
 /// ```
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/terms/src/stricter.rs
+++ b/terms/src/stricter.rs
@@ -85,9 +85,13 @@
 /// let (view, pay) = (class("view", "read_like", 1), class("pay", "non_idempotent", 2));
 /// let changed = of(&[class("view", "non_idempotent", 9), class("new", "read_like", 1)]);
 /// assert_eq!(merge(of(&[view, pay.clone()]), changed), Ok(of(&[class("view", "non_idempotent", 1)])));
-/// assert_eq!(merge(of(&[pay]), of(&[class("new", "read_like", 1)])).unwrap_err(), "workloads: no workload is in both versions");
-/// assert_eq!(merge(json!({"odd": 1}), json!({"odd": 2})).unwrap_err(), "odd: changed, but there is no rule for which value is stricter");
-/// let budget = |few, share, window| json!({"rules": {"spare_attempts": few, "budget_share": share, "extra_window_s": window}});
+/// let error = merge(of(&[pay]), of(&[class("new", "read_like", 1)])).unwrap_err();
+/// assert_eq!(error, "workloads: no workload is in both versions");
+/// let error = merge(json!({"odd": 1}), json!({"odd": 2})).unwrap_err();
+/// assert_eq!(error, "odd: changed, but there is no rule for which value is stricter");
+/// let budget = |spare, share, window| {
+///     json!({"rules": {"spare_attempts": spare, "budget_share": share, "extra_window_s": window}})
+/// };
 /// assert_eq!(merge(budget(9, 0.1, 5), budget(5, 0.2, 5)), Ok(budget(5, 0.1, 5)));
 /// assert_eq!(merge(json!({"rules": {}}), budget(5, 0.2, 5)), Ok(budget(5, 0.2, 5)));
 /// assert_eq!(merge(budget(9, 0.1, 5), budget(5, 0.2, 9)), Ok(budget(5, json!(0.0).as_f64().unwrap(), 9)));
