--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -57,8 +57,10 @@
 const METRICS_PATH: &str = "/metrics";
 /// How often a bind is tried again, such as to an address that another process still has.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The prefix of paths that name an endpoint.
 const ENDPOINTS_PATH: &str = "/endpoints/";
 
+/// A request to the console.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Request<'a> {
     Health,
@@ -199,6 +201,7 @@
         }
     }
 
+    /// Puts an endpoint into maintenance or takes it out of it, and waits until that is applied and saved.
     async fn set_maintenance(&self, name: &str, in_maintenance: bool) -> Result<Answer, HttpError> {
         let (result, saved) = {
             let mut registry = lock(&self.registry);
--- a/sidecar/src/limits.rs
+++ b/sidecar/src/limits.rs
@@ -30,7 +30,9 @@
 /// The limit as all workers share it.
 #[derive(Clone, Debug)]
 pub struct SharedLimit {
+    /// The slots reserved for each worker.
     reserved: usize,
+    /// The slots left in the common rest; negative while workers hold more than the limit.
     shared: Arc<AtomicIsize>,
     /// What one worker may hold while another process has half of the limit.
     half: usize,
@@ -38,7 +40,8 @@
 }
 
 impl SharedLimit {
-    /// A limit of `max` for `sharers` workers: half of it is reserved in equal parts, all of it if there is only one.
+    /// A limit of `max` slots. Half of them are reserved in equal parts for `workers`, all of them if there is only
+    /// one.
     pub fn new(max: usize, workers: usize) -> SharedLimit {
         let reserved = if workers == 1 { max } else { max / 2 / workers };
         let shared = Arc::new(AtomicIsize::new((max - reserved * workers) as isize));
--- a/sidecar/src/start_time.rs
+++ b/sidecar/src/start_time.rs
@@ -1,5 +1,5 @@
 //! When an endpoint last started, by this process's clock. The list gives the time by another machine's wall clock,
-//! which may be wrong by an hour either way, as may the own one; what this process knows by its monotonic clock
+//! which may be wrong by an hour either way, as may this host's; what this process knows by its monotonic clock
 //! limits the time on both sides.
 use oakhollow::types::Micros;
 use std::time::Instant;
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -50,10 +50,13 @@
 /// The module's timers; as a stream it yields the tokens that are due.
 pub struct Timers {
     clock: Clock,
-    /// Timers by their millisecond, which is sorted, latest first, only when it comes: tens of thousands may be
-    /// set, most of them for requests that are finished by then.
+    /// Timers by the millisecond in which they fall due, each with its place in the order of setting. The timers of a
+    /// millisecond are sorted, latest first, only when it comes: tens of thousands may be set, most of them for
+    /// requests that are finished by then.
     by_millisecond: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
+    /// Timers that are due and not yet yielded, latest first.
     due_now: Vec<(Micros, u64, TimerToken)>,
+    /// How many timers were set.
     count: u64,
     alarm: Timer,
 }
@@ -78,6 +81,7 @@
 }
 
 impl Timers {
+    /// Has the task woken at that time.
     fn wake_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
         self.alarm.set_at(at);
         if Pin::new(&mut self.alarm).poll(context).is_ready() {
