--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -50,7 +50,7 @@
     ShuttingDown,
     /// No attempt was started: by the decision module, no endpoint has capacity left for the request.
     Overload,
-    /// Attempts were started, but none was served.
+    /// Attempts were started, and no server has run the request.
     AttemptsFailed,
 }
 
