--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::lease::Lease;
 use crate::limits::SharedLimit;
 use crate::list_deadline::ListDeadline;
-use crate::listeners::{bind, descriptors, passed_on};
+use crate::listeners::{bind, descriptor_limit, passed_listeners};
 use crate::maintenance_store::MaintenanceStore;
 use crate::metrics::Metrics;
 use crate::tasks::Tasks;
@@ -55,6 +55,7 @@
 /// The share of the memory that one line of the list may take: it is held as bytes, as text and as entries.
 const LIST_LINE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
+/// The phases of the process. The log has them by these names.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     /// Listening, and not accepting yet.
@@ -70,6 +71,7 @@
     Over,
 }
 
+/// What may end a phase, or changes something within it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Event {
     /// The listeners are bound; during a handover, also the list is known and sending is allowed.
@@ -103,6 +105,7 @@
     }
 }
 
+/// What a transition does.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Action {
     StartAccepting,
@@ -183,8 +186,8 @@
     }))
 }
 
-/// Runs one sidecar until `commands` say stop, or end, and then until it has shut down in order. `reload` reads the
-/// current configuration. An error is one line.
+/// Runs one sidecar until `control` says stop, or ends, and then until it has shut down in order. `reload_config`
+/// reads the current configuration. An error is one line.
 pub fn run(
     config: SidecarConfig, operator: OperatorConfig,
     reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
@@ -194,7 +197,7 @@
     let tasks = Tasks::new(&executor);
     block_on(executor.run(async {
         let (address, mut config) = (config.listen, config);
-        let (listeners, listener_passed) = match passed_on(operator.workers) {
+        let (listeners, listener_passed) = match passed_listeners(operator.workers) {
             Some(listeners) => (listeners, true),
             None => (bind(address, operator.workers).await, false),
         };
@@ -272,7 +275,7 @@
             + DESCRIPTORS_PER_WORKER * (workers - 1)
             + console_descriptors
             + accord_descriptors;
-        let descriptors = limits.sockets.min(descriptors());
+        let descriptors = limits.sockets.min(descriptor_limit());
         let max_connections = descriptors.saturating_sub(reserved).min(by_memory) / 2;
         if max_connections == 0 {
             return Err(format!(
@@ -377,8 +380,8 @@
         }
         let watch = Watch::new(watch::Parts {
             discovery: config.discovery,
-            known: known_index,
-            orders: commands.clone(),
+            initial_version: known_index,
+            workers: commands.clone(),
             registry: registry.clone(),
             accord: accord_handle.clone(),
             subscriptions,
--- a/terms/src/sidecar_config.rs
+++ b/terms/src/sidecar_config.rs
@@ -14,19 +14,26 @@
 /// ```
 #[derive(Clone, Debug, Deserialize)]
 pub struct SidecarConfig {
+    /// The name of this instance.
     #[serde(default)]
     pub name: String,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address of the operators' console; there is no console without it.
     #[serde(default)]
     pub console: Option<SocketAddr>,
+    /// The seed of the random number generators.
     #[serde(deserialize_with = "seed")]
     pub seed: u64,
+    /// The limits of the machine.
     #[serde(default)]
     pub limits: Limits,
+    /// The last known endpoint list, used until discovery sends one.
     #[serde(default, rename = "known")]
     pub known_list: DiscoveryList,
+    /// The settings.
     #[serde(rename = "settings")]
     pub settings: Settings,
     /// The version of the settings; required if instances agree on settings.
@@ -45,8 +52,10 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsVersion {
+    /// Increases when the author restarts its numbers.
     #[serde(default)]
     pub epoch: u64,
+    /// The author's number of the version.
     pub number: u64,
 }
 
@@ -54,7 +63,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
+    /// The memory for the process, in megabytes.
     pub memory_mb: f64,
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
@@ -68,8 +79,8 @@
     /// The fewest file descriptors that a sidecar can work with.
     const MIN_SOCKETS: usize = 64;
     /// The longest interval between two list requests, half of the time within which the decision module has
-    /// to make one. Whatever the settings allow, a change must take effect within 6 s of being available at a
-    /// reachable discovery: two such intervals, one of them for a request that failed, and one second for a
+    /// to make one. Whatever the settings allow, a sidecar counts as knowing a change 6 s after discovery has
+    /// it and can be reached: two such intervals, one of them for a request that failed, and one second for a
     /// request that succeeds and for a slow machine.
     pub const MAX_LIST_REQUEST_INTERVAL: Micros = Micros::millis(2_500);
     /// How long the list may go without a list request, if the settings don't say, or allow more.
@@ -170,8 +181,8 @@
             resubscribe_within("on_request", r#","stop_sending_within_s":0.15"#),
             SidecarConfig::MAX_LIST_REQUEST_GAP
         );
-        // Whatever the settings allow, two intervals leave one second of the 6 s within which a change must
-        // take effect.
+        // Whatever the settings allow, two intervals leave one second of the 6 s after which a change counts
+        // as known.
         assert_eq!(resubscribe_within("on_request", r#","ask_within_s":60"#), Micros::millis(5_000));
     }
 }
