--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -1,54 +1,72 @@
-//! Plays every file in `sidecar/tests/scenarios` on the program itself, against stand-ins on ports of their own.
-//! The notation, beside that of `tests/scenarios.rs`:
+//! Plays every file in `sidecar/tests/scenarios` on the program itself, against test servers and a test discovery on
+//! loopback. The notation, in addition to that of `tests/scenarios.rs`:
 //!
-//! - `server NAME HOW [BODY]`: HOW is one of answers, late (after 0.3 s), chunked, interim (after a 1xx), closes
-//!   (after its answer, unsaid), echoes (the request's id), echoes-twice, echoes-late (twice, the second 4 ms later), until-close, half, huge, errors, busy (a 503 that proves nothing), turns-away,
-//!   loaded (BODY is its load report), breaks, garbled, noise, hints (a 1xx without end), stalls (in the middle of its answer), twice (its answer, and
-//!   once more), silent, holds (silent until it is changed, and then so), absent (nobody listens), OTHER's-address, shut-door (its connections do not come up until `admits
-//!   NAME`, which the machine tries after 1 s; from then on it answers); said again, it changes a server; `servers COUNT HOW`
-//! - `sidecar [KEY=VALUE ...]` with all servers in `known`: sockets, ulimit, hops, connect, idle, discovery,
-//!   ask, cancel, quoted and abandon (of all workloads), unchanged (a watch has nothing to tell at first), taken (how long somebody else holds its address), deaf
-//!   (its log is closed once it serves); `operator LINE` before it: a line of the operator's file
-//! - `told NAME LEFT`: the last request there was told at most LEFT, less what passed between the last `mark` and the last `admits`
-//! - `limits COUNT`: the machine allows it so many descriptors from now on, at its start ulimit; `holds LEAST MOST` so many
-//!   descriptors; `sidecar ... instances=COUNT`: it is the keeper of so many that agree on settings, and `members COUNT` are linked to it, two of each
-//! - `freezes` and `thaws`: it is stopped by the machine between the two, so that what comes meanwhile comes at once to it;
-//!   `never WORDS`: its log does not say so
-//! - `puts ID WORKLOAD LEFT BYTES whole|chunked|slow|cut`: a long body, at once, in chunks, at 200 kB a second or ended in
-//!   its middle; `took NAME BYTES`: the body of the last request there; `gets ID STATUS BYTES`; `broken ID`: its answer
-//!   has no end
-//! - `call ID WORKLOAD LEFT`, WORKLOAD one of view (repeatable), save (tagged, by cell), pay (once-only);
-//!   `calls COUNT WORKLOAD LEFT [BODY]`, one after the other, each answered 200; `flood COUNT WORKLOAD LEFT LEAST`,
-//!   so many of them dismissed;
-//!   `keeps COUNT WORKLOAD LEFT`, side by side, named `kept-0` and so on; `again ID OTHER WORKLOAD LEFT` on the
-//!   connection of OTHER; `leaves ID`
-//! - `raw ID BYTES` and `more ID BYTES`, with `\r`, `\n`, `_` for a blank and `*N` for N times an `x`
-//! - `own COUNT WORKLOAD LEFT`: calls one after the other, each answered 200 with its own id; `expect ID STATUS [BODY]`; `closed ID`; `opens COUNT [BYTES]`: connections that say no more; `drops` them
-//! - `seen NAME COUNT` requests, `links NAME COUNT` connections, `got NAME BYTES` last; within a second `gone NAME
-//!   LEAST` calls given up, `shut NAME LEAST` connections ended between calls
-//! - `settles COUNT WORKLOAD LEFT STATUS [BODY]`: calls, one after the other, until so many in a row were answered so; none
-//!   that begins 0.1 s later is answered otherwise, beside what the program and we waited for a processor meanwhile
-//! - `list whole|changes NAME[:leaving|:left] ...`, `list garbage|ends`, `list raw LINE`, `list drip BYTES` without a
-//!   line's end; `list next whole|changes ...`: what a watch is told first from now on; `asked COUNT` watches at least,
-//!   `asked COUNT only`
-//! - how calls to discovery are met from then on: `list up`; `list down`: by a 503, and the watches end; `list refuses`: nobody
-//!   listens, and the watches end; `list shut`: connections don't come up; `list hangs`: never; `list halves`: by half a
-//!   line and the end; `list stalls`: by the beginning of a long line, and no more; `list interim`: by a 1xx and all else in one
-//!   piece. `list lets-go` ends the calls that hang; `connects [NAME]`: a connection to discovery, or to that server, is on its way
-//! - `moves [HOW]`: discovery at another address, where calls are met as after `list HOW`, its file names that, SIGHUP; `rereads FROM TO ...`: the same file with FROM
-//!   replaced, SIGHUP; `spoils`: the same with nothing in it
+//! - `server NAME MODE [BODY]` starts a server, or changes it if it exists; `servers COUNT MODE` starts several.
+//!   MODE is one of
+//!   - answers, late (after 0.3 s), chunked, interim (after a 1xx answer), until-close, huge, long-chunked,
+//!     long-bare,
+//!   - closes (closes its connection after an answer, unannounced), echoes (answers the request's id),
+//!     echoes-twice, echoes-late (twice, the second 4 ms later), twice (its answer, and once more), trickles (in
+//!     single bytes),
+//!   - errors, busy (a 503 that proves nothing), turns-away (a 503 that proves that nothing ran), loaded (BODY is
+//!     its load report),
+//!   - breaks (closes without an answer), half and cuts and cuts-chunked (close in the middle of the answer),
+//!     stalls (stops in the middle), garbled, noise, hints (1xx answers without end),
+//!   - silent, holds (silent until its mode changes, then by the new mode), absent (nothing listens),
+//!     OTHER's-address, shut-door (its connections stay unanswered until `admits NAME`, after which the kernel's
+//!     retry, 1 s later, connects; from then on it answers)
+//! - `sidecar [KEY=VALUE ...]` starts the program with all servers in `known`. Keys: sockets, ulimit, hops,
+//!   connect, idle, discovery, ask, cancel, quoted and abandon (of all workloads), unchanged (a watch is first sent
+//!   an empty line), taken (how long another socket holds its address), deaf (its log is closed once it serves).
+//!   `operator LINE` before it: a line of the operator's file
+//! - `told NAME LEFT`: the last request there announced at most LEFT, less the time between the last `mark` and the
+//!   last `admits`
+//! - `limits COUNT`: its limit of descriptors from now on, at its start ulimit; `holds LEAST MOST`: so many
+//!   descriptors are open; `sidecar ... instances=COUNT`: it is the keeper of so many instances that agree on
+//!   settings; `members COUNT`: so many connect to it, two per instance
+//! - `freezes` and `thaws`: stops it by a signal, and continues it; what comes in between comes to it all at once.
+//!   `never WORDS`: its log does not have these words
+//! - `puts ID WORKLOAD LEFT BYTES whole|chunked|slow|cut`: sends a request with a long body at once, in chunks, at
+//!   200 kB a second, or ended in its middle; `took NAME BYTES`: the length of the last request's body there; `gets
+//!   ID STATUS BYTES`: the length of an answer's body; `broken ID`: its answer has no end
+//! - `call ID WORKLOAD LEFT` sends a request, with WORKLOAD one of view (repeatable), save (idempotency key, per
+//!   cell), pay (not repeatable); `calls COUNT WORKLOAD LEFT [BODY]`: one after the other, each answered 200;
+//!   `flood COUNT WORKLOAD LEFT LEAST`: so many of them refused; `keeps COUNT WORKLOAD LEFT`: concurrently, with
+//!   the ids `kept-0` and so on; `again ID OTHER WORKLOAD LEFT`: on the connection of OTHER; `leaves ID`: closes
+//!   the connection
+//! - `raw ID BYTES` and `more ID BYTES`, with `\r`, `\n`, `_` for a space and `*N` for N times an `x`
+//! - `own COUNT WORKLOAD LEFT`: requests one after the other, each answered 200 with its own id; `expect ID STATUS
+//!   [BODY]`; `closed ID`; `opens COUNT [BYTES]`: opens connections that send no more; `drops` closes them
+//! - `seen NAME COUNT` requests, `links NAME COUNT` connections, `got NAME BYTES` in the last request; within a
+//!   second `gone NAME LEAST` requests cancelled, `shut NAME LEAST` connections closed between requests
+//! - `settles COUNT WORKLOAD LEFT STATUS [BODY]`: sends requests until so many in a row were answered so. None that
+//!   begins more than 0.1 s after the command may be answered otherwise; the time for which the program and this
+//!   process waited for a processor is added to that
+//! - `list whole|changes NAME[:leaving|:left] ...`, `list garbage|ends`, `list raw LINE`, `list drip BYTES` without
+//!   a line end; `list next whole|changes ...`: what a watch is sent first from now on; `asked COUNT`: at least so
+//!   many list requests, `asked COUNT only`: exactly so many
+//! - how list requests are answered from then on: `list up`; `list down`: by a 503, and the watches end; `list
+//!   refuses`: nothing listens, and the watches end; `list shut`: connections stay unanswered; `list hangs`: never;
+//!   `list halves`: by half a line and the end; `list stalls`: by the beginning of a long line, and no more; `list
+//!   interim`: by a 1xx answer and all else in one piece. `list lets-go` ends the requests that hang; `connects
+//!   [NAME]`: a connection to discovery, or to that server, is being opened
+//! - `moves [MODE]`: discovery gets another address, where requests are answered as after `list MODE`; the
+//!   configuration file names it, and SIGHUP is sent. `rereads FROM TO ...`: the same file with FROM replaced, and
+//!   SIGHUP; `spoils`: an empty file, and SIGHUP
 //! - `sidecar ... console` has a console; `asks METHOD PATH STATUS` there, within a second; `healthy`: its
-//!   healthcheck says yes soon; `hangs COUNT [BYTES]`:
-//!   connections to it that say no more
-//! - `sidecar ... passed`: its listening socket is held by us and passed on; `beside [KEY=VALUE ...]` starts another process
-//!   on it, which is the one spoken of from then on; `swap`: the other one is
-//! - `seen-all COUNT` requests at all servers; `beyond=FEW:SHARE:SECONDS` for `sidecar` and `beside`: the bound on hops
-//! - `forget NAME` its requests so far; `least NAME LEAST` requests since
+//!   healthcheck says yes soon; `hangs COUNT [BYTES]`: connections to it that send no more
+//! - `sidecar ... passed`: its listening socket is opened by the test and passed to it; `beside [KEY=VALUE ...]`
+//!   starts another process on that socket, to which commands apply from then on; `swap`: they apply to the other
+//!   one
+//! - `seen-all COUNT` requests at all servers; `beyond=FEW:SHARE:SECONDS` for `sidecar` and `beside`: the retry
+//!   budget
+//! - `forget NAME`: resets its count of requests; `least NAME LEAST` requests since
 //! - `restarts`: killed, and started again with the same folder
-//! - `alone`: it is linked to the C library at its start and has started no other program
+//! - `alone`: it is linked to the C library and has started no other program
 //! - `before LENGTH`: no more than that has passed since the last `stop` or `mark`
-//! - `ready STATUS`, `wait LENGTH`, `stop`, `exits CODE`, `says WORDS`, `unreachable`, `calm`: next to no CPU used
-//! - `refused FROM TO WORDS`: with FROM replaced in its file the program ends at once, with one line of WORDS
+//! - `ready STATUS`, `wait LENGTH`, `stop`, `exits CODE`, `says WORDS`, `unreachable`, `calm`: uses next to no CPU
+//! - `refused FROM TO WORDS`: with FROM replaced in its file the program ends at once, with one line that has these
+//!   words
 #[path = "../../tests/runner/mod.rs"]
 mod runner;
 
@@ -64,8 +82,8 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Waits for something that happens elsewhere.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds that another thread or process brings about.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < PATIENCE, "never: {what}");
@@ -79,34 +97,34 @@
     (listener, address)
 }
 
-/// Whether a connection to that address of this machine is on its way.
-fn on_its_way(to: SocketAddr) -> bool {
+/// Whether a connection to this loopback address is being opened.
+fn is_connecting(to: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("its table");
     let to = format!("0100007F:{:04X}", to.port());
-    // The third column is the other side, the fourth how it stands: 02 is on its way.
+    // The third column is the remote address, the fourth the state: 02 is SYN_SENT.
     table.lines().any(|line| line.split_whitespace().skip(2).take(2).eq([to.as_str(), "02"]))
 }
 
-/// How long a list that was told may take to be heard.
-const HEARD: Duration = Duration::from_millis(100);
+/// How long the program may take to apply a list.
+const LIST_DELAY: Duration = Duration::from_millis(100);
 
-/// How long each thread of a process has waited for a processor so far, as the machine counts it.
-fn waits(process: u32) -> BTreeMap<PathBuf, Duration> {
+/// How long each thread of a process has waited for a processor so far, as the kernel counts it.
+fn scheduling_waits(process: u32) -> BTreeMap<PathBuf, Duration> {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).expect("a process");
-    let waited = tasks.filter_map(|task| {
+    let scheduling_delays = tasks.filter_map(|task| {
         let path = task.ok()?.path();
-        // Runs, waits, turns: the second, in nanoseconds.
-        let told = std::fs::read_to_string(path.join("schedstat")).ok()?;
-        Some((path, Duration::from_nanos(told.split(' ').nth(1)?.parse().ok()?)))
+        // Time running, time waiting, time slices: the second one, in nanoseconds.
+        let text = std::fs::read_to_string(path.join("schedstat")).ok()?;
+        Some((path, Duration::from_nanos(text.split(' ').nth(1)?.parse().ok()?)))
     });
-    waited.collect()
+    scheduling_delays.collect()
 }
 
-fn any_port() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Reads one message off a stream: its head, and the body that Content-Length or the chunks tell of.
+/// Reads one message: its head, and the body by Content-Length or chunks.
 fn read_message(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -126,7 +144,7 @@
     Some((head, String::from_utf8(body).expect("text")))
 }
 
-/// Reads a chunked body to its end; none if that is missing.
+/// Reads a chunked body to its end. Returns none if the end is missing.
 fn read_chunks(stream: &mut TcpStream) -> Option<String> {
     let (mut body, mut byte) = (Vec::new(), [0]);
     loop {
@@ -145,94 +163,96 @@
     }
 }
 
+/// How a test server answers, and what it has seen.
 #[derive(Default)]
-struct Seen {
-    how: String,
+struct ServerState {
+    mode: String,
     body: String,
     requests: usize,
-    links: usize,
-    gone: usize,
-    shut: usize,
-    last: String,
+    connections: usize,
+    cancelled: usize,
+    closed_idle: usize,
+    last_request: String,
 }
 
 struct Server {
     name: String,
     address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
-    /// Dropped when connections may come up.
-    door: Option<TcpStream>,
+    state: Arc<Mutex<ServerState>>,
+    /// Fills the queue of the listener. Dropped when connections may be accepted.
+    backlog_filler: Option<TcpStream>,
 }
 
 impl Server {
     fn start(name: &str) -> Server {
         let (listener, address) = listen();
-        let server = Server { name: name.to_string(), address, seen: Arc::default(), door: None };
-        let shared = server.seen.clone();
-        thread::spawn(move || welcome(&listener, &shared));
+        let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler: None };
+        let shared = server.state.clone();
+        thread::spawn(move || accept_all(&listener, &shared));
         server
     }
 
-    /// One whose queue in the machine is full: another connection is not answered until somebody takes that one out.
-    fn shut(name: &str) -> Server {
+    /// Starts a server whose accept queue is full: the kernel answers no other connection until that one is accepted.
+    fn with_full_backlog(name: &str) -> Server {
         let (listener, address) = listen();
         rustix::net::listen(&listener, 0).expect("a short queue");
-        let door = Some(TcpStream::connect(address).expect("the one that fills it"));
-        let server = Server { name: name.to_string(), address, seen: Arc::default(), door };
-        let shared = server.seen.clone();
+        let backlog_filler = Some(TcpStream::connect(address).expect("the one that fills it"));
+        let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler };
+        let shared = server.state.clone();
         thread::spawn(move || {
-            until("it is admitted", || shared.lock().expect("seen").how == "answers");
+            wait_until("it is admitted", || shared.lock().expect("seen").mode == "answers");
             drop(listener.accept());
-            welcome(&listener, &shared);
+            accept_all(&listener, &shared);
         });
         server
     }
 }
 
-fn welcome(listener: &TcpListener, shared: &Arc<Mutex<Seen>>) {
+fn accept_all(listener: &TcpListener, shared: &Arc<Mutex<ServerState>>) {
     for stream in listener.incoming().map_while(Result::ok) {
         let shared = shared.clone();
-        shared.lock().expect("seen").links += 1;
+        shared.lock().expect("seen").connections += 1;
         thread::spawn(move || serve(stream, &shared));
     }
 }
 
-/// How a request is met that was to wait until its server is changed.
-fn said_anew(shared: &Mutex<Seen>) -> String {
+/// Waits until the server's mode is no longer `holds`.
+fn mode_after_hold(shared: &Mutex<ServerState>) -> String {
     loop {
-        let how = shared.lock().expect("seen").how.clone();
-        if how != "holds" {
-            return how;
+        let mode = shared.lock().expect("seen").mode.clone();
+        if mode != "holds" {
+            return mode;
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn serve(mut stream: TcpStream, shared: &Mutex<Seen>) {
+fn serve(mut stream: TcpStream, shared: &Mutex<ServerState>) {
     while let Some((head, body)) = read_message(&mut stream) {
-        let (how, say) = {
-            let mut seen = shared.lock().expect("seen");
-            seen.requests += 1;
-            seen.last = head + &body;
-            (seen.how.clone(), seen.body.clone())
+        let (mode, text) = {
+            let mut state = shared.lock().expect("seen");
+            state.requests += 1;
+            state.last_request = head + &body;
+            (state.mode.clone(), state.body.clone())
         };
-        let how = if how == "holds" { said_anew(shared) } else { how };
-        let whole = format!("HTTP/1.1 200 OK\r\nX-Made-By: us\r\nContent-Length: {}\r\n\r\n{say}", say.len());
+        let mode = if mode == "holds" { mode_after_hold(shared) } else { mode };
+        let whole =
+            format!("HTTP/1.1 200 OK\r\nX-Made-By: us\r\nContent-Length: {}\r\n\r\n{text}", text.len());
         let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-        let answer = match how.as_str() {
+        let answer = match mode.as_str() {
             "late" => {
                 thread::sleep(Duration::from_millis(300));
                 whole
             }
             "chunked" => format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\n{}\r\n{:x}\r\n{}\r\n0\r\nT: 1\r\n\r\n",
-                &say[..1],
-                say.len() - 1,
-                &say[1..]
+                &text[..1],
+                text.len() - 1,
+                &text[1..]
             ),
             "interim" => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{whole}"),
-            "until-close" => format!("HTTP/1.1 200 OK\r\n\r\n{say}"),
-            "half" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{say}", say.len() + 9),
+            "until-close" => format!("HTTP/1.1 200 OK\r\n\r\n{text}"),
+            "half" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
             "huge" => format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70000)),
             "long-chunked" => {
                 let half = format!("{:x}\r\n{}\r\n", 400_000, "x".repeat(400_000));
@@ -246,33 +266,33 @@
             "errors" => empty("500 Internal Server Error"),
             "busy" => empty("503 Service Unavailable"),
             "loaded" => {
-                format!("HTTP/1.1 200 OK\r\nLoad-Report: {say}\r\nContent-Length: 2\r\n\r\nok")
+                format!("HTTP/1.1 200 OK\r\nLoad-Report: {text}\r\nContent-Length: 2\r\n\r\nok")
             }
             "turns-away" => empty("503 Service Unavailable\r\nNot-Started: 1"),
             "garbled" => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc".into(),
             "noise" => "\u{1}\u{2}noise".into(),
             "hints" => "HTTP/1.1 102 Processing\r\n\r\n".repeat(99),
-            "stalls" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{say}", say.len() + 9),
+            "stalls" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
             "twice" => format!("{whole}{whole}"),
             "echoes" | "echoes-twice" | "echoes-late" => {
-                let id = shared.lock().expect("seen").last.clone();
+                let id = shared.lock().expect("seen").last_request.clone();
                 let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("an id").to_string();
                 let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
-                if how == "echoes-late" {
+                if mode == "echoes-late" {
                     let _ = stream.write_all(whole.as_bytes());
                     thread::sleep(Duration::from_millis(4));
                 }
-                whole.repeat(if how == "echoes-twice" { 2 } else { 1 })
+                whole.repeat(if mode == "echoes-twice" { 2 } else { 1 })
             }
             "breaks" => return,
             "silent" => {
-                let gone = stream.read(&mut [0]).is_ok_and(|count| count == 0);
-                shared.lock().expect("seen").gone += usize::from(gone);
+                let cancelled = stream.read(&mut [0]).is_ok_and(|count| count == 0);
+                shared.lock().expect("seen").cancelled += usize::from(cancelled);
                 return;
             }
             _ => whole,
         };
-        if how == "trickles" {
+        if mode == "trickles" {
             // In single bytes, with pauses that add up to more than a second.
             let (front, rest) = answer.split_at(answer.len() - 8);
             let pieces = std::iter::once(front).chain((0..8).map(|at| &rest[at..at + 1]));
@@ -284,36 +304,36 @@
         }
         if stream.write_all(answer.as_bytes()).is_err()
             || matches!(
-                how.as_str(),
+                mode.as_str(),
                 "closes" | "until-close" | "half" | "long-bare" | "cuts" | "cuts-chunked"
             )
         {
             return;
         }
     }
-    shared.lock().expect("seen").shut += 1;
+    shared.lock().expect("seen").closed_idle += 1;
 }
 
-/// The stand-in for discovery: one whole list, then what the scenario says.
+/// The test discovery: sends one whole list, then what the scenario says.
 #[derive(Default)]
 struct Discovery {
-    /// How calls are met.
-    how: String,
-    asked: usize,
-    /// What a watch is told first.
-    first: String,
+    /// How requests are answered.
+    mode: String,
+    requests: usize,
+    /// What a watch is sent first.
+    initial_line: String,
     watches: Vec<TcpStream>,
-    /// Calls that are not answered, or not to the end.
+    /// Requests that are not answered, or not to the end.
     hung: Vec<TcpStream>,
-    /// Its address, kept by a socket that never listens.
-    place: Option<(SocketAddr, TcpListener)>,
+    /// Its address, reserved by a socket that never listens.
+    reserved: Option<(SocketAddr, TcpListener)>,
     listener: Option<TcpListener>,
-    /// Fills the queue in the machine until connections may come up.
-    door: Option<TcpStream>,
+    /// Fills the queue of the listener until connections may be accepted.
+    backlog_filler: Option<TcpStream>,
 }
 
-/// A socket at an address that others of ours may have too, and, if it is to be left to the program, one of its own.
-fn bound(to: SocketAddr, left_to_program: bool) -> TcpListener {
+/// Binds a socket to an address that other sockets of this process, or the program instead, may bind too.
+fn bind_socket(to: SocketAddr, left_to_program: bool) -> TcpListener {
     use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
     // Programs that are started must not inherit it.
     let (stream, closed) = (SocketType::STREAM, SocketFlags::CLOEXEC);
@@ -329,37 +349,37 @@
 
 impl Discovery {
     fn address(&self) -> SocketAddr {
-        self.place.as_ref().expect("discovery").0
+        self.reserved.as_ref().expect("discovery").0
     }
 
-    /// Nobody listens any more.
-    fn refuse(&mut self) {
-        self.door = None;
+    /// Stops listening: connections are refused.
+    fn stop_listening(&mut self) {
+        self.backlog_filler = None;
         if let Some(listener) = self.listener.take() {
             rustix::net::shutdown(&listener, rustix::net::Shutdown::Read).expect("it ends");
         }
     }
 
-    /// Connections don't come up until somebody takes out the one that fills the queue.
-    fn shut(&mut self) {
-        self.refuse();
-        let listener = bound(self.address(), false);
+    /// Listens with a full queue: connections stay unanswered.
+    fn fill_backlog(&mut self) {
+        self.stop_listening();
+        let listener = bind_socket(self.address(), false);
         rustix::net::listen(&listener, 0).expect("a short queue");
-        self.door = Some(TcpStream::connect(self.address()).expect("the one that fills it"));
+        self.backlog_filler = Some(TcpStream::connect(self.address()).expect("the one that fills it"));
         self.listener = Some(listener);
     }
 
-    /// Calls are taken in, if they were not before.
+    /// Accepts connections, if it did not before.
     fn open(&mut self, shared: &Arc<Mutex<Discovery>>) {
-        let Some(address) = self.place.as_ref().map(|place| place.0) else { return };
-        if self.listener.is_some() && self.door.is_none() {
+        let Some(address) = self.reserved.as_ref().map(|reserved| reserved.0) else { return };
+        if self.listener.is_some() && self.backlog_filler.is_none() {
             return;
         }
-        self.door = None;
-        let listener = self.listener.get_or_insert_with(|| bound(address, false));
+        self.backlog_filler = None;
+        let listener = self.listener.get_or_insert_with(|| bind_socket(address, false));
         rustix::net::listen(&*listener, 4096).expect("a queue");
         let (listener, shared) = (listener.try_clone().expect("a descriptor"), shared.clone());
-        thread::spawn(move || discover(listener, shared));
+        thread::spawn(move || serve_discovery(listener, shared));
     }
 }
 
@@ -367,15 +387,15 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-fn discover(listener: TcpListener, shared: Arc<Mutex<Discovery>>) {
+fn serve_discovery(listener: TcpListener, shared: Arc<Mutex<Discovery>>) {
     for mut stream in listener.incoming().map_while(Result::ok) {
         let Some((head, _)) = read_message(&mut stream) else { continue };
         assert!(head.starts_with("GET /v1/endpoints?stream=1&index="), "{head}");
         let mut discovery = shared.lock().expect("discovery");
-        discovery.asked += 1;
+        discovery.requests += 1;
         let (head, first) =
-            ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk(&discovery.first));
-        let answer = match discovery.how.as_str() {
+            ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk(&discovery.initial_line));
+        let answer = match discovery.mode.as_str() {
             "down" => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string(),
             "hangs" => String::new(),
             "halves" => format!("{head}{}", &first[..first.len() / 2]),
@@ -384,7 +404,7 @@
             _ => format!("{head}{first}"),
         };
         let sent = stream.write_all(answer.as_bytes()).is_ok();
-        match discovery.how.as_str() {
+        match discovery.mode.as_str() {
             "down" | "halves" => {}
             "hangs" | "stalls" => discovery.hung.push(stream),
             _ if sent => discovery.watches.push(stream),
@@ -393,40 +413,43 @@
     }
 }
 
+/// What a scenario file has started, and what its commands refer to.
 #[derive(Default)]
-struct World {
+struct Scenario {
     servers: Vec<Server>,
     discovery: Arc<Mutex<Discovery>>,
     program: Option<(Child, Arc<Mutex<String>>)>,
     port: Option<SocketAddr>,
     console: Option<SocketAddr>,
-    /// Where its keeper takes links in.
+    /// Where its keeper listens for the other instances.
     keeper: Option<SocketAddr>,
     /// The listening socket that processes inherit.
     passed: Option<TcpListener>,
-    /// The process beside the one spoken of.
+    /// The other process, to which commands do not apply at the moment.
     beside: Option<(Child, Arc<Mutex<String>>, Option<SocketAddr>)>,
-    /// The sidecar's own folder, kept when it starts again.
+    /// The sidecar's folder, kept when it starts again.
     folder: PathBuf,
     clients: BTreeMap<String, TcpStream>,
     idle: Vec<TcpStream>,
-    started: Option<Instant>,
-    marked: Option<Instant>,
-    admitted: Option<Instant>,
-    calls: u32,
-    probes: u32,
-    /// Addresses that others are not given meanwhile.
-    places: Vec<TcpListener>,
+    started_at: Option<Instant>,
+    marked_at: Option<Instant>,
+    admitted_at: Option<Instant>,
+    /// Requests sent, by which they are numbered.
+    request_count: u32,
+    /// Requests sent by `settles`, which have numbers of their own.
+    probe_count: u32,
+    /// Sockets that keep their addresses from being given to others.
+    reserved_sockets: Vec<TcpListener>,
     file: PathBuf,
     /// The operator's file, if there is one.
     operator: String,
-    told: String,
+    config_text: String,
 }
 
-impl Drop for World {
+impl Drop for Scenario {
     fn drop(&mut self) {
-        if let (true, Some((_, said))) = (thread::panicking(), &self.program) {
-            eprintln!("{}", said.lock().map(|said| said.clone()).unwrap_or_default());
+        if let (true, Some((_, log))) = (thread::panicking(), &self.program) {
+            eprintln!("{}", log.lock().map(|log| log.clone()).unwrap_or_default());
         }
         let programs = [self.program.take().map(|it| it.0), self.beside.take().map(|it| it.0)];
         for mut program in programs.into_iter().flatten() {
@@ -439,12 +462,12 @@
     }
 }
 
-impl World {
-    /// An address that nobody listens at: nobody is given it by chance, while one who is told of it may listen.
+impl Scenario {
+    /// Reserves an address at which nothing listens: the kernel gives it to no other socket, but the program may bind it.
     fn reserve(&mut self, at: SocketAddr) -> SocketAddr {
-        let place = bound(at, true);
+        let place = bind_socket(at, true);
         let address = place.local_addr().expect("its address");
-        self.places.push(place);
+        self.reserved_sockets.push(place);
         address
     }
 
@@ -512,7 +535,7 @@
 
     fn launch(&mut self, config: &str, before: &str) -> Child {
         let file = format!("oakhollow-{:?}-{}.json", thread::current().id(), std::process::id());
-        (self.file, self.told) = (std::env::temp_dir().join(file), config.to_string());
+        (self.file, self.config_text) = (std::env::temp_dir().join(file), config.to_string());
         std::fs::write(&self.file, config).expect("the file");
         let mut command = Command::new("/bin/sh");
         let before = match &self.passed {
@@ -537,20 +560,21 @@
         command.env("RELAY_CONFIG", &self.file).stderr(Stdio::piped()).spawn().expect("the program starts")
     }
 
-    /// A stand-in for discovery at an address of its own.
-    fn stand_in(&mut self, unchanged: bool) -> SocketAddr {
-        let place = bound(any_port(), false);
+    /// Starts a test discovery at a new address.
+    fn start_discovery(&mut self, unchanged: bool) -> SocketAddr {
+        let place = bind_socket(any_loopback_port(), false);
         let address = place.local_addr().expect("its address");
         let names: Vec<&str> = self.servers.iter().map(|server| server.name.as_str()).collect();
         let first = if unchanged { String::new() } else { self.list(true, &names) };
         let mut discovery = self.discovery.lock().expect("discovery");
-        (discovery.first, discovery.place, discovery.listener) = (first, Some((address, place)), None);
+        (discovery.initial_line, discovery.reserved, discovery.listener) =
+            (first, Some((address, place)), None);
         discovery.open(&self.discovery);
         address
     }
 
-    fn reread(&mut self, changes: &[(&str, &str)]) {
-        let text = changes.iter().fold(self.told.clone(), |text, (from, to)| {
+    fn rewrite_config(&mut self, changes: &[(&str, &str)]) {
+        let text = changes.iter().fold(self.config_text.clone(), |text, (from, to)| {
             assert!(text.contains(from), "{text}");
             text.replacen(from, to, 1)
         });
@@ -564,12 +588,12 @@
         assert!(sent.expect("kill").success());
     }
 
-    fn sidecar(&mut self, words: &[&str]) {
+    fn start_sidecar(&mut self, words: &[&str]) {
         if words.contains(&"passed") {
             self.passed.get_or_insert_with(|| listen().0);
         }
         if let Some(count) = words.iter().find_map(|word| word.strip_prefix("instances=")) {
-            let keeper = self.reserve(any_port());
+            let keeper = self.reserve(any_loopback_port());
             let others =
                 (1..count.parse().expect("a count")).map(|number| format!(", n{number} = \"127.0.0.1:1\""));
             self.operator += &format!(
@@ -578,12 +602,12 @@
             );
             self.keeper = Some(keeper);
         }
-        let address = self.stand_in(words.contains(&"unchanged"));
+        let address = self.start_discovery(words.contains(&"unchanged"));
         let limit = words.iter().find_map(|word| word.strip_prefix("ulimit="));
         let before = limit.map_or(String::new(), |limit| format!("ulimit -n {limit};"));
-        // An address that somebody holds for a moment more.
+        // Another socket holds the address for a moment more.
         let taken = words.iter().find_map(|word| word.strip_prefix("taken=")).map(|time| {
-            let place = self.reserve(any_port());
+            let place = self.reserve(any_loopback_port());
             (TcpListener::bind(place).expect("its place"), place, time)
         });
         let listen = taken.as_ref().map(|(_, place, _)| format!("listen={place}"));
@@ -594,35 +618,35 @@
             drop(holder);
         }
         let deaf = words.contains(&"deaf");
-        let (mut errors, said) =
+        let (mut errors, log) =
             (program.stderr.take().expect("its log"), Arc::new(Mutex::new(String::new())));
-        let shared = said.clone();
+        let shared = log.clone();
         thread::spawn(move || {
             let mut buffer = [0; 1024];
             while let Some(count) = errors.read(&mut buffer).ok().filter(|count| *count > 0) {
-                let mut said = shared.lock().expect("log");
-                *said += &String::from_utf8_lossy(&buffer[..count]);
-                if deaf && said.contains("Serving") {
+                let mut log = shared.lock().expect("log");
+                *log += &String::from_utf8_lossy(&buffer[..count]);
+                if deaf && log.contains("Serving") {
                     break;
                 }
             }
         });
-        self.program = Some((program, said.clone()));
-        until("it listens", || {
-            let said = said.lock().expect("log");
-            let rest = said.split_once("listening on ").map(|(_, rest)| rest.to_string());
+        self.program = Some((program, log.clone()));
+        wait_until("it listens", || {
+            let log = log.lock().expect("log");
+            let rest = log.split_once("listening on ").map(|(_, rest)| rest.to_string());
             self.port = rest.and_then(|rest| rest.split([',', ' ', '\n']).next()?.parse().ok());
             self.port.is_some()
         });
         if words.contains(&"console") {
-            until("it has a console", || {
-                let said = said.lock().expect("log").clone();
-                let at = said.split_once("console at ").and_then(|(_, rest)| rest.split_once(','));
+            wait_until("it has a console", || {
+                let log = log.lock().expect("log").clone();
+                let at = log.split_once("console at ").and_then(|(_, rest)| rest.split_once(','));
                 self.console = at.and_then(|(at, _)| at.parse().ok());
                 self.console.is_some()
             });
         }
-        self.started = Some(Instant::now());
+        self.started_at = Some(Instant::now());
     }
 
     fn connect(&self) -> TcpStream {
@@ -631,9 +655,9 @@
         stream
     }
 
-    fn call(&mut self, id: &str, mut stream: TcpStream, workload: &str, left: &str) {
-        self.calls += 1;
-        let (calls, left) = (self.calls, runner::parse_duration_us(left) / 1000);
+    fn send_request(&mut self, id: &str, mut stream: TcpStream, workload: &str, left: &str) {
+        self.request_count += 1;
+        let (calls, left) = (self.request_count, runner::parse_duration_us(left) / 1000);
         let head = format!("Host: api.internal\r\nRequest-Id: {calls:016x}\r\nRequest-Class: {workload}\r\nRequest-Timeout-Ms: {left}\r\n");
         let request = match workload {
             "view" => format!("GET /view/7?x=y HTTP/1.1\r\n{head}\r\n"),
@@ -645,79 +669,84 @@
 
     fn expect(&mut self, id: &str, status: &str, body: &str) {
         let stream = self.clients.get_mut(id).expect("a call");
-        let (head, said) = read_message(stream).expect("an answer");
+        let (head, answer_body) = read_message(stream).expect("an answer");
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
-        assert!(body.is_empty() || said == body, "{said}");
+        assert!(body.is_empty() || answer_body == body, "{answer_body}");
     }
 
-    /// What the program's threads waited for a processor in all, and each of ours.
-    fn waited(&self) -> (Duration, BTreeMap<PathBuf, Duration>) {
+    /// How long the program's threads have waited for a processor in all, and each thread of this process.
+    fn scheduling_delays(&self) -> (Duration, BTreeMap<PathBuf, Duration>) {
         let program = self.program.as_ref().expect("a sidecar").0.id();
-        (waits(program).values().sum(), waits(std::process::id()))
+        (scheduling_waits(program).values().sum(), scheduling_waits(std::process::id()))
     }
 
-    fn settles(&mut self, count: &str, (workload, left): (&str, &str), (status, body): (&str, &str)) {
+    fn send_until_settled(
+        &mut self, count: &str, (workload, left): (&str, &str), (status, body): (&str, &str),
+    ) {
         let (start, count) = (Instant::now(), count.parse::<usize>().expect("a count"));
         let (mut in_a_row, status) = (0, format!("HTTP/1.1 {status} "));
-        let (theirs, ours) = self.waited();
-        // Ids of their own: how many it takes must not shift those that a file names.
-        self.probes = self.probes.max(1 << 20);
-        std::mem::swap(&mut self.calls, &mut self.probes);
+        let (theirs, ours) = self.scheduling_delays();
+        // These requests have ids of their own: their number must not shift the ids that a file names.
+        self.probe_count = self.probe_count.max(1 << 20);
+        std::mem::swap(&mut self.request_count, &mut self.probe_count);
         while in_a_row < count {
             let begun = start.elapsed();
-            self.call("settles", self.connect(), workload, left);
+            self.send_request("settles", self.connect(), workload, left);
             let stream = self.clients.get_mut("settles").expect("a call");
-            let (head, said) = read_message(stream).expect("an answer");
-            let so = head.starts_with(&status) && (body.is_empty() || said == body);
-            if !so && begun >= HEARD {
-                let (theirs_now, ours_now) = self.waited();
-                // One of ours tells the list, and one asks here: twice the longest of them.
+            let (head, answer_body) = read_message(stream).expect("an answer");
+            let so = head.starts_with(&status) && (body.is_empty() || answer_body == body);
+            if !so && begun >= LIST_DELAY {
+                let (theirs_now, ours_now) = self.scheduling_delays();
+                // One thread of this process sends the list and one the requests: twice the longest wait of any.
                 let longest =
                     ours_now.iter().map(|(thread, now)| *now - ours.get(thread).copied().unwrap_or_default());
                 let machine = theirs_now.saturating_sub(theirs) + 2 * longest.max().unwrap_or_default();
-                assert!(begun < HEARD + machine, "late by {begun:?}, the machine {machine:?}: {head}{said}");
+                assert!(
+                    begun < LIST_DELAY + machine,
+                    "late by {begun:?}, the machine {machine:?}: {head}{answer_body}"
+                );
             }
             in_a_row = if so { in_a_row + 1 } else { 0 };
         }
-        std::mem::swap(&mut self.calls, &mut self.probes);
+        std::mem::swap(&mut self.request_count, &mut self.probe_count);
     }
 
-    fn server(&mut self, name: &str, how: &str, body: &str) {
+    fn set_server(&mut self, name: &str, mode: &str, body: &str) {
         if !self.servers.iter().any(|server| server.name == name) {
             let mut server = Server::start(name);
-            if how == "absent" {
-                server.address = self.reserve(any_port());
+            if mode == "absent" {
+                server.address = self.reserve(any_loopback_port());
             }
-            if how == "shut-door" {
-                server = Server::shut(name);
+            if mode == "shut-door" {
+                server = Server::with_full_backlog(name);
             }
-            if let Some(other) = how.strip_suffix("'s-address") {
+            if let Some(other) = mode.strip_suffix("'s-address") {
                 server.address = self.find(other).address;
             }
             self.servers.push(server);
         }
-        let mut seen = self.find(name).seen.lock().expect("seen");
-        (seen.how, seen.body) = (how.to_string(), body.to_string());
+        let mut state = self.find(name).state.lock().expect("seen");
+        (state.mode, state.body) = (mode.to_string(), body.to_string());
     }
 
     fn find(&self, name: &str) -> &Server {
         self.servers.iter().find(|server| server.name == name).expect("a server")
     }
 
-    fn counts(&self, name: &str, wanted: &str, count: impl Fn(&Seen) -> usize) {
+    fn expect_count(&self, name: &str, wanted: &str, count: impl Fn(&ServerState) -> usize) {
         let (server, wanted) = (self.find(name), wanted.parse::<usize>().expect("a count"));
-        until("the count", || count(&server.seen.lock().expect("seen")) >= wanted);
-        assert_eq!(count(&server.seen.lock().expect("seen")), wanted);
+        wait_until("the count", || count(&server.state.lock().expect("seen")) >= wanted);
+        assert_eq!(count(&server.state.lock().expect("seen")), wanted);
     }
 
-    /// Holds soon: long before any call's time is over, at which it would hold too.
-    fn least(&self, name: &str, least: &str, count: impl Fn(&Seen) -> usize) {
+    /// Waits for a count and requires it within a second: at the end of a request's time it would hold anyway.
+    fn expect_soon(&self, name: &str, least: &str, count: impl Fn(&ServerState) -> usize) {
         let (start, least) = (Instant::now(), least.parse::<usize>().expect("a count"));
-        until("so many", || count(&self.find(name).seen.lock().expect("seen")) >= least);
+        wait_until("so many", || count(&self.find(name).state.lock().expect("seen")) >= least);
         assert!(start.elapsed() < Duration::from_secs(1), "late");
     }
 
-    fn discovery(&mut self, words: &[&str]) {
+    fn run_list_command(&mut self, words: &[&str]) {
         let line = match words {
             ["whole", names @ ..] | ["next", "whole", names @ ..] => self.list(true, names),
             ["changes", names @ ..] | ["next", "changes", names @ ..] => self.list(false, names),
@@ -730,11 +759,11 @@
         };
         let mut discovery = self.discovery.lock().expect("discovery");
         match words[0] {
-            "next" => discovery.first = line,
-            "refuses" => discovery.refuse(),
-            "shut" => discovery.shut(),
+            "next" => discovery.initial_line = line,
+            "refuses" => discovery.stop_listening(),
+            "shut" => discovery.fill_backlog(),
             "up" | "down" | "hangs" | "halves" | "stalls" | "interim" => {
-                discovery.how = words[0].to_string();
+                discovery.mode = words[0].to_string();
                 discovery.open(&self.discovery);
             }
             "ends" => discovery.watches.clear(),
@@ -748,36 +777,36 @@
         }
     }
 
-    fn play(&mut self, line: &str) {
+    fn run_command(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["server", name, how] => self.server(name, how, "hello"),
-            ["server", name, how, body] => self.server(name, how, body),
-            ["servers", count, how] => {
+            ["server", name, mode] => self.set_server(name, mode, "hello"),
+            ["server", name, mode, body] => self.set_server(name, mode, body),
+            ["servers", count, mode] => {
                 let count: usize = count.parse().expect("a count");
-                (0..count).for_each(|number| self.server(&format!("s{number}"), how, "hello"));
+                (0..count).for_each(|number| self.set_server(&format!("s{number}"), mode, "hello"));
             }
-            ["sidecar", ..] => self.sidecar(&words[1..]),
-            ["call", id, workload, left] => self.call(id, self.connect(), workload, left),
+            ["sidecar", ..] => self.start_sidecar(&words[1..]),
+            ["call", id, workload, left] => self.send_request(id, self.connect(), workload, left),
             ["calls", count, workload, left, ..] => {
                 for _ in 0..count.parse().expect("a count") {
-                    self.call("calls", self.connect(), workload, left);
+                    self.send_request("calls", self.connect(), workload, left);
                     self.expect("calls", "200", words.get(4).copied().unwrap_or_default());
                 }
             }
             ["settles", count, workload, left, status, ..] => {
                 let body = words.get(5).copied().unwrap_or_default();
-                self.settles(count, (workload, left), (status, body));
+                self.send_until_settled(count, (workload, left), (status, body));
             }
             ["keeps", count, workload, left] => {
                 for number in 0..count.parse().expect("a count") {
-                    self.call(&format!("kept-{number}"), self.connect(), workload, left);
+                    self.send_request(&format!("kept-{number}"), self.connect(), workload, left);
                 }
             }
             ["flood", count, workload, left, least] => {
                 let count: usize = count.parse().expect("a count");
                 let dismissed = (0..count).filter(|_| {
-                    self.call("flood", self.connect(), workload, left);
+                    self.send_request("flood", self.connect(), workload, left);
                     let stream = self.clients.get_mut("flood").expect("a call");
                     read_message(stream).expect("an answer").0.starts_with("HTTP/1.1 503 ")
                 });
@@ -786,19 +815,19 @@
             }
             ["again", id, other, workload, left] => {
                 let stream = self.clients.remove(other).expect("a call");
-                self.call(id, stream, workload, left);
+                self.send_request(id, stream, workload, left);
             }
             ["leaves", id] => drop(self.clients.remove(id)),
             ["raw", id, bytes] => {
                 let stream = self.connect();
                 self.clients.insert(id.to_string(), stream);
-                self.more(id, bytes);
+                self.send_bytes(id, bytes);
             }
-            ["more", id, bytes] => self.more(id, bytes),
+            ["more", id, bytes] => self.send_bytes(id, bytes),
             ["own", count, workload, left] => {
                 for _ in 0..count.parse().expect("a count") {
-                    self.call("own", self.connect(), workload, left);
-                    let own = format!("{:016x}", self.calls);
+                    self.send_request("own", self.connect(), workload, left);
+                    let own = format!("{:016x}", self.request_count);
                     self.expect("own", "200", &own);
                 }
             }
@@ -812,53 +841,53 @@
             }
             ["least", name, least] => {
                 let least: usize = least.parse().expect("a count");
-                let requests = self.find(name).seen.lock().expect("seen").requests;
+                let requests = self.find(name).state.lock().expect("seen").requests;
                 assert!(requests >= least, "{requests}");
             }
-            ["forget", name] => self.find(name).seen.lock().expect("seen").requests = 0,
-            ["opens", count] => self.open(count, ""),
-            ["opens", count, bytes] => self.open(count, bytes),
+            ["forget", name] => self.find(name).state.lock().expect("seen").requests = 0,
+            ["opens", count] => self.open_silent(count, ""),
+            ["opens", count, bytes] => self.open_silent(count, bytes),
             ["drops"] => self.idle.clear(),
-            ["seen", name, count] => self.counts(name, count, |seen| seen.requests),
+            ["seen", name, count] => self.expect_count(name, count, |state| state.requests),
             ["seen-all", count] => {
-                let requests = |server: &Server| server.seen.lock().expect("seen").requests;
+                let requests = |server: &Server| server.state.lock().expect("seen").requests;
                 assert_eq!(self.servers.iter().map(requests).sum::<usize>().to_string(), count);
             }
-            ["links", name, count] => self.counts(name, count, |seen| seen.links),
-            ["gone", name, least] => self.least(name, least, |seen| seen.gone),
-            ["shut", name, least] => self.least(name, least, |seen| seen.shut),
+            ["links", name, count] => self.expect_count(name, count, |state| state.connections),
+            ["gone", name, least] => self.expect_soon(name, least, |state| state.cancelled),
+            ["shut", name, least] => self.expect_soon(name, least, |state| state.closed_idle),
             ["got", name, ..] => {
-                let last = self.find(name).seen.lock().expect("seen").last.clone();
-                assert!(last.contains(&plain(words[2])), "{last}");
+                let last = self.find(name).state.lock().expect("seen").last_request.clone();
+                assert!(last.contains(&decode_bytes(words[2])), "{last}");
             }
             ["admits", name] => {
                 let server = self.servers.iter_mut().find(|server| server.name == name).expect("a server");
-                self.admitted = Some(Instant::now());
-                server.seen.lock().expect("seen").how = "answers".into();
-                server.door = None;
+                self.admitted_at = Some(Instant::now());
+                server.state.lock().expect("seen").mode = "answers".into();
+                server.backlog_filler = None;
             }
             ["told", name, left] => {
-                let last = self.find(name).seen.lock().expect("seen").last.clone();
+                let last = self.find(name).state.lock().expect("seen").last_request.clone();
                 let told = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
                 let told = Duration::from_millis(told.expect("a time").parse().expect("a number"));
-                let passed = self.admitted.expect("admitted") - self.marked.expect("a mark");
+                let passed = self.admitted_at.expect("admitted") - self.marked_at.expect("a mark");
                 let left = Duration::from_micros(runner::parse_duration_us(left));
                 assert!(told + passed <= left, "told {told:?}, {passed:?} after which {left:?} were left");
             }
             ["freezes"] => self.signal("STOP"),
             ["thaws"] => self.signal("CONT"),
             ["never", ..] => {
-                let (words, said) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
-                let said = said.lock().expect("log");
-                assert!(!said.contains(&words), "{said}");
+                let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
+                let log = log.lock().expect("log");
+                assert!(!log.contains(&words), "{log}");
             }
-            ["list", ..] => self.discovery(&words[1..]),
+            ["list", ..] => self.run_list_command(&words[1..]),
             ["asked", count] => {
                 let count: usize = count.parse().expect("a count");
-                until("it asks", || self.discovery.lock().expect("discovery").asked >= count);
+                wait_until("it asks", || self.discovery.lock().expect("discovery").requests >= count);
             }
             ["asked", count, "only"] => {
-                assert_eq!(self.discovery.lock().expect("discovery").asked.to_string(), count);
+                assert_eq!(self.discovery.lock().expect("discovery").requests.to_string(), count);
             }
             ["limits", count] => {
                 use rustix::process::{prlimit, Pid, Resource, Rlimit};
@@ -884,13 +913,13 @@
             }
             ["connects"] => {
                 let to = self.discovery.lock().expect("discovery").address();
-                until("it connects", || on_its_way(to));
+                wait_until("it connects", || is_connecting(to));
             }
             ["connects", name] => {
                 let to = self.find(name).address;
-                until("it connects", || on_its_way(to));
+                wait_until("it connects", || is_connecting(to));
             }
-            ["ready", status] => until("ready or not", || {
+            ["ready", status] => wait_until("ready or not", || {
                 let mut stream = self.connect();
                 stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
                 read_message(&mut stream)
@@ -899,15 +928,17 @@
             ["wait", time] => thread::sleep(Duration::from_micros(runner::parse_duration_us(time))),
             ["stop"] => {
                 self.signal("TERM");
-                self.marked = Some(Instant::now());
+                self.marked_at = Some(Instant::now());
+            }
+            ["asks", method, path, status] => self.expect_console_answer(method, path, status),
+            ["healthy"] => {
+                wait_until("it serves", || self.console_request("GET", "/healthcheck").contains(" 200 "))
             }
-            ["asks", method, path, status] => self.asks(method, path, status),
-            ["healthy"] => until("it serves", || self.ask("GET", "/healthcheck").contains(" 200 ")),
             ["hangs", count, ..] => {
                 for _ in 0..count.parse().expect("a count") {
                     let mut stream =
                         TcpStream::connect(self.console.expect("a console")).expect("a connection");
-                    stream.write_all(plain(words.get(2).unwrap_or(&"")).as_bytes()).expect("sent");
+                    stream.write_all(decode_bytes(words.get(2).unwrap_or(&"")).as_bytes()).expect("sent");
                     self.idle.push(stream);
                 }
             }
@@ -917,22 +948,24 @@
                 let (port, words) = (self.reserve(self.port.expect("a sidecar")), &words[1..]);
                 let listen = format!("listen={port}");
                 let words: Vec<&str> = words.iter().copied().chain([listen.as_str()]).collect();
-                self.sidecar(&words);
+                self.start_sidecar(&words);
             }
             ["beside", ..] => {
-                let (program, said) = self.program.take().expect("a sidecar");
-                self.beside = Some((program, said, self.console));
-                self.sidecar(&words[1..]);
+                let (program, log) = self.program.take().expect("a sidecar");
+                self.beside = Some((program, log, self.console));
+                self.start_sidecar(&words[1..]);
             }
             ["swap"] => {
-                let (program, said, console) = self.beside.take().expect("another");
-                let (other, log) = self.program.replace((program, said)).expect("a sidecar");
+                let (program, log, console) = self.beside.take().expect("another");
+                let (other, log) = self.program.replace((program, log)).expect("a sidecar");
                 self.beside = Some((other, log, std::mem::replace(&mut self.console, console)));
             }
             ["kill"] => self.signal("KILL"),
-            ["puts", id, workload, left, bytes, how] => self.puts(id, (workload, left), bytes, how),
+            ["puts", id, workload, left, bytes, mode] => {
+                self.send_long_request(id, (workload, left), bytes, mode)
+            }
             ["took", name, bytes] => {
-                let last = self.find(name).seen.lock().expect("seen").last.clone();
+                let last = self.find(name).state.lock().expect("seen").last_request.clone();
                 let (head, body) = last.split_once("\r\n\r\n").expect("a request");
                 assert_eq!(body.len().to_string(), bytes, "{head}");
             }
@@ -946,23 +979,23 @@
                 let stream = self.clients.get_mut(id).expect("a call");
                 assert!(read_message(stream).is_none(), "an end");
             }
-            ["mark"] => self.marked = Some(Instant::now()),
+            ["mark"] => self.marked_at = Some(Instant::now()),
             ["before", time] => {
-                let passed = self.marked.expect("a mark").elapsed();
+                let passed = self.marked_at.expect("a mark").elapsed();
                 assert!(passed < Duration::from_micros(runner::parse_duration_us(time)), "{passed:?}");
             }
-            ["moves", ref how @ ..] => {
-                let how = how.first().copied().unwrap_or_default().to_string();
-                self.discovery = Arc::new(Mutex::new(Discovery { how, ..Discovery::default() }));
-                let to = format!(r#""discovery":"{}","seed""#, self.stand_in(false));
-                let from = self.told.split_once(r#""discovery":"#).expect("an address").1;
+            ["moves", ref mode @ ..] => {
+                let mode = mode.first().copied().unwrap_or_default().to_string();
+                self.discovery = Arc::new(Mutex::new(Discovery { mode, ..Discovery::default() }));
+                let to = format!(r#""discovery":"{}","seed""#, self.start_discovery(false));
+                let from = self.config_text.split_once(r#""discovery":"#).expect("an address").1;
                 let from = format!(r#""discovery":{},"seed""#, from.split(',').next().expect("an address"));
-                self.reread(&[(&from, &to)]);
+                self.rewrite_config(&[(&from, &to)]);
             }
             ["rereads", ..] => {
                 let changes = words[1..].chunks(2);
                 let changes = changes.map(|pair| (pair[0], pair.get(1).copied().unwrap_or_default()));
-                self.reread(&changes.collect::<Vec<_>>());
+                self.rewrite_config(&changes.collect::<Vec<_>>());
             }
             ["spoils"] => {
                 std::fs::write(&self.file, "").expect("the file");
@@ -970,13 +1003,13 @@
             }
             ["exits", code] => {
                 let program = &mut self.program.as_mut().expect("a sidecar").0;
-                until("it exits", || program.try_wait().expect("its state").is_some());
+                wait_until("it exits", || program.try_wait().expect("its state").is_some());
                 let status = program.wait().expect("its end");
                 assert_eq!(status.code(), code.parse().ok());
             }
             ["says", ..] => {
-                let (words, said) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
-                until("it says so", || said.lock().expect("log").contains(&words));
+                let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
+                wait_until("it says so", || log.lock().expect("log").contains(&words));
             }
             ["unreachable"] => assert!(TcpStream::connect(self.port.expect("a sidecar")).is_err()),
             ["calm"] => {
@@ -984,14 +1017,14 @@
                 let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("its figures");
                 let ticks =
                     stat.split(' ').skip(13).take(2).map(|ticks| ticks.parse::<u32>().expect("ticks"));
-                let (ticks, lived) = (ticks.sum::<u32>(), self.started.expect("a sidecar").elapsed());
+                let (ticks, lived) = (ticks.sum::<u32>(), self.started_at.expect("a sidecar").elapsed());
                 assert!(f64::from(ticks) / 100.0 < 0.5 * lived.as_secs_f64(), "{ticks} ticks in {lived:?}");
             }
             ["alone"] => {
                 let id = self.program.as_ref().expect("a sidecar").0.id();
                 let maps = std::fs::read_to_string(format!("/proc/{id}/maps")).expect("its maps");
                 assert!(maps.lines().any(|line| line.contains("/libc.so")), "not linked to the C library");
-                // A name may hold blanks: what counts comes after its bracket.
+                // A process name may hold spaces: the fields that count come after its bracket.
                 let parent = |stat: String| stat.rsplit(')').next()?.split(' ').nth(2)?.parse::<u32>().ok();
                 let all = std::fs::read_dir("/proc").expect("processes").flatten();
                 let stats = all.filter_map(|one| std::fs::read_to_string(one.path().join("stat")).ok());
@@ -1007,19 +1040,19 @@
                 assert!(config.contains(from), "{config}");
                 let output = self.launch(&config.replacen(from, to, 1), "").wait_with_output();
                 let output = output.expect("its end");
-                let said = String::from_utf8(output.stderr).expect("text");
-                assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-                assert!(said.contains(&words[3..].join(" ")), "{said}");
+                let log = String::from_utf8(output.stderr).expect("text");
+                assert!(!output.status.success() && log.lines().count() == 1, "{log}");
+                assert!(log.contains(&words[3..].join(" ")), "{log}");
             }
             _ => panic!("not a command"),
         }
     }
 
-    fn puts(&mut self, id: &str, (workload, left): (&str, &str), bytes: &str, how: &str) {
-        self.calls += 1;
-        let (calls, left) = (self.calls, runner::parse_duration_us(left) / 1000);
+    fn send_long_request(&mut self, id: &str, (workload, left): (&str, &str), bytes: &str, mode: &str) {
+        self.request_count += 1;
+        let (calls, left) = (self.request_count, runner::parse_duration_us(left) / 1000);
         let bytes: usize = bytes.parse().expect("bytes");
-        let framing = match how {
+        let framing = match mode {
             "chunked" => "Transfer-Encoding: chunked".to_string(),
             _ => format!("Content-Length: {bytes}"),
         };
@@ -1027,14 +1060,14 @@
         let head = format!("POST /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {calls:016x}\r\nRequest-Timeout-Ms: {left}\r\nIdempotency-Key: k{calls}\r\n{framing}\r\n\r\n");
         stream.write_all(head.as_bytes()).expect("sent");
         let mut other = stream.try_clone().expect("a descriptor");
-        let how = how.to_string();
-        // Beside: what answers early stops reading.
+        let mode = mode.to_string();
+        // In a thread of its own, since a server that answers early stops reading.
         thread::spawn(move || {
-            let mut left = if how == "cut" { bytes / 2 } else { bytes };
+            let mut left = if mode == "cut" { bytes / 2 } else { bytes };
             while left > 0 {
                 let piece = left.min(20_000);
                 let text = "x".repeat(piece);
-                let sent = match how.as_str() {
+                let sent = match mode.as_str() {
                     "chunked" => write!(other, "{piece:x};a=b\r\n{text}\r\n"),
                     _ => other.write_all(text.as_bytes()),
                 };
@@ -1042,11 +1075,11 @@
                     return;
                 }
                 left -= piece;
-                if how == "slow" {
+                if mode == "slow" {
                     thread::sleep(Duration::from_millis(100));
                 }
             }
-            match how.as_str() {
+            match mode.as_str() {
                 "chunked" => _ = other.write_all(b"0\r\nT: 1\r\n\r\n"),
                 "cut" => _ = other.shutdown(std::net::Shutdown::Both),
                 _ => {}
@@ -1055,39 +1088,39 @@
         self.clients.insert(id.to_string(), stream);
     }
 
-    fn asks(&self, method: &str, path: &str, status: &str) {
-        let head = self.ask(method, path);
+    fn expect_console_answer(&self, method: &str, path: &str, status: &str) {
+        let head = self.console_request(method, path);
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
     }
 
-    fn ask(&self, method: &str, path: &str) -> String {
+    fn console_request(&self, method: &str, path: &str) -> String {
         let begun = Instant::now();
         let mut stream = TcpStream::connect(self.console.expect("a console")).expect("a connection");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        let path = plain(path);
+        let path = decode_bytes(path);
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").expect("sent");
         let (head, _) = read_message(&mut stream).expect("an answer");
         assert!(begun.elapsed() < Duration::from_secs(1), "late");
-        assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one call to a connection");
+        assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one request per connection");
         head
     }
 
-    fn open(&mut self, count: &str, bytes: &str) {
+    fn open_silent(&mut self, count: &str, bytes: &str) {
         for _ in 0..count.parse().expect("a count") {
             let mut stream = self.connect();
-            stream.write_all(plain(bytes).as_bytes()).expect("sent");
+            stream.write_all(decode_bytes(bytes).as_bytes()).expect("sent");
             self.idle.push(stream);
         }
     }
 
-    fn more(&mut self, id: &str, bytes: &str) {
+    fn send_bytes(&mut self, id: &str, bytes: &str) {
         let stream = self.clients.get_mut(id).expect("a connection");
-        stream.write_all(plain(bytes).as_bytes()).expect("sent");
+        stream.write_all(decode_bytes(bytes).as_bytes()).expect("sent");
     }
 }
 
-/// Bytes as the notation has them.
-fn plain(text: &str) -> String {
+/// Decodes the notation's escapes.
+fn decode_bytes(text: &str) -> String {
     let text = text.replace("\\r", "\r").replace("\\n", "\n").replace('_', " ");
     match text.split_once('*') {
         None => text,
@@ -1099,7 +1132,7 @@
     }
 }
 
-/// The platform starts a library of its own with the program, which reaches one process alone.
+/// The platform preloads a library into the program, which works in a single process only.
 #[test]
 fn the_deploy_file_runs_one_process() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/balancer.toml");
@@ -1112,7 +1145,7 @@
 #[test]
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    // All of them took 3.8 s of processor time in 50 s, four at once: a fiftieth of a core each.
+    // Four at once took 3.8 s of processor time in 50 s: a fiftieth of a core each.
     let cores = thread::available_parallelism().map_or(1, |cores| cores.get());
-    runner::run_scenarios(folder.as_ref(), (cores / 2).max(2), World::default, World::play);
+    runner::run_scenarios(folder.as_ref(), (cores / 2).max(2), Scenario::default, Scenario::run_command);
 }
