--- a/sidecar/tests/early_signals.rs
+++ b/sidecar/tests/early_signals.rs
@@ -1,4 +1,5 @@
-//! Signals that come while the program still reads its file: the file is a pipe that nobody has written to yet.
+//! Signals that come while the program still reads its configuration file. The file is a named pipe that has not been
+//! written to yet.
 use std::io::Write;
 use std::os::unix::process::ExitStatusExt;
 use std::path::{Path, PathBuf};
@@ -9,7 +10,7 @@
 const HUP: i32 = 1;
 const TERM: i32 = 15;
 
-/// A program that waits for its file to be written, and the file.
+/// A program that waits for its file to be written, and the folder of the file.
 struct Waiting {
     child: Child,
     folder: PathBuf,
@@ -25,12 +26,12 @@
         program.arg(&file).stdout(Stdio::null()).stderr(Stdio::null()).env_remove("TMPDIR");
         let child = program.spawn().expect("started");
         let waiting = Waiting { child, folder };
-        waiting.until_it_waits();
+        waiting.wait_until_it_sleeps();
         waiting
     }
 
-    /// The kernel tells of one that waits for a pipe to be opened.
-    fn until_it_waits(&self) {
+    /// Waits until the program sleeps in opening the pipe, as the kernel reports its state.
+    fn wait_until_it_sleeps(&self) {
         let path = format!("/proc/{}/task/{}/stat", self.child.id(), self.child.id());
         let begun = Instant::now();
         let sleeps = |path: &Path| {
@@ -50,21 +51,21 @@
         assert!(Command::new("kill").arg(format!("-{signal}")).arg(id).status().expect("kill").success());
     }
 
-    /// Writes its file. Whoever reads it again finds a plain one in the pipe's place.
+    /// Writes the file. A regular file replaces the pipe, for when the program reads it again.
     fn write(&self) {
         let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/sidecar.json");
         let text = std::fs::read_to_string(example).expect("the example's file");
         let text = text.replace("127.0.0.1:7070", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:9");
         let (file, plain) = (self.folder.join("sidecar.json"), self.folder.join("plain.json"));
-        // Opened for both, so that it never waits for a reader.
+        // Opened for reading too, so that opening does not wait for a reader.
         let mut pipe = std::fs::File::options().read(true).write(true).open(&file).expect("a pipe");
         std::fs::write(&plain, &text).expect("written");
         std::fs::rename(&plain, &file).expect("replaced");
         pipe.write_all(text.as_bytes()).expect("written");
     }
 
-    /// How it ends within some seconds: its code, or the signal.
-    fn end(&mut self) -> Option<Result<i32, i32>> {
+    /// Waits some seconds for the program to end, and returns its exit code or the signal that ended it.
+    fn wait_for_end(&mut self) -> Option<Result<i32, i32>> {
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(10) {
             if let Some(status) = self.child.try_wait().expect("a child") {
@@ -84,21 +85,21 @@
 }
 
 #[test]
-fn a_hangup_while_the_file_is_read_ends_nothing() {
+fn sighup_while_the_file_is_read_does_not_end_the_program() {
     let mut waiting = Waiting::start("hangup");
     waiting.signal(HUP);
     thread::sleep(Duration::from_millis(200));
     assert_eq!(waiting.child.try_wait().expect("a child").map(|status| status.signal()), None);
     waiting.write();
     waiting.signal(TERM);
-    assert_eq!(waiting.end(), Some(Ok(0)));
+    assert_eq!(waiting.wait_for_end(), Some(Ok(0)));
 }
 
 #[test]
-fn a_word_to_stop_while_the_file_is_read_is_heard_once_it_serves() {
+fn sigterm_while_the_file_is_read_takes_effect_once_it_serves() {
     let mut waiting = Waiting::start("stop");
     waiting.signal(TERM);
     thread::sleep(Duration::from_millis(200));
     waiting.write();
-    assert_eq!(waiting.end(), Some(Ok(0)));
+    assert_eq!(waiting.wait_for_end(), Some(Ok(0)));
 }
--- a/sidecar/tests/logging.rs
+++ b/sidecar/tests/logging.rs
@@ -1,4 +1,4 @@
-//! What was logged before the end is written by then, and a reader that reads nothing holds up no end.
+//! Lines logged before the program ends are written by then, and a reader that reads nothing does not delay the end.
 use oakhollow_sidecar::logging;
 use slog::info;
 use std::io::{Result, Write};
@@ -7,6 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A writer that takes 1 ms per write.
 #[derive(Clone, Default)]
 struct Slow(Arc<Mutex<Vec<u8>>>);
 
@@ -22,10 +23,10 @@
 }
 
 #[test]
-fn the_last_lines_are_written_though_another_thread_has_a_logger() {
+fn the_last_lines_are_written_while_another_thread_has_a_logger() {
     let written = Slow::default();
     let (log, flush) = logging::to_writer(written.clone(), "n0", slog::Level::Info);
-    let _others = log.clone();
+    let _other = log.clone();
     (0..5).for_each(|number| info!(log, "line {}", number));
     drop((log, flush));
     let text = String::from_utf8(written.0.lock().expect("bytes").clone()).expect("text");
@@ -33,11 +34,12 @@
     assert!(text.contains("line 4"), "{text}");
 }
 
+/// A writer that blocks until the channel's sender is dropped.
 struct Stuck(Mutex<Receiver<()>>);
 
 impl Write for Stuck {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
-        let _ = self.0.lock().expect("a word").recv();
+        let _ = self.0.lock().expect("a receiver").recv();
         Ok(bytes.len())
     }
     fn flush(&mut self) -> Result<()> {
@@ -46,12 +48,12 @@
 }
 
 #[test]
-fn a_reader_that_reads_nothing_holds_up_no_end() {
-    let (word, waits) = channel();
-    let (log, flush) = logging::to_writer(Stuck(Mutex::new(waits)), "n0", slog::Level::Info);
+fn a_reader_that_reads_nothing_does_not_delay_the_end() {
+    let (sender, receiver) = channel();
+    let (log, flush) = logging::to_writer(Stuck(Mutex::new(receiver)), "n0", slog::Level::Info);
     (0..1_000).for_each(|number| info!(log, "line {}", number));
     let begun = Instant::now();
     drop(flush);
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
-    drop(word);
+    drop(sender);
 }
--- a/sidecar/tests/metrics.rs
+++ b/sidecar/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What `GET /metrics` tells: every counter from the start, and what was counted.
+//! The text of `GET /metrics`: every counter from the start, and what was counted.
 use oakhollow::types::{Micros, Outcome};
 use oakhollow_guard::{CloseReason, Denial, Rule};
 use oakhollow_sidecar::metrics::{
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn every_rule_and_reason_has_a_line_from_the_start_and_counts() {
+fn every_rule_and_reason_has_a_line_from_the_start_and_is_counted() {
     let metrics = Metrics::new();
     let text = metrics.render(GaugeValues::default());
     for rule in Rule::ALL {
--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -463,7 +463,8 @@
 }
 
 impl Scenario {
-    /// Reserves an address at which nothing listens: the kernel gives it to no other socket, but the program may bind it.
+    /// Reserves an address at which nothing listens: the kernel gives it to no other socket, but the program may
+    /// bind it.
     fn reserve(&mut self, at: SocketAddr) -> SocketAddr {
         let place = bind_socket(at, true);
         let address = place.local_addr().expect("its address");
--- a/sidecar/tests/start_time.rs
+++ b/sidecar/tests/start_time.rs
@@ -1,4 +1,4 @@
-//! What a list may say of a server's start, and what is made of it.
+//! Which start times of a server on a list are believed.
 use oakhollow::types::Micros;
 use oakhollow_sidecar::start_time::StartWindow;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_start_that_may_be_true_is_believed() {
+fn a_plausible_start_time_is_believed() {
     let a_while_ago = NOW - Micros::millis(900);
     for window in [window(None), window(Some(500)), window(Some(1_500))] {
         assert_eq!(window.plausible_start(a_while_ago), a_while_ago);
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn a_start_that_cannot_be_true_counts_as_now() {
+fn an_impossible_start_time_counts_as_now() {
     assert_eq!(window(None).plausible_start(NOW + HOUR), NOW);
     assert_eq!(window(Some(500)).plausible_start(NOW + Micros(1)), NOW);
-    // New on a list that was up to date half a second ago, and 2 s may be lost on the way.
+    // New on a list that was up to date half a second ago; a list may be up to 2 s late.
     assert_eq!(window(Some(500)).plausible_start(NOW - Micros::millis(2_501)), NOW);
     assert_eq!(window(Some(500)).plausible_start(NOW - HOUR), NOW);
 }
--- a/sidecar/tests/system_errors.rs
+++ b/sidecar/tests/system_errors.rs
@@ -1,4 +1,4 @@
-//! Which errors of the kernel are of one connection, which a shortage of our own.
+//! Which errors of system calls concern one connection, and which are a shortage of this process or host.
 use oakhollow_sidecar::system_errors::{accept_failure, is_our_shortage, AcceptFailure};
 use rustix::io::Errno;
 use std::io::Error;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_accept_fails_for_its_connection_for_the_host_or_for_our_descriptors() {
+fn a_failed_accept_concerns_the_connection_the_host_or_our_descriptors() {
     let kinds = [
         (Errno::CONNABORTED, AcceptFailure::Connection),
         (Errno::PROTO, AcceptFailure::Connection),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_shortage_of_ours_says_nothing_of_the_server() {
+fn our_own_shortage_is_told_from_a_failure_of_the_server() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN]
     {
         assert!(is_our_shortage(&error(errno)), "{errno}");
--- a/sidecar/tests/uninterrupted.rs
+++ b/sidecar/tests/uninterrupted.rs
@@ -5,17 +5,17 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Every other call is interrupted.
+/// A stream on which every other operation is interrupted.
 #[derive(Default)]
 struct Interrupts {
-    calls: usize,
+    operations: usize,
     written: Vec<u8>,
 }
 
 impl Interrupts {
     fn interrupted(&mut self) -> bool {
-        self.calls += 1;
-        self.calls % 2 == 1
+        self.operations += 1;
+        self.operations % 2 == 1
     }
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_interrupted_call_is_no_error() {
+fn interrupted_operations_are_retried() {
     let mut stream = Uninterrupted(Interrupts::default());
     future::block_on(async {
         let mut three = [0; 3];
