--- a/sidecar/tests/client_departures/ledger.rs
+++ b/sidecar/tests/client_departures/ledger.rs
@@ -1,107 +1,113 @@
-//! What was seen of each call: when its client closed, and when the first byte of each attempt came to a server.
+//! Records for each request when its client left, and when the first byte of each of its attempts came to a server.
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// An attempt that begins longer after its client's close is a break.
+/// An attempt that begins later than this after its client left is a violation.
 pub const BOUND: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct CallNo(pub u32);
+pub struct RequestNo(pub u32);
 
 #[derive(Default)]
-struct Seen {
-    /// Taken before the close.
-    left: Option<Instant>,
-    /// Leaves before the others do.
-    early: bool,
+struct RequestRecord {
+    /// When its client left, taken right before.
+    left_at: Option<Instant>,
+    /// The client leaves during the case, not at its end.
+    leaves_early: bool,
     attempts: Vec<Instant>,
 }
 
 #[derive(Default)]
-pub struct Ledger(Mutex<BTreeMap<CallNo, Seen>>);
+pub struct Ledger(Mutex<BTreeMap<RequestNo, RequestRecord>>);
 
-/// What a play shows.
+/// What a run of a case shows.
 #[derive(Default, Debug)]
-pub struct Judged {
-    /// Leavers by how many attempts had begun before their close: none, one, more.
-    pub left_at: [usize; 3],
-    /// Attempts that began after the close, and the longest time between the two.
-    pub after: usize,
-    pub longest: Duration,
-    /// Beyond the bound, also less what the machine took; the longest of these.
-    pub broken: Option<(CallNo, Duration, Duration)>,
-    /// Beyond the bound by what the machine took.
-    pub machines: Option<(CallNo, Duration, Duration)>,
-    /// Attempts for those who stayed, longer after the first close than the bound: the moment would have come.
-    pub stayed: usize,
+pub struct Findings {
+    /// Clients that left, by how many of their attempts had begun before: none, one, more.
+    pub attempts_at_departure: [usize; 3],
+    /// Attempts that began after their client had left, and the longest time between the two.
+    pub attempts_after: usize,
+    pub longest_delay: Duration,
+    /// The latest attempt beyond the bound, also after subtracting the stalls: its request, its delay, the stalls.
+    pub violation: Option<(RequestNo, Duration, Duration)>,
+    /// The latest attempt that is beyond the bound only because of stalls.
+    pub explained_by_stalls: Option<(RequestNo, Duration, Duration)>,
+    /// Attempts for clients that stayed, later than the bound after the first departure: they show that attempts
+    /// were still being sent.
+    pub attempts_for_others: usize,
 }
 
 impl Ledger {
-    pub fn attempt(&self, id: &str, at: Instant) {
-        let id = CallNo(u32::from_str_radix(id, 16).expect("our id"));
+    pub fn record_attempt(&self, id: &str, at: Instant) {
+        let id = RequestNo(u32::from_str_radix(id, 16).expect("our id"));
         self.0.lock().expect("ledger").entry(id).or_default().attempts.push(at);
     }
 
-    pub fn attempts(&self) -> usize {
-        self.0.lock().expect("ledger").values().map(|seen| seen.attempts.len()).sum()
+    pub fn attempt_count(&self) -> usize {
+        self.0.lock().expect("ledger").values().map(|record| record.attempts.len()).sum()
     }
 
-    /// Its client closes right after the instant that this returns.
-    pub fn leaves(&self, call: CallNo, early: bool) -> Instant {
+    /// Records that a request's client leaves right after the returned instant.
+    pub fn record_departure(&self, request: RequestNo, leaves_early: bool) -> Instant {
         let mut ledger = self.0.lock().expect("ledger");
-        let (seen, now) = (ledger.entry(call).or_default(), Instant::now());
-        (seen.left, seen.early) = (Some(now), early);
+        let (record, now) = (ledger.entry(request).or_default(), Instant::now());
+        (record.left_at, record.leaves_early) = (Some(now), leaves_early);
         now
     }
 
-    /// `took` is how much of a span the machine took.
-    pub fn judge(&self, took: impl Fn(Instant, Instant) -> Duration) -> Judged {
-        let (ledger, mut judged) = (self.0.lock().expect("ledger"), Judged::default());
-        let early = || ledger.values().filter(|seen| seen.early);
-        let first = early().filter_map(|seen| seen.left).min().expect("leavers");
-        for seen in early() {
-            let begun = seen.attempts.iter().filter(|at| seen.left.is_some_and(|left| **at <= left));
-            judged.left_at[begun.count().min(2)] += 1;
+    /// Evaluates the run. `stalled` returns for how much of a span the test or the program was kept from running.
+    pub fn evaluate(&self, stalled: impl Fn(Instant, Instant) -> Duration) -> Findings {
+        let (ledger, mut findings) = (self.0.lock().expect("ledger"), Findings::default());
+        let leaves_early = || ledger.values().filter(|record| record.leaves_early);
+        let first = leaves_early().filter_map(|record| record.left_at).min().expect("clients that left");
+        for record in leaves_early() {
+            let begun =
+                record.attempts.iter().filter(|at| record.left_at.is_some_and(|left_at| **at <= left_at));
+            findings.attempts_at_departure[begun.count().min(2)] += 1;
         }
-        for (call, seen) in ledger.iter() {
-            for &at in &seen.attempts {
-                if !seen.early {
-                    judged.stayed += usize::from(at > first + BOUND);
+        for (request, record) in ledger.iter() {
+            for &at in &record.attempts {
+                if !record.leaves_early {
+                    findings.attempts_for_others += usize::from(at > first + BOUND);
                 }
-                let Some(left) = seen.left.filter(|left| *left < at) else { continue };
-                let late = at - left;
-                (judged.after, judged.longest) = (judged.after + 1, judged.longest.max(late));
+                let Some(left_at) = record.left_at.filter(|left_at| *left_at < at) else { continue };
+                let late = at - left_at;
+                (findings.attempts_after, findings.longest_delay) =
+                    (findings.attempts_after + 1, findings.longest_delay.max(late));
                 if late > BOUND {
-                    let took = took(left, at);
-                    let of = if late.saturating_sub(took) > BOUND {
-                        &mut judged.broken
+                    let stalled = stalled(left_at, at);
+                    let finding = if late.saturating_sub(stalled) > BOUND {
+                        &mut findings.violation
                     } else {
-                        &mut judged.machines
+                        &mut findings.explained_by_stalls
                     };
-                    if of.is_none_or(|(_, longest, _)| longest < late) {
-                        *of = Some((*call, late, took));
+                    if finding.is_none_or(|(_, longest_delay, _)| longest_delay < late) {
+                        *finding = Some((*request, late, stalled));
                     }
                 }
             }
         }
-        judged
+        findings
     }
 }
 
 #[test]
-fn an_attempt_after_the_bound_is_the_machines_only_by_what_that_took() {
-    let judged = |after: u64, took: u64| {
-        let (ledger, left) = (Ledger::default(), Instant::now());
-        let seen =
-            Seen { left: Some(left), early: true, attempts: vec![left + Duration::from_millis(after)] };
-        ledger.0.lock().expect("ledger").insert(CallNo(7), seen);
-        let judged = ledger.judge(|_, _| Duration::from_millis(took));
-        (judged.after, judged.broken.is_some(), judged.machines.is_some())
+fn a_late_attempt_is_excused_only_by_as_much_as_was_stalled() {
+    let findings = |delay_ms: u64, stalled_ms: u64| {
+        let (ledger, left_at) = (Ledger::default(), Instant::now());
+        let record = RequestRecord {
+            left_at: Some(left_at),
+            leaves_early: true,
+            attempts: vec![left_at + Duration::from_millis(delay_ms)],
+        };
+        ledger.0.lock().expect("ledger").insert(RequestNo(7), record);
+        let findings = ledger.evaluate(|_, _| Duration::from_millis(stalled_ms));
+        (findings.attempts_after, findings.violation.is_some(), findings.explained_by_stalls.is_some())
     };
-    assert_eq!(judged(0, 0), (0, false, false));
-    assert_eq!(judged(100, 0), (1, false, false));
-    assert_eq!(judged(101, 0), (1, true, false));
-    assert_eq!(judged(150, 49), (1, true, false));
-    assert_eq!(judged(150, 50), (1, false, true));
+    assert_eq!(findings(0, 0), (0, false, false));
+    assert_eq!(findings(100, 0), (1, false, false));
+    assert_eq!(findings(101, 0), (1, true, false));
+    assert_eq!(findings(150, 49), (1, true, false));
+    assert_eq!(findings(150, 50), (1, false, true));
 }
--- a/sidecar/tests/client_departures/program.rs
+++ b/sidecar/tests/client_departures/program.rs
@@ -1,5 +1,5 @@
-//! The program itself, started for one play, whole or at a fifth of a core.
-use crate::machine::Stalls;
+//! The program itself, started for one run of a case, with a whole core or a fifth of one.
+use crate::stalls::Stalls;
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -11,12 +11,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A fifth of a core: running for so long, then stopped for so long, over and over.
-const RUNS: Duration = Duration::from_millis(5);
-const STOPS: Duration = Duration::from_millis(20);
+/// For a fifth of a core: how long the process runs before each stop.
+const RUN_TIME: Duration = Duration::from_millis(5);
+/// How long it is stopped.
+const STOP_TIME: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Share {
+pub enum CpuShare {
     Whole,
     Fifth,
 }
@@ -25,23 +26,25 @@
     pub address: SocketAddr,
     child: Child,
     folder: PathBuf,
-    over: Arc<AtomicBool>,
-    /// Microseconds in which it was let run, and in which it stood.
+    stop: Arc<AtomicBool>,
+    /// Microseconds for which it was not stopped, and for which it was.
     times: Arc<[AtomicU64; 2]>,
-    pacer: Option<JoinHandle<()>>,
+    throttler: Option<JoinHandle<()>>,
 }
 
 impl Program {
     pub fn start(servers: &[SocketAddr]) -> Program {
         static STARTED: AtomicU32 = AtomicU32::new(0);
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("oakhollow-leavers-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("oakhollow-departures-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("sidecar.json");
         std::fs::write(&file, config(servers)).expect("the file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_oakhollow"));
         command.arg(&file).env("TMPDIR", &folder).stderr(Stdio::piped());
-        // SAFETY: one system call, which allocates nothing. Guards against one left behind, stopped, by a test that is killed.
+        // SAFETY: one system call, which allocates nothing. Guards against a stopped process left behind by a
+        // killed test.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
@@ -52,10 +55,10 @@
             let rest = line.split_once("listening on ").map(|(_, rest)| rest);
             address = rest.and_then(|rest| rest.split([',', ' ', '\n']).next()?.parse().ok());
         }
-        // Read on: a log that nobody takes is dropped, not waited for, but its pipe would stay full.
+        // Read to the end: the program does not wait for a reader of its log, but drops lines while the pipe is full.
         thread::spawn(move || log.read_to_end(&mut Vec::new()));
         let address = address.unwrap_or_else(|| panic!("it doesn't listen: {line}"));
-        Program { address, child, folder, over: Arc::default(), times: Arc::default(), pacer: None }
+        Program { address, child, folder, stop: Arc::default(), times: Arc::default(), throttler: None }
     }
 
     pub fn id(&self) -> u32 {
@@ -66,34 +69,34 @@
         kill_process(Pid::from_child(&self.child), signal).expect("signalled");
     }
 
-    /// From now on it has a fifth of a core. A stop that lasts longer than meant is the machine's.
-    pub fn pace(&mut self, stalls: &Arc<Stalls>) {
-        let (over, times, stalls) = (self.over.clone(), self.times.clone(), stalls.clone());
+    /// Gives it a fifth of a core from now on. A stop that lasts longer than intended counts as a stall.
+    pub fn throttle(&mut self, stalls: &Arc<Stalls>) {
+        let (stop, times, stalls) = (self.stop.clone(), self.times.clone(), stalls.clone());
         let add = |time: &AtomicU64, length: Duration| {
             time.fetch_add(length.as_micros() as u64, Ordering::Relaxed);
         };
         let id = Pid::from_child(&self.child);
-        self.pacer = Some(thread::spawn(move || {
-            let mut runs = Instant::now();
-            while !over.load(Ordering::Relaxed) {
-                thread::sleep(RUNS);
-                let stopped = Instant::now();
+        self.throttler = Some(thread::spawn(move || {
+            let mut resumed_at = Instant::now();
+            while !stop.load(Ordering::Relaxed) {
+                thread::sleep(RUN_TIME);
+                let stopped_at = Instant::now();
                 kill_process(id, Signal::STOP).expect("stopped");
-                add(&times[0], stopped - runs);
-                thread::sleep(STOPS);
+                add(&times[0], stopped_at - resumed_at);
+                thread::sleep(STOP_TIME);
                 kill_process(id, Signal::CONT).expect("continued");
-                runs = Instant::now();
-                add(&times[1], runs - stopped);
-                stalls.note(stopped + STOPS, runs);
+                resumed_at = Instant::now();
+                add(&times[1], resumed_at - stopped_at);
+                stalls.record(stopped_at + STOP_TIME, resumed_at);
             }
         }));
     }
 
-    /// The part of the time in which it was let run.
-    pub fn part(&self) -> f64 {
-        let [ran, stood] = [0, 1].map(|at| self.times[at].load(Ordering::Relaxed) as f64);
-        if stood > 0.0 {
-            ran / (ran + stood)
+    /// The share of the time for which it was not stopped.
+    pub fn running_share(&self) -> f64 {
+        let [ran, stopped] = [0, 1].map(|at| self.times[at].load(Ordering::Relaxed) as f64);
+        if stopped > 0.0 {
+            ran / (ran + stopped)
         } else {
             1.0
         }
@@ -102,10 +105,10 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // The pacer first: its signals are for a process that is still ours.
-        self.over.store(true, Ordering::Relaxed);
-        if let Some(pacer) = self.pacer.take() {
-            let _ = pacer.join();
+        // The throttler is joined first: its signals must not go to another process with the same id.
+        self.stop.store(true, Ordering::Relaxed);
+        if let Some(throttler) = self.throttler.take() {
+            let _ = throttler.join();
         }
         let _ = (self.child.kill(), self.child.wait());
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/sidecar/tests/client_departures/server.rs
+++ b/sidecar/tests/client_departures/server.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for servers, all on one thread, which notes when the first byte of each attempt came, and how late it ran itself.
+//! Test servers, all on one thread. It records when the first byte of each attempt came, and how late it ran itself.
 use crate::ledger::Ledger;
-use crate::machine::{Stalls, TICK};
+use crate::stalls::{Stalls, TICK};
 use async_executor::LocalExecutor;
 use futures_lite::AsyncWriteExt;
 use oakhollow_sidecar::reactor::{self, Async, Timer};
@@ -11,133 +11,133 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What becomes of a request, so long after its last byte.
+/// What a server does with a request, some time after its last byte.
 #[derive(Clone, Copy, PartialEq)]
-pub enum How {
+pub enum Mode {
     Answers(Duration),
-    TurnsAway(Duration),
-    /// It waits until this changes.
+    Refuses(Duration),
+    /// The request waits until the mode changes.
     Silent,
-    /// Connections don't come up until this changes.
-    Shut,
+    /// The accept queue is full: connections stay unanswered until the mode changes.
+    FullBacklog,
 }
 
-type Told = Arc<Mutex<How>>;
+type SharedMode = Arc<Mutex<Mode>>;
 
 pub struct Servers {
     pub addresses: Vec<SocketAddr>,
-    told: Vec<Told>,
-    over: Arc<AtomicBool>,
+    modes: Vec<SharedMode>,
+    stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Servers {
-    pub fn start(hows: &[How], ledger: &Arc<Ledger>, stalls: &Arc<Stalls>) -> Servers {
+    pub fn start(initial_modes: &[Mode], ledger: &Arc<Ledger>, stalls: &Arc<Stalls>) -> Servers {
         let listeners: Vec<_> =
-            hows.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
+            initial_modes.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
         let address = |listener: &TcpListener| listener.local_addr().expect("its address");
         let addresses = listeners.iter().map(address).collect();
-        let told: Vec<Told> = hows.iter().map(|how| Arc::new(Mutex::new(*how))).collect();
-        let over = Arc::new(AtomicBool::new(false));
-        let (all, ledger) = (listeners.into_iter().zip(told.clone()).collect(), ledger.clone());
-        let (stalls, ends) = (stalls.clone(), over.clone());
-        let thread = thread::spawn(move || serve_all(all, &ledger, &stalls, &ends));
-        Servers { addresses, told, over, thread: Some(thread) }
+        let modes: Vec<SharedMode> = initial_modes.iter().map(|mode| Arc::new(Mutex::new(*mode))).collect();
+        let stop = Arc::new(AtomicBool::new(false));
+        let (all, ledger) = (listeners.into_iter().zip(modes.clone()).collect(), ledger.clone());
+        let (stalls, stop_flag) = (stalls.clone(), stop.clone());
+        let thread = thread::spawn(move || serve_all(all, &ledger, &stalls, &stop_flag));
+        Servers { addresses, modes, stop, thread: Some(thread) }
     }
 
-    pub fn set(&self, number: usize, how: How) {
-        *self.told[number].lock().expect("how") = how;
+    pub fn set(&self, number: usize, mode: Mode) {
+        *self.modes[number].lock().expect("mode") = mode;
     }
 
-    pub fn set_all(&self, how: How) {
-        (0..self.told.len()).for_each(|number| self.set(number, how));
+    pub fn set_all(&self, mode: Mode) {
+        (0..self.modes.len()).for_each(|number| self.set(number, mode));
     }
 }
 
 impl Drop for Servers {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn serve_all(all: Vec<(TcpListener, Told)>, ledger: &Arc<Ledger>, stalls: &Stalls, over: &AtomicBool) {
+fn serve_all(all: Vec<(TcpListener, SharedMode)>, ledger: &Arc<Ledger>, stalls: &Stalls, stop: &AtomicBool) {
     let executor = Rc::new(LocalExecutor::new());
-    for (listener, told) in all {
-        executor.spawn(welcome(executor.clone(), listener, told, ledger.clone())).detach();
+    for (listener, mode) in all {
+        executor.spawn(accept_connections(executor.clone(), listener, mode, ledger.clone())).detach();
     }
     let life = async {
-        while !over.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             let due = Instant::now() + TICK;
             Timer::at(due).await;
-            stalls.note(due, Instant::now());
+            stalls.record(due, Instant::now());
         }
     };
     reactor::block_on(executor.run(life)).expect("a reactor");
 }
 
-/// What it is told, once that is anything else.
-async fn other_than(how: How, told: &Told) -> How {
+/// Waits until the mode is another one, and returns that.
+async fn wait_for_other_mode(mode: Mode, current: &SharedMode) -> Mode {
     loop {
-        let now = *told.lock().expect("how");
-        if now != how {
+        let now = *current.lock().expect("mode");
+        if now != mode {
             return now;
         }
         Timer::after(TICK).await;
     }
 }
 
-async fn welcome(
-    executor: Rc<LocalExecutor<'static>>, listener: TcpListener, told: Told, ledger: Arc<Ledger>,
+async fn accept_connections(
+    executor: Rc<LocalExecutor<'static>>, listener: TcpListener, mode: SharedMode, ledger: Arc<Ledger>,
 ) {
-    if *told.lock().expect("how") == How::Shut {
+    if *mode.lock().expect("mode") == Mode::FullBacklog {
         rustix::net::listen(&listener, 0).expect("a short queue");
         let address = listener.local_addr().expect("its address");
-        // One in the machine's queue, which is full by it: another connection is not answered.
-        let door = TcpStream::connect(address).expect("the one that fills it");
-        other_than(How::Shut, &told).await;
+        // This connection fills the accept queue: the kernel answers no other.
+        let backlog_filler = TcpStream::connect(address).expect("the one that fills it");
+        wait_for_other_mode(Mode::FullBacklog, &mode).await;
         rustix::net::listen(&listener, 128).expect("a usual queue");
-        drop(door);
+        drop(backlog_filler);
     }
     let listener = Async::from_listener(listener).expect("a listener");
     while let Ok((stream, _)) = listener.accept().await {
-        let (told, ledger) = (told.clone(), ledger.clone());
-        executor.spawn(async move { _ = serve(stream, &told, &ledger).await }).detach();
+        let (mode, ledger) = (mode.clone(), ledger.clone());
+        executor.spawn(async move { _ = serve(stream, &mode, &ledger).await }).detach();
     }
 }
 
-async fn serve(stream: Async<TcpStream>, told: &Told, ledger: &Ledger) -> Option<()> {
+async fn serve(stream: Async<TcpStream>, mode: &SharedMode, ledger: &Ledger) -> Option<()> {
     stream.get_ref().set_nodelay(true).ok()?;
-    let read = |mut held: Vec<u8>| async {
-        stream.read_buf(&mut held).await.ok().filter(|count| *count > 0)?;
-        Some(held)
+    let read = |mut received: Vec<u8>| async {
+        stream.read_buf(&mut received).await.ok().filter(|count| *count > 0)?;
+        Some(received)
     };
     loop {
-        let mut held = read(Vec::new()).await?;
-        let begun = Instant::now();
+        let mut received = read(Vec::new()).await?;
+        let first_byte_at = Instant::now();
         let (head, length) = loop {
-            if let Some(end) = held.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-                let head = String::from_utf8_lossy(&held[..end]);
+            if let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+                let head = String::from_utf8_lossy(&received[..end]);
                 let of = |key| head.lines().find_map(|line| line.strip_prefix(key));
-                ledger.attempt(of("Request-Id: ").expect("an id"), begun);
+                ledger.record_attempt(of("Request-Id: ").expect("an id"), first_byte_at);
                 break (
                     end + 4,
                     of("Content-Length: ").map_or(0, |length| length.parse().expect("a length")),
                 );
             }
-            held = read(held).await?;
+            received = read(received).await?;
         };
-        while held.len() < head + length {
-            held = read(held).await?;
+        while received.len() < head + length {
+            received = read(received).await?;
         }
-        let (after, answer) = match other_than(How::Silent, told).await {
-            How::Answers(after) => (after, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
-            How::TurnsAway(after) => {
+        let (after, answer) = match wait_for_other_mode(Mode::Silent, mode).await {
+            Mode::Answers(after) => (after, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+            Mode::Refuses(after) => {
                 (after, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
             }
-            How::Silent | How::Shut => return None,
+            Mode::Silent | Mode::FullBacklog => return None,
         };
         Timer::after(after).await;
         (&stream).write_all(answer.as_bytes()).await.ok()?;
