--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -2,10 +2,10 @@
 use clap::{Parser, Subcommand};
 use oakhollow_lab::admission::{cpu_seconds_used, estimated_demand};
 use oakhollow_lab::chain;
-use oakhollow_lab::scale::catalogue::Shape;
-use oakhollow_lab::scale::day::Day;
+use oakhollow_lab::scale::catalogue::FleetShape;
 use oakhollow_lab::scale::report;
-use oakhollow_lab::scale::run::{step, Plan};
+use oakhollow_lab::scale::run::{run_step, Plan};
+use oakhollow_lab::scale::scenario::Scenario;
 use oakhollow_lab::scene::Scene;
 use oakhollow_lab::scene_runner::{self, run_scene, RunOptions};
 use oakhollow_lab::soak;
@@ -115,7 +115,7 @@
     #[arg(long, value_delimiter = ',', default_values_t = [250, 500, 1_000, 2_000, 4_000])]
     steps: Vec<usize>,
     #[arg(long, default_value = "rest")]
-    day: Day,
+    day: Scenario,
     /// How long two instances may differ, in seconds.
     #[arg(long, default_value_t = 13.0)]
     within: f64,
@@ -230,11 +230,11 @@
     let program = args.program.clone().unwrap_or_else(beside);
     let plan = Plan {
         program: &program,
-        day: args.day,
-        within: args.within,
+        scenario: args.day,
+        max_divergence_s: args.within,
         scope: if args.listed { Scope::Listed } else { Scope::All },
         seed: args.seed,
-        shape: Shape {
+        shape: FleetShape {
             services: args.services.max(1),
             servers: args.servers.max(1),
             zones: args.zones.max(1),
@@ -243,17 +243,17 @@
         sidecars: args.sidecars,
         rate: args.rate,
         threads: args.threads,
-        most_resident: (args.memory * 1e9) as u64,
+        max_resident_bytes: (args.memory * 1e9) as u64,
     };
     let (mut steps, mut whole) = (Vec::new(), true);
     for instances in &args.steps {
-        match step(&plan, *instances, &mut |what| eprintln!("{instances}: {what}")) {
+        match run_step(&plan, *instances, &mut |what| eprintln!("{instances}: {what}")) {
             Ok(report) => {
                 match args.json {
-                    true => report::objects(&report).iter().for_each(|object| println!("{object}")),
-                    false => report::text(&report).iter().for_each(|line| println!("{line}")),
+                    true => report::step_json(&report).iter().for_each(|object| println!("{object}")),
+                    false => report::step_text(&report).iter().for_each(|line| println!("{line}")),
                 }
-                whole &= report.phases.iter().all(|phase| phase.sound());
+                whole &= report.phases.iter().all(|phase| phase.is_valid());
                 steps.push(report);
             }
             Err(why) => {
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -1,33 +1,34 @@
-//! Which services there are, which servers and zones they have, and which of them each instance calls. All of it follows
-//! from the seed.
+//! The services of a run, their servers and zones, and the services that each instance calls. Everything is derived from
+//! the seed.
 use nanorand::{Rng, WyRand};
 use oakhollow_accord::{Fact, ListUpdate};
 use std::sync::Arc;
 
-/// Servers of the fleet are numbered; each belongs to one service and stands in one zone.
+/// The numbered servers of the fleet; each belongs to one service and to one zone.
 #[derive(Clone, Debug)]
 pub struct Catalogue {
     names: Vec<Arc<str>>,
-    shape: Shape,
+    shape: FleetShape,
 }
 
+/// The number of services, servers and zones in a run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Shape {
+pub struct FleetShape {
     pub services: usize,
-    /// Servers of each service.
+    /// Servers per service.
     pub servers: usize,
     pub zones: usize,
-    /// Services that each instance calls.
+    /// Number of services that each instance calls.
     pub calls: usize,
 }
 
 impl Catalogue {
-    pub fn new(shape: Shape) -> Catalogue {
+    pub fn new(shape: FleetShape) -> Catalogue {
         let names = (0..shape.services * shape.servers).map(|at| Arc::from(format!("s{at}"))).collect();
         Catalogue { names, shape }
     }
 
-    pub fn shape(&self) -> Shape {
+    pub fn shape(&self) -> FleetShape {
         self.shape
     }
 
@@ -39,7 +40,7 @@
         service * self.shape.servers..(service + 1) * self.shape.servers
     }
 
-    /// Servers of one service stand in all zones, as evenly as may be; so do those of all services together.
+    /// Spreads the servers of each service, and all servers together, evenly over the zones.
     pub fn zone_of(&self, server: usize) -> usize {
         server % self.shape.zones
     }
@@ -48,7 +49,7 @@
         (0..self.names.len()).filter(move |server| self.zone_of(*server) == zone)
     }
 
-    /// The servers on the list of one instance: those of the services that it calls.
+    /// Draws the services that one instance calls and returns their servers, which form its endpoint list.
     pub fn list_of(&self, random: &mut WyRand) -> Vec<u32> {
         let mut services: Vec<usize> = Vec::new();
         while services.len() < self.shape.calls.min(self.shape.services) {
@@ -61,24 +62,26 @@
         services.into_iter().flat_map(|service| self.servers_of(service)).map(|at| at as u32).collect()
     }
 
-    /// What a list tells of some servers; `since` is when they last started.
-    pub fn told(
-        &self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, EndpointState)>,
+    /// Builds the list update that reports these states of the servers.
+    pub fn list_update(
+        &self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, ServerState)>,
     ) -> ListUpdate {
-        let fact = |told: EndpointState| Fact {
-            since: told.since,
-            excluded: told.out,
+        let fact = |state: ServerState| Fact {
+            since: state.started_at_ms,
+            excluded: state.excluded,
             first_hand: true,
             entry: None,
         };
-        let entries = servers.map(|(server, told)| (self.names[server].clone(), Some(fact(told))));
+        let entries = servers.map(|(server, state)| (self.names[server].clone(), Some(fact(state))));
         ListUpdate { index, snapshot: whole, entries: entries.collect() }
     }
 }
 
-/// How a list words a server.
+/// The state of a server as discovery lists it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct EndpointState {
-    pub since: u64,
-    pub out: bool,
+pub struct ServerState {
+    /// When it last started, in milliseconds of Unix time.
+    pub started_at_ms: u64,
+    /// Whether no new requests may be sent to it.
+    pub excluded: bool,
 }
--- a/lab/src/scale/count.rs
+++ b/lab/src/scale/count.rs
@@ -1,19 +1,19 @@
-//! What was said, second by second: sums for each keeper, and what the busiest instance had in any second.
+//! Message and byte counts per second: sums for each lease server, and the maximum of any single instance.
 use hdrhistogram::Histogram;
 
-/// Words and bytes, as an instance sees them.
+/// Messages and bytes in each direction, from the instance's point of view.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Said {
-    pub words_in: u64,
-    pub words_out: u64,
+pub struct TrafficCounts {
+    pub messages_in: u64,
+    pub messages_out: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
 }
 
-impl Said {
-    pub fn add(&mut self, other: Said) {
-        self.words_in += other.words_in;
-        self.words_out += other.words_out;
+impl TrafficCounts {
+    pub fn add(&mut self, other: TrafficCounts) {
+        self.messages_in += other.messages_in;
+        self.messages_out += other.messages_out;
         self.bytes_in += other.bytes_in;
         self.bytes_out += other.bytes_out;
     }
@@ -22,46 +22,46 @@
         self.bytes_in + self.bytes_out
     }
 
-    pub fn words(&self) -> u64 {
-        self.words_in + self.words_out
+    pub fn messages(&self) -> u64 {
+        self.messages_in + self.messages_out
     }
 }
 
-/// One second of one keeper or of all.
+/// The traffic of one second.
 #[derive(Clone, Debug, Default)]
-pub struct Second {
-    pub keepers: Vec<Said>,
-    /// Bytes both ways of the instance that had the most.
-    pub worst: u64,
+pub struct SecondCounts {
+    pub lease_servers: Vec<TrafficCounts>,
+    /// Bytes in both directions of the instance that exchanged the most.
+    pub max_instance_bytes: u64,
 }
 
-/// One instance's bytes in the second that runs.
+/// The bytes that one instance has exchanged in the current second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Running {
+pub struct InstanceSecond {
     second: usize,
     bytes: u64,
 }
 
-/// What one thread of the rig saw.
+/// The counts of one thread of the harness.
 #[derive(Clone, Debug)]
 pub struct Counts {
-    keepers: usize,
-    /// The second of the run in which these counts begin.
-    pub from: usize,
-    pub seconds: Vec<Second>,
-    /// Processor time in the members themselves, in microseconds: the program's own work, not the rig's.
-    pub work_us: u64,
-    /// From asking for a lease until it is granted, in microseconds.
-    pub answers: Histogram<u64>,
-    /// Words that found the queue to a keeper full.
-    pub lost: u64,
-    /// The most words that waited to be sent to one keeper.
-    pub longest: usize,
-    /// Links that broke.
-    pub broken: u64,
-    /// Times at which an instance stood without a majority's leases after it had them, and for how long in all.
-    pub lapses: u64,
-    pub unsure_us: u64,
+    lease_servers: usize,
+    /// The second of the run with which these counts begin.
+    pub first_second: usize,
+    pub seconds: Vec<SecondCounts>,
+    /// Processor time spent in the lease holders, in microseconds: the program's own code, without the harness.
+    pub lease_holder_cpu_us: u64,
+    /// Time from a lease request to its grant, in microseconds.
+    pub grant_latency: Histogram<u64>,
+    /// Messages dropped because the queue to a lease server was full.
+    pub dropped_messages: u64,
+    /// The largest number of messages queued for one lease server.
+    pub max_queue_len: usize,
+    /// Number of links that broke.
+    pub broken_links: u64,
+    /// How often an instance lost the leases of a majority, and the total time without them.
+    pub lease_expiries: u64,
+    pub without_lease_us: u64,
 }
 
 impl Default for Counts {
@@ -71,64 +71,74 @@
 }
 
 impl Counts {
-    pub fn new(keepers: usize, from: usize) -> Counts {
-        // Sound for any bounds with a low end over 0 and half of the high one.
-        let answers = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds of a histogram");
+    pub fn new(lease_servers: usize, first_second: usize) -> Counts {
+        // Bounds are valid if the low one is above 0 and at most half of the high one.
+        let grant_latency = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds of a histogram");
         Counts {
-            keepers,
-            from,
+            lease_servers,
+            first_second,
             seconds: Vec::new(),
-            work_us: 0,
-            answers,
-            lost: 0,
-            longest: 0,
-            broken: 0,
-            lapses: 0,
-            unsure_us: 0,
+            lease_holder_cpu_us: 0,
+            grant_latency,
+            dropped_messages: 0,
+            max_queue_len: 0,
+            broken_links: 0,
+            lease_expiries: 0,
+            without_lease_us: 0,
         }
     }
 
-    fn second(&mut self, at: usize) -> &mut Second {
-        let at = at.saturating_sub(self.from);
-        let empty = Second { keepers: vec![Said::default(); self.keepers], worst: 0 };
+    fn second(&mut self, at: usize) -> &mut SecondCounts {
+        let at = at.saturating_sub(self.first_second);
+        let empty = SecondCounts {
+            lease_servers: vec![TrafficCounts::default(); self.lease_servers],
+            max_instance_bytes: 0,
+        };
         if self.seconds.len() <= at {
             self.seconds.resize(at + 1, empty);
         }
         &mut self.seconds[at]
     }
 
-    /// Counts what one instance and one keeper said to each other in that second of the run.
-    pub fn said(&mut self, at: usize, keeper: usize, said: Said, running: &mut Running) {
-        self.second(at).keepers[keeper].add(said);
-        if running.second != at {
-            self.over(running);
-            running.second = at;
+    /// Counts the traffic between one instance and one lease server in the given second of the run.
+    pub fn record(
+        &mut self, at: usize, lease_server: usize, traffic: TrafficCounts,
+        current_second: &mut InstanceSecond,
+    ) {
+        self.second(at).lease_servers[lease_server].add(traffic);
+        if current_second.second != at {
+            self.finish_second(current_second);
+            current_second.second = at;
         }
-        running.bytes += said.bytes();
+        current_second.bytes += traffic.bytes();
     }
 
-    /// That instance's second is over.
-    pub fn over(&mut self, running: &mut Running) {
-        let bytes = std::mem::take(&mut running.bytes);
+    /// Closes the instance's current second and updates the maximum.
+    pub fn finish_second(&mut self, current_second: &mut InstanceSecond) {
+        let bytes = std::mem::take(&mut current_second.bytes);
         if bytes > 0 {
-            let second = self.second(running.second);
-            second.worst = second.worst.max(bytes);
+            let second = self.second(current_second.second);
+            second.max_instance_bytes = second.max_instance_bytes.max(bytes);
         }
     }
 
-    /// What another thread saw of other instances.
+    /// Adds the counts of another thread, which carries other instances.
     pub fn merge(&mut self, other: &Counts) {
         for (at, theirs) in other.seconds.iter().enumerate() {
-            let second = self.second(at + other.from);
-            second.worst = second.worst.max(theirs.worst);
-            second.keepers.iter_mut().zip(&theirs.keepers).for_each(|(own, said)| own.add(*said));
+            let second = self.second(at + other.first_second);
+            second.max_instance_bytes = second.max_instance_bytes.max(theirs.max_instance_bytes);
+            second
+                .lease_servers
+                .iter_mut()
+                .zip(&theirs.lease_servers)
+                .for_each(|(own, traffic)| own.add(*traffic));
         }
-        self.work_us += other.work_us;
-        let _ = self.answers.add(&other.answers);
-        self.lost += other.lost;
-        self.longest = self.longest.max(other.longest);
-        self.broken += other.broken;
-        self.lapses += other.lapses;
-        self.unsure_us += other.unsure_us;
+        self.lease_holder_cpu_us += other.lease_holder_cpu_us;
+        let _ = self.grant_latency.add(&other.grant_latency);
+        self.dropped_messages += other.dropped_messages;
+        self.max_queue_len = self.max_queue_len.max(other.max_queue_len);
+        self.broken_links += other.broken_links;
+        self.lease_expiries += other.lease_expiries;
+        self.without_lease_us += other.without_lease_us;
     }
 }
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! The real processes of a step: keepers, and sidecars that carry calls, each with a stand-in discovery.
+//! The real processes of a step: lease servers, and sidecars that carry requests, each with a fake discovery.
 use super::usage::{self, Usage};
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
@@ -13,26 +13,28 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub const KEEPERS: usize = 3;
-/// How long a process may take until it answers anything, beyond the leases that it waits for.
-const STARTS: Duration = Duration::from_secs(60);
-/// Workloads of the settings: the first is called, the others make the text as long as one of an ordinary size.
-const WORKLOADS: usize = 20;
-pub const CALLED: &str = "w0";
+pub const LEASE_SERVERS: usize = 3;
+/// How long a process may take to start, in addition to the lease durations that it waits for.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Workloads in the settings: the first is called, the others bring the text to a realistic size.
+const WORKLOAD_COUNT: usize = 20;
+/// The workload to which the fake clients send.
+pub const CALLED_WORKLOAD: &str = "w0";
 
+/// The real processes, their servers and their discoveries.
 pub struct Fleet {
-    /// The keepers first.
+    /// The lease servers first.
     pub processes: Vec<Sidecar>,
-    pub keepers: Vec<SocketAddr>,
+    pub lease_servers: Vec<SocketAddr>,
     discoveries: Vec<Discovery>,
     servers: Vec<SocketAddr>,
     pub document: Document,
-    /// Bytes of the operator's file, which names every instance.
+    /// Size of the operator's file, which names every instance.
     pub operator_bytes: usize,
-    /// From the start of a process until it answers at its console at all, and until all serve: the longest of them.
-    pub answers_s: f64,
-    pub serves_s: f64,
-    begun: Instant,
+    /// Time from the start until all processes answer at their consoles, and until all serve.
+    pub time_to_answer_s: f64,
+    pub time_to_serve_s: f64,
+    started: Instant,
     folder: PathBuf,
 }
 
@@ -43,42 +45,44 @@
     }
 }
 
-/// What is wanted of it.
-pub struct Wanted<'a> {
+/// What [`Fleet::start`] builds.
+pub struct FleetSpec<'a> {
     pub program: &'a Path,
-    /// Sidecars beside the keepers.
+    /// Number of sidecars in addition to the lease servers.
     pub sidecars: usize,
-    pub within: f64,
+    pub max_divergence_s: f64,
     pub scope: Scope,
-    pub hollow: &'a [String],
-    /// Servers on every real one's list: those of the first service.
+    pub simulated_names: &'a [String],
+    /// Number of servers on the list of every real process: those of the first service.
     pub servers: usize,
     pub seed: u64,
 }
 
 impl Fleet {
-    pub fn start(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> Result<Fleet, String> {
-        Fleet::build(wanted, begun, notes).map_err(|fault| fault.to_string())
+    pub fn start(
+        spec: &FleetSpec, started: Instant, observations: &Arc<Observations>,
+    ) -> Result<Fleet, String> {
+        Fleet::build(spec, started, observations).map_err(|fault| fault.to_string())
     }
 
-    fn build(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> std::io::Result<Fleet> {
+    fn build(spec: &FleetSpec, started: Instant, observations: &Arc<Observations>) -> std::io::Result<Fleet> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let unique =
             format!("oakhollow-scale-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
-        let servers: Vec<SocketAddr> = (0..wanted.servers)
-            .map(|at| fakes::start_server(at, begun, notes.clone()))
+        let servers: Vec<SocketAddr> = (0..spec.servers)
+            .map(|at| fakes::start_server(at, started, observations.clone()))
             .collect::<std::io::Result<_>>()?;
-        let keepers: Vec<SocketAddr> =
-            (0..KEEPERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
-        let names: Vec<String> = (0..KEEPERS)
+        let lease_servers: Vec<SocketAddr> =
+            (0..LEASE_SERVERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
+        let names: Vec<String> = (0..LEASE_SERVERS)
             .map(|at| format!("n{at}"))
-            .chain((0..wanted.sidecars).map(|at| format!("r{at}")))
+            .chain((0..spec.sidecars).map(|at| format!("r{at}")))
             .collect();
-        let operator = operator(wanted, &names, &keepers);
+        let operator = operator_config(spec, &names, &lease_servers);
         let mut fleet = Fleet {
             processes: Vec::new(),
-            keepers,
+            lease_servers,
             discoveries: Vec::new(),
             servers,
             document: Document {
@@ -86,45 +90,48 @@
                 text: "".into(),
             },
             operator_bytes: operator.len(),
-            answers_s: 0.0,
-            serves_s: 0.0,
-            begun: Instant::now(),
+            time_to_answer_s: 0.0,
+            time_to_serve_s: 0.0,
+            started: Instant::now(),
             folder,
         };
         for (at, name) in names.iter().enumerate() {
-            let mut process = Sidecar::new(wanted.program, name, &fleet.folder)?;
+            let mut process = Sidecar::new(spec.program, name, &fleet.folder)?;
             let discovery = Discovery::start(&fleet.servers)?;
             process.write_operator_config(&operator)?;
-            process.write_config(&file(wanted, at, &process, &discovery, &fleet.servers))?;
+            process.write_config(&config_json(spec, at, &process, &discovery, &fleet.servers))?;
             fleet.discoveries.push(discovery);
             fleet.processes.push(process);
         }
-        let first = read_instance_file(&fleet.processes[0].config_path()).map_err(std::io::Error::other)?;
-        fleet.document = first.2;
-        fleet.begun = Instant::now();
+        let first_instance =
+            read_instance_file(&fleet.processes[0].config_path()).map_err(std::io::Error::other)?;
+        fleet.document = first_instance.2;
+        fleet.started = Instant::now();
         fleet.processes.iter_mut().try_for_each(Sidecar::start)?;
         Ok(fleet)
     }
 
-    /// Waits until all answer at their consoles, which needs no lease.
-    pub fn answers(&mut self) -> Result<(), String> {
-        self.wait(STARTS, |process| console_request(process.console, "GET", "/healthcheck").is_some())?;
-        self.answers_s = self.begun.elapsed().as_secs_f64();
+    /// Waits until all processes answer at their consoles, which needs no lease.
+    pub fn wait_until_answering(&mut self) -> Result<(), String> {
+        self.wait(START_TIMEOUT, |process| {
+            console_request(process.console, "GET", "/healthcheck").is_some()
+        })?;
+        self.time_to_answer_s = self.started.elapsed().as_secs_f64();
         Ok(())
     }
 
-    /// Waits until all serve.
-    pub fn serves(&mut self, lease: Duration) -> Result<(), String> {
-        self.wait(STARTS + 4 * lease, |process| is_healthy(process.console))?;
-        self.serves_s = self.begun.elapsed().as_secs_f64();
+    /// Waits until all processes serve.
+    pub fn wait_until_serving(&mut self, lease: Duration) -> Result<(), String> {
+        self.wait(START_TIMEOUT + 4 * lease, |process| is_healthy(process.console))?;
+        self.time_to_serve_s = self.started.elapsed().as_secs_f64();
         Ok(())
     }
 
-    fn wait(&mut self, most: Duration, done: impl Fn(&Sidecar) -> bool) -> Result<(), String> {
+    fn wait(&mut self, timeout: Duration, done: impl Fn(&Sidecar) -> bool) -> Result<(), String> {
         for process in &mut self.processes {
             while !done(process) {
-                if process.has_exited() || self.begun.elapsed() > most {
-                    return Err(format!("{} does not serve:\n{}", process.name, process.log_text()));
+                if process.has_exited() || self.started.elapsed() > timeout {
+                    return Err(format!("{} does not start to serve:\n{}", process.name, process.log_text()));
                 }
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -132,10 +139,10 @@
         Ok(())
     }
 
-    /// Whether the list of the real ones names that server, and all their discoveries tell that of it.
-    pub fn lists_tell(&self, server: usize, told: ListChange) {
+    /// Announces the change at all discoveries, if the server is on the list of the real processes.
+    pub fn announce(&self, server: usize, change: ListChange) {
         if let Some(address) = self.servers.get(server) {
-            self.discoveries.iter().for_each(|discovery| discovery.tell(told, server, *address));
+            self.discoveries.iter().for_each(|discovery| discovery.tell(change, server, *address));
         }
     }
 
@@ -144,50 +151,50 @@
         self.processes.iter().map(of).collect()
     }
 
-    /// Resident bytes of all together.
+    /// Resident memory of all processes together, in bytes.
     pub fn resident(&self) -> u64 {
         self.processes.iter().filter_map(Sidecar::pid).filter_map(usage::resident).sum()
     }
 
-    /// One that has ended by itself.
-    pub fn ended(&mut self) -> Option<String> {
-        let ended =
+    /// Describes a process that has exited by itself, if there is one.
+    pub fn exited_process(&mut self) -> Option<String> {
+        let exited =
             self.processes.iter_mut().find_map(|process| process.has_exited().then_some(&*process))?;
-        let log = ended.log_text();
+        let log = exited.log_text();
         let last: Vec<&str> = log.lines().rev().take(3).collect();
-        Some(format!("{} has ended: {}", ended.name, last.join(" | ")))
+        Some(format!("{} has exited: {}", exited.name, last.join(" | ")))
     }
 }
 
-/// The operator's file, the same for all: it names every instance, hollow ones too.
-fn operator(wanted: &Wanted, names: &[String], keepers: &[SocketAddr]) -> String {
+/// The operator's file, the same for all processes: it names every instance, the simulated ones included.
+fn operator_config(spec: &FleetSpec, names: &[String], lease_servers: &[SocketAddr]) -> String {
     let mut text = format!(
         "[accord]\nwithin = {:?}\nscope = \"{}\"\nkeepers = [{}]\n\n[accord.instances]\n",
-        wanted.within,
-        match wanted.scope {
+        spec.max_divergence_s,
+        match spec.scope {
             Scope::All => "all",
             Scope::Listed => "listed",
         },
-        names[..KEEPERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
+        names[..LEASE_SERVERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
     );
-    // Those who keep nothing are dialled by nobody; their addresses are as long as a machine's all the same.
-    let nobody = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
-    for (at, name) in names.iter().chain(wanted.hollow).enumerate() {
-        let address = keepers.get(at).copied().unwrap_or_else(|| nobody(at));
+    // Nothing connects to instances that are no lease servers, but their addresses have the usual length.
+    let unused_address = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
+    for (at, name) in names.iter().chain(spec.simulated_names).enumerate() {
+        let address = lease_servers.get(at).copied().unwrap_or_else(|| unused_address(at));
         text += &format!("{name} = \"{address}\"\n");
     }
     text
 }
 
-fn file(
-    wanted: &Wanted, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
+fn config_json(
+    spec: &FleetSpec, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
 ) -> String {
     let workload = |at: usize| {
         format!(
             r#"{{"name":"w{at}","semantics":"read_like","quoted_time_s":1,"abandon_time_s":2,"payoff":1}}"#
         )
     };
-    let workloads: Vec<String> = (0..WORKLOADS).map(workload).collect();
+    let workloads: Vec<String> = (0..WORKLOAD_COUNT).map(workload).collect();
     format!(
         r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"{}","seed":"{:x}","version":{{"number":1}},
         "limits":{{"sockets":{}}},"known":{},"settings":{{"me":{at},"balancers":{},"zones":["a"],"discovery":"on_request",
@@ -197,11 +204,11 @@
         process.listen,
         process.console,
         discovery.address,
-        wanted.seed.wrapping_mul(31).wrapping_add(at as u64),
-        // A keeper keeps two links back for each instance; beside them what a file has that says nothing.
-        1_024 + 2 * (wanted.hollow.len() + KEEPERS + wanted.sidecars),
+        spec.seed.wrapping_mul(31).wrapping_add(at as u64),
+        // A lease server reserves two links for each instance, in addition to the default limit.
+        1_024 + 2 * (spec.simulated_names.len() + LEASE_SERVERS + spec.sidecars),
         fakes::initial_list(servers),
-        KEEPERS + wanted.sidecars,
+        LEASE_SERVERS + spec.sidecars,
         workloads.join(",")
     )
 }
--- a/lab/src/scale/link.rs
+++ b/lab/src/scale/link.rs
@@ -1,5 +1,6 @@
-//! A hollow instance's link to one keeper: a socket that never blocks, lines of JSON on it, and a bounded queue.
-use super::count::Said;
+//! The link from a simulated instance to one lease server: a non-blocking socket that carries lines of JSON, and a
+//! bounded send queue.
+use super::count::TrafficCounts;
 use oakhollow_accord::Message;
 use oakhollow_terms::to_json;
 use rustix::event::epoll::{self, EventData, EventFlags};
@@ -10,43 +11,43 @@
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
 
-/// As a sidecar has it: words that may wait for one that does not read.
-const MOST_WORDS: usize = 64;
-/// What a buffer may keep when nothing is in it.
-const SPARE: usize = 4_096;
+/// Messages that may be queued for a peer that does not read; the same bound as in a sidecar.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Capacity that an empty read buffer may keep.
+const MAX_IDLE_BUFFER_BYTES: usize = 4_096;
 
 #[derive(Debug, Default)]
-enum State {
+enum LinkState {
     #[default]
-    Down,
-    Coming(OwnedFd),
-    Up(OwnedFd),
+    Disconnected,
+    Connecting(OwnedFd),
+    Connected(OwnedFd),
 }
 
+/// A connection to one lease server, which may be down.
 #[derive(Debug, Default)]
 pub struct Link {
-    state: State,
-    /// The beginning of a line whose end has not come.
-    reads: Vec<u8>,
-    /// Lines that wait, and what of the first one is sent.
-    writes: VecDeque<Vec<u8>>,
-    sent: usize,
-    /// Whether the machine is to tell when there is room.
-    awaits_room: bool,
+    state: LinkState,
+    /// The received part of an incomplete line.
+    read_buffer: Vec<u8>,
+    /// Queued lines, and how many bytes of the first one are sent.
+    write_queue: VecDeque<Vec<u8>>,
+    sent_bytes: usize,
+    /// Whether epoll reports when the socket is writable.
+    wants_write: bool,
 }
 
-/// What became of a link by something done to it.
+/// How an operation changed the state of a link.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Became {
-    /// As it was.
-    Same,
-    Up,
+pub enum LinkChange {
+    Unchanged,
+    Connected,
     Broken,
 }
 
 impl Link {
-    /// Begins to connect; what waited for an earlier one is old.
-    pub fn dial(&mut self, epoll: &OwnedFd, token: u64, to: SocketAddr) -> Result<()> {
+    /// Starts to connect and drops what was queued for an earlier connection.
+    pub fn connect(&mut self, epoll: &OwnedFd, token: u64, to: SocketAddr) -> Result<()> {
         self.close();
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
@@ -56,8 +57,8 @@
             Err(fault) => return Err(fault.into()),
         }
         epoll::add(epoll, &socket, EventData::new_u64(token), EventFlags::IN | EventFlags::OUT)?;
-        self.awaits_room = true;
-        self.state = State::Coming(socket);
+        self.wants_write = true;
+        self.state = LinkState::Connecting(socket);
         Ok(())
     }
 
@@ -65,125 +66,127 @@
         *self = Link::default();
     }
 
-    /// From now on nothing is read and nothing written, and the other side is not told.
-    pub fn fall_silent(&mut self, epoll: &OwnedFd) {
-        if let State::Coming(socket) | State::Up(socket) = &self.state {
+    /// Stops reading and writing without closing the socket, so that the peer does not notice.
+    pub fn go_silent(&mut self, epoll: &OwnedFd) {
+        if let LinkState::Connecting(socket) | LinkState::Connected(socket) = &self.state {
             let _ = epoll::delete(epoll, socket);
         }
-        self.writes.clear();
+        self.write_queue.clear();
     }
 
-    pub fn is_up(&self) -> bool {
-        matches!(self.state, State::Up(_))
+    pub fn is_connected(&self) -> bool {
+        matches!(self.state, LinkState::Connected(_))
     }
 
-    pub fn is_down(&self) -> bool {
-        matches!(self.state, State::Down)
+    pub fn is_disconnected(&self) -> bool {
+        matches!(self.state, LinkState::Disconnected)
     }
 
-    /// Words that wait to be sent.
-    pub fn waiting(&self) -> usize {
-        self.writes.len()
+    /// Number of messages that wait to be sent.
+    pub fn queue_len(&self) -> usize {
+        self.write_queue.len()
     }
 
-    /// Queues a line; false if there is no room for it, or no link. [`Link::write`] sends it.
-    pub fn say(&mut self, word: &Message) -> bool {
-        let takes = self.is_up() && self.writes.len() < MOST_WORDS;
-        if takes {
-            self.queue(to_json(word));
+    /// Queues a message, which [`Link::write`] sends. Returns false if the queue is full or the link is not connected.
+    pub fn enqueue(&mut self, message: &Message) -> bool {
+        let accepted = self.is_connected() && self.write_queue.len() < MAX_QUEUED_MESSAGES;
+        if accepted {
+            self.push_line(to_json(message));
         }
-        takes
+        accepted
     }
 
-    fn queue(&mut self, line: String) {
+    fn push_line(&mut self, line: String) {
         let mut line = line.into_bytes();
         line.push(b'\n');
-        self.writes.push_back(line);
+        self.write_queue.push_back(line);
     }
 
-    /// The machine has told of it. Once it is up the greeting goes out first.
-    pub fn told(&mut self, flags: EventFlags, greeting: &str) -> Became {
+    /// Handles an epoll event of the socket. Queues the greeting as soon as the connection is established.
+    pub fn handle_event(&mut self, flags: EventFlags, greeting: &str) -> LinkChange {
         match std::mem::take(&mut self.state) {
-            State::Coming(socket) => {
+            LinkState::Connecting(socket) => {
                 if !matches!(net::sockopt::socket_error(&socket), Ok(Ok(()))) {
-                    return Became::Broken;
+                    return LinkChange::Broken;
                 }
                 if !flags.contains(EventFlags::OUT) {
-                    self.state = State::Coming(socket);
-                    return Became::Same;
+                    self.state = LinkState::Connecting(socket);
+                    return LinkChange::Unchanged;
                 }
-                self.state = State::Up(socket);
-                self.queue(greeting.to_string());
-                Became::Up
+                self.state = LinkState::Connected(socket);
+                self.push_line(greeting.to_string());
+                LinkChange::Connected
             }
             other => {
                 self.state = other;
-                Became::Same
+                LinkChange::Unchanged
             }
         }
     }
 
-    /// Sends what there is room for, and counts it.
-    pub fn write(&mut self, epoll: &OwnedFd, token: u64, said: &mut Said) -> Became {
-        let State::Up(socket) = &self.state else { return Became::Same };
-        while let Some(line) = self.writes.front() {
-            match rustix::io::write(socket, &line[self.sent..]) {
+    /// Sends as much as the socket takes, and counts it.
+    pub fn write(&mut self, epoll: &OwnedFd, token: u64, traffic: &mut TrafficCounts) -> LinkChange {
+        let LinkState::Connected(socket) = &self.state else { return LinkChange::Unchanged };
+        while let Some(line) = self.write_queue.front() {
+            match rustix::io::write(socket, &line[self.sent_bytes..]) {
                 Ok(count) => {
-                    self.sent += count;
-                    said.bytes_out += count as u64;
-                    if self.sent == line.len() {
-                        said.words_out += 1;
-                        self.sent = 0;
-                        self.writes.pop_front();
+                    self.sent_bytes += count;
+                    traffic.bytes_out += count as u64;
+                    if self.sent_bytes == line.len() {
+                        traffic.messages_out += 1;
+                        self.sent_bytes = 0;
+                        self.write_queue.pop_front();
                     }
                 }
                 Err(Errno::AGAIN) => break,
                 Err(Errno::INTR) => {}
-                Err(_) => return Became::Broken,
+                Err(_) => return LinkChange::Broken,
             }
         }
-        let awaits_room = !self.writes.is_empty();
-        if awaits_room != self.awaits_room {
-            let out = if awaits_room { EventFlags::OUT } else { EventFlags::empty() };
+        let wants_write = !self.write_queue.is_empty();
+        if wants_write != self.wants_write {
+            let out = if wants_write { EventFlags::OUT } else { EventFlags::empty() };
             let data = EventData::new_u64(token);
             if epoll::modify(epoll, socket.as_fd(), data, EventFlags::IN | out).is_err() {
-                return Became::Broken;
+                return LinkChange::Broken;
             }
-            self.awaits_room = awaits_room;
+            self.wants_write = wants_write;
         }
-        Became::Same
+        LinkChange::Unchanged
     }
 
-    /// Reads once, as much as `scratch` takes, and gives the words that are there whole.
-    pub fn read(&mut self, scratch: &mut [u8], said: &mut Said, words: &mut Vec<Message>) -> Became {
-        let State::Up(socket) = &self.state else { return Became::Same };
-        let count = match rustix::io::read(socket, &mut *scratch) {
-            Ok(0) => return Became::Broken,
+    /// Reads once, at most as much as `buffer` holds, and appends the complete messages to `messages`.
+    pub fn read(
+        &mut self, buffer: &mut [u8], traffic: &mut TrafficCounts, messages: &mut Vec<Message>,
+    ) -> LinkChange {
+        let LinkState::Connected(socket) = &self.state else { return LinkChange::Unchanged };
+        let count = match rustix::io::read(socket, &mut *buffer) {
+            Ok(0) => return LinkChange::Broken,
             Ok(count) => count,
-            Err(Errno::AGAIN | Errno::INTR) => return Became::Same,
-            Err(_) => return Became::Broken,
+            Err(Errno::AGAIN | Errno::INTR) => return LinkChange::Unchanged,
+            Err(_) => return LinkChange::Broken,
         };
-        said.bytes_in += count as u64;
-        let mut fresh = &scratch[..count];
-        while let Some(end) = fresh.iter().position(|byte| *byte == b'\n') {
-            let (line, rest) = fresh.split_at(end);
-            fresh = &rest[1..];
-            let word = match self.reads.is_empty() {
+        traffic.bytes_in += count as u64;
+        let mut unread = &buffer[..count];
+        while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
+            let (line, rest) = unread.split_at(end);
+            unread = &rest[1..];
+            let message = match self.read_buffer.is_empty() {
                 true => serde_json::from_slice(line),
                 false => {
-                    self.reads.extend_from_slice(line);
-                    serde_json::from_slice(&self.reads)
+                    self.read_buffer.extend_from_slice(line);
+                    serde_json::from_slice(&self.read_buffer)
                 }
             };
-            self.reads.clear();
-            let Ok(word) = word else { return Became::Broken };
-            said.words_in += 1;
-            words.push(word);
+            self.read_buffer.clear();
+            let Ok(message) = message else { return LinkChange::Broken };
+            traffic.messages_in += 1;
+            messages.push(message);
         }
-        self.reads.extend_from_slice(fresh);
-        if self.reads.is_empty() && self.reads.capacity() > SPARE {
-            self.reads = Vec::new();
+        self.read_buffer.extend_from_slice(unread);
+        if self.read_buffer.is_empty() && self.read_buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
+            self.read_buffer = Vec::new();
         }
-        Became::Same
+        LinkChange::Unchanged
     }
 }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,54 +1,64 @@
-//! What a scale run says: lines for people, an object a line for programs, and slopes over the steps.
-use super::fit::{Fit, Reckoned};
-use super::run::{PhaseReport, Role, StepReport, MOST_LATE};
+//! The report of a scale run: text lines for people, JSON lines for programs, and slopes over the steps.
+use super::fit::{Fit, Prediction};
+use super::run::{PhaseReport, RoleUsage, StepReport, MAX_LATE_SHARE};
 use serde_json::{json, Value};
 
-/// A figure of a phase, over which a slope is drawn.
+/// A figure of a phase through which slopes are fitted. The names are keys of the JSON output.
 struct Figure {
     name: &'static str,
     of: fn(&PhaseReport) -> f64,
 }
 
 const FIGURES: [Figure; 11] = [
-    Figure { name: "keeper, core", of: |phase| phase.keeper.cpu },
-    Figure { name: "keeper, microseconds of work a word", of: work_a_word },
-    Figure { name: "keeper, resident MB", of: |phase| phase.keeper.resident as f64 / 1e6 },
-    Figure { name: "keeper, descriptors", of: |phase| phase.keeper.descriptors as f64 },
-    Figure { name: "keeper, bytes a second", of: |phase| keeper_rate(phase, |said| said.bytes() as f64) },
-    Figure { name: "keeper, bytes in its worst second", of: |phase| phase.worst_of_keeper() as f64 },
-    Figure { name: "instance, core for the member alone", of: member_core },
-    Figure { name: "instance, words a second", of: |phase| instance_rate(phase, |said| said.words() as f64) },
-    Figure { name: "instance, bytes a second", of: |phase| instance_rate(phase, |said| said.bytes() as f64) },
-    Figure { name: "instance, bytes in its worst second", of: |phase| phase.worst_of_instance() as f64 },
-    Figure { name: "answer, ms at p99", of: |phase| answer_ms(phase, 0.99) },
+    Figure { name: "keeper, core", of: |phase| phase.lease_server.cpu },
+    Figure { name: "keeper, microseconds of work a word", of: cpu_us_per_message },
+    Figure { name: "keeper, resident MB", of: |phase| phase.lease_server.resident as f64 / 1e6 },
+    Figure { name: "keeper, descriptors", of: |phase| phase.lease_server.descriptors as f64 },
+    Figure {
+        name: "keeper, bytes a second",
+        of: |phase| keeper_rate(phase, |traffic| traffic.bytes() as f64),
+    },
+    Figure { name: "keeper, bytes in its worst second", of: |phase| phase.max_lease_server_bytes() as f64 },
+    Figure { name: "instance, core for the member alone", of: lease_holder_cpu },
+    Figure {
+        name: "instance, words a second",
+        of: |phase| instance_rate(phase, |traffic| traffic.messages() as f64),
+    },
+    Figure {
+        name: "instance, bytes a second",
+        of: |phase| instance_rate(phase, |traffic| traffic.bytes() as f64),
+    },
+    Figure { name: "instance, bytes in its worst second", of: |phase| phase.max_instance_bytes() as f64 },
+    Figure { name: "answer, ms at p99", of: |phase| grant_latency_ms(phase, 0.99) },
 ];
 
-fn keeper_rate(phase: &PhaseReport, of: fn(&super::count::Said) -> f64) -> f64 {
-    let keepers = phase.counts.seconds.first().map_or(1, |second| second.keepers.len());
-    of(&phase.said()) / phase.length_s / keepers.max(1) as f64
+fn keeper_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
+    let lease_servers = phase.counts.seconds.first().map_or(1, |second| second.lease_servers.len());
+    of(&phase.total_traffic()) / phase.length_s / lease_servers.max(1) as f64
 }
 
-fn instance_rate(phase: &PhaseReport, of: fn(&super::count::Said) -> f64) -> f64 {
-    of(&phase.said()) / phase.length_s / phase.alive.max(1) as f64
+fn instance_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
+    of(&phase.total_traffic()) / phase.length_s / phase.alive.max(1) as f64
 }
 
-/// Over all that was said with hollow instances; what the few real ones say is not counted, though it is worked on.
-fn work_a_word(phase: &PhaseReport) -> f64 {
-    let words = keeper_rate(phase, |said| said.words() as f64);
-    phase.keeper.cpu * 1e6 / words.max(0.001)
+/// Processor time per message exchanged with simulated instances. Messages of the few real processes are not counted,
+/// though their cost is.
+fn cpu_us_per_message(phase: &PhaseReport) -> f64 {
+    let messages = keeper_rate(phase, |traffic| traffic.messages() as f64);
+    phase.lease_server.cpu * 1e6 / messages.max(0.001)
 }
 
-/// What the state machine of one instance needs, as the rig's threads count it: on average over those that live.
-fn member_core(phase: &PhaseReport) -> f64 {
-    phase.counts.work_us as f64 / 1e6 / phase.length_s / phase.alive.max(1) as f64
+/// Mean share of a core that the lease holder of one live instance uses, as counted by the harness threads.
+fn lease_holder_cpu(phase: &PhaseReport) -> f64 {
+    phase.counts.lease_holder_cpu_us as f64 / 1e6 / phase.length_s / phase.alive.max(1) as f64
 }
 
-fn answer_ms(phase: &PhaseReport, quantile: f64) -> f64 {
-    phase.counts.answers.value_at_quantile(quantile) as f64 / 1e3
+fn grant_latency_ms(phase: &PhaseReport, quantile: f64) -> f64 {
+    phase.counts.grant_latency.value_at_quantile(quantile) as f64 / 1e3
 }
 
-/// A few digits that matter.
-fn short(value: f64) -> String {
+/// Formats a figure with about three significant digits.
+fn format_figure(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
         size if size >= 10.0 => format!("{value:.1}"),
@@ -56,12 +66,12 @@
     }
 }
 
-/// A step, in lines.
-pub fn text(step: &StepReport) -> Vec<String> {
+/// Describes a step in text lines.
+pub fn step_text(step: &StepReport) -> Vec<String> {
     let mut lines = vec![format!(
-        "{} instances: the operator's file has {} bytes; a real process answers after {:.2} s and serves after {:.2} s; \
-         all hollow ones act after {:.2} s",
-        step.instances, step.operator_bytes, step.answers_s, step.serves_s, step.acting_s
+        "{} instances: the operator's file has {} bytes; the real processes answer after {:.2} s and serve after {:.2} s; \
+         all simulated instances have had leases after {:.2} s",
+        step.instances, step.operator_bytes, step.time_to_answer_s, step.time_to_serve_s, step.time_to_leases_s
     )];
     step.phases.iter().for_each(|phase| lines.extend(phase_text(step.instances, phase)));
     lines
@@ -69,140 +79,148 @@
 
 fn phase_text(instances: usize, phase: &PhaseReport) -> Vec<String> {
     let head = format!("  {instances} {} {:.0} s", phase.name, phase.length_s);
-    if !phase.sound() {
-        let late = phase.late as f64 / phase.turns.max(1) as f64;
-        let why = phase.broken_off.clone().unwrap_or_else(|| {
-            format!("{:.1} % of the rig's turns came late, {:.3} s at most", 100.0 * late, phase.latest_s)
+    if !phase.is_valid() {
+        let late = phase.late_turns as f64 / phase.turns.max(1) as f64;
+        let why = phase.aborted.clone().unwrap_or_else(|| {
+            format!(
+                "{:.1} % of the harness's timers were late, by {:.3} s at most",
+                100.0 * late,
+                phase.max_delay_s
+            )
         });
-        let (keepers, rig) = (phase.keeper.resident_peak as f64 / 1e6, phase.rig.resident as f64 / 1e6);
-        let limit = MOST_LATE * 100.0;
+        let (lease_servers, harness) =
+            (phase.lease_server.peak_resident as f64 / 1e6, phase.harness.resident as f64 / 1e6);
+        let limit = MAX_LATE_SHARE * 100.0;
         return vec![format!(
-            "{head}: no figure: {why} (over {limit} % late is too much); real processes had {keepers:.0} MB at most, \
-             the rig {rig:.0} MB; {} of {} act; the rig's threads had {:.1} core-seconds, of which the members took {:.1}",
-            phase.acting,
+            "{head}: no figure: {why} (more than {limit} % late is too much); real processes used {lease_servers:.0} MB at most, \
+             the harness {harness:.0} MB; {} of {} hold leases; the harness used {:.1} core-seconds, of which the lease holders took {:.1}",
+            phase.with_lease,
             phase.alive,
-            phase.rig.cpu * phase.length_s,
-            phase.counts.work_us as f64 / 1e6
+            phase.harness.cpu * phase.length_s,
+            phase.counts.lease_holder_cpu_us as f64 / 1e6
         )];
     }
-    let role = |name: &str, role: &Role| {
+    let role = |name: &str, role: &RoleUsage| {
         format!(
             "{head}: {name} {:.2} % of a core (busiest {:.2} %), {:.1} MB, {} descriptors",
             100.0 * role.cpu,
-            100.0 * role.cpu_most,
+            100.0 * role.cpu_max,
             role.resident as f64 / 1e6,
             role.descriptors
         )
     };
-    let (counts, carried) = (&phase.counts, &phase.carried);
+    let (counts, requests) = (&phase.counts, &phase.requests);
     let mut lines = vec![
         format!(
-            "{}; {} words and {} bytes a second, {} bytes in its worst; {} us of work a word; all real ones {:.0} MB at most",
-            role("keeper", &phase.keeper),
-            short(keeper_rate(phase, |said| said.words() as f64)),
-            short(keeper_rate(phase, |said| said.bytes() as f64)),
-            phase.worst_of_keeper(),
-            short(work_a_word(phase)),
-            phase.keeper.resident_peak as f64 / 1e6
+            "{}; {} messages and {} bytes per second, {} bytes in the busiest second; {} us of processor time per message; \
+             all real processes {:.0} MB at most",
+            role("lease server", &phase.lease_server),
+            format_figure(keeper_rate(phase, |traffic| traffic.messages() as f64)),
+            format_figure(keeper_rate(phase, |traffic| traffic.bytes() as f64)),
+            phase.max_lease_server_bytes(),
+            format_figure(cpu_us_per_message(phase)),
+            phase.lease_server.peak_resident as f64 / 1e6
         ),
         format!(
-            "{head}: instance {} words, {} bytes a second (in {}, out {}), worst second {} bytes; its member {:.3} % of a core; {} of {} act, {} lapses, unsure {:.2} s in all",
-            short(instance_rate(phase, |said| said.words() as f64)),
-            short(instance_rate(phase, |said| said.bytes() as f64)),
-            short(instance_rate(phase, |said| said.bytes_in as f64)),
-            short(instance_rate(phase, |said| said.bytes_out as f64)),
-            phase.worst_of_instance(),
-            100.0 * member_core(phase),
-            phase.acting,
+            "{head}: instance {} messages, {} bytes per second (in {}, out {}), busiest second {} bytes; its lease holder {:.3} % of a core; \
+             {} of {} hold leases, {} lease expiries, without leases {:.2} s in all",
+            format_figure(instance_rate(phase, |traffic| traffic.messages() as f64)),
+            format_figure(instance_rate(phase, |traffic| traffic.bytes() as f64)),
+            format_figure(instance_rate(phase, |traffic| traffic.bytes_in as f64)),
+            format_figure(instance_rate(phase, |traffic| traffic.bytes_out as f64)),
+            phase.max_instance_bytes(),
+            100.0 * lease_holder_cpu(phase),
+            phase.with_lease,
             phase.alive,
-            counts.lapses,
-            counts.unsure_us as f64 / 1e6
+            counts.lease_expiries,
+            counts.without_lease_us as f64 / 1e6
         ),
         format!(
-            "{head}: answer {} ms at p50, {} at p99, {} at most; queue {} at most, {} words lost, {} links broken",
-            short(answer_ms(phase, 0.5)),
-            short(answer_ms(phase, 0.99)),
-            short(counts.answers.max() as f64 / 1e3),
-            counts.longest,
-            counts.lost,
-            counts.broken
+            "{head}: lease grant {} ms at p50, {} at p99, {} at most; queue {} at most, {} messages dropped, {} links broken",
+            format_figure(grant_latency_ms(phase, 0.5)),
+            format_figure(grant_latency_ms(phase, 0.99)),
+            format_figure(counts.grant_latency.max() as f64 / 1e3),
+            counts.max_queue_len,
+            counts.dropped_messages,
+            counts.broken_links
         ),
         format!(
-            "{}; {} of {} calls answered 200, {:.1} s of dismissals",
+            "{}; {} of {} requests answered 200, {:.1} s with refusals",
             role("sidecar", &phase.sidecar),
-            carried.succeeded,
-            carried.calls,
-            carried.dismissed_s
+            requests.succeeded,
+            requests.requests,
+            requests.refused_s
         ),
         format!(
-            "{}; {} of {} turns late, {:.3} s at most",
-            role("rig", &phase.rig),
-            phase.late,
+            "{}; {} of {} timers late, {:.3} s at most",
+            role("harness", &phase.harness),
+            phase.late_turns,
             phase.turns,
-            phase.latest_s
+            phase.max_delay_s
         ),
     ];
-    if let Some(heard) = &phase.heard {
-        let (told, whole) = (heard.told, heard.whole());
-        let at =
-            |part: usize| heard.after_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"));
+    if let Some(propagation) = &phase.propagation {
+        let (changes, completed) = (propagation.changes, propagation.completed());
+        let at = |part: usize| {
+            propagation.delays_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"))
+        };
         let how = format!(
-            "told {told} times, came {whole} times to all who are to hear it while that could be seen: in {} at the middle, {} at most; \
-             at last {} of {} had not heard it",
-            at(whole / 2),
-            at(whole.saturating_sub(1)),
-            heard.missing,
-            heard.listeners
+            "{changes} changes, {completed} of them known to all before the next one: median {}, maximum {}; \
+             at the end {} of {} did not know the last one",
+            at(completed / 2),
+            at(completed.saturating_sub(1)),
+            propagation.missing,
+            propagation.recipients
         );
         lines.push(format!("{head}: {how}"));
     }
     lines
 }
 
-fn role_json(role: &Role) -> Value {
+fn role_json(role: &RoleUsage) -> Value {
     json!({
-        "core": role.cpu, "core_busiest": role.cpu_most, "resident_bytes": role.resident,
-        "resident_peak_all": role.resident_peak, "descriptors": role.descriptors,
+        "core": role.cpu, "core_busiest": role.cpu_max, "resident_bytes": role.resident,
+        "resident_peak_all": role.peak_resident, "descriptors": role.descriptors,
     })
 }
 
-/// A step, an object for each phase.
-pub fn objects(step: &StepReport) -> Vec<Value> {
+/// Describes a step as JSON, with an object for each phase.
+pub fn step_json(step: &StepReport) -> Vec<Value> {
     let object = |phase: &PhaseReport| {
-        let (counts, sound) = (&phase.counts, phase.sound());
+        let (counts, sound) = (&phase.counts, phase.is_valid());
         let mut object = json!({
             "instances": step.instances, "phase": phase.name, "length_s": phase.length_s, "sound": sound,
-            "operator_bytes": step.operator_bytes, "answers_s": step.answers_s, "serves_s": step.serves_s,
-            "acting_s": step.acting_s, "broken_off": phase.broken_off, "turns": phase.turns, "late": phase.late,
-            "latest_s": phase.latest_s, "alive": phase.alive, "acted": phase.acted, "acting": phase.acting,
-            "resident_peak_real": phase.keeper.resident_peak,
+            "operator_bytes": step.operator_bytes, "answers_s": step.time_to_answer_s, "serves_s": step.time_to_serve_s,
+            "acting_s": step.time_to_leases_s, "broken_off": phase.aborted, "turns": phase.turns, "late": phase.late_turns,
+            "latest_s": phase.max_delay_s, "alive": phase.alive, "acted": phase.had_lease, "acting": phase.with_lease,
+            "resident_peak_real": phase.lease_server.peak_resident,
         });
         if sound {
             let figures: serde_json::Map<String, Value> =
                 FIGURES.iter().map(|figure| (figure.name.into(), json!((figure.of)(phase)))).collect();
-            let said = phase.said();
+            let traffic = phase.total_traffic();
             object["figures"] = figures.into();
             object["said"] = json!({
-                "words_in": said.words_in, "words_out": said.words_out,
-                "bytes_in": said.bytes_in, "bytes_out": said.bytes_out,
+                "words_in": traffic.messages_in, "words_out": traffic.messages_out,
+                "bytes_in": traffic.bytes_in, "bytes_out": traffic.bytes_out,
             });
-            object["keeper"] = role_json(&phase.keeper);
+            object["keeper"] = role_json(&phase.lease_server);
             object["sidecar"] = role_json(&phase.sidecar);
-            object["rig"] = role_json(&phase.rig);
-            object["lapses"] = json!(counts.lapses);
-            object["unsure_s"] = json!(counts.unsure_us as f64 / 1e6);
-            object["queue_longest"] = json!(counts.longest);
-            object["words_lost"] = json!(counts.lost);
-            object["links_broken"] = json!(counts.broken);
-            object["answer_ms_most"] = json!(counts.answers.max() as f64 / 1e3);
-            object["calls"] = json!(phase.carried.calls);
-            object["calls_200"] = json!(phase.carried.succeeded);
-            object["dismissed_s"] = json!(phase.carried.dismissed_s);
-            if let Some(heard) = &phase.heard {
-                object["told"] = json!(heard.told);
-                object["listeners"] = json!(heard.listeners);
-                object["not_heard"] = json!(heard.missing);
-                object["heard_s"] = json!(heard.after_s);
+            object["rig"] = role_json(&phase.harness);
+            object["lapses"] = json!(counts.lease_expiries);
+            object["unsure_s"] = json!(counts.without_lease_us as f64 / 1e6);
+            object["queue_longest"] = json!(counts.max_queue_len);
+            object["words_lost"] = json!(counts.dropped_messages);
+            object["links_broken"] = json!(counts.broken_links);
+            object["answer_ms_most"] = json!(counts.grant_latency.max() as f64 / 1e3);
+            object["calls"] = json!(phase.requests.requests);
+            object["calls_200"] = json!(phase.requests.succeeded);
+            object["dismissed_s"] = json!(phase.requests.refused_s);
+            if let Some(propagation) = &phase.propagation {
+                object["told"] = json!(propagation.changes);
+                object["listeners"] = json!(propagation.recipients);
+                object["not_heard"] = json!(propagation.missing);
+                object["heard_s"] = json!(propagation.delays_s);
             }
         }
         object
@@ -214,17 +232,17 @@
 pub struct Slope {
     pub phase: &'static str,
     pub figure: &'static str,
-    /// Through the logarithms, and through the figures as they are: a part that stands, and one for each instance.
+    /// Fits through the logarithms, and through the figures themselves: a constant part and one per instance.
     pub power: Fit,
     pub linear: Fit,
-    /// The size that is asked for, and whether it lies beyond the last step; what each of the two lines gives there.
+    /// The requested size, whether it lies beyond the last step, and what each fit predicts there.
     pub size: usize,
     pub beyond: bool,
-    pub by_power: Reckoned,
-    pub by_line: Reckoned,
+    pub by_power: Prediction,
+    pub by_line: Prediction,
 }
 
-/// Of phases that gave figures at three steps at least.
+/// Fits slopes for phases that gave figures at three steps or more.
 pub fn slopes(steps: &[StepReport], size: usize) -> Vec<Slope> {
     let mut names: Vec<&'static str> = Vec::new();
     for phase in steps.iter().flat_map(|step| &step.phases) {
@@ -235,7 +253,7 @@
     let sound: Vec<(f64, &PhaseReport)> = steps
         .iter()
         .flat_map(|step| step.phases.iter().map(|phase| (step.instances as f64, phase)))
-        .filter(|(_, phase)| phase.sound())
+        .filter(|(_, phase)| phase.is_valid())
         .collect();
     let mut slopes = Vec::new();
     for name in names {
@@ -251,8 +269,8 @@
                     linear,
                     size,
                     beyond: size as f64 > last,
-                    by_power: power.power_at(size as f64),
-                    by_line: linear.at(size as f64),
+                    by_power: power.predict_power(size as f64),
+                    by_line: linear.predict(size as f64),
                 });
             }
         }
@@ -263,34 +281,39 @@
 impl Slope {
     pub fn text(&self) -> String {
         let Slope { power, linear, .. } = self;
-        let reckoned = |reckoned: &Reckoned| {
-            format!("{} ({} to {})", short(reckoned.value), short(reckoned.low), short(reckoned.high))
+        let prediction = |prediction: &Prediction| {
+            format!(
+                "{} ({} to {})",
+                format_figure(prediction.value),
+                format_figure(prediction.low),
+                format_figure(prediction.high)
+            )
         };
         format!(
-            "{}: {}: power {:.2} +- {:.2}, line {} and {:.3e} +- {:.1e} an instance, over {} steps; {} at {}: {} by the power, {} by the line",
+            "{}: {}: power {:.2} +- {:.2}, line {} and {:.3e} +- {:.1e} per instance, over {} steps; {} at {}: {} by the power, {} by the line",
             self.phase,
             self.figure,
             power.slope,
             power.slope_error,
-            short(linear.intercept),
+            format_figure(linear.intercept),
             linear.slope,
             linear.slope_error,
             power.points,
-            if self.beyond { "reckoned" } else { "fitted" },
+            if self.beyond { "predicted" } else { "fitted" },
             self.size,
-            reckoned(&self.by_power),
-            reckoned(&self.by_line)
+            prediction(&self.by_power),
+            prediction(&self.by_line)
         )
     }
 
     pub fn object(&self) -> Value {
-        let reckoned = |reckoned: &Reckoned| json!([reckoned.value, reckoned.low, reckoned.high]);
+        let prediction = |prediction: &Prediction| json!([prediction.value, prediction.low, prediction.high]);
         json!({
             "phase": self.phase, "figure": self.figure, "steps": self.power.points,
             "power": self.power.slope, "power_error": self.power.slope_error,
             "line_at_0": self.linear.intercept, "line": self.linear.slope, "line_error": self.linear.slope_error,
             "size": self.size, "reckoned": self.beyond,
-            "by_power": reckoned(&self.by_power), "by_line": reckoned(&self.by_line),
+            "by_power": prediction(&self.by_power), "by_line": prediction(&self.by_line),
         })
     }
 }
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -1,10 +1,10 @@
-//! One step of a scale run: so many hollow instances, one day, and what came of it.
-use super::catalogue::{self, Catalogue, EndpointState};
-use super::count::{Counts, Said};
-use super::day::{Day, Phase, PhaseAction};
-use super::fleet::{Fleet, Wanted, CALLED, KEEPERS};
-use super::shard::{Clock, Order, Shard};
-use super::simulated::{Awaited, Common, InstanceSpec};
+//! One step of a scale run: a number of simulated instances, one scenario, and the resulting report.
+use super::catalogue::{self, Catalogue, ServerState};
+use super::count::{Counts, TrafficCounts};
+use super::fleet::{Fleet, FleetSpec, CALLED_WORKLOAD, LEASE_SERVERS};
+use super::scenario::{Phase, PhaseAction, Scenario};
+use super::shard::{Clock, Command, Shard};
+use super::simulated::{AwaitedChange, CommonConfig, InstanceSpec};
 use super::usage::{self, Usage};
 use crate::fakes::{self, Observations};
 use crate::scene;
@@ -19,278 +19,308 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The parameters of a scale run.
 pub struct Plan<'a> {
     pub program: &'a Path,
-    pub day: Day,
-    pub within: f64,
-    /// Of which servers instances hear.
+    pub scenario: Scenario,
+    pub max_divergence_s: f64,
+    /// Whether instances learn about all servers or only about those on their own lists.
     pub scope: Scope,
     pub seed: u64,
-    pub shape: catalogue::Shape,
-    /// Real ones beside the keepers, and the calls a second at each.
+    pub shape: catalogue::FleetShape,
+    /// Number of real sidecars in addition to the lease servers, and the requests per second to each.
     pub sidecars: usize,
     pub rate: f64,
-    /// Threads of the rig that carry hollow instances.
+    /// Threads of the harness that run simulated instances.
     pub threads: usize,
-    /// Resident bytes of all, the rig among them, at which a step is broken off.
-    pub most_resident: u64,
+    /// Resident bytes of all processes, including the harness, at which a step is aborted.
+    pub max_resident_bytes: u64,
 }
 
-/// Instances that start within a second.
-const STARTS_A_SECOND: usize = 1_000;
-/// For stand-ins, callers and the rig itself.
+/// Simulated instances that start per second.
+const STARTS_PER_SECOND: usize = 1_000;
+/// Descriptors for the fakes, the clients and the harness itself.
 const SPARE_DESCRIPTORS: usize = 300;
-const LOOK: Duration = Duration::from_millis(50);
-/// More than this of the rig's own turns late, and there is no figure.
-pub const MOST_LATE: f64 = 0.05;
-/// Beyond the leases that all wait for at a start.
-const STARTS: Duration = Duration::from_secs(60);
-/// Answers are judged by slots of that many seconds.
-const SLOT: f64 = 0.1;
-
-/// What a kind of process used while a phase lasted.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// If a larger share of the harness's timers is late, the phase gives no figures.
+pub const MAX_LATE_SHARE: f64 = 0.05;
+/// In addition to the lease durations that all wait for at a start.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time with refusals is counted in slots of this many seconds.
+const REFUSAL_SLOT_S: f64 = 0.1;
+
+/// The resources used by the processes of one role during a phase.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Role {
-    /// Of a core: on average over the processes of that role, and the busiest of them.
+pub struct RoleUsage {
+    /// Share of a core: the mean over the processes of the role, and that of the busiest.
     pub cpu: f64,
-    pub cpu_most: f64,
-    /// At the end of the phase, the largest of them.
+    pub cpu_max: f64,
+    /// Resident memory of the largest process at the end of the phase, in bytes.
     pub resident: u64,
-    /// The most that all processes of this role had together while it lasted.
-    pub resident_peak: u64,
+    /// The largest resident memory of all real processes together during the phase.
+    pub peak_resident: u64,
     pub descriptors: usize,
 }
 
-/// How real sidecars carried their calls.
+/// The results of the requests to real sidecars.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Carried {
-    pub calls: usize,
+pub struct RequestTotals {
+    pub requests: usize,
     pub succeeded: usize,
-    /// Time in which one of them dismissed calls, each on its own, summed up.
-    pub dismissed_s: f64,
+    /// Time during which a sidecar refused or failed requests, summed over the sidecars.
+    pub refused_s: f64,
 }
 
-/// Whether what was told has come to all who are to hear it.
+/// How the changes of a phase reached all instances concerned.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
-    /// How often something was told.
-    pub told: usize,
-    /// Those that are to hear what was told last, and those of them that have not.
-    pub listeners: usize,
+pub struct Propagation {
+    /// Number of changes made.
+    pub changes: usize,
+    /// Instances that the last change concerns, and those that have not learned of it.
+    pub recipients: usize,
     pub missing: usize,
-    /// Each time from the order on until the last had heard it, shortest first; not where some had not when the next came.
-    pub after_s: Vec<f64>,
+    /// For each change that reached all before the next one: the time until the last instance knew it, in ascending order.
+    pub delays_s: Vec<f64>,
 }
 
-impl Heard {
-    /// How often it came to all, in time to be seen.
-    pub fn whole(&self) -> usize {
-        self.after_s.len()
+impl Propagation {
+    /// Number of changes that reached all before the next one.
+    pub fn completed(&self) -> usize {
+        self.delays_s.len()
     }
 }
 
+/// The figures of one phase.
 #[derive(Clone, Debug, Default)]
 pub struct PhaseReport {
     pub name: &'static str,
     pub length_s: f64,
-    pub keeper: Role,
-    pub sidecar: Role,
-    pub rig: Role,
+    pub lease_server: RoleUsage,
+    pub sidecar: RoleUsage,
+    pub harness: RoleUsage,
     pub counts: Counts,
     pub alive: usize,
-    /// Hollow instances that have acted in the life that they live.
-    pub acted: usize,
-    /// Hollow instances that act at the end.
-    pub acting: usize,
-    pub heard: Option<Heard>,
-    pub carried: Carried,
-    /// The rig's own turns, those of them that came late, and by how much at most.
+    /// Simulated instances that have held the leases of a majority since their last start.
+    pub had_lease: usize,
+    /// Simulated instances that hold the leases of a majority at the end.
+    pub with_lease: usize,
+    pub propagation: Option<Propagation>,
+    pub requests: RequestTotals,
+    /// Timers of the harness, those of them handled late, and the largest delay.
     pub turns: u64,
-    pub late: u64,
-    pub latest_s: f64,
-    /// Why it did not last as long as it should.
-    pub broken_off: Option<String>,
+    pub late_turns: u64,
+    pub max_delay_s: f64,
+    /// Why the phase was aborted.
+    pub aborted: Option<String>,
 }
 
 impl PhaseReport {
-    /// The rig kept its own time, so that what it saw is the program's doing.
-    pub fn sound(&self) -> bool {
-        self.broken_off.is_none() && self.late as f64 <= MOST_LATE * self.turns.max(1) as f64
+    /// Whether the harness ran on time, so that the figures show the program's behaviour.
+    pub fn is_valid(&self) -> bool {
+        self.aborted.is_none() && self.late_turns as f64 <= MAX_LATE_SHARE * self.turns.max(1) as f64
     }
 
-    /// Over all seconds and keepers.
-    pub fn said(&self) -> Said {
-        let mut sum = Said::default();
-        self.counts.seconds.iter().flat_map(|second| &second.keepers).for_each(|said| sum.add(*said));
+    /// The traffic of all seconds and lease servers.
+    pub fn total_traffic(&self) -> TrafficCounts {
+        let mut sum = TrafficCounts::default();
+        self.counts
+            .seconds
+            .iter()
+            .flat_map(|second| &second.lease_servers)
+            .for_each(|traffic| sum.add(*traffic));
         sum
     }
 
-    /// The busiest second of one keeper, and of one instance, in bytes both ways.
-    pub fn worst_of_keeper(&self) -> u64 {
-        let each = self.counts.seconds.iter().flat_map(|second| &second.keepers);
-        each.map(Said::bytes).max().unwrap_or(0)
+    /// Bytes in both directions in the busiest second of a single lease server.
+    pub fn max_lease_server_bytes(&self) -> u64 {
+        let each = self.counts.seconds.iter().flat_map(|second| &second.lease_servers);
+        each.map(TrafficCounts::bytes).max().unwrap_or(0)
     }
 
-    pub fn worst_of_instance(&self) -> u64 {
-        self.counts.seconds.iter().map(|second| second.worst).max().unwrap_or(0)
+    /// Bytes in both directions in the busiest second of a single instance.
+    pub fn max_instance_bytes(&self) -> u64 {
+        self.counts.seconds.iter().map(|second| second.max_instance_bytes).max().unwrap_or(0)
     }
 }
 
+/// The figures of one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepReport {
     pub instances: usize,
     pub operator_bytes: usize,
-    pub answers_s: f64,
-    pub serves_s: f64,
-    /// From the start of the hollow instances until all of them act.
-    pub acting_s: f64,
+    pub time_to_answer_s: f64,
+    pub time_to_serve_s: f64,
+    /// Time from the start of the simulated instances until all of them have held the leases of a majority.
+    pub time_to_leases_s: f64,
     pub phases: Vec<PhaseReport>,
 }
 
-struct Rig<'a> {
+struct StepRun<'a> {
     plan: &'a Plan<'a>,
     clock: Clock,
     fleet: Fleet,
     shards: Vec<Shard>,
     catalogue: Arc<Catalogue>,
-    born: Vec<InstanceSpec>,
-    notes: Arc<Observations>,
-    /// When each server started last, in milliseconds of Unix time, as lists tell it.
-    since: Vec<u64>,
-    resident_peak: u64,
+    specs: Vec<InstanceSpec>,
+    observations: Arc<Observations>,
+    /// When each server last started according to the lists, in milliseconds of Unix time.
+    started_at_ms: Vec<u64>,
+    peak_resident: u64,
 }
 
-/// What is known at the beginning of a phase, to be compared with its end.
-struct Before {
+/// Readings at the start of a phase, to be compared with those at its end.
+struct Baseline {
     second: usize,
     usage: Vec<Usage>,
-    rig: Usage,
+    harness: Usage,
     turns: (u64, u64),
 }
 
-/// Plays one step; an error means that there is no rig, or that the instances never came to act.
-pub fn step(plan: &Plan, instances: usize, progress: &mut dyn FnMut(&str)) -> Result<StepReport, String> {
-    // Each instance has a link to each keeper. Guards against a run that fails half way, as its sockets do.
-    let (needs, has) = (instances * KEEPERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
+/// Runs one step. Returns an error if the harness can't be set up or the instances don't get their leases in time.
+pub fn run_step(plan: &Plan, instances: usize, progress: &mut dyn FnMut(&str)) -> Result<StepReport, String> {
+    // Each instance has a link to each lease server. Fails early instead of running out of sockets half way.
+    let (needs, has) = (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
     if has.is_some_and(|has| needs as u64 > has) {
-        return Err(format!("{needs} descriptors are needed, and the machine gives {}", has.unwrap_or(0)));
+        return Err(format!("{needs} descriptors are needed, and the limit is {}", has.unwrap_or(0)));
     }
     let clock = Clock(Instant::now());
     let catalogue = Arc::new(Catalogue::new(plan.shape));
     let mut random = WyRand::new_seed(plan.seed);
-    let born: Vec<InstanceSpec> = (0..instances)
+    let specs: Vec<InstanceSpec> = (0..instances)
         .map(|at| InstanceSpec {
             name: format!("h{at}"),
             zone: at % plan.shape.zones,
             list: catalogue.list_of(&mut random),
-            at: Micros((at * 1_000_000 / STARTS_A_SECOND) as u64),
+            start_at: Micros((at * 1_000_000 / STARTS_PER_SECOND) as u64),
         })
         .collect();
-    let hollow: Vec<String> = born.iter().map(|one| one.name.clone()).collect();
-    let notes = Arc::new(Observations::default());
-    let wanted = Wanted {
+    let simulated_names: Vec<String> = specs.iter().map(|one| one.name.clone()).collect();
+    let observations = Arc::new(Observations::default());
+    let spec = FleetSpec {
         program: plan.program,
         sidecars: plan.sidecars,
-        within: plan.within,
+        max_divergence_s: plan.max_divergence_s,
         scope: plan.scope,
-        hollow: &hollow,
+        simulated_names: &simulated_names,
         servers: plan.shape.servers,
         seed: plan.seed,
     };
-    let mut fleet = Fleet::start(&wanted, clock.0, &notes)?;
-    fleet.answers()?;
-    let lease = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(plan.within));
-    let common = Common { keepers: KEEPERS, lease, document: fleet.document.clone(), scope: plan.scope };
+    let mut fleet = Fleet::start(&spec, clock.0, &observations)?;
+    fleet.wait_until_answering()?;
+    let lease = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(plan.max_divergence_s));
+    let common = CommonConfig {
+        lease_servers: LEASE_SERVERS,
+        lease_duration: lease,
+        document: fleet.document.clone(),
+        scope: plan.scope,
+    };
     let begun = clock.now();
     let mut parts: Vec<Vec<InstanceSpec>> = vec![Vec::new(); plan.threads.max(1)];
-    for (at, one) in born.iter().enumerate() {
-        let later = InstanceSpec { at: one.at + begun, ..one.clone() };
+    for (at, one) in specs.iter().enumerate() {
+        let later = InstanceSpec { start_at: one.start_at + begun, ..one.clone() };
         parts[at % plan.threads.max(1)].push(later);
     }
     let shards = parts.into_iter().enumerate().map(|(at, part)| {
-        let (common, keepers) = (common.clone(), fleet.keepers.clone());
-        Shard::start(part, common, catalogue.clone(), keepers, clock, plan.seed.wrapping_add(at as u64))
+        let (common, lease_servers) = (common.clone(), fleet.lease_servers.clone());
+        Shard::start(part, common, catalogue.clone(), lease_servers, clock, plan.seed.wrapping_add(at as u64))
     });
     let shards = shards.collect::<std::io::Result<_>>().map_err(|fault| fault.to_string())?;
-    let since = vec![0; plan.shape.services * plan.shape.servers];
-    let mut rig = Rig { plan, clock, fleet, shards, catalogue, born, notes, since, resident_peak: 0 };
+    let started_at_ms = vec![0; plan.shape.services * plan.shape.servers];
+    let mut harness = StepRun {
+        plan,
+        clock,
+        fleet,
+        shards,
+        catalogue,
+        specs,
+        observations,
+        started_at_ms,
+        peak_resident: 0,
+    };
     let lease = Duration::from_micros(lease.0);
-    rig.fleet.serves(lease)?;
-    rig.all_act(lease)?;
-    let acting_s = (clock.now() - begun).secs();
-    progress(&format!("{instances} instances act after {acting_s:.1} s"));
-    let phases = rig.run(lease, progress);
+    harness.fleet.wait_until_serving(lease)?;
+    harness.wait_for_leases(lease)?;
+    let time_to_leases_s = (clock.now() - begun).secs();
+    progress(&format!("{instances} instances have had leases after {time_to_leases_s:.1} s"));
+    let phases = harness.run_phases(lease, progress);
     Ok(StepReport {
         instances,
-        operator_bytes: rig.fleet.operator_bytes,
-        answers_s: rig.fleet.answers_s,
-        serves_s: rig.fleet.serves_s,
-        acting_s,
+        operator_bytes: harness.fleet.operator_bytes,
+        time_to_answer_s: harness.fleet.time_to_answer_s,
+        time_to_serve_s: harness.fleet.time_to_serve_s,
+        time_to_leases_s,
         phases,
     })
 }
 
-impl Rig<'_> {
+impl StepRun<'_> {
     fn sum(&self, of: impl Fn(&Shard) -> usize) -> usize {
         self.shards.iter().map(of).sum()
     }
 
-    fn acting(&self) -> usize {
-        self.sum(|shard| shard.status.acting.load(Ordering::Relaxed))
+    fn with_lease(&self) -> usize {
+        self.sum(|shard| shard.status.with_lease.load(Ordering::Relaxed))
     }
 
-    fn acted(&self) -> usize {
-        self.sum(|shard| shard.status.acted.load(Ordering::Relaxed))
+    fn had_lease(&self) -> usize {
+        self.sum(|shard| shard.status.had_lease.load(Ordering::Relaxed))
     }
 
-    fn waiting(&self) -> usize {
-        self.sum(|shard| shard.status.waiting.load(Ordering::Relaxed))
+    fn awaiting(&self) -> usize {
+        self.sum(|shard| shard.status.awaiting.load(Ordering::Relaxed))
     }
 
-    fn order(&self, order: &Order) {
-        self.shards.iter().for_each(|shard| shard.order(order.clone()));
+    fn broadcast(&self, command: &Command) {
+        self.shards.iter().for_each(|shard| shard.send(command.clone()));
     }
 
-    fn all_act(&mut self, lease: Duration) -> Result<(), String> {
-        let (begun, most) = (Instant::now(), STARTS + 4 * lease);
-        while self.acted() < self.born.len() {
-            let off = self.fleet.ended().or_else(|| self.too_large());
-            let late = (begun.elapsed() > most).then(|| "too late".to_string());
-            if let Some(why) = off.or(late) {
-                return Err(format!("{why}: {} of {} have acted", self.acted(), self.born.len()));
+    fn wait_for_leases(&mut self, lease: Duration) -> Result<(), String> {
+        let (begun, most) = (Instant::now(), START_TIMEOUT + 4 * lease);
+        while self.had_lease() < self.specs.len() {
+            let aborted = self.fleet.exited_process().or_else(|| self.check_memory());
+            let timed_out = (begun.elapsed() > most).then(|| "timed out".to_string());
+            if let Some(why) = aborted.or(timed_out) {
+                return Err(format!(
+                    "{why}: {} of {} instances have had leases",
+                    self.had_lease(),
+                    self.specs.len()
+                ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Guards the machine.
-    fn too_large(&mut self) -> Option<String> {
+    /// Returns a reason to abort if all processes together use too much memory.
+    fn check_memory(&mut self) -> Option<String> {
         let all = self.fleet.resident() + usage::resident(std::process::id()).unwrap_or(0);
-        self.resident_peak = self.resident_peak.max(self.fleet.resident());
-        let over = all > self.plan.most_resident;
-        over.then(|| format!("all together take {:.1} GB of memory", all as f64 / 1e9))
+        self.peak_resident = self.peak_resident.max(self.fleet.resident());
+        let over = all > self.plan.max_resident_bytes;
+        over.then(|| format!("all processes together use {:.1} GB of memory", all as f64 / 1e9))
     }
 
-    /// Plays the day's phases, while callers call.
-    fn run(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
+    /// Runs the phases of the scenario while clients send requests.
+    fn run_phases(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
         let (over, offset) = (AtomicBool::new(false), Instant::now());
         let begun = self.clock.0;
         std::thread::scope(|scope| {
-            for (at, process) in self.fleet.processes.iter().enumerate().skip(KEEPERS) {
-                let (to, notes, rate, over) = (process.listen, self.notes.clone(), self.plan.rate, &over);
+            for (at, process) in self.fleet.processes.iter().enumerate().skip(LEASE_SERVERS) {
+                let (to, observations, rate, over) =
+                    (process.listen, self.observations.clone(), self.plan.rate, &over);
                 let end = move || if over.load(Ordering::Relaxed) { 0.0 } else { f64::INFINITY };
-                scope.spawn(move || fakes::run_client(to, (at, CALLED), rate, offset, end, &notes));
+                scope.spawn(move || {
+                    fakes::run_client(to, (at, CALLED_WORKLOAD), rate, offset, end, &observations)
+                });
             }
             let mut reports = Vec::new();
-            for phase in self.plan.day.phases() {
+            for phase in self.plan.scenario.phases() {
                 progress(phase.name);
-                let report = self.phase(phase, lease, offset.duration_since(begun), progress);
-                let off = report.broken_off.is_some();
-                if phase.measured || off {
+                let report = self.run_phase(phase, lease, offset.duration_since(begun), progress);
+                let aborted = report.aborted.is_some();
+                if phase.measured || aborted {
                     reports.push(report);
                 }
-                if off {
+                if aborted {
                     break;
                 }
             }
@@ -299,221 +329,241 @@
         })
     }
 
-    /// Sees how it stands with what was told last.
-    fn see_heard(&self, told_at: Micros, heard: &mut Heard) {
-        heard.told += 1;
-        heard.missing = self.waiting();
-        if heard.missing == 0 {
-            let last = self.shards.iter().map(|shard| shard.status.heard_at.load(Ordering::Relaxed)).max();
-            heard.after_s.push((Micros(last.unwrap_or(0)) - told_at).secs());
+    /// Records whether and when the last change reached all instances concerned.
+    fn record_propagation(&self, changed_at: Micros, propagation: &mut Propagation) {
+        propagation.changes += 1;
+        propagation.missing = self.awaiting();
+        if propagation.missing == 0 {
+            let last =
+                self.shards.iter().map(|shard| shard.status.last_learned_at.load(Ordering::Relaxed)).max();
+            propagation.delays_s.push((Micros(last.unwrap_or(0)) - changed_at).secs());
         }
     }
 
-    /// Waits for that second of the run; says why not, if something is amiss before.
-    fn until(&mut self, second: f64) -> Option<String> {
+    /// Waits for this second of the run. Returns a reason to abort if something fails before.
+    fn wait_until(&mut self, second: f64) -> Option<String> {
         loop {
-            if let Some(why) = self.fleet.ended().or_else(|| self.too_large()) {
+            if let Some(why) = self.fleet.exited_process().or_else(|| self.check_memory()) {
                 return Some(why);
             }
             let left = Micros((second * 1e6) as u64) - self.clock.now();
             if left.0 == 0 {
                 return None;
             }
-            std::thread::sleep(LOOK.min(Duration::from_micros(left.0)));
+            std::thread::sleep(POLL_INTERVAL.min(Duration::from_micros(left.0)));
         }
     }
 
-    /// Hands over what was counted; what is counted next begins with that second.
+    /// Collects the counts of all shards; the next counts begin with the second `next`.
     fn collect(&self, next: usize, from: usize) -> Counts {
-        let mut all = Counts::new(KEEPERS, from);
+        let mut all = Counts::new(LEASE_SERVERS, from);
         let (to, counts) = channel();
-        self.order(&Order::Collect(next, to.clone()));
+        self.broadcast(&Command::Collect(next, to.clone()));
         drop(to);
         counts.iter().for_each(|counts| all.merge(&counts));
         all
     }
 
-    /// All that was ordered is done.
-    fn reached(&self) {
+    /// Waits until all commands sent so far have been handled.
+    fn barrier(&self) {
         let (to, done) = channel();
-        self.order(&Order::Reached(to.clone()));
+        self.broadcast(&Command::Barrier(to.clone()));
         drop(to);
         done.iter().for_each(|()| {});
     }
 
-    fn before(&self, second: usize) -> Before {
+    fn baseline(&self, second: usize) -> Baseline {
         let turns = |of: fn(&Shard) -> u64| self.shards.iter().map(of).sum();
-        self.shards.iter().for_each(|shard| shard.status.latest.store(0, Ordering::Relaxed));
-        Before {
+        self.shards.iter().for_each(|shard| shard.status.max_delay_us.store(0, Ordering::Relaxed));
+        Baseline {
             second,
             usage: self.fleet.usage(),
-            rig: Usage::of(std::process::id()).unwrap_or_default(),
+            harness: Usage::of(std::process::id()).unwrap_or_default(),
             turns: (
                 turns(|shard| shard.status.turns.load(Ordering::Relaxed)),
-                turns(|shard| shard.status.late.load(Ordering::Relaxed)),
+                turns(|shard| shard.status.late_turns.load(Ordering::Relaxed)),
             ),
         }
     }
 
-    fn phase(
+    fn run_phase(
         &mut self, phase: &Phase, lease: Duration, offset: Duration, progress: &mut dyn FnMut(&str),
     ) -> PhaseReport {
         let from = self.clock.now().secs() as usize + 1;
-        let mut off = self.until(from as f64);
+        let mut aborted = self.wait_until(from as f64);
         self.collect(from, from);
-        self.resident_peak = 0;
-        let before = self.before(from);
-        let length = (phase.leases * lease.as_secs_f64()).ceil().max(1.0) as usize;
-        let (mut heard, mut deeds) = (Heard::default(), 0);
-        let mut told_at = Micros(0);
+        self.peak_resident = 0;
+        let before = self.baseline(from);
+        let length = (phase.lease_durations * lease.as_secs_f64()).ceil().max(1.0) as usize;
+        let (mut propagation, mut actions) = (Propagation::default(), 0);
+        let mut changed_at = Micros(0);
         let mut next = Some(from as f64);
         for second in from + 1..=from + length {
-            while let Some(due) = next.filter(|due| *due < second as f64 && off.is_none()) {
-                off = self.until(due);
-                if deeds > 0 {
-                    self.see_heard(told_at, &mut heard);
+            while let Some(due) = next.filter(|due| *due < second as f64 && aborted.is_none()) {
+                aborted = self.wait_until(due);
+                if actions > 0 {
+                    self.record_propagation(changed_at, &mut propagation);
                 }
-                (told_at, heard.listeners) = self.does(phase.action, deeds);
-                deeds += 1;
-                next = (phase.every_s > 0.0).then_some(due + phase.every_s);
+                (changed_at, propagation.recipients) = self.perform(phase.action, actions);
+                actions += 1;
+                next = (phase.repeat_every_s > 0.0).then_some(due + phase.repeat_every_s);
             }
-            off = off.or_else(|| self.until(second as f64));
-            if off.is_some() {
+            aborted = aborted.or_else(|| self.wait_until(second as f64));
+            if aborted.is_some() {
                 break;
             }
             if (second - from).is_multiple_of(10) {
-                progress(&format!("{}: {} of {length} s, {} act", phase.name, second - from, self.acting()));
+                progress(&format!(
+                    "{}: {} of {length} s, {} instances hold leases",
+                    phase.name,
+                    second - from,
+                    self.with_lease()
+                ));
             }
         }
         let length_s = (self.clock.now() - Micros(from as u64 * 1_000_000)).secs();
-        let heard = (phase.action != PhaseAction::Nothing).then(|| {
-            self.see_heard(told_at, &mut heard);
-            heard.after_s.sort_by(f64::total_cmp);
-            heard
+        let propagation = (phase.action != PhaseAction::Nothing).then(|| {
+            self.record_propagation(changed_at, &mut propagation);
+            propagation.delays_s.sort_by(f64::total_cmp);
+            propagation
         });
         let mut report = self.report(phase, &before, length_s);
-        report.carried = self.carried(from as f64 - offset.as_secs_f64(), length_s);
-        (report.heard, report.broken_off) = (heard, off);
+        report.requests = self.request_totals(from as f64 - offset.as_secs_f64(), length_s);
+        (report.propagation, report.aborted) = (propagation, aborted);
         report
     }
 
-    fn report(&self, phase: &Phase, before: &Before, length_s: f64) -> PhaseReport {
-        let latest = self.shards.iter().map(|shard| shard.status.latest.load(Ordering::Relaxed)).max();
-        let after = self.before(0);
+    fn report(&self, phase: &Phase, before: &Baseline, length_s: f64) -> PhaseReport {
+        let max_delay_us =
+            self.shards.iter().map(|shard| shard.status.max_delay_us.load(Ordering::Relaxed)).max();
+        let after = self.baseline(0);
         let used: Vec<(Usage, Usage)> = before.usage.iter().copied().zip(after.usage).collect();
-        let (keepers, sidecars) = used.split_at(KEEPERS);
+        let (lease_servers, sidecars) = used.split_at(LEASE_SERVERS);
         let next = self.clock.now().secs() as usize + 1;
         PhaseReport {
             name: phase.name,
             length_s,
-            keeper: Role { resident_peak: self.resident_peak, ..role(keepers, length_s) },
-            sidecar: role(sidecars, length_s),
-            rig: role(&[(before.rig, after.rig)], length_s),
-            acting: self.acting(),
-            acted: self.acted(),
+            lease_server: RoleUsage {
+                peak_resident: self.peak_resident,
+                ..role_usage(lease_servers, length_s)
+            },
+            sidecar: role_usage(sidecars, length_s),
+            harness: role_usage(&[(before.harness, after.harness)], length_s),
+            with_lease: self.with_lease(),
+            had_lease: self.had_lease(),
             alive: self.sum(|shard| shard.status.alive.load(Ordering::Relaxed)),
             counts: self.collect(next, before.second),
-            heard: None,
-            carried: Carried::default(),
+            propagation: None,
+            requests: RequestTotals::default(),
             turns: after.turns.0 - before.turns.0,
-            late: after.turns.1 - before.turns.1,
-            latest_s: Micros(latest.unwrap_or(0)).secs(),
-            broken_off: None,
+            late_turns: after.turns.1 - before.turns.1,
+            max_delay_s: Micros(max_delay_us.unwrap_or(0)).secs(),
+            aborted: None,
         }
     }
 
-    /// Does what a phase does, for that time in it. When it was ordered, and how many are to hear of it.
-    fn does(&mut self, action: PhaseAction, time: usize) -> (Micros, usize) {
+    /// Performs a phase's action; `time` counts its repetitions. Returns when, and how many instances are to learn of it.
+    fn perform(&mut self, action: PhaseAction, time: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
         let all = self.plan.shape.services * self.plan.shape.servers;
-        let marked = Arc::new((0..all).map(|at| self.catalogue.zone_of(at) == zone).collect::<Vec<bool>>());
+        let affected = Arc::new((0..all).map(|at| self.catalogue.zone_of(at) == zone).collect::<Vec<bool>>());
         match action {
             PhaseAction::Nothing => (self.clock.now(), 0),
-            PhaseAction::OneDrains => {
-                let server = self.born[0].list[0] as usize;
+            PhaseAction::DrainOnOneList => {
+                let server = self.specs[0].list[0] as usize;
                 let only = Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
-                let listeners = self.awaits(Awaited::Servers(only, true));
+                let recipients = self.expect_change(AwaitedChange::Servers(only, true));
                 let now = self.clock.now();
-                self.shards[0].order(Order::OneListTells(0, server, EndpointState { since: 0, out: true }));
-                (now, listeners)
+                self.shards[0].send(Command::UpdateOneList(
+                    0,
+                    server,
+                    ServerState { started_at_ms: 0, excluded: true },
+                ));
+                (now, recipients)
             }
-            PhaseAction::ZoneLost => {
-                self.awaits(Awaited::Servers(marked.clone(), true));
+            PhaseAction::LoseZone => {
+                self.expect_change(AwaitedChange::Servers(affected.clone(), true));
                 let now = self.clock.now();
-                self.order(&Order::Lose(zone));
-                self.order(&Order::ListsTell(marked, EndpointState { since: 0, out: true }));
-                self.fleet_tells(zone, scene::ListChange::Draining);
-                self.reached();
-                (now, self.waiting())
+                self.broadcast(&Command::LoseZone(zone));
+                self.broadcast(&Command::UpdateAllLists(
+                    affected,
+                    ServerState { started_at_ms: 0, excluded: true },
+                ));
+                self.announce_zone(zone, scene::ListChange::Draining);
+                self.barrier();
+                (now, self.awaiting())
             }
-            PhaseAction::Write => {
+            PhaseAction::ChangeSettings => {
                 let mut document = self.fleet.document.clone();
                 document.version.number += 1;
                 self.fleet.document = document.clone();
-                let listeners = self.awaits(Awaited::Version(document.version));
+                let recipients = self.expect_change(AwaitedChange::Version(document.version));
                 let now = self.clock.now();
-                let who = self.born.len() / self.shards.len() / 2;
-                self.shards[0].order(Order::Write(Some(who), document));
-                (now, listeners)
+                let who = self.specs.len() / self.shards.len() / 2;
+                self.shards[0].send(Command::WriteSettings(Some(who), document));
+                (now, recipients)
             }
-            PhaseAction::ReplaceOne => {
+            PhaseAction::ReplaceServer => {
                 let servers = self.catalogue.servers_of(0);
                 let (leaves, before) = (time % servers.len(), (time + servers.len() - 1) % servers.len());
                 let one = |server: usize| Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
-                let listeners = self.awaits(Awaited::Servers(one(leaves), true));
+                let recipients = self.expect_change(AwaitedChange::Servers(one(leaves), true));
                 let now = self.clock.now();
-                self.order(&Order::ListsTell(
+                self.broadcast(&Command::UpdateAllLists(
                     one(leaves),
-                    EndpointState { since: self.since[leaves], out: true },
+                    ServerState { started_at_ms: self.started_at_ms[leaves], excluded: true },
                 ));
-                self.fleet.lists_tell(leaves, scene::ListChange::Draining);
+                self.fleet.announce(leaves, scene::ListChange::Draining);
                 if time > 0 {
-                    self.since[before] = unix_ms();
-                    self.order(&Order::ListsTell(
+                    self.started_at_ms[before] = unix_ms();
+                    self.broadcast(&Command::UpdateAllLists(
                         one(before),
-                        EndpointState { since: self.since[before], out: false },
+                        ServerState { started_at_ms: self.started_at_ms[before], excluded: false },
                     ));
-                    self.fleet.lists_tell(before, scene::ListChange::Restarted);
+                    self.fleet.announce(before, scene::ListChange::Restarted);
                 }
-                (now, listeners)
+                (now, recipients)
             }
-            PhaseAction::ZoneBack => {
-                let listeners = self.awaits(Awaited::Servers(marked.clone(), false));
+            PhaseAction::RestoreZone => {
+                let recipients = self.expect_change(AwaitedChange::Servers(affected.clone(), false));
                 let now = self.clock.now();
-                self.order(&Order::ListsTell(marked, EndpointState { since: unix_ms(), out: false }));
-                self.order(&Order::Return(zone));
-                self.fleet_tells(zone, scene::ListChange::Restarted);
-                (now, listeners)
+                self.broadcast(&Command::UpdateAllLists(
+                    affected,
+                    ServerState { started_at_ms: unix_ms(), excluded: false },
+                ));
+                self.broadcast(&Command::RestoreZone(zone));
+                self.announce_zone(zone, scene::ListChange::Restarted);
+                (now, recipients)
             }
         }
     }
 
-    fn fleet_tells(&self, zone: usize, told: scene::ListChange) {
+    fn announce_zone(&self, zone: usize, change: scene::ListChange) {
         let servers = self.catalogue.servers_of(0).filter(|server| self.catalogue.zone_of(*server) == zone);
-        servers.for_each(|server| self.fleet.lists_tell(server, told));
+        servers.for_each(|server| self.fleet.announce(server, change));
     }
 
-    /// From now on it is seen who has heard that; how many have not yet.
-    fn awaits(&self, awaited: Awaited) -> usize {
-        self.order(&Order::Await(awaited));
-        self.reached();
-        self.waiting()
+    /// Starts to wait for a change; returns how many instances do not know it yet.
+    fn expect_change(&self, awaited: AwaitedChange) -> usize {
+        self.broadcast(&Command::Await(awaited));
+        self.barrier();
+        self.awaiting()
     }
 
-    /// What callers saw from that time of theirs on.
-    fn carried(&self, from: f64, length: f64) -> Carried {
-        let answers = self.notes.responses.lock().unwrap_or_else(PoisonError::into_inner);
-        let within = answers.iter().filter(|answer| (from..from + length).contains(&answer.at));
-        let (mut carried, mut slots) = (Carried::default(), BTreeSet::new());
-        for answer in within {
-            carried.calls += 1;
+    /// Sums up what the clients saw from `from` on, for `length` seconds of their clock.
+    fn request_totals(&self, from: f64, length: f64) -> RequestTotals {
+        let answers = self.observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
+        let max_divergence_s = answers.iter().filter(|answer| (from..from + length).contains(&answer.at));
+        let (mut totals, mut slots) = (RequestTotals::default(), BTreeSet::new());
+        for answer in max_divergence_s {
+            totals.requests += 1;
             match answer.status {
-                Some(200) => carried.succeeded += 1,
-                _ => _ = slots.insert((answer.sidecar, (answer.at / SLOT) as u64)),
+                Some(200) => totals.succeeded += 1,
+                _ => _ = slots.insert((answer.sidecar, (answer.at / REFUSAL_SLOT_S) as u64)),
             }
         }
-        carried.dismissed_s = slots.len() as f64 * SLOT;
-        carried
+        totals.refused_s = slots.len() as f64 * REFUSAL_SLOT_S;
+        totals
     }
 }
 
@@ -521,14 +571,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-fn role(used: &[(Usage, Usage)], length_s: f64) -> Role {
+fn role_usage(used: &[(Usage, Usage)], length_s: f64) -> RoleUsage {
     let cpu = |(before, after): &(Usage, Usage)| (after.cpu_s - before.cpu_s) / length_s.max(0.001);
     let each = || used.iter().map(cpu);
-    Role {
+    RoleUsage {
         cpu: each().sum::<f64>() / used.len().max(1) as f64,
-        cpu_most: each().fold(0.0, f64::max),
+        cpu_max: each().fold(0.0, f64::max),
         resident: used.iter().map(|(_, after)| after.resident).max().unwrap_or(0),
-        resident_peak: 0,
+        peak_resident: 0,
         descriptors: used.iter().map(|(_, after)| after.descriptors).max().unwrap_or(0),
     }
 }
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -1,9 +1,9 @@
-//! One thread of the rig, and the hollow instances that it carries: a loop over what the machine tells, what is due and what
-//! is ordered. Nothing but an order walks over all instances.
-use super::catalogue::{Catalogue, EndpointState};
-use super::count::{Counts, Said};
-use super::link::Became;
-use super::simulated::{Awaited, Common, InstanceSpec, SimulatedInstance};
+//! One thread of the harness with its simulated instances: an event loop over epoll events, due timers and commands.
+//! Only commands visit all instances, so that the cost of a turn does not grow with their number.
+use super::catalogue::{Catalogue, ServerState};
+use super::count::{Counts, TrafficCounts};
+use super::link::LinkChange;
+use super::simulated::{AwaitedChange, CommonConfig, InstanceSpec, SimulatedInstance};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{Action, Document, InstanceId, Message};
@@ -23,19 +23,19 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// After a link that could not be made, or broke: as a sidecar waits.
-const PAUSE: Micros = Micros::millis(100);
-/// Later than this a turn of the loop counts as late.
-const LATE: Micros = Micros::millis(100);
-/// Within this all lists tell the same.
-const LISTS: Micros = Micros::millis(1_000);
-/// An empty line of a list's watch is due that often.
-const QUIET: Micros = Micros::millis(2_000);
-const BELL: u64 = u64::MAX;
+/// Delay before a new attempt to connect, as in a sidecar.
+const RECONNECT_DELAY: Micros = Micros::millis(100);
+/// A timer that is handled later than this counts as late.
+const LATE_THRESHOLD: Micros = Micros::millis(100);
+/// All lists report a change within this time, and lost instances start again within it.
+const LIST_SPREAD: Micros = Micros::millis(1_000);
+/// Interval of the empty list updates that keep a watch alive.
+const KEEPALIVE_INTERVAL: Micros = Micros::millis(2_000);
+const WAKE_TOKEN: u64 = u64::MAX;
 const BATCH: usize = 256;
-const SCRATCH: usize = 256 * 1024;
+const READ_BUFFER_BYTES: usize = 256 * 1024;
 
-/// When a run began; all its times are counted from there, the first is not 0.
+/// The start of a run, from which all its times are counted; the first time is 1 µs, not 0.
 #[derive(Clone, Copy)]
 pub struct Clock(pub Instant);
 
@@ -45,136 +45,140 @@
     }
 }
 
-/// Processor time of this thread.
-fn own_time() -> Micros {
+/// Processor time used by this thread.
+fn thread_cpu_time() -> Micros {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000)
 }
 
+/// What the run tells a shard to do.
 #[derive(Clone)]
-pub enum Order {
-    /// All lists tell this of the servers that are marked, each at a moment within a second.
-    ListsTell(Arc<Vec<bool>>, EndpointState),
-    /// One instance's list alone tells this of one server; it is known by its number here.
-    OneListTells(usize, usize, EndpointState),
-    /// Everybody in that zone falls silent, or is there again as after a start.
-    Lose(usize),
-    Return(usize),
-    /// Everybody's file says this from now on, or only that instance's.
-    Write(Option<usize>, Document),
-    /// See [`Status::waiting`].
-    Await(Awaited),
-    /// Hands out what was counted; the next counts begin with that second.
+pub enum Command {
+    /// All lists give this state to the marked servers, each at a random moment within a second.
+    UpdateAllLists(Arc<Vec<bool>>, ServerState),
+    /// Only the list of the instance with this index in the shard gives this state to the server.
+    UpdateOneList(usize, usize, ServerState),
+    /// All instances of this zone go silent.
+    LoseZone(usize),
+    /// All instances of this zone start again.
+    RestoreZone(usize),
+    /// These settings are proposed by one instance or, with `None`, by all.
+    WriteSettings(Option<usize>, Document),
+    /// Starts to wait until all instances know this change; see [`ShardStatus::awaiting`].
+    Await(AwaitedChange),
+    /// Sends the counts so far; the next counts begin with this second.
     Collect(usize, Sender<Counts>),
-    /// All orders before this one are done once it is dropped.
-    Reached(Sender<()>),
+    /// Dropped when all earlier commands have been handled.
+    Barrier(Sender<()>),
     Stop,
 }
 
-/// What a shard shows at any time.
+/// The state of a shard, readable at any time.
 #[derive(Default)]
-pub struct Status {
+pub struct ShardStatus {
     pub alive: AtomicUsize,
-    /// Those that act by a majority's leases.
-    pub acting: AtomicUsize,
-    /// Those that have acted in the life that they live.
-    pub acted: AtomicUsize,
-    /// Those that have not heard what is awaited, and when the last one had.
-    pub waiting: AtomicUsize,
-    pub heard_at: AtomicU64,
-    /// Turns of the loop for something due, and those of them that came late.
+    /// Instances that hold the leases of a majority.
+    pub with_lease: AtomicUsize,
+    /// Instances that have held them since their last start.
+    pub had_lease: AtomicUsize,
+    /// Instances that do not know the awaited change yet, and when the last one learned of it.
+    pub awaiting: AtomicUsize,
+    pub last_learned_at: AtomicU64,
+    /// Timers handled, those of them handled late, and the largest delay.
     pub turns: AtomicU64,
-    pub late: AtomicU64,
-    pub latest: AtomicU64,
+    pub late_turns: AtomicU64,
+    pub max_delay_us: AtomicU64,
 }
 
+/// A thread that runs a part of the simulated instances.
 pub struct Shard {
-    pub status: Arc<Status>,
-    orders: Sender<Order>,
-    bell: Arc<OwnedFd>,
+    pub status: Arc<ShardStatus>,
+    commands: Sender<Command>,
+    wake_fd: Arc<OwnedFd>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Shard {
     pub fn start(
-        born: Vec<InstanceSpec>, common: Common, catalogue: Arc<Catalogue>, keepers: Vec<SocketAddr>,
-        clock: Clock, seed: u64,
+        specs: Vec<InstanceSpec>, common: CommonConfig, catalogue: Arc<Catalogue>,
+        lease_servers: Vec<SocketAddr>, clock: Clock, seed: u64,
     ) -> Result<Shard> {
-        let (status, (orders, ordered)) = (Arc::new(Status::default()), channel());
-        let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
+        let (status, (commands, receiver)) = (Arc::new(ShardStatus::default()), channel());
+        let wake_fd = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        epoll::add(&epoll, &bell, EventData::new_u64(BELL), EventFlags::IN)?;
-        let told = vec![EndpointState::default(); catalogue.shape().services * catalogue.shape().servers];
+        epoll::add(&epoll, &wake_fd, EventData::new_u64(WAKE_TOKEN), EventFlags::IN)?;
+        let server_states =
+            vec![ServerState::default(); catalogue.shape().services * catalogue.shape().servers];
         let mut timers = BinaryHeap::new();
-        for (at, one) in born.iter().enumerate() {
-            timers.push(Reverse((one.at, at, Due::Start)));
+        for (at, one) in specs.iter().enumerate() {
+            timers.push(Reverse((one.start_at, at, Timer::Start)));
         }
-        let inside = Inside {
+        let event_loop = EventLoop {
             epoll,
-            hollows: born.into_iter().map(|one| SimulatedInstance::new(one, &common)).collect(),
-            counts: Counts::new(keepers.len(), 0),
+            instances: specs.into_iter().map(|one| SimulatedInstance::new(one, &common)).collect(),
+            counts: Counts::new(lease_servers.len(), 0),
             common,
             catalogue,
-            keepers,
+            lease_servers,
             clock,
-            told,
+            server_states,
             timers,
             random: WyRand::new_seed(seed),
-            tells: Vec::new(),
+            list_changes: Vec::new(),
             status: status.clone(),
-            scratch: vec![0; SCRATCH],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         };
-        let heard = bell.clone();
-        let thread = std::thread::Builder::new().name("hollow".into());
-        let thread = Some(thread.spawn(move || inside.run(&ordered, &heard))?);
-        Ok(Shard { status, orders, bell, thread })
+        let loop_wake_fd = wake_fd.clone();
+        let thread = std::thread::Builder::new().name("simulated".into());
+        let thread = Some(thread.spawn(move || event_loop.run(&receiver, &loop_wake_fd))?);
+        Ok(Shard { status, commands, wake_fd, thread })
     }
 
-    pub fn order(&self, order: Order) {
-        let _ = self.orders.send(order);
-        let _ = rustix::io::write(&self.bell, &1_u64.to_ne_bytes());
+    pub fn send(&self, command: Command) {
+        let _ = self.commands.send(command);
+        let _ = rustix::io::write(&self.wake_fd, &1_u64.to_ne_bytes());
     }
 }
 
 impl Drop for Shard {
     fn drop(&mut self) {
-        self.order(Order::Stop);
+        self.send(Command::Stop);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-enum Due {
+enum Timer {
     Start,
-    Dial(usize),
-    /// The member's own time.
-    Ask,
-    /// Its list tells what was ordered with that number.
-    Tell(usize),
-    /// Its list says that it is there.
-    Quiet,
+    Connect(usize),
+    /// The lease holder's timer.
+    LeaseHolder,
+    /// The instance's list reports the change with this index in [`EventLoop::list_changes`].
+    ListChange(usize),
+    /// The next empty list update.
+    ListKeepalive,
 }
 
-struct Inside {
+struct EventLoop {
     epoll: OwnedFd,
-    hollows: Vec<SimulatedInstance>,
-    common: Common,
+    instances: Vec<SimulatedInstance>,
+    common: CommonConfig,
     catalogue: Arc<Catalogue>,
-    keepers: Vec<SocketAddr>,
+    lease_servers: Vec<SocketAddr>,
     clock: Clock,
-    /// What lists say of each server.
-    told: Vec<EndpointState>,
-    timers: BinaryHeap<Reverse<(Micros, usize, Due)>>,
+    /// The state of each server on all lists.
+    server_states: Vec<ServerState>,
+    timers: BinaryHeap<Reverse<(Micros, usize, Timer)>>,
     random: WyRand,
-    /// What lists were ordered to tell, by number.
-    tells: Vec<(Arc<Vec<bool>>, EndpointState)>,
+    /// The list changes of the run, in the order of their commands.
+    list_changes: Vec<(Arc<Vec<bool>>, ServerState)>,
     counts: Counts,
-    status: Arc<Status>,
-    scratch: Vec<u8>,
+    status: Arc<ShardStatus>,
+    read_buffer: Vec<u8>,
 }
 
-impl Inside {
-    fn run(mut self, orders: &Receiver<Order>, bell: &OwnedFd) {
+impl EventLoop {
+    fn run(mut self, commands: &Receiver<Command>, wake_fd: &OwnedFd) {
         let mut events = [const { MaybeUninit::<Event>::uninit() }; BATCH];
         loop {
             let now = self.clock.now();
@@ -183,272 +187,281 @@
                 tv_sec: (wait.0 / 1_000_000) as _,
                 tv_nsec: (wait.0 % 1_000_000 * 1_000) as _,
             });
-            let told = match epoll::wait(&self.epoll, &mut events, wait.as_ref()) {
-                Ok((told, _)) => told,
+            let ready = match epoll::wait(&self.epoll, &mut events, wait.as_ref()) {
+                Ok((ready, _)) => ready,
                 Err(Errno::INTR) => continue,
                 Err(_) => return,
             };
-            for event in told {
+            for event in ready {
                 let (flags, token) = (event.flags, event.data.u64());
                 match token {
-                    BELL => _ = rustix::io::read(bell, &mut [0; 8]),
-                    _ => self.told(token, flags),
+                    WAKE_TOKEN => _ = rustix::io::read(wake_fd, &mut [0; 8]),
+                    _ => self.handle_link_event(token, flags),
                 }
             }
-            while let Ok(order) = orders.try_recv() {
-                if matches!(order, Order::Stop) {
+            while let Ok(command) = commands.try_recv() {
+                if matches!(command, Command::Stop) {
                     return;
                 }
-                self.ordered(order);
+                self.handle_command(command);
             }
-            self.due();
+            self.run_due_timers();
         }
     }
 
-    fn token(&self, at: usize, keeper: usize) -> u64 {
-        (at * self.keepers.len() + keeper) as u64
+    fn token(&self, at: usize, lease_server: usize) -> u64 {
+        (at * self.lease_servers.len() + lease_server) as u64
     }
 
     fn second(&self, now: Micros) -> usize {
         now.secs() as usize
     }
 
-    /// The machine has told of a link.
-    fn told(&mut self, token: u64, flags: EventFlags) {
-        let (at, keeper) = (token as usize / self.keepers.len(), token as usize % self.keepers.len());
-        let (now, mut said, mut words) = (self.clock.now(), Said::default(), Vec::new());
-        let hollow = &mut self.hollows[at];
-        if !hollow.alive {
+    /// Handles an epoll event of a link.
+    fn handle_link_event(&mut self, token: u64, flags: EventFlags) {
+        let (at, lease_server) =
+            (token as usize / self.lease_servers.len(), token as usize % self.lease_servers.len());
+        let (now, mut traffic, mut messages) = (self.clock.now(), TrafficCounts::default(), Vec::new());
+        let instance = &mut self.instances[at];
+        if !instance.alive {
             return;
         }
-        let link = &mut hollow.links[keeper];
-        let mut became = link.told(flags, &hollow.greeting);
-        if became != Became::Broken && link.is_up() {
-            became = link.write(&self.epoll, token, &mut said);
+        let link = &mut instance.links[lease_server];
+        let mut change = link.handle_event(flags, &instance.greeting);
+        if change != LinkChange::Broken && link.is_connected() {
+            change = link.write(&self.epoll, token, &mut traffic);
         }
-        if became != Became::Broken && flags.intersects(EventFlags::IN | EventFlags::ERR | EventFlags::HUP) {
-            became = link.read(&mut self.scratch, &mut said, &mut words);
+        if change != LinkChange::Broken
+            && flags.intersects(EventFlags::IN | EventFlags::ERR | EventFlags::HUP)
+        {
+            change = link.read(&mut self.read_buffer, &mut traffic, &mut messages);
         }
-        self.counts.said(now.secs() as usize, keeper, said, &mut hollow.running);
-        for word in words {
+        self.counts.record(now.secs() as usize, lease_server, traffic, &mut instance.current_second);
+        for message in messages {
             let now = self.clock.now();
-            self.granted(at, keeper, now, &word);
-            self.works(at, |hollow, actions| {
-                hollow.member.handle_message(now, InstanceId(keeper as u32), word, actions);
+            self.record_grant_latency(at, lease_server, now, &message);
+            self.run_lease_holder(at, |instance, actions| {
+                instance.lease_holder.handle_message(now, InstanceId(lease_server as u32), message, actions);
             });
         }
-        if became == Became::Broken {
-            self.counts.broken += 1;
-            self.hollows[at].links[keeper].close();
-            self.timers.push(Reverse((now + PAUSE, at, Due::Dial(keeper))));
+        if change == LinkChange::Broken {
+            self.counts.broken_links += 1;
+            self.instances[at].links[lease_server].close();
+            self.timers.push(Reverse((now + RECONNECT_DELAY, at, Timer::Connect(lease_server))));
         }
     }
 
-    /// Has the member of one work on something, counts its time, and carries out what comes of it.
-    fn works(&mut self, at: usize, work: impl FnOnce(&mut SimulatedInstance, &mut Vec<Action>)) {
-        let (began, mut actions) = (own_time(), Vec::new());
-        work(&mut self.hollows[at], &mut actions);
-        self.counts.work_us += (own_time() - began).0;
-        self.carry_out(at, actions);
+    /// Runs a step of one instance's lease holder, counts its processor time and executes the resulting actions.
+    fn run_lease_holder(&mut self, at: usize, work: impl FnOnce(&mut SimulatedInstance, &mut Vec<Action>)) {
+        let (began, mut actions) = (thread_cpu_time(), Vec::new());
+        work(&mut self.instances[at], &mut actions);
+        self.counts.lease_holder_cpu_us += (thread_cpu_time() - began).0;
+        self.execute(at, actions);
     }
 
-    /// Sees how long a grant took.
-    fn granted(&mut self, at: usize, keeper: usize, now: Micros, word: &Message) {
-        let Message::LeaseGrant { sequence: turn, .. } = word else { return };
-        let (asked, since) = self.hollows[at].asked[keeper];
-        if asked == *turn {
-            self.counts.answers.saturating_record((now - since).0.max(1));
+    /// Records the latency of a lease grant that answers the last request.
+    fn record_grant_latency(&mut self, at: usize, lease_server: usize, now: Micros, message: &Message) {
+        let Message::LeaseGrant { sequence, .. } = message else { return };
+        let (last_sequence, since) = self.instances[at].last_request[lease_server];
+        if last_sequence == *sequence {
+            self.counts.grant_latency.saturating_record((now - since).0.max(1));
         }
     }
 
-    fn carry_out(&mut self, at: usize, actions: Vec<Action>) {
-        let (now, mut looks) = (self.clock.now(), false);
+    fn execute(&mut self, at: usize, actions: Vec<Action>) {
+        let (now, mut may_have_learned) = (self.clock.now(), false);
         for action in actions {
             match action {
-                Action::Send(keeper, word) => self.say(at, keeper.0 as usize, now, &word),
-                Action::ApplyLists | Action::ApplyDocuments => looks = true,
-                // "version holds" comes as one.
-                Action::Log(_) => looks = true,
+                Action::Send(lease_server, message) => {
+                    self.send_message(at, lease_server.0 as usize, now, &message)
+                }
+                Action::ApplyLists | Action::ApplyDocuments => may_have_learned = true,
+                // A committed version shows only as a log line.
+                Action::Log(_) => may_have_learned = true,
                 Action::ApplyMaintenance { .. } => {}
             }
         }
-        for keeper in 0..self.keepers.len() {
-            self.write(at, keeper, now);
+        for lease_server in 0..self.lease_servers.len() {
+            self.flush(at, lease_server, now);
         }
-        let hollow = &mut self.hollows[at];
-        let acted = hollow.acts;
-        hollow.look(now, &mut self.counts);
-        if hollow.acts && !std::mem::replace(&mut hollow.acted, true) {
-            self.status.acted.fetch_add(1, Ordering::Relaxed);
+        let instance = &mut self.instances[at];
+        let had_lease = instance.has_lease;
+        instance.update_lease_state(now, &mut self.counts);
+        if instance.has_lease && !std::mem::replace(&mut instance.had_lease, true) {
+            self.status.had_lease.fetch_add(1, Ordering::Relaxed);
         }
-        match (acted, hollow.acts) {
-            (false, true) => _ = self.status.acting.fetch_add(1, Ordering::Relaxed),
-            (true, false) => _ = self.status.acting.fetch_sub(1, Ordering::Relaxed),
+        match (had_lease, instance.has_lease) {
+            (false, true) => _ = self.status.with_lease.fetch_add(1, Ordering::Relaxed),
+            (true, false) => _ = self.status.with_lease.fetch_sub(1, Ordering::Relaxed),
             _ => {}
         }
-        if looks && hollow.waits() && hollow.has_heard(&self.catalogue) {
-            self.status.heard_at.fetch_max(now.0, Ordering::Relaxed);
-            self.status.waiting.fetch_sub(1, Ordering::Relaxed);
+        if may_have_learned && instance.is_awaiting() && instance.check_awaited(&self.catalogue) {
+            self.status.last_learned_at.fetch_max(now.0, Ordering::Relaxed);
+            self.status.awaiting.fetch_sub(1, Ordering::Relaxed);
         }
-        let due = self.hollows[at].member.next_wakeup();
-        if due < self.hollows[at].armed {
-            self.hollows[at].armed = due;
-            self.timers.push(Reverse((due, at, Due::Ask)));
+        let due = self.instances[at].lease_holder.next_wakeup();
+        if due < self.instances[at].next_timer {
+            self.instances[at].next_timer = due;
+            self.timers.push(Reverse((due, at, Timer::LeaseHolder)));
         }
     }
 
-    fn say(&mut self, at: usize, keeper: usize, now: Micros, word: &Message) {
-        let hollow = &mut self.hollows[at];
-        if let Message::LeaseRequest { sequence: turn, .. } = word {
-            hollow.asked[keeper] = (*turn, now);
+    fn send_message(&mut self, at: usize, lease_server: usize, now: Micros, message: &Message) {
+        let instance = &mut self.instances[at];
+        if let Message::LeaseRequest { sequence, .. } = message {
+            instance.last_request[lease_server] = (*sequence, now);
         }
-        let link = &mut hollow.links[keeper];
-        if link.is_up() && !link.say(word) {
-            self.counts.lost += 1;
+        let link = &mut instance.links[lease_server];
+        if link.is_connected() && !link.enqueue(message) {
+            self.counts.dropped_messages += 1;
         }
-        self.counts.longest = self.counts.longest.max(link.waiting());
+        self.counts.max_queue_len = self.counts.max_queue_len.max(link.queue_len());
     }
 
-    fn write(&mut self, at: usize, keeper: usize, now: Micros) {
-        let (token, second) = (self.token(at, keeper), self.second(now));
-        let (hollow, mut said) = (&mut self.hollows[at], Said::default());
-        let link = &mut hollow.links[keeper];
-        // Where it broke the machine tells of it as well.
-        if link.waiting() > 0 && link.write(&self.epoll, token, &mut said) == Became::Same {
-            self.counts.said(second, keeper, said, &mut hollow.running);
+    fn flush(&mut self, at: usize, lease_server: usize, now: Micros) {
+        let (token, second) = (self.token(at, lease_server), self.second(now));
+        let (instance, mut traffic) = (&mut self.instances[at], TrafficCounts::default());
+        let link = &mut instance.links[lease_server];
+        // If the link broke, epoll reports it too.
+        if link.queue_len() > 0 && link.write(&self.epoll, token, &mut traffic) == LinkChange::Unchanged {
+            self.counts.record(second, lease_server, traffic, &mut instance.current_second);
         }
     }
 
-    /// Does what is due, and no more at a time than leaves what the machine tells its turn.
-    fn due(&mut self) {
+    /// Handles due timers, at most `BATCH` at a time so that epoll events are not starved.
+    fn run_due_timers(&mut self) {
         for _ in 0..BATCH {
             let now = self.clock.now();
-            let Some(Reverse((due, at, what))) = self.timers.peek().copied().filter(|next| next.0 .0 <= now)
+            let Some(Reverse((due, at, timer))) = self.timers.peek().copied().filter(|next| next.0 .0 <= now)
             else {
                 return;
             };
             self.timers.pop();
-            let late = now - due;
+            let delay = now - due;
             self.status.turns.fetch_add(1, Ordering::Relaxed);
-            self.status.late.fetch_add(u64::from(late > LATE), Ordering::Relaxed);
-            self.status.latest.fetch_max(late.0, Ordering::Relaxed);
-            match what {
-                Due::Start => self.start(at, now),
-                Due::Dial(keeper) => self.dial(at, keeper, now),
-                Due::Ask => self.woke(at, now),
-                Due::Tell(number) => {
-                    let (marked, told) = self.tells[number].clone();
-                    self.list_tells(at, now, &marked, told);
+            self.status.late_turns.fetch_add(u64::from(delay > LATE_THRESHOLD), Ordering::Relaxed);
+            self.status.max_delay_us.fetch_max(delay.0, Ordering::Relaxed);
+            match timer {
+                Timer::Start => self.start(at, now),
+                Timer::Connect(lease_server) => self.connect(at, lease_server, now),
+                Timer::LeaseHolder => self.handle_timer(at, now),
+                Timer::ListChange(number) => {
+                    let (affected, state) = self.list_changes[number].clone();
+                    self.apply_list_change(at, now, &affected, state);
                 }
-                Due::Quiet if self.hollows[at].quiet_at == due => {
-                    self.works(at, |hollow, actions| hollow.list_is_quiet(now, actions));
-                    self.quiet(at, now);
+                Timer::ListKeepalive if self.instances[at].next_keepalive_at == due => {
+                    self.run_lease_holder(at, |instance, actions| instance.apply_empty_update(now, actions));
+                    self.schedule_keepalive(at, now);
                 }
-                // Of an earlier life.
-                Due::Quiet => {}
+                // Scheduled before the last restart.
+                Timer::ListKeepalive => {}
             }
         }
     }
 
     fn start(&mut self, at: usize, now: Micros) {
-        let actions = self.hollows[at].start(now, &self.common, &self.catalogue, &self.told);
+        let actions = self.instances[at].start(now, &self.common, &self.catalogue, &self.server_states);
         self.status.alive.fetch_add(1, Ordering::Relaxed);
-        self.carry_out(at, actions);
-        self.quiet(at, now);
-        (0..self.keepers.len()).for_each(|keeper| self.dial(at, keeper, now));
+        self.execute(at, actions);
+        self.schedule_keepalive(at, now);
+        (0..self.lease_servers.len()).for_each(|lease_server| self.connect(at, lease_server, now));
     }
 
-    fn quiet(&mut self, at: usize, since: Micros) {
-        self.hollows[at].quiet_at = since + QUIET;
-        self.timers.push(Reverse((since + QUIET, at, Due::Quiet)));
+    fn schedule_keepalive(&mut self, at: usize, since: Micros) {
+        self.instances[at].next_keepalive_at = since + KEEPALIVE_INTERVAL;
+        self.timers.push(Reverse((since + KEEPALIVE_INTERVAL, at, Timer::ListKeepalive)));
     }
 
-    fn dial(&mut self, at: usize, keeper: usize, now: Micros) {
-        let (token, hollow) = (self.token(at, keeper), &mut self.hollows[at]);
-        // Guards against a link that broke in an earlier life.
-        if !hollow.alive || !hollow.links[keeper].is_down() {
+    fn connect(&mut self, at: usize, lease_server: usize, now: Micros) {
+        let (token, instance) = (self.token(at, lease_server), &mut self.instances[at]);
+        // Guards against a link that broke before the last restart.
+        if !instance.alive || !instance.links[lease_server].is_disconnected() {
             return;
         }
-        if hollow.links[keeper].dial(&self.epoll, token, self.keepers[keeper]).is_err() {
-            self.timers.push(Reverse((now + PAUSE, at, Due::Dial(keeper))));
+        if instance.links[lease_server].connect(&self.epoll, token, self.lease_servers[lease_server]).is_err()
+        {
+            self.timers.push(Reverse((now + RECONNECT_DELAY, at, Timer::Connect(lease_server))));
         }
     }
 
-    fn woke(&mut self, at: usize, now: Micros) {
-        self.hollows[at].armed = Micros::NEVER;
-        if self.hollows[at].alive {
-            self.works(at, |hollow, actions| hollow.member.handle_timer(now, actions));
+    fn handle_timer(&mut self, at: usize, now: Micros) {
+        self.instances[at].next_timer = Micros::NEVER;
+        if self.instances[at].alive {
+            self.run_lease_holder(at, |instance, actions| instance.lease_holder.handle_timer(now, actions));
         }
     }
 
-    fn list_tells(&mut self, at: usize, now: Micros, marked: &[bool], told: EndpointState) {
-        if self.hollows[at].alive {
+    fn apply_list_change(&mut self, at: usize, now: Micros, affected: &[bool], state: ServerState) {
+        if self.instances[at].alive {
             let catalogue = self.catalogue.clone();
-            self.works(at, |hollow, actions| hollow.list_tells(now, &catalogue, marked, told, actions));
+            self.run_lease_holder(at, |instance, actions| {
+                instance.apply_list_change(now, &catalogue, affected, state, actions)
+            });
         }
     }
 
-    fn ordered(&mut self, order: Order) {
+    fn handle_command(&mut self, command: Command) {
         let now = self.clock.now();
-        match order {
-            Order::ListsTell(marked, told) => {
-                let servers = self.told.iter_mut().zip(marked.iter());
-                servers.filter(|(_, marked)| **marked).for_each(|(known, _)| *known = told);
-                self.tells.push((marked, told));
-                for at in 0..self.hollows.len() {
-                    let moment = now + Micros(self.random.generate_range(0..LISTS.0));
-                    self.timers.push(Reverse((moment, at, Due::Tell(self.tells.len() - 1))));
+        match command {
+            Command::UpdateAllLists(affected, state) => {
+                let servers = self.server_states.iter_mut().zip(affected.iter());
+                servers.filter(|(_, affected)| **affected).for_each(|(known, _)| *known = state);
+                self.list_changes.push((affected, state));
+                for at in 0..self.instances.len() {
+                    let start_at = now + Micros(self.random.generate_range(0..LIST_SPREAD.0));
+                    self.timers.push(Reverse((start_at, at, Timer::ListChange(self.list_changes.len() - 1))));
                 }
             }
-            Order::OneListTells(at, server, told) => {
-                let marked: Vec<bool> = (0..self.told.len()).map(|other| other == server).collect();
-                self.list_tells(at, now, &marked, told);
+            Command::UpdateOneList(at, server, state) => {
+                let affected: Vec<bool> =
+                    (0..self.server_states.len()).map(|other| other == server).collect();
+                self.apply_list_change(at, now, &affected, state);
             }
-            Order::Lose(zone) => {
-                for hollow in self.hollows.iter_mut().filter(|one| one.alive && one.born.zone == zone) {
+            Command::LoseZone(zone) => {
+                for instance in self.instances.iter_mut().filter(|one| one.alive && one.spec.zone == zone) {
                     self.status.alive.fetch_sub(1, Ordering::Relaxed);
-                    self.status.acting.fetch_sub(usize::from(hollow.acts), Ordering::Relaxed);
-                    self.status.acted.fetch_sub(usize::from(hollow.acted), Ordering::Relaxed);
-                    self.status.waiting.fetch_sub(usize::from(hollow.waits()), Ordering::Relaxed);
-                    hollow.quiet_at = Micros::NEVER;
-                    hollow.fall_silent(now, &self.epoll, &mut self.counts);
+                    self.status.with_lease.fetch_sub(usize::from(instance.has_lease), Ordering::Relaxed);
+                    self.status.had_lease.fetch_sub(usize::from(instance.had_lease), Ordering::Relaxed);
+                    self.status.awaiting.fetch_sub(usize::from(instance.is_awaiting()), Ordering::Relaxed);
+                    instance.next_keepalive_at = Micros::NEVER;
+                    instance.go_silent(now, &self.epoll, &mut self.counts);
                 }
             }
-            Order::Return(zone) => {
-                let gone = |at: &usize| !self.hollows[*at].alive && self.hollows[*at].born.zone == zone;
-                for at in (0..self.hollows.len()).filter(gone).collect::<Vec<_>>() {
-                    let moment = now + Micros(self.random.generate_range(0..LISTS.0));
-                    self.timers.push(Reverse((moment, at, Due::Start)));
+            Command::RestoreZone(zone) => {
+                let gone = |at: &usize| !self.instances[*at].alive && self.instances[*at].spec.zone == zone;
+                for at in (0..self.instances.len()).filter(gone).collect::<Vec<_>>() {
+                    let start_at = now + Micros(self.random.generate_range(0..LIST_SPREAD.0));
+                    self.timers.push(Reverse((start_at, at, Timer::Start)));
                 }
             }
-            Order::Write(who, document) => {
+            Command::WriteSettings(who, document) => {
                 self.common.document = document.clone();
-                for at in who.map_or(0..self.hollows.len(), |who| who..who + 1) {
+                for at in who.map_or(0..self.instances.len(), |who| who..who + 1) {
                     let document = document.clone();
-                    if self.hollows[at].alive {
-                        self.works(at, |hollow, actions| {
-                            hollow.member.propose(now, document, actions);
+                    if self.instances[at].alive {
+                        self.run_lease_holder(at, |instance, actions| {
+                            instance.lease_holder.propose(now, document, actions);
                         });
                     }
                 }
             }
-            Order::Await(awaited) => {
-                let mut waiting = 0;
-                for hollow in self.hollows.iter_mut().filter(|one| one.alive) {
-                    waiting += usize::from(hollow.awaits(&awaited, &self.catalogue));
+            Command::Await(awaited) => {
+                let mut awaiting = 0;
+                for instance in self.instances.iter_mut().filter(|one| one.alive) {
+                    awaiting += usize::from(instance.expect_change(&awaited, &self.catalogue));
                 }
-                self.status.waiting.store(waiting, Ordering::Relaxed);
-                self.status.heard_at.store(now.0, Ordering::Relaxed);
+                self.status.awaiting.store(awaiting, Ordering::Relaxed);
+                self.status.last_learned_at.store(now.0, Ordering::Relaxed);
             }
-            Order::Collect(from, to) => {
-                for hollow in &mut self.hollows {
-                    hollow.unsure_until(now, &mut self.counts);
-                    self.counts.over(&mut hollow.running);
+            Command::Collect(from, to) => {
+                for instance in &mut self.instances {
+                    instance.count_time_without_lease(now, &mut self.counts);
+                    self.counts.finish_second(&mut instance.current_second);
                 }
-                let fresh = Counts::new(self.keepers.len(), from);
+                let fresh = Counts::new(self.lease_servers.len(), from);
                 let _ = to.send(std::mem::replace(&mut self.counts, fresh));
             }
-            Order::Reached(_) | Order::Stop => {}
+            Command::Barrier(_) | Command::Stop => {}
         }
     }
 }
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -1,160 +1,169 @@
-//! One hollow instance: a member as a sidecar has it, its links to the keepers and its own small list.
-use super::catalogue::{Catalogue, EndpointState};
-use super::count::{Counts, Running};
+//! One simulated instance: a lease holder as in a sidecar, its links to the lease servers and its own small list.
+use super::catalogue::{Catalogue, ServerState};
+use super::count::{Counts, InstanceSecond};
 use super::link::Link;
 use oakhollow::types::Micros;
 use oakhollow_accord::{Action, Document, InstanceId, LeaseHolder, ListUpdate, Validator, Version};
 use oakhollow_terms::{Greeting, Scope};
 use std::sync::Arc;
 
-/// What an instance is from its start on.
+/// The fixed properties of a simulated instance.
 #[derive(Clone)]
 pub struct InstanceSpec {
     pub name: String,
     pub zone: usize,
     /// The servers on its list.
     pub list: Vec<u32>,
-    /// When it starts first.
-    pub at: Micros,
+    /// When it first starts.
+    pub start_at: Micros,
 }
 
-/// What all instances of a run begin with.
+/// The configuration that all simulated instances of a run share.
 #[derive(Clone)]
-pub struct Common {
-    pub keepers: usize,
-    /// The length of a lease, as a member counts it.
-    pub lease: Micros,
+pub struct CommonConfig {
+    pub lease_servers: usize,
+    /// The lease duration as a lease holder counts it.
+    pub lease_duration: Micros,
     pub document: Document,
     pub scope: Scope,
 }
 
-impl Common {
-    fn member(&self) -> LeaseHolder {
-        let keepers = (0..self.keepers).map(|at| InstanceId(at as u32)).collect();
-        // It can take whatever it is told: it carries no calls by it.
-        let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
-        let member = LeaseHolder::new(keepers, self.lease, judge);
+impl CommonConfig {
+    fn new_lease_holder(&self) -> LeaseHolder {
+        let lease_servers = (0..self.lease_servers).map(|at| InstanceId(at as u32)).collect();
+        // Accepts any settings: the instance carries no requests by them.
+        let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
+        let lease_holder = LeaseHolder::new(lease_servers, self.lease_duration, validator);
         match self.scope {
-            Scope::All => member,
-            Scope::Listed => member.with_subscription(),
+            Scope::All => lease_holder,
+            Scope::Listed => lease_holder.with_subscription(),
         }
     }
 }
 
-/// What an instance is to hear, on servers that it calls.
+/// A change that instances are expected to learn, about servers on their own lists.
 #[derive(Clone, Debug)]
-pub enum Awaited {
-    /// By others' lists nothing new may go to these; or they may be sent to again.
+pub enum AwaitedChange {
+    /// The marked servers are excluded by the lists of other instances (true), or no longer (false).
     Servers(Arc<Vec<bool>>, bool),
-    /// That version holds.
+    /// This version of the settings is committed.
     Version(Version),
 }
 
+/// The state of a simulated instance, which is reset at each start.
 pub struct SimulatedInstance {
-    pub born: InstanceSpec,
-    pub member: LeaseHolder,
+    pub spec: InstanceSpec,
+    pub lease_holder: LeaseHolder,
     pub links: Vec<Link>,
     pub greeting: String,
     pub alive: bool,
-    /// The turn that was last asked of each keeper, and when.
-    pub asked: Vec<(u64, Micros)>,
-    pub running: Running,
-    /// Until when it acts, and since when it does not after it did.
-    until: Micros,
-    pub acts: bool,
-    /// It has acted in this life.
-    pub acted: bool,
-    unsure_since: Option<Micros>,
+    /// Sequence number and time of the last lease request to each lease server.
+    pub last_request: Vec<(u64, Micros)>,
+    pub current_second: InstanceSecond,
+    /// When the leases of a majority expire.
+    lease_valid_until: Micros,
+    /// Whether it held the leases of a majority at the last check.
+    pub has_lease: bool,
+    /// Whether it has held them since its last start.
+    pub had_lease: bool,
+    /// Since when it has been without leases, if it had them before.
+    without_lease_since: Option<Micros>,
     index: u64,
-    /// What it has not heard yet of what is awaited.
-    missing: Vec<u32>,
-    awaited: Option<Awaited>,
-    /// When it looks next whether it is to ask.
-    pub armed: Micros,
-    /// When its list says next that it is there.
-    pub quiet_at: Micros,
+    /// The servers of the awaited change of which it has not learned yet.
+    pending_servers: Vec<u32>,
+    awaited: Option<AwaitedChange>,
+    /// When the earliest scheduled timer of the lease holder fires.
+    pub next_timer: Micros,
+    /// When the next empty list update is due.
+    pub next_keepalive_at: Micros,
 }
 
 impl SimulatedInstance {
-    pub fn new(born: InstanceSpec, common: &Common) -> SimulatedInstance {
+    pub fn new(spec: InstanceSpec, common: &CommonConfig) -> SimulatedInstance {
         SimulatedInstance {
-            member: common.member(),
-            links: (0..common.keepers).map(|_| Link::default()).collect(),
+            lease_holder: common.new_lease_holder(),
+            links: (0..common.lease_servers).map(|_| Link::default()).collect(),
             greeting: String::new(),
             alive: false,
-            asked: vec![(0, Micros(0)); common.keepers],
-            running: Running::default(),
-            until: Micros(0),
-            acts: false,
-            acted: false,
-            unsure_since: None,
+            last_request: vec![(0, Micros(0)); common.lease_servers],
+            current_second: InstanceSecond::default(),
+            lease_valid_until: Micros(0),
+            has_lease: false,
+            had_lease: false,
+            without_lease_since: None,
             index: 0,
-            missing: Vec::new(),
+            pending_servers: Vec::new(),
             awaited: None,
-            armed: Micros::NEVER,
-            quiet_at: Micros::NEVER,
-            born,
+            next_timer: Micros::NEVER,
+            next_keepalive_at: Micros::NEVER,
+            spec,
         }
     }
 
-    /// Begins a life: it knows its file and its list, and nothing else.
+    /// Starts the instance anew, with its settings and its list as the only known state.
     pub fn start(
-        &mut self, now: Micros, common: &Common, catalogue: &Catalogue, told: &[EndpointState],
+        &mut self, now: Micros, common: &CommonConfig, catalogue: &Catalogue, server_states: &[ServerState],
     ) -> Vec<Action> {
         self.links.iter_mut().for_each(Link::close);
-        self.greeting = Greeting::new(&self.born.name, now.0).to_json();
-        self.member = common.member();
-        (self.alive, self.acts, self.until, self.unsure_since) = (true, false, Micros(0), None);
-        (self.acted, self.index, self.armed, self.awaited) = (false, 1, Micros::NEVER, None);
+        self.greeting = Greeting::new(&self.spec.name, now.0).to_json();
+        self.lease_holder = common.new_lease_holder();
+        (self.alive, self.has_lease, self.lease_valid_until, self.without_lease_since) =
+            (true, false, Micros(0), None);
+        (self.had_lease, self.index, self.next_timer, self.awaited) = (false, 1, Micros::NEVER, None);
         let mut actions = Vec::new();
-        self.member.propose(now, common.document.clone(), &mut actions);
-        let servers = self.born.list.iter().map(|server| (*server as usize, told[*server as usize]));
-        self.member.handle_list_update(now, catalogue.told(self.index, true, servers), &mut actions);
+        self.lease_holder.propose(now, common.document.clone(), &mut actions);
+        let servers = self.spec.list.iter().map(|server| (*server as usize, server_states[*server as usize]));
+        self.lease_holder.handle_list_update(
+            now,
+            catalogue.list_update(self.index, true, servers),
+            &mut actions,
+        );
         actions
     }
 
-    /// Its list tells something of those servers on it that are marked.
-    pub fn list_tells(
-        &mut self, now: Micros, catalogue: &Catalogue, marked: &[bool], told: EndpointState,
+    /// Applies a list update that gives this state to the affected servers on its list.
+    pub fn apply_list_change(
+        &mut self, now: Micros, catalogue: &Catalogue, affected: &[bool], state: ServerState,
         actions: &mut Vec<Action>,
     ) {
         self.index += 1;
-        let servers = self.born.list.iter().map(|server| *server as usize);
-        let servers = servers.filter(|server| marked[*server]).map(|server| (server, told));
-        let listed = catalogue.told(self.index, false, servers);
-        if !listed.entries.is_empty() {
-            self.member.handle_list_update(now, listed, actions);
+        let servers = self.spec.list.iter().map(|server| *server as usize);
+        let servers = servers.filter(|server| affected[*server]).map(|server| (server, state));
+        let update = catalogue.list_update(self.index, false, servers);
+        if !update.entries.is_empty() {
+            self.lease_holder.handle_list_update(now, update, actions);
         }
     }
 
-    /// Its list is there, and has nothing new.
-    pub fn list_is_quiet(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let listed = ListUpdate { index: self.index, snapshot: false, entries: Vec::new() };
-        self.member.handle_list_update(now, listed, actions);
+    /// Applies an empty list update, which shows that the list is up to date.
+    pub fn apply_empty_update(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let update = ListUpdate { index: self.index, snapshot: false, entries: Vec::new() };
+        self.lease_holder.handle_list_update(now, update, actions);
     }
 
-    /// From now on it is seen whether it has heard that; false if there is nothing for it to hear.
-    pub fn awaits(&mut self, awaited: &Awaited, catalogue: &Catalogue) -> bool {
-        self.missing = match awaited {
-            Awaited::Servers(marked, _) => {
-                self.born.list.iter().copied().filter(|server| marked[*server as usize]).collect()
+    /// Starts to wait for a change; returns false if the instance knows it already or is not concerned.
+    pub fn expect_change(&mut self, awaited: &AwaitedChange, catalogue: &Catalogue) -> bool {
+        self.pending_servers = match awaited {
+            AwaitedChange::Servers(affected, _) => {
+                self.spec.list.iter().copied().filter(|server| affected[*server as usize]).collect()
             }
-            Awaited::Version(_) => Vec::new(),
+            AwaitedChange::Version(_) => Vec::new(),
         };
         self.awaited = Some(awaited.clone());
-        !self.has_heard(catalogue)
+        !self.check_awaited(catalogue)
     }
 
-    /// Whether it has heard all that it awaits. To be asked whenever it has heard something.
-    pub fn has_heard(&mut self, catalogue: &Catalogue) -> bool {
+    /// Whether the awaited change is known. To be called whenever the instance may have learned something.
+    pub fn check_awaited(&mut self, catalogue: &Catalogue) -> bool {
         let heard = match &self.awaited {
             None => return true,
-            Some(Awaited::Servers(_, out)) => {
-                let known = self.member.excluded_servers();
-                self.missing.retain(|server| known.contains_key(catalogue.name(*server as usize)) != *out);
-                self.missing.is_empty()
+            Some(AwaitedChange::Servers(_, excluded)) => {
+                let known = self.lease_holder.excluded_servers();
+                self.pending_servers
+                    .retain(|server| known.contains_key(catalogue.name(*server as usize)) != *excluded);
+                self.pending_servers.is_empty()
             }
-            Some(Awaited::Version(version)) => self.member.committed() >= Some(*version),
+            Some(AwaitedChange::Version(version)) => self.lease_holder.committed() >= Some(*version),
         };
         if heard {
             self.awaited = None;
@@ -162,36 +171,36 @@
         heard
     }
 
-    pub fn waits(&self) -> bool {
+    pub fn is_awaiting(&self) -> bool {
         self.awaited.is_some()
     }
 
-    /// Sees whether it acts, and counts for how long it did not.
-    pub fn look(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.until, self.member.lease_valid_until());
-        if self.acts && before <= now {
-            self.acts = false;
-            self.unsure_since = Some(before);
-            counts.lapses += 1;
+    /// Updates whether the instance holds leases of a majority, and counts expiries and the time without leases.
+    pub fn update_lease_state(&mut self, now: Micros, counts: &mut Counts) {
+        let before = std::mem::replace(&mut self.lease_valid_until, self.lease_holder.lease_valid_until());
+        if self.has_lease && before <= now {
+            self.has_lease = false;
+            self.without_lease_since = Some(before);
+            counts.lease_expiries += 1;
         }
-        if !self.acts && self.until > now {
-            self.acts = true;
-            self.unsure_until(now, counts);
-            self.unsure_since = None;
+        if !self.has_lease && self.lease_valid_until > now {
+            self.has_lease = true;
+            self.count_time_without_lease(now, counts);
+            self.without_lease_since = None;
         }
     }
 
-    /// Counts what it stood unsure until now.
-    pub fn unsure_until(&mut self, now: Micros, counts: &mut Counts) {
-        if let Some(since) = &mut self.unsure_since {
-            counts.unsure_us += (now - std::mem::replace(since, now)).0;
+    /// Counts the time without leases up to now.
+    pub fn count_time_without_lease(&mut self, now: Micros, counts: &mut Counts) {
+        if let Some(since) = &mut self.without_lease_since {
+            counts.without_lease_us += (now - std::mem::replace(since, now)).0;
         }
     }
 
-    /// From now on nobody hears of it.
-    pub fn fall_silent(&mut self, now: Micros, epoll: &std::os::fd::OwnedFd, counts: &mut Counts) {
-        self.unsure_until(now, counts);
-        (self.alive, self.acts, self.unsure_since, self.awaited) = (false, false, None, None);
-        self.links.iter_mut().for_each(|link| link.fall_silent(epoll));
+    /// Stops the instance without closing its connections.
+    pub fn go_silent(&mut self, now: Micros, epoll: &std::os::fd::OwnedFd, counts: &mut Counts) {
+        self.count_time_without_lease(now, counts);
+        (self.alive, self.has_lease, self.without_lease_since, self.awaited) = (false, false, None, None);
+        self.links.iter_mut().for_each(|link| link.go_silent(epoll));
     }
 }
--- a/lab/src/scale/usage.rs
+++ b/lab/src/scale/usage.rs
@@ -1,15 +1,17 @@
-//! What a process has used, as the machine tells it.
+//! Processor time, memory and descriptors of a process, read from `/proc`.
 use std::fs;
 
+/// The resources that a process has used so far.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Usage {
     /// Processor time, in seconds.
     pub cpu_s: f64,
+    /// Resident memory, in bytes.
     pub resident: u64,
     pub descriptors: usize,
 }
 
-/// Resident bytes; none if there is no such process.
+/// Resident memory in bytes; `None` if there is no such process.
 pub fn resident(process: u32) -> Option<u64> {
     let text = fs::read_to_string(format!("/proc/{process}/statm")).ok()?;
     let pages: u64 = text.split(' ').nth(1)?.parse().ok()?;
@@ -24,7 +26,7 @@
     }
 }
 
-/// Of a line of `/proc/PID/stat`: time in the process itself and in the machine for it, in seconds.
+/// User and system time in seconds, from a line of `/proc/PID/stat`.
 ///
 /// ```
 /// let line = "7 (odd ) name) S 1 7 7 0 -1 4194560 100 0 0 0 250 50 0 0 20 0 1 0 100 1000 100";
@@ -32,7 +34,7 @@
 /// assert_eq!(oakhollow_lab::scale::usage::cpu_s(line), Some(300.0 / ticks));
 /// ```
 pub fn cpu_s(stat: &str) -> Option<f64> {
-    // The name may hold anything, and ends with the last bracket.
+    // The process name may contain any character, and ends at the last closing bracket.
     let mut fields = stat.rsplit_once(')')?.1.split_ascii_whitespace();
     let user: u64 = fields.nth(11)?.parse().ok()?;
     let system: u64 = fields.next()?.parse().ok()?;
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! How much instances say to agree, and how long a change takes, simulated: members and keepers by the package's own code,
 //! all in one process, in virtual time, with links of 0.5 to 2 ms. Bytes are those of the words' lines.
-use crate::scale::catalogue::{Catalogue, EndpointState, Shape};
+use crate::scale::catalogue::{Catalogue, FleetShape, ServerState};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{
@@ -295,12 +295,16 @@
 /// Counts, and times nothing: the same for one seed on any machine. There is an instance for each server.
 pub fn costs(instances: usize, within_s: f64, seed: u64, scope: Scope) -> Costs {
     let within = Micros((within_s * 1e6) as u64);
-    let shape = Shape { services: instances.div_ceil(EACH), servers: EACH, zones: ZONES, calls: CALLS };
+    let shape = FleetShape { services: instances.div_ceil(EACH), servers: EACH, zones: ZONES, calls: CALLS };
     let (catalogue, mut random) = (Catalogue::new(shape), WyRand::new_seed(seed));
     let lists: Vec<Vec<u32>> = (0..instances).map(|_| catalogue.list_of(&mut random)).collect();
     let told = |at: usize, index: u64, out: bool, tells: &dyn Fn(usize) -> bool| {
         let servers = lists[at].iter().map(|server| *server as usize).filter(|server| tells(*server));
-        catalogue.told(index, index == 1, servers.map(|server| (server, EndpointState { since: 7, out })))
+        catalogue.list_update(
+            index,
+            index == 1,
+            servers.map(|server| (server, ServerState { started_at_ms: 7, excluded: out })),
+        )
     };
     let mut fleet = Fleet::new(instances, within, seed, scope, |at| told(at, 1, false, &|_| true));
     let never = |_: &LeaseHolder| false;
