--- a/lab/tests/admission.rs
+++ b/lab/tests/admission.rs
@@ -1,4 +1,4 @@
-//! How many scenes play at once, and which of them are played again.
+//! Admission of scenes that run side by side, and the rules for running a scene again.
 use oakhollow_lab::admission::{available_capacity, estimated_demand, parse_cpu_times, Admission};
 use oakhollow_lab::reruns::{run_admitted, MAX_RERUNS};
 use oakhollow_lab::scene::Scene;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn whatever_a_scene_starts_is_reckoned() {
+fn estimated_demand_grows_with_everything_that_a_scene_starts() {
     let plain = demand_of(SCENE);
     assert!(plain > 0);
     let more = [
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn room_is_what_others_leave() {
+fn available_capacity_is_what_other_processes_leave() {
     assert_eq!(available_capacity(8, 0), 2000);
     assert_eq!(available_capacity(8, 3000), 1250);
-    // A machine that is full gives half of itself to who asks for it.
+    // Half of a fully busy machine is still available.
     assert_eq!(available_capacity(8, 8000), 1000);
     assert_eq!(available_capacity(1, 0), 250);
     let stat = "cpu  10 1 5 80 4 2 3 1 9 9\ncpu0 1 1 1 1 1 1 1 1 0 0\n";
@@ -44,38 +44,38 @@
 }
 
 #[test]
-fn no_more_play_at_once_than_there_is_room_for() {
-    let (admission, plays, most) = (Admission::new(1000), AtomicU64::new(0), AtomicU64::new(0));
+fn admitted_demand_never_exceeds_the_capacity() {
+    let (admission, in_use, max_in_use) = (Admission::new(1000), AtomicU64::new(0), AtomicU64::new(0));
     thread::scope(|scope| {
         for demand in [300, 400, 300, 5000, 900, 200, 1000, 100] {
-            let (admission, plays, most) = (&admission, &plays, &most);
+            let (admission, in_use, max_in_use) = (&admission, &in_use, &max_in_use);
             scope.spawn(move || {
                 let _admitted = admission.admit(demand);
-                // More than all of it counts as all of it.
+                // A demand above the whole capacity counts as the whole capacity.
                 let own = demand.min(1000);
-                most.fetch_max(plays.fetch_add(own, Ordering::SeqCst) + own, Ordering::SeqCst);
+                max_in_use.fetch_max(in_use.fetch_add(own, Ordering::SeqCst) + own, Ordering::SeqCst);
                 thread::sleep(Duration::from_millis(10));
-                plays.fetch_sub(own, Ordering::SeqCst);
+                in_use.fetch_sub(own, Ordering::SeqCst);
             });
         }
     });
-    assert_eq!(most.load(Ordering::SeqCst), 1000);
+    assert_eq!(max_in_use.load(Ordering::SeqCst), 1000);
 }
 
 #[test]
-fn whoever_asks_first_enters_first() {
+fn admission_is_first_come_first_served() {
     let admission = Admission::new(1000);
     let (order, entered) = channel();
     thread::scope(|scope| {
         let first = admission.admit(600);
-        // The large one waits, and the small one, for which there is room, waits behind it.
+        // The large request waits, and the small one waits behind it although it would fit.
         for (at, demand) in [900, 300].into_iter().enumerate() {
             let (admission, order) = (&admission, order.clone());
             scope.spawn(move || {
                 let _admitted = admission.admit(demand);
                 order.send(at).expect("heard");
             });
-            admission_has_waiting(admission, at as u64 + 2);
+            wait_until_requested(admission, at as u64 + 2);
         }
         assert!(entered.try_recv().is_err());
         drop(first);
@@ -83,55 +83,55 @@
     });
 }
 
-/// Until so many have asked.
-fn admission_has_waiting(admission: &Admission, asked: u64) {
-    while admission.admissions_requested() < asked {
+/// Waits until this many admissions have been requested.
+fn wait_until_requested(admission: &Admission, requested: u64) {
+    while admission.admissions_requested() < requested {
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-fn no_figure() -> RunError {
+fn inconclusive() -> RunError {
     RunError::Inconclusive { reason: "9 of 10 calls went out late".into(), failed_expectations: vec![] }
 }
 
-/// What comes of plays that go as told, and how many of them there were.
-fn played(goes: impl Fn(usize) -> Result<(), RunError>) -> (Result<(), RunError>, usize) {
-    let (admission, plays) = (Admission::new(1000), AtomicUsize::new(0));
-    let came = run_admitted(&admission, 100, "a scene", || goes(plays.fetch_add(1, Ordering::SeqCst)));
-    (came, plays.load(Ordering::SeqCst))
+/// The final result of runs with the given results, and the number of runs.
+fn run_with(result_of: impl Fn(usize) -> Result<(), RunError>) -> (Result<(), RunError>, usize) {
+    let (admission, runs) = (Admission::new(1000), AtomicUsize::new(0));
+    let result = run_admitted(&admission, 100, "a scene", || result_of(runs.fetch_add(1, Ordering::SeqCst)));
+    (result, runs.load(Ordering::SeqCst))
 }
 
 #[test]
-fn none_without_a_figure_passes() {
-    let (came, plays) = played(|_| Err(no_figure()));
-    assert!(matches!(came, Err(RunError::Inconclusive { .. })));
-    assert_eq!(plays, 1 + MAX_RERUNS);
+fn a_scene_that_stays_inconclusive_fails() {
+    let (result, runs) = run_with(|_| Err(inconclusive()));
+    assert!(matches!(result, Err(RunError::Inconclusive { .. })));
+    assert_eq!(runs, 1 + MAX_RERUNS);
 }
 
 #[test]
-fn one_without_a_figure_is_played_again() {
-    let (came, plays) = played(|at| if at < 2 { Err(no_figure()) } else { Ok(()) });
-    assert!(came.is_ok());
-    assert_eq!(plays, 3);
+fn an_inconclusive_scene_runs_again() {
+    let (result, runs) = run_with(|at| if at < 2 { Err(inconclusive()) } else { Ok(()) });
+    assert!(result.is_ok());
+    assert_eq!(runs, 3);
 }
 
 #[test]
-fn a_fault_is_not_played_again() {
+fn a_failed_scene_does_not_run_again() {
     let fault = || Err(RunError::Failed("n0 has ended".into()));
-    let (came, plays) = played(|_| fault());
-    assert!(matches!(came, Err(RunError::Failed(_))));
-    assert_eq!(plays, 1);
-    // Nor one that shows when it is played again.
-    let (came, plays) = played(|at| if at == 0 { Err(no_figure()) } else { fault() });
-    assert!(matches!(came, Err(RunError::Failed(_))));
-    assert_eq!(plays, 2);
-    // What has a figure is not played again either: whether it is broken is for the caller to say.
-    assert_eq!(played(|_| Ok(())).1, 1);
+    let (result, runs) = run_with(|_| fault());
+    assert!(matches!(result, Err(RunError::Failed(_))));
+    assert_eq!(runs, 1);
+    // Nor does one that fails in its second run.
+    let (result, runs) = run_with(|at| if at == 0 { Err(inconclusive()) } else { fault() });
+    assert!(matches!(result, Err(RunError::Failed(_))));
+    assert_eq!(runs, 2);
+    // A conclusive scene does not run again either; the caller checks its report.
+    assert_eq!(run_with(|_| Ok(())).1, 1);
 }
 
 #[test]
-fn one_that_is_played_again_is_alone() {
-    let (admission, others, plays) = (Admission::new(1000), AtomicUsize::new(0), AtomicUsize::new(0));
+fn a_rerun_has_the_machine_to_itself() {
+    let (admission, others, runs) = (Admission::new(1000), AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
         for _ in 0..4 {
             let (admission, others) = (&admission, &others);
@@ -144,14 +144,14 @@
                 }
             });
         }
-        let came = run_admitted(&admission, 300, "a scene", || {
-            let again = plays.fetch_add(1, Ordering::SeqCst) > 0;
+        let result = run_admitted(&admission, 300, "a scene", || {
+            let again = runs.fetch_add(1, Ordering::SeqCst) > 0;
             for _ in 0..if again { 10 } else { 0 } {
                 assert_eq!(others.load(Ordering::SeqCst), 0);
                 thread::sleep(Duration::from_millis(1));
             }
-            Err::<(), _>(no_figure())
+            Err::<(), _>(inconclusive())
         });
-        assert!(came.is_err());
+        assert!(result.is_err());
     });
 }
--- a/lab/tests/beside/mod.rs
+++ b/lab/tests/beside/mod.rs
@@ -1,7 +1,7 @@
-//! What is built beside the tests.
+//! The path of the program under test.
 use std::path::PathBuf;
 
-/// The program, which the workspace's tests build beside ours.
+/// The `oakhollow` binary, which `cargo test --workspace` builds into the same target folder.
 pub fn program() -> PathBuf {
     let own = std::env::current_exe().expect("this test's path");
     let program = own.ancestors().nth(2).expect("the build's folder").join("oakhollow");
--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -1,4 +1,4 @@
-//! The chain: its statistics, its caller, and a short one of two tiers played on processes of the program.
+//! The chain of tiers: its statistics, its client, and short runs of up to two tiers on processes of the program.
 mod beside;
 
 use beside::program;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 #[test]
-fn t_is_that_of_the_tables() {
+fn t_quantiles_match_published_tables() {
     let table = [(1, 12.706), (2, 4.303), (7, 2.365), (10, 2.228), (11, 2.201), (15, 2.131), (30, 2.042)];
     for (degrees, quantile) in table.into_iter().chain([(60, 2.000), (120, 1.980), (100_000, 1.960)]) {
         let found = t_quantile(degrees);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_interval_is_told_where_it_is_not_wider_than_its_figure() {
+fn a_figure_is_reported_unless_its_interval_is_wider_than_the_figure() {
     assert_eq!(Interval::of(&[]), None);
     assert_eq!(Interval::of(&[1.0]), None);
     let wide = Interval::of(&[1.0, 2.0, 3.0, 4.0, 5.0]).expect("five");
@@ -35,20 +35,20 @@
 }
 
 #[test]
-fn shares_of_tiers_multiply() {
+fn the_reach_bound_multiplies_over_tiers() {
     assert!((reach_bound(0.05, 9) - 1.5513).abs() < 0.0001);
     assert_eq!((reach_bound(0.05, 0), reach_bound(0.0, 9)), (1.0, 1.0));
 }
 
 #[test]
-fn figures_of_the_machine_are_read_by_their_whole_name() {
+fn proc_status_fields_are_matched_by_their_whole_name() {
     let status = "Name:\tx\nnonvoluntary_ctxt_switches:\t7\nvoluntary_ctxt_switches:\t12\n";
     assert_eq!(figure(status, "voluntary_ctxt_switches"), Some(12));
     assert_eq!(figure(status, "ctxt_switches"), None);
     assert_eq!(usage(u32::MAX), None);
 }
 
-/// Five calls at one tier that answers by itself, of which the first was due so long ago.
+/// Sends five requests to a single tier that answers by itself; the first was due `ago` before now.
 fn five(slow: Duration, ago: Duration) -> Called {
     let clock = Clock::start();
     let tier = Tier::start(1, 1, None, clock, 1).expect("listens");
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn latency_counts_from_when_a_call_was_due() {
+fn latency_counts_from_when_a_request_was_due() {
     let called = five(Duration::ZERO, Duration::from_millis(200));
     assert_eq!((called.late, called.late_share(), called.served()), (5, 1.0, 5));
-    // To three figures.
+    // The histogram keeps three significant digits.
     assert!(called.latency.min() >= 194_000_000, "{}", called.latency.min());
     let slow = five(Duration::from_millis(30), Duration::ZERO);
     assert!(slow.served() == 5 && slow.latency.min() >= 29_900_000, "{}", slow.latency.min());
 }
 
 #[test]
-fn calls_without_an_answer_are_counted() {
+fn requests_without_an_answer_are_counted() {
     let called = five(Duration::from_secs(60), Duration::ZERO);
     assert_eq!((called.served(), called.unanswered), (0, 5));
 }
 
 #[test]
-fn a_chain_of_two_carries_each_call_to_its_last_tier_and_back_once() {
+fn a_chain_of_two_carries_each_request_once_to_the_last_tier_and_back() {
     let program = program();
     let plan = Plan { program: &program, depth: 2, servers: 2, seed: 3 };
     let (lead, length) = (Duration::from_millis(200), Duration::from_millis(800));
@@ -100,7 +100,7 @@
                 "{:?}",
                 round.used
             );
-            // What a sidecar dismissed reached no further; what was served reached the end.
+            // Requests that a sidecar refused went no further; served ones reached the last tier.
             let (first, last) = (&round.reached[0], &round.reached[1]);
             assert!(last.calls >= called.served() && last.calls <= first.calls && first.calls <= 100);
             assert!(first.hops - first.copies <= 100 && last.hops - last.copies <= first.hops);
@@ -118,11 +118,11 @@
 }
 
 #[test]
-fn pairs_are_reported_and_a_late_caller_s_latency_is_not() {
+fn pairs_are_reported_but_not_the_latency_of_a_late_client() {
     let program = program();
     let plan = Plan { program: &program, depth: 1, servers: 2, seed: 0 };
     let length = Duration::from_millis(300);
-    // No share is below it: every pair ran late.
+    // Every share of late requests exceeds this, so every pair counts as late.
     let late = RunSettings {
         rate: 100.0,
         pairs: 2,
@@ -134,7 +134,7 @@
         budget: 0.05,
     };
     let report = report::run(&plan, &late).expect("played");
-    // What does not count from when calls were due is told all the same.
+    // Latencies that don't count from when requests were due are still reported.
     let told: Vec<bool> = report.added().iter().map(|(_, interval)| interval.is_some()).collect();
     let served = report.pairs.iter().filter(|pair| pair.unserved.is_none()).count() >= 2;
     assert_eq!(told, [false, false, served, served, served, served]);
--- a/lab/tests/crowd.rs
+++ b/lab/tests/crowd.rs
@@ -1,4 +1,5 @@
-//! A tier of hundreds whose discovery comes back with too little for all at once: their calls must not keep it from answering any.
+//! A tier of hundreds whose discovery comes back with too little capacity for all at once: their list requests must not
+//! keep it from answering any of them.
 mod beside;
 
 use beside::program;
@@ -7,12 +8,12 @@
 use std::time::Duration;
 
 const PROCESSES: usize = 24;
-/// How long discovery would take to answer all, if all called at once.
+/// How long discovery would take to answer all processes if they called at once.
 const ALL_ANSWERED_S: f64 = 6.8;
 
-/// It works through calls also that it has turned away, which is how a queue without a bound behaves.
+/// This discovery also spends its capacity on requests that it has already rejected, as an unbounded queue does.
 #[test]
-fn a_crowded_discovery_is_not_kept_from_answering() {
+fn an_overloaded_discovery_still_answers_all_processes() {
     let capacity = Capacity {
         requests_per_s: PROCESSES as f64 / ALL_ANSWERED_S,
         max_wait_s: 2.0,
@@ -26,19 +27,19 @@
         capacity,
         watched: Duration::from_secs(16),
     };
-    let judge = |report: &Report| {
+    let check = |report: &Report| {
         let last = report.heard.last().copied().unwrap_or(f64::INFINITY);
         println!(
-            "{} of {PROCESSES} have heard, the last after {last:.1} s, {} calls turned away",
+            "{} of {PROCESSES} have a list, the last after {last:.1} s, {} requests rejected",
             report.heard.len(),
             report.turned_away
         );
         match report.heard.len() {
             PROCESSES.. => Ok(()),
-            heard => Err(format!("{heard} of {PROCESSES} have heard 16 s after its return")),
+            heard => Err(format!("{heard} of {PROCESSES} have a list 16 s after its return")),
         }
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program(), &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program(), &case), check) {
         panic!("{fault}");
     }
 }
--- a/lab/tests/handover.rs
+++ b/lab/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What a process tells the one that comes next: whatever an operator does meanwhile is in the snapshot or follows it.
+//! Handover to a successor: a change by the operator during it is in the snapshot or follows it.
 mod beside;
 mod turn;
 
@@ -14,20 +14,21 @@
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
-use turn::turn;
+use turn::exclusive;
 
-struct Rig {
+/// A sidecar with a passed listener, and the path of its handover socket.
+struct Setup {
     sidecar: Sidecar,
     socket: PathBuf,
     _discovery: SharedDiscovery,
     _folder: TempDir,
 }
 
-impl Rig {
-    /// One process with a passed socket, before so many servers; `prepare` sees where its successors will find it.
-    fn start(servers: usize, prepare: impl FnOnce(&PathBuf)) -> Rig {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        let named = |at| ListedEndpoint { name: format!("server-{at}"), address: nobody, since_ms: 0 };
+impl Setup {
+    /// Starts one process with a passed listener and this many servers; `prepare` gets the path of the handover socket.
+    fn start(servers: usize, prepare: impl FnOnce(&PathBuf)) -> Setup {
+        let unused = "127.0.0.1:9".parse().expect("an address");
+        let named = |at| ListedEndpoint { name: format!("server-{at}"), address: unused, since_ms: 0 };
         let discovery = SharedDiscovery::start((0..servers).map(named).collect()).expect("a discovery");
         let folder = TempDir::new("handover");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
@@ -39,10 +40,11 @@
         prepare(&socket);
         sidecar.start().expect("started");
         wait_until_all_ready(std::slice::from_mut(&mut sidecar)).expect("serves");
-        Rig { sidecar, socket, _discovery: discovery, _folder: folder }
+        Setup { sidecar, socket, _discovery: discovery, _folder: folder }
     }
 
-    fn successor(&self) -> Option<UnixStream> {
+    /// Connects to the handover socket as a successor does.
+    fn connect_successor(&self) -> Option<UnixStream> {
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(3) {
             if let Ok(stream) = UnixStream::connect(&self.socket) {
@@ -54,7 +56,8 @@
         None
     }
 
-    fn takes_out(&self, server: &str) -> u16 {
+    /// Puts the server into maintenance and returns the status of the answer.
+    fn set_maintenance(&self, server: &str) -> u16 {
         let asked = format!("PUT /endpoints/{server}/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
         let answer = connect(self.sidecar.console).and_then(|mut stream| send_request(&mut stream, &asked));
         answer.expect("an answer").0
@@ -62,14 +65,14 @@
 }
 
 #[test]
-fn a_server_taken_out_while_the_snapshot_is_on_its_way_is_told_to_the_successor() {
-    let _turn = turn();
-    // So many that the snapshot does not fit into the socket: what is told next waits for us to read.
-    let rig = Rig::start(6_000, |_| {});
-    let successor = rig.successor().expect("a predecessor");
+fn maintenance_set_while_the_snapshot_is_being_sent_reaches_the_successor() {
+    let _guard = exclusive();
+    // So many servers that the snapshot exceeds the socket buffer: later messages wait until it is read.
+    let setup = Setup::start(6_000, |_| {});
+    let connect_successor = setup.connect_successor().expect("a predecessor");
     thread::sleep(Duration::from_millis(600));
-    assert_eq!(rig.takes_out("server-7"), 200);
-    let mut told = BufReader::new(successor);
+    assert_eq!(setup.set_maintenance("server-7"), 200);
+    let mut told = BufReader::new(connect_successor);
     let (mut snapshot, mut next) = (String::new(), String::new());
     told.read_line(&mut snapshot).expect("a snapshot");
     let in_snapshot = snapshot.contains(r#""out":["server-7"]"#);
@@ -78,22 +81,22 @@
 }
 
 #[test]
-fn a_socket_that_could_not_be_made_once_is_made_later() {
-    let _turn = turn();
-    let rig = Rig::start(4, |socket| std::fs::create_dir(socket).expect("in the way"));
+fn a_handover_socket_that_could_not_be_created_is_created_later() {
+    let _guard = exclusive();
+    let setup = Setup::start(4, |socket| std::fs::create_dir(socket).expect("in the way"));
     thread::sleep(Duration::from_millis(300));
-    std::fs::remove_dir(&rig.socket).expect("out of the way");
-    assert!(rig.successor().is_some(), "nobody can take over for the rest of its life");
+    std::fs::remove_dir(&setup.socket).expect("out of the way");
+    assert!(setup.connect_successor().is_some(), "no successor can connect any more");
 }
 
 #[test]
-fn a_successor_of_one_that_stands_still_serves_though_the_console_is_taken() {
-    let _turn = turn();
-    let mut rig = Rig::start(4, |_| {});
-    rig.sidecar.signal(Signal::STOP);
-    rig.sidecar.start_second().expect("started");
-    // Longer than it waits for the one before it.
+fn a_successor_of_a_stopped_process_serves_although_the_console_port_is_taken() {
+    let _guard = exclusive();
+    let mut setup = Setup::start(4, |_| {});
+    setup.sidecar.signal(Signal::STOP);
+    setup.sidecar.start_second().expect("started");
+    // Longer than it waits for its predecessor.
     thread::sleep(Duration::from_millis(900));
-    assert!(!rig.sidecar.has_exited(), "{}", rig.sidecar.log_text());
-    wait_until_all_ready(std::slice::from_mut(&mut rig.sidecar)).expect("serves");
+    assert!(!setup.sidecar.has_exited(), "{}", setup.sidecar.log_text());
+    wait_until_all_ready(std::slice::from_mut(&mut setup.sidecar)).expect("serves");
 }
--- a/lab/tests/large_lists.rs
+++ b/lab/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of thousands of endpoints that come slowly, late, in part or never: no request goes to an endpoint that is gone.
+//! Lists of thousands of endpoints that arrive slowly, late, in part or never: no request goes to a removed endpoint.
 mod beside;
 
 use beside::program;
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 const ENDPOINTS: usize = 3_200;
-/// How discovery writes pieces of a slow answer.
-const PIECE: usize = 64 * 1024;
+/// Bytes that discovery writes between two pauses of a slow answer.
+const CHUNK_BYTES: usize = 64 * 1024;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// A watch that is reset after a second, and changes until 6 s.
+/// A case in which the watch is reset after a second and the list changes until 6 s.
 fn case(name: &'static str, pace: Pace) -> Case {
     Case {
         name,
@@ -30,17 +30,17 @@
     }
 }
 
-/// So many bytes a second.
+/// A pace of this many bytes per second.
 fn at_pace(bytes_a_second: f64) -> Pace {
     let piece = 4 * 1024;
     Pace { piece, pause: seconds(piece as f64 / bytes_a_second), ..Pace::default() }
 }
 
 fn with_pauses(pause: f64) -> Pace {
-    Pace { piece: PIECE, pause: seconds(pause), ..Pace::default() }
+    Pace { piece: CHUNK_BYTES, pause: seconds(pause), ..Pace::default() }
 }
 
-fn no_breaks(report: &Report) -> Result<(), String> {
+fn no_findings(report: &Report) -> Result<(), String> {
     println!("{}", report.summary());
     match report.breaks.len() {
         0 => Ok(()),
@@ -48,13 +48,13 @@
     }
 }
 
-/// Plays all at a time, each with a process of its own.
-fn hold(cases: &[Case]) {
+/// Runs all cases concurrently, each with a process of its own, and fails on any finding.
+fn check_cases(cases: &[Case]) {
     let program = program();
     let faults: Vec<String> = thread::scope(|scope| {
         let plays = cases.iter().map(|case| {
             let program = &program;
-            scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_breaks))
+            scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_findings))
         });
         let plays: Vec<_> = plays.collect();
         plays.into_iter().filter_map(|play| play.join().expect("played").err()).collect()
@@ -63,10 +63,10 @@
 }
 
 #[test]
-fn a_list_that_comes_slowly_or_late_is_heard() {
+fn a_slow_or_late_list_is_applied() {
     let late = Pace { first_byte: seconds(5.2), ..Pace::default() };
     let halves = Pace { halves: 2, ..at_pace(150_000.0) };
-    hold(&[
+    check_cases(&[
         case("pauses of 0.75 s in the line", with_pauses(0.75)),
         case("pauses of 0.9 s in the line", with_pauses(0.9)),
         case("first byte after 5.2 s", late),
@@ -76,15 +76,15 @@
 }
 
 #[test]
-fn a_reload_that_changes_nothing_does_not_begin_the_call_anew() {
+fn a_reload_without_changes_does_not_restart_the_list_request() {
     let reloads = (1..6).map(|at| seconds(2.5 * f64::from(at) - 0.5)).collect();
-    hold(&[Case { reloads, ..case("SIGHUP five times", at_pace(150_000.0)) }]);
+    check_cases(&[Case { reloads, ..case("SIGHUP five times", at_pace(150_000.0)) }]);
 }
 
-/// As in the incident: discovery is down for 8 s, and has too many callers from then on.
+/// Discovery is down for 8 s and overloaded from then on.
 #[test]
-fn a_list_that_is_never_heard_is_not_used_for_ever() {
-    hold(&[Case {
+fn a_list_that_is_never_refreshed_is_not_used_forever() {
+    check_cases(&[Case {
         conduct: Conduct::TurnsAway(seconds(2.0)),
         down: seconds(8.0),
         changes: (seconds(8.2), seconds(13.0)),
--- a/lab/tests/left_behind.rs
+++ b/lab/tests/left_behind.rs
@@ -1,11 +1,11 @@
-//! Whatever ends the rig, none of the processes that it started outlives it.
+//! However `oakhollow-lab` ends, none of the processes that it started outlives it.
 use rustix::process::{kill_process, Pid, Signal};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Processes whose parent that is, but those that have ended.
+/// The child processes of `parent`, without zombies.
 fn children(parent: u32) -> Vec<u32> {
     let living = |folder: PathBuf| -> Option<(u32, u32)> {
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
@@ -19,7 +19,7 @@
     all.filter(|(_, of)| *of == parent).map(|(own, _)| own).collect()
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let begun = Instant::now();
     while !holds() {
         assert!(begun.elapsed() < Duration::from_secs(10), "{what}");
@@ -27,23 +27,23 @@
     }
 }
 
-fn plays() -> Child {
+fn start_scene() -> Child {
     let own = Path::new(env!("CARGO_BIN_EXE_oakhollow-lab"));
     let scene = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenes/accord/replaced.txt");
     let mut command = Command::new(own);
     command.arg("play").arg(scene).stdout(Stdio::null()).stderr(Stdio::null());
-    command.spawn().expect("the rig")
+    command.spawn().expect("the lab program")
 }
 
 #[test]
-fn none_outlives_the_rig() {
+fn no_process_outlives_the_lab_program() {
     for signal in [Signal::INT, Signal::KILL] {
-        let mut rig = plays();
-        until("four processes", || children(rig.id()).len() >= 4);
-        let started = children(rig.id());
-        kill_process(Pid::from_raw(rig.id() as i32).expect("an id"), signal).expect("signalled");
-        rig.wait().expect("ended");
+        let mut lab = start_scene();
+        wait_until("four processes", || children(lab.id()).len() >= 4);
+        let started = children(lab.id());
+        kill_process(Pid::from_raw(lab.id() as i32).expect("an id"), signal).expect("signalled");
+        lab.wait().expect("ended");
         let gone = |id: &u32| !Path::new(&format!("/proc/{id}")).exists();
-        until("all have ended", || started.iter().all(gone));
+        wait_until("all have ended", || started.iter().all(gone));
     }
 }
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -1,4 +1,5 @@
-//! Cold servers fall under the sum of all processes: 20 and 30 processes of the program before one cold server.
+//! Slow start summed over processes: 20 and 30 processes of the program send to one cold server, which collapses if the
+//! sum of their requests exceeds what it can bear.
 mod beside;
 mod turn;
 
@@ -6,9 +7,9 @@
 use oakhollow_lab::harness::run_until_conclusive;
 use oakhollow_lab::slow_start::{run, Case, Report};
 use oakhollow_lab::slow_start_limit::{fullest, Arrival, Ramp, Window};
-use turn::turn;
+use turn::exclusive;
 
-fn told(case: &Case, report: &Report) {
+fn print_report(case: &Case, report: &Report) {
     let Report { lives, calls, late, served, harness_delay_s } = report;
     let Case { name, processes, .. } = case;
     println!("{name}, {processes} processes: {served} of {calls} calls served, {late} late, the harness was {harness_delay_s:.3} s late");
@@ -17,21 +18,21 @@
     }
 }
 
-fn played(case: Case, judge: impl Fn(&Report) -> Result<(), String>) {
-    let _turn = turn();
+fn run_case(case: Case, check: impl Fn(&Report) -> Result<(), String>) {
+    let _guard = exclusive();
     let program = program();
-    let judge = |report: &Report| {
-        told(&case, report);
-        judge(report)
+    let check = |report: &Report| {
+        print_report(&case, report);
+        check(report)
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), check) {
         panic!("{fault}");
     }
 }
 
-/// The sum keeps to the budget, and the server is used meanwhile.
-fn holds(case: Case) {
-    played(case, |Report { lives, calls, served, .. }| {
+/// The sum stays within the limit, and the server is used meanwhile.
+fn check_limit(case: Case) {
+    run_case(case, |Report { lives, calls, served, .. }| {
         let broken = lives.iter().find_map(|life| life.broken);
         match () {
             _ if lives.len() != 1 + usize::from(case.again_s.is_some()) => Err("a life is missing".into()),
@@ -44,39 +45,39 @@
 }
 
 #[test]
-fn the_sum_keeps_to_the_ramp_with_even_traffic() {
-    holds(Case::EVEN);
+fn the_sum_stays_within_the_slow_start_with_even_traffic() {
+    check_limit(Case::EVEN);
 }
 
 #[test]
-fn the_sum_keeps_to_the_ramp_where_one_process_has_half_of_the_traffic() {
-    holds(Case { name: "uneven", processes: 20, uneven: true, ..Case::EVEN });
+fn the_sum_stays_within_the_slow_start_if_one_process_has_half_of_the_traffic() {
+    check_limit(Case { name: "uneven", processes: 20, uneven: true, ..Case::EVEN });
 }
 
 #[test]
-fn the_sum_keeps_to_the_ramp_where_a_third_hears_late() {
-    holds(Case { name: "late", returns: true, late_s: 1.5, ..Case::EVEN });
+fn the_sum_stays_within_the_slow_start_if_a_third_of_the_processes_gets_the_list_late() {
+    check_limit(Case { name: "late", returns: true, late_s: 1.5, ..Case::EVEN });
 }
 
 #[test]
-fn the_sum_keeps_to_the_ramp_while_processes_start_again() {
-    holds(Case { name: "restarts", returns: true, restarts: &[0.5, 1.5, 3.0], ..Case::EVEN });
+fn the_sum_stays_within_the_slow_start_while_processes_restart() {
+    check_limit(Case { name: "restarts", returns: true, restarts: &[0.5, 1.5, 3.0], ..Case::EVEN });
 }
 
 #[test]
-fn the_sum_keeps_to_the_ramp_where_the_server_is_cold_again() {
-    holds(Case { name: "again", processes: 20, again_s: Some(3.0), ..Case::EVEN });
+fn the_sum_stays_within_the_slow_start_if_the_server_restarts() {
+    check_limit(Case { name: "again", processes: 20, again_s: Some(3.0), ..Case::EVEN });
 }
 
-/// Crooked processes, each told to be alone, keep to their shares, and the sum does not.
+/// Processes that are each configured as the only one stay within their own limits, but their sum does not.
 #[test]
-fn a_sum_over_the_ramp_is_caught() {
-    played(Case { name: "each alone", alone: true, ..Case::EVEN }, |report| {
+fn a_sum_over_the_limit_is_found() {
+    run_case(Case { name: "each alone", alone: true, ..Case::EVEN }, |report| {
         report.lives[0].broken.map(|_| ()).ok_or_else(|| "the sum is not caught".into())
     });
 }
 
-/// N is 20 at the start: 30.9 requests are borne; at half of the ramp, 40: 54.6.
+/// At the start N is 20 and 30.9 requests are allowed.
 const RAMP: Ramp =
     Ramp { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
 
@@ -89,44 +90,44 @@
 }
 
 #[test]
-fn the_budget_is_what_the_settings_allow_with_its_scatter() {
+fn the_limit_is_the_allowed_mean_plus_a_margin_for_its_scatter() {
     assert_eq!(RAMP.most(0.0), 20.0 + 2.0 * 20.0_f64.sqrt() + 2.0);
     let later = RAMP.most(5.0) - (30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
     assert!(later.abs() < 1e-9);
 }
 
 #[test]
-fn a_planted_overshoot_is_caught_in_whichever_window() {
+fn an_overshoot_is_found_in_any_window() {
     assert_eq!(broken(&burst(0.0, 30, 0), &[0.0]), None);
     let found = broken(&burst(0.0, 31, 0), &[0.0]).expect("over the budget");
     assert_eq!((found.sent, found.told), (31, 31));
-    // Across the border of whole seconds, by many processes of which each sent one, and told in no order.
+    // Across the border between whole seconds, by many processes that sent one request each, and recorded out of order.
     let mut spread: Vec<Arrival> =
         (0..33).map(|process| Arrival { at: 0.7 + 0.02 * process as f64, process }).collect();
     spread.reverse();
     assert!(broken(&spread, &[0.0; 33]).is_some());
-    // As many in a little more than the window, and later in the ramp, are borne.
+    // As many requests are allowed if spread over slightly more than the window, or later in the slow start.
     let thin: Vec<Arrival> = (0..31).map(|one| Arrival { at: 0.034 * one as f64, process: 0 }).collect();
     assert_eq!(broken(&thin, &[0.0]), None);
     assert_eq!(broken(&burst(6.0, 42, 0), &[0.0]), None);
     assert!(broken(&burst(6.0, 45, 0), &[0.0]).is_some());
-    // A warm server bears what it does.
+    // A warm server has no limit.
     assert_eq!(broken(&burst(11.5, 500, 0), &[0.0]), None);
 }
 
 #[test]
-fn who_was_not_told_is_not_to_blame() {
+fn processes_that_do_not_know_of_the_restart_are_not_blamed() {
     let both: Vec<Arrival> = [burst(0.0, 20, 0), burst(0.0, 12, 1)].concat();
-    // 20 of 32 knew: under two thirds. Once the other has been told, all of them.
+    // 20 of 32 requests come from a process that knew, which is under two thirds; all do once the other one knows too.
     assert_eq!(broken(&both, &[0.0, 5.0]), None);
     assert!(RAMP.windows(&both, &[0.0, 5.0]).iter().any(Window::falls));
     assert!(broken(&both, &[0.0, 0.0]).is_some());
-    // A process that nobody knows was told of nothing.
+    // A process without an entry in `told` knows nothing.
     assert_eq!(broken(&burst(0.0, 40, 7), &[0.0]), None);
 }
 
 #[test]
-fn the_fullest_window_is_told_by_what_it_may_hold() {
+fn the_fullest_window_is_the_one_closest_to_its_limit() {
     let arrivals: Vec<Arrival> = [burst(0.0, 20, 0), burst(6.0, 21, 0)].concat();
     let found = fullest(&RAMP.windows(&arrivals, &[0.0])).expect("some");
     assert_eq!(found.sent, 20);
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -5,7 +5,7 @@
 use beside::program;
 use oakhollow_lab::harness::{run_until_conclusive, Capacity, DiscoveryOutcome, OutageKind, RejectionTiming};
 use oakhollow_lab::restart::{run, Case, Report};
-use turn::turn;
+use turn::exclusive;
 
 const CASE: Case = Case {
     name: "known list",
@@ -16,11 +16,11 @@
     capacity: None,
 };
 
-fn told(case: &Case, report: &Report) {
+fn print_report(case: &Case, report: &Report) {
     let at = |part: f64| report.ready[((report.ready.len() as f64 * part).ceil() as usize).max(1) - 1];
     println!(
-        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); calls to discovery: {} while down, \
-         {} told, {} turned away, at most {} in 100 ms after its return; pulse {:.3} s late",
+        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); requests to discovery: {} while down, \
+        {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
         case.name,
         at(0.0),
         at(0.5),
@@ -38,16 +38,16 @@
             report.calls.iter().filter(|(at, _)| (from..from + 0.1).contains(at)).count().to_string()
         };
         let bins: Vec<String> = (0..10).map(bin).collect();
-        println!("  calls in each 100 ms from {second} s after its return: {}", bins.join(" "));
+        println!("  requests in each 100 ms from {second} s after its return: {}", bins.join(" "));
     }
 }
 
-/// Nine in ten within 10 s, the last soon after, and no moment at which half of them call discovery.
-fn holds(case: Case) {
-    let _turn = turn();
+/// Nine in ten are ready within 10 s and the last soon after, and never do half of them call discovery at once.
+fn check_case(case: Case) {
+    let _guard = exclusive();
     let program = program();
-    let judge = |report: &Report| {
-        told(&case, report);
+    let check = |report: &Report| {
+        print_report(&case, report);
         let (nine_in_ten, last) =
             (report.ready[case.processes * 9 / 10 - 1], report.ready[case.processes - 1]);
         let most = report.most_at_once(0.0, f64::INFINITY);
@@ -59,27 +59,27 @@
             _ => Ok(()),
         }
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), check) {
         panic!("{fault}");
     }
 }
 
 #[test]
-fn with_a_known_list_they_are_ready_while_discovery_is_down() {
-    holds(CASE);
+fn processes_with_a_known_list_are_ready_while_discovery_is_down() {
+    check_case(CASE);
 }
 
 #[test]
-fn without_a_list_they_are_ready_soon_after_its_return() {
-    holds(Case { name: "no list", known: false, ..CASE });
+fn processes_without_a_list_are_ready_soon_after_discovery_returns() {
+    check_case(Case { name: "no list", known: false, ..CASE });
 }
 
-/// It works through one call of each process in five seconds, and whoever would wait for longer than 0.3 s is turned away.
+/// Discovery takes five seconds for one request of each process, and rejects those that would wait longer than 0.3 s.
 #[test]
-fn without_a_list_and_with_too_many_callers_at_its_return() {
+fn processes_without_a_list_are_ready_soon_after_an_overloaded_discovery_returns() {
     let capacity =
         Some(Capacity { requests_per_s: 6.0, max_wait_s: 0.3, rejection: RejectionTiming::Immediate });
-    holds(Case {
+    check_case(Case {
         name: "no list, too many callers",
         known: false,
         down: OutageKind::Closed,
@@ -88,8 +88,8 @@
     });
 }
 
-/// All are held unanswered, and closed in the moment of its return.
+/// While it is down, discovery holds all requests unanswered, and it closes them when it returns.
 #[test]
-fn without_a_list_and_with_calls_that_are_closed_at_its_return() {
-    holds(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
+fn processes_without_a_list_are_ready_soon_after_discovery_closes_their_requests() {
+    check_case(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
 }
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -1,4 +1,4 @@
-//! Plays every scene in `lab/scenes/accord` on processes of the program, as many at once as the machine has room for.
+//! Runs every scene in `lab/scenes` on processes of the program, as many concurrently as the machine has capacity for.
 mod beside;
 
 use beside::program;
@@ -11,10 +11,10 @@
 use std::sync::LazyLock;
 use std::thread;
 
-/// The rig's own program.
-const STAND_IN: &str = env!("CARGO_BIN_EXE_oakhollow-lab");
+/// The lab program, which contains the stand-in sidecar.
+const LAB_PROGRAM: &str = env!("CARGO_BIN_EXE_oakhollow-lab");
 
-/// One for both tests, which run at once.
+/// Shared by both tests, which run concurrently.
 static ADMISSION: LazyLock<Admission> = LazyLock::new(|| {
     let cores = thread::available_parallelism().map_or(1, usize::from);
     let others = busy_millicores(cores);
@@ -23,9 +23,9 @@
     Admission::new(room)
 });
 
-/// As soon as there is room for it.
-fn report(scene: &Scene, program: &Path, name: &str) -> Report {
-    let options = RunOptions { program, lab_program: Path::new(STAND_IN), with_accord: true, seed: 0 };
+/// Runs the scene as soon as there is capacity for it.
+fn run_admitted_scene(scene: &Scene, program: &Path, name: &str) -> Report {
+    let options = RunOptions { program, lab_program: Path::new(LAB_PROGRAM), with_accord: true, seed: 0 };
     let played = run_admitted(&ADMISSION, estimated_demand(scene), name, || run_scene(scene, &options));
     played.unwrap_or_else(|why| panic!("{name}: {why}"))
 }
@@ -39,48 +39,48 @@
 }
 
 #[test]
-fn scenes_of_agreement_hold() {
+fn accord_scenes_meet_their_expectations() {
     let program = program();
     let files = files("accord");
     assert!(files.len() >= 3);
     thread::scope(|scope| {
         for file in &files {
             let program = &program;
-            scope.spawn(move || hold(program, file));
+            scope.spawn(move || check_scene(program, file));
         }
     });
 }
 
-fn hold(program: &Path, file: &Path) {
+fn check_scene(program: &Path, file: &Path) {
     let scene = Scene::parse(&std::fs::read_to_string(file).expect("text")).expect("a scene");
-    let report = report(&scene, program, &file.display().to_string());
+    let report = run_admitted_scene(&scene, program, &file.display().to_string());
     for (name, log) in report.logs.iter().filter(|_| !report.failures.is_empty()) {
         eprintln!("--- {name}\n{log}");
     }
     assert!(report.failures.is_empty(), "{}: {:#?}", file.display(), report.failures);
-    assert!(report.attempts > 100, "{}: {} hops", file.display(), report.attempts);
+    assert!(report.attempts > 100, "{}: {} attempts", file.display(), report.attempts);
 }
 
-/// Each with its fault and honest, so that the fault alone is what is caught.
+/// Runs each scene with its faulty stand-in and with a correct one, so that nothing but the fault can cause the finding.
 #[test]
-fn crooked_sidecars_are_caught_by_name() {
+fn faulty_sidecars_are_found_and_named() {
     let (program, files) = (program(), files("faulty"));
     assert_eq!(files.len(), 5);
     thread::scope(|scope| {
         for file in &files {
             let (program, text) = (&program, std::fs::read_to_string(file).expect("text"));
-            let crooked = Scene::parse(&text).expect("a scene");
-            let (who, how) = crooked.stand_in.clone().expect("one is crooked");
-            let honest = Scene { stand_in: Some((who, "honest".into())), ..crooked.clone() };
+            let faulty = Scene::parse(&text).expect("a scene");
+            let (who, how) = faulty.stand_in.clone().expect("a stand-in");
+            let honest = Scene { stand_in: Some((who, "honest".into())), ..faulty.clone() };
             let name = file.display().to_string();
             let other = format!("honest, {name}");
             scope.spawn(move || {
-                let report = report(&crooked, program, &name);
+                let report = run_admitted_scene(&faulty, program, &name);
                 let named = report.failures.iter().filter(|fault| fault.contains(&format!("n{who} sen")));
-                assert!(named.count() > 0, "{how} is not caught: {:#?}", report.failures);
+                assert!(named.count() > 0, "{how} is not found: {:#?}", report.failures);
             });
             scope.spawn(move || {
-                let report = report(&honest, program, &other);
+                let report = run_admitted_scene(&honest, program, &other);
                 assert!(report.failures.is_empty(), "{other}: {:#?}", report.failures);
             });
         }
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -1,57 +1,60 @@
-//! What agreement costs an instance and a keeper at 100 and at 400 instances, counted and not timed: a cost that grows with
-//! the fleet fails here by itself. `docs/CAPACITY.md` has what it means at full size.
+//! The cost of the lease protocol per instance and per lease server at 100 and at 400 instances, counted and not timed:
+//! a cost that grows with the fleet fails the test. `docs/CAPACITY.md` has the figures at full size.
 use oakhollow_lab::traffic::{costs, Cost, Costs};
 use oakhollow_terms::Scope;
 
 type Figure = fn(&Cost) -> f64;
-type Day = fn(&Costs) -> &Cost;
+type Phase = fn(&Costs) -> &Cost;
 
-/// Days that are averaged: which keeper is heard first, and so how often a text is sent twice, is chance.
+/// Number of runs averaged: which lease server answers first, and so how often a text is sent twice, is random.
 const SEEDS: u64 = 6;
 
-/// By so much may a figure be higher at four times the size: chance alone, measured at up to 5 %.
-const FLAT: f64 = 1.15;
-/// And so much where the whole fleet hears of what happens to a part of it.
-const AS_THE_FLEET: f64 = 4.0 * FLAT;
+/// Largest allowed growth at four times the size for a constant cost: random variation alone reaches 5 %.
+const CONSTANT: f64 = 1.15;
+/// Largest allowed growth where the whole fleet learns of what happens to a share of it.
+const LINEAR: f64 = 4.0 * CONSTANT;
 
 fn compare(scope: Scope, zone: f64) {
     let of = |instances| (1..=SEEDS).map(|seed| costs(instances, 13.0, seed, scope)).collect::<Vec<Costs>>();
     let (few, many) = (of(100), of(400));
-    let words = |cost: &Cost| cost.instance.words;
+    let messages = |cost: &Cost| cost.instance.words;
     let bytes = |cost: &Cost| cost.instance.bytes;
     let steps = |cost: &Cost| cost.steps_a_word;
-    let figures: [(&str, Figure); 3] =
-        [("words an instance", words), ("bytes an instance", bytes), ("a keeper's steps a word", steps)];
-    let mut broken = Vec::new();
+    let figures: [(&str, Figure); 3] = [
+        ("messages per instance", messages),
+        ("bytes per instance", bytes),
+        ("lease server steps per message", steps),
+    ];
+    let mut exceeded = Vec::new();
     for (name, of) in figures {
-        let days: [(&str, Day, f64); 4] = [
-            ("rest", |costs| &costs.rest, FLAT),
-            ("change", |costs| &costs.change, FLAT),
-            ("drain", |costs| &costs.drain, FLAT),
+        let phases: [(&str, Phase, f64); 4] = [
+            ("rest", |costs| &costs.rest, CONSTANT),
+            ("change", |costs| &costs.change, CONSTANT),
+            ("drain", |costs| &costs.drain, CONSTANT),
             ("zone", |costs| &costs.zone, zone),
         ];
-        for (what, day, most) in days {
-            let mean = |all: &[Costs]| all.iter().map(|costs| of(day(costs))).sum::<f64>() / SEEDS as f64;
+        for (what, phase, max_growth) in phases {
+            let mean = |all: &[Costs]| all.iter().map(|costs| of(phase(costs))).sum::<f64>() / SEEDS as f64;
             let (few, many) = (mean(&few), mean(&many));
             println!("{scope:?}: {what}: {name}: {few:.2} at 100, {many:.2} at 400");
-            if many > few * most {
-                broken.push(format!(
-                    "{what}: {name}: {few:.2} at 100, {many:.2} at 400, {most:.2} times at most"
+            if many > few * max_growth {
+                exceeded.push(format!(
+                    "{what}: {name}: {few:.2} at 100, {many:.2} at 400, {max_growth:.2} times at most"
                 ));
             }
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// A seventh of all servers, of which everybody hears.
+/// In the zone phase all instances learn of a seventh of all servers, whose number grows with the fleet.
 #[test]
-fn what_a_fleet_four_times_as_large_costs() {
-    compare(Scope::All, AS_THE_FLEET);
+fn costs_per_instance_are_constant_except_for_zone_loss_in_scope_all() {
+    compare(Scope::All, LINEAR);
 }
 
-/// Nobody hears of more because the fleet is larger.
+/// What an instance learns does not depend on the size of the fleet.
 #[test]
-fn what_it_costs_where_each_hears_of_its_own_list_alone() {
-    compare(Scope::Listed, FLAT);
+fn costs_per_instance_are_constant_in_scope_listed() {
+    compare(Scope::Listed, CONSTANT);
 }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Three fixed seeds of the soak, short: nothing is found, and the timetable of a seed is always the same.
+//! Three short soak runs with fixed seeds must find nothing. The timetable of a seed must always be the same.
 mod beside;
 
 use beside::program;
@@ -7,42 +7,42 @@
 use oakhollow_lab::soak::{run, Plan};
 use std::time::Duration;
 
-/// A rig that ran late gives no figure: it is played again, so often.
-const PLAYS: usize = 3;
+/// How often a soak runs until the harness is not late: a late harness makes a run inconclusive.
+const MAX_RUNS: usize = 3;
 
 fn plan(seed: u64) -> Plan {
     Plan { seed, processes: 8, length: Duration::from_secs(4), without: Vec::new() }
 }
 
-fn is_clean(seed: u64) {
-    for _ in 0..PLAYS {
-        let report = run(&program(), &plan(seed)).expect("the rig is built");
+fn check_seed(seed: u64) {
+    for _ in 0..MAX_RUNS {
+        let report = run(&program(), &plan(seed)).expect("the harness is set up");
         println!("{report}{}", report.timetable_text());
         if report.is_clean() {
             return;
         }
         assert!(report.is_late(), "{report}");
     }
-    panic!("seed {seed}: no figure in {PLAYS} plays");
+    panic!("seed {seed}: the harness was late in all {MAX_RUNS} runs");
 }
 
 #[test]
 fn nothing_is_found_with_seed_3() {
-    is_clean(3);
+    check_seed(3);
 }
 
 #[test]
 fn nothing_is_found_with_seed_5() {
-    is_clean(5);
+    check_seed(5);
 }
 
 #[test]
 fn nothing_is_found_with_seed_8() {
-    is_clean(8);
+    check_seed(8);
 }
 
 #[test]
-fn a_seed_draws_the_same_timetable_and_what_is_left_out_leaves_the_rest_in_place() {
+fn a_seed_always_draws_the_same_timetable_and_leaving_out_a_kind_keeps_the_other_entries() {
     let shape = Shape { groups: 4, processes: 9, servers: 4 };
     let whole = Timetable::draw(&plan(7), &shape);
     assert_eq!(whole, Timetable::draw(&plan(7), &shape));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn troubles_overlap_and_each_two_kinds_meet() {
+fn every_two_kinds_of_trouble_overlap_in_some_timetables() {
     let shape = Shape { groups: 4, processes: 9, servers: 4 };
     let mut met = std::collections::BTreeMap::new();
     for seed in 0..200 {
--- a/lab/tests/soak_judge.rs
+++ b/lab/tests/soak_judge.rs
@@ -1,4 +1,4 @@
-//! The soak's judge finds each broken promise in records made by hand, and none in those of a promise that is kept.
+//! The soak's checker finds each broken rule in hand-made records, and nothing in records that keep all rules.
 use oakhollow_lab::harness::lock;
 use oakhollow_lab::soak::checker::check;
 use oakhollow_lab::soak::fleet::Ends;
@@ -6,7 +6,7 @@
 
 const PROCESS: ProcessId = ProcessId { group: 0, number: 0 };
 
-/// A request that is served 0.1 s after it was sent, by one attempt.
+/// A request that is answered 0.1 s after it was sent, by one attempt.
 fn request() -> Request {
     Request {
         process: PROCESS,
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn a_promise_that_is_kept_is_no_finding() {
+fn records_that_keep_all_rules_give_no_finding() {
     assert!(found(request(), &[attempt()], &[]).is_empty());
     let turned_away = Attempt { deed: Deed::TurnedAway, ..attempt() };
     let refused = Ending::Answered { status: 503, own: true };
     assert!(found(ended(refused, 10.1), std::slice::from_ref(&turned_away), &[]).is_empty());
     assert!(found(request(), &[turned_away, attempt()], &[]).is_empty());
     assert!(found(ended(Ending::Left, 10.1), &[attempt()], &[]).is_empty());
-    // Killed meanwhile, or crossed with the end of a connection that rested.
+    // The process was killed meanwhile, or the request crossed with the close of an idle connection.
     let killed = [(10.05, Event::Killed), (10.4, Event::Started)];
     assert!(found(ended(Ending::Closed, 10.06), &[attempt()], &killed).is_empty());
     assert!(found(Request { reused: true, ..ended(Ending::Closed, 10.01) }, &[], &[]).is_empty());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn effects_that_were_not_promised_are_found() {
+fn effects_that_the_rules_forbid_are_found() {
     assert_eq!(found(request(), &[attempt(), attempt()], &[]), ["run-once"]);
     let refused = Ending::Answered { status: 503, own: true };
     assert_eq!(found(ended(refused, 10.1), &[attempt()], &[]), ["refused-unless-run"]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_process_that_ends_in_disorder_or_starts_late_is_found() {
+fn a_process_that_crashes_or_becomes_ready_late_is_found() {
     assert_eq!(found(request(), &[attempt()], &[(12.0, Event::Ended(Some(1)))]), ["ends-in-order"]);
     let in_order = [(12.0, Event::Terminated), (13.0, Event::Ended(Some(0)))];
     assert!(found(request(), &[attempt()], &in_order).is_empty());
@@ -109,7 +109,7 @@
     );
 }
 
-/// What is found where the guard says that this request was answered too late.
+/// The findings if the guard reports that this request was answered too late.
 fn found_by_guard(events: &[(f64, Event)]) -> Vec<&'static str> {
     let records = Records::new();
     lock(&records.requests).push(request());
@@ -120,21 +120,21 @@
 }
 
 #[test]
-fn a_late_answer_by_the_guard_is_excused_where_the_process_stood_still_and_only_there() {
+fn a_late_answer_reported_by_the_guard_is_excused_only_while_the_process_was_stopped() {
     assert_eq!(found_by_guard(&[]), ["guard"]);
     assert_eq!(found_by_guard(&[(3.0, Event::Stopped), (3.9, Event::Continued)]), ["guard"]);
     assert_eq!(found_by_guard(&[(9.9, Event::Stopped), (10.1, Event::Continued)]), [""; 0]);
 }
 
 #[test]
-fn what_the_end_of_the_grace_finds_unanswered_is_lost_unless_it_was_never_read() {
+fn a_request_unanswered_at_the_end_of_the_grace_period_is_found_unless_it_was_never_read() {
     let killed = [(9.0, Event::Terminated), (10.3, Event::KilledAfterGrace), (10.6, Event::Started)];
     assert_eq!(found(ended(Ending::Closed, 10.3001), &[attempt()], &killed), ["answered"]);
     assert!(found(Request { reused: true, ..ended(Ending::Closed, 10.3001) }, &[], &killed).is_empty());
-    // Killed sooner, and outright.
+    // The process was killed outright, without a grace period.
     let outright = [(10.3, Event::Killed), (10.6, Event::Started)];
     assert!(found(ended(Ending::Closed, 10.3001), &[attempt()], &outright).is_empty());
-    // It stood still meanwhile, and could not answer.
+    // The process was stopped meanwhile and could not answer.
     let stopped = [(10.05, Event::Stopped), (10.25, Event::Continued)];
     let stopped = [stopped.as_slice(), &killed[1..]].concat();
     assert!(found(ended(Ending::Closed, 10.3001), &[attempt()], &stopped).is_empty());
--- a/lab/tests/turn/mod.rs
+++ b/lab/tests/turn/mod.rs
@@ -1,8 +1,8 @@
-//! Tests of many processes take turns.
+//! Mutual exclusion of tests that start many processes.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// One play at a time.
-pub fn turn() -> MutexGuard<'static, ()> {
-    static TURN: Mutex<()> = Mutex::new(());
-    TURN.lock().unwrap_or_else(PoisonError::into_inner)
+/// Waits until no other test of this binary holds the guard.
+pub fn exclusive() -> MutexGuard<'static, ()> {
+    static RUNNING: Mutex<()> = Mutex::new(());
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/lab/tests/waited_unread.rs
+++ b/lab/tests/waited_unread.rs
@@ -1,4 +1,4 @@
-//! A request that waits in the kernel's queue until a process reads it has less time left than it says.
+//! A request that waits in the kernel's queue until a process reads it has less time left than its header says.
 mod beside;
 
 use beside::program;
@@ -13,14 +13,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a request waits before there is a process.
+/// How long a request waits before the process starts.
 const WAITS: Duration = Duration::from_millis(500);
-/// By how much a server may be told more than what is left.
+/// By how much the time announced to the server may exceed the time left.
 const SLACK: Duration = Duration::from_millis(150);
-/// As [`view`] words it.
+/// The timeout in the header of [`view_request`].
 const TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A server that notes what it was told, and when.
+/// A server that records the time left that it was told, and when.
 fn server(told: Arc<Mutex<Option<(Instant, Duration)>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
