--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -1,5 +1,5 @@
-//! The services of a run, their servers and zones, and the services that each instance calls. Everything is derived from
-//! the seed.
+//! The services of a run, their servers and zones, and the services that each instance calls. Everything is derived
+//! from the seed.
 use nanorand::{Rng, WyRand};
 use oakhollow_accord::{Fact, ListUpdate};
 use std::sync::Arc;
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,4 +1,7 @@
 //! The report of a scale run: text lines for people, JSON lines for programs, and slopes over the steps.
+//!
+//! Printed words and JSON keys that differ from the code: a keeper is a lease server, a member a lease holder, a word a
+//! message, a hollow instance a simulated one, the rig the harness; instances that act hold the leases of a majority.
 use super::fit::{Fit, Prediction};
 use super::run::{PhaseReport, RoleUsage, StepReport, MAX_LATE_SHARE};
 use serde_json::{json, Value};
@@ -16,7 +19,7 @@
     Figure { name: "keeper, descriptors", of: |phase| phase.lease_server.descriptors as f64 },
     Figure {
         name: "keeper, bytes a second",
-        of: |phase| keeper_rate(phase, |traffic| traffic.bytes() as f64),
+        of: |phase| lease_server_rate(phase, |traffic| traffic.bytes() as f64),
     },
     Figure { name: "keeper, bytes in its worst second", of: |phase| phase.max_lease_server_bytes() as f64 },
     Figure { name: "instance, core for the member alone", of: lease_holder_cpu },
@@ -32,7 +35,7 @@
     Figure { name: "answer, ms at p99", of: |phase| grant_latency_ms(phase, 0.99) },
 ];
 
-fn keeper_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
+fn lease_server_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
     let lease_servers = phase.counts.seconds.first().map_or(1, |second| second.lease_servers.len());
     of(&phase.total_traffic()) / phase.length_s / lease_servers.max(1) as f64
 }
@@ -44,7 +47,7 @@
 /// Processor time per message exchanged with simulated instances. Messages of the few real processes are not counted,
 /// though their cost is.
 fn cpu_us_per_message(phase: &PhaseReport) -> f64 {
-    let messages = keeper_rate(phase, |traffic| traffic.messages() as f64);
+    let messages = lease_server_rate(phase, |traffic| traffic.messages() as f64);
     phase.lease_server.cpu * 1e6 / messages.max(0.001)
 }
 
@@ -69,8 +72,8 @@
 /// Describes a step in text lines.
 pub fn step_text(step: &StepReport) -> Vec<String> {
     let mut lines = vec![format!(
-        "{} instances: the operator's file has {} bytes; the real processes answer after {:.2} s and serve after {:.2} s; \
-         all simulated instances have had leases after {:.2} s",
+        "{} instances: the operator's file has {} bytes; a real process answers after {:.2} s and serves after {:.2} s; \
+         all hollow ones act after {:.2} s",
         step.instances, step.operator_bytes, step.time_to_answer_s, step.time_to_serve_s, step.time_to_leases_s
     )];
     step.phases.iter().for_each(|phase| lines.extend(phase_text(step.instances, phase)));
@@ -80,20 +83,16 @@
 fn phase_text(instances: usize, phase: &PhaseReport) -> Vec<String> {
     let head = format!("  {instances} {} {:.0} s", phase.name, phase.length_s);
     if !phase.is_valid() {
-        let late = phase.late_turns as f64 / phase.turns.max(1) as f64;
+        let late = phase.late_timers as f64 / phase.timers_handled.max(1) as f64;
         let why = phase.aborted.clone().unwrap_or_else(|| {
-            format!(
-                "{:.1} % of the harness's timers were late, by {:.3} s at most",
-                100.0 * late,
-                phase.max_delay_s
-            )
+            format!("{:.1} % of the rig's turns came late, {:.3} s at most", 100.0 * late, phase.max_delay_s)
         });
         let (lease_servers, harness) =
             (phase.lease_server.peak_resident as f64 / 1e6, phase.harness.resident as f64 / 1e6);
         let limit = MAX_LATE_SHARE * 100.0;
         return vec![format!(
-            "{head}: no figure: {why} (more than {limit} % late is too much); real processes used {lease_servers:.0} MB at most, \
-             the harness {harness:.0} MB; {} of {} hold leases; the harness used {:.1} core-seconds, of which the lease holders took {:.1}",
+            "{head}: no figure: {why} (over {limit} % late is too much); real processes had {lease_servers:.0} MB at most, \
+             the rig {harness:.0} MB; {} of {} act; the rig's threads had {:.1} core-seconds, of which the members took {:.1}",
             phase.with_lease,
             phase.alive,
             phase.harness.cpu * phase.length_s,
@@ -112,18 +111,16 @@
     let (counts, requests) = (&phase.counts, &phase.requests);
     let mut lines = vec![
         format!(
-            "{}; {} messages and {} bytes per second, {} bytes in the busiest second; {} us of processor time per message; \
-             all real processes {:.0} MB at most",
-            role("lease server", &phase.lease_server),
-            format_figure(keeper_rate(phase, |traffic| traffic.messages() as f64)),
-            format_figure(keeper_rate(phase, |traffic| traffic.bytes() as f64)),
+            "{}; {} words and {} bytes a second, {} bytes in its worst; {} us of work a word; all real ones {:.0} MB at most",
+            role("keeper", &phase.lease_server),
+            format_figure(lease_server_rate(phase, |traffic| traffic.messages() as f64)),
+            format_figure(lease_server_rate(phase, |traffic| traffic.bytes() as f64)),
             phase.max_lease_server_bytes(),
             format_figure(cpu_us_per_message(phase)),
             phase.lease_server.peak_resident as f64 / 1e6
         ),
         format!(
-            "{head}: instance {} messages, {} bytes per second (in {}, out {}), busiest second {} bytes; its lease holder {:.3} % of a core; \
-             {} of {} hold leases, {} lease expiries, without leases {:.2} s in all",
+            "{head}: instance {} words, {} bytes a second (in {}, out {}), worst second {} bytes; its member {:.3} % of a core; {} of {} act, {} lapses, unsure {:.2} s in all",
             format_figure(instance_rate(phase, |traffic| traffic.messages() as f64)),
             format_figure(instance_rate(phase, |traffic| traffic.bytes() as f64)),
             format_figure(instance_rate(phase, |traffic| traffic.bytes_in as f64)),
@@ -136,7 +133,7 @@
             counts.without_lease_us as f64 / 1e6
         ),
         format!(
-            "{head}: lease grant {} ms at p50, {} at p99, {} at most; queue {} at most, {} messages dropped, {} links broken",
+            "{head}: answer {} ms at p50, {} at p99, {} at most; queue {} at most, {} words lost, {} links broken",
             format_figure(grant_latency_ms(phase, 0.5)),
             format_figure(grant_latency_ms(phase, 0.99)),
             format_figure(counts.grant_latency.max() as f64 / 1e3),
@@ -145,17 +142,17 @@
             counts.broken_links
         ),
         format!(
-            "{}; {} of {} requests answered 200, {:.1} s with refusals",
+            "{}; {} of {} calls answered 200, {:.1} s of dismissals",
             role("sidecar", &phase.sidecar),
             requests.succeeded,
             requests.requests,
             requests.refused_s
         ),
         format!(
-            "{}; {} of {} timers late, {:.3} s at most",
-            role("harness", &phase.harness),
-            phase.late_turns,
-            phase.turns,
+            "{}; {} of {} turns late, {:.3} s at most",
+            role("rig", &phase.harness),
+            phase.late_timers,
+            phase.timers_handled,
             phase.max_delay_s
         ),
     ];
@@ -165,8 +162,8 @@
             propagation.delays_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"))
         };
         let how = format!(
-            "{changes} changes, {completed} of them known to all before the next one: median {}, maximum {}; \
-             at the end {} of {} did not know the last one",
+            "told {changes} times, came {completed} times to all who are to hear it while that could be seen: in {} at the middle, {} at most; \
+             at last {} of {} had not heard it",
             at(completed / 2),
             at(completed.saturating_sub(1)),
             propagation.missing,
@@ -191,7 +188,7 @@
         let mut object = json!({
             "instances": step.instances, "phase": phase.name, "length_s": phase.length_s, "sound": sound,
             "operator_bytes": step.operator_bytes, "answers_s": step.time_to_answer_s, "serves_s": step.time_to_serve_s,
-            "acting_s": step.time_to_leases_s, "broken_off": phase.aborted, "turns": phase.turns, "late": phase.late_turns,
+            "acting_s": step.time_to_leases_s, "broken_off": phase.aborted, "turns": phase.timers_handled, "late": phase.late_timers,
             "latest_s": phase.max_delay_s, "alive": phase.alive, "acted": phase.had_lease, "acting": phase.with_lease,
             "resident_peak_real": phase.lease_server.peak_resident,
         });
@@ -290,7 +287,7 @@
             )
         };
         format!(
-            "{}: {}: power {:.2} +- {:.2}, line {} and {:.3e} +- {:.1e} per instance, over {} steps; {} at {}: {} by the power, {} by the line",
+            "{}: {}: power {:.2} +- {:.2}, line {} and {:.3e} +- {:.1e} an instance, over {} steps; {} at {}: {} by the power, {} by the line",
             self.phase,
             self.figure,
             power.slope,
@@ -299,7 +296,7 @@
             linear.slope,
             linear.slope_error,
             power.points,
-            if self.beyond { "predicted" } else { "fitted" },
+            if self.beyond { "reckoned" } else { "fitted" },
             self.size,
             prediction(&self.by_power),
             prediction(&self.by_line)
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -79,7 +79,7 @@
     /// Instances that the last change concerns, and those that have not learned of it.
     pub recipients: usize,
     pub missing: usize,
-    /// For each change that reached all before the next one: the time until the last instance knew it, in ascending order.
+    /// For each change that reached all before the next one: the time until the last instance knew it, ascending.
     pub delays_s: Vec<f64>,
 }
 
@@ -107,8 +107,8 @@
     pub propagation: Option<Propagation>,
     pub requests: RequestTotals,
     /// Timers of the harness, those of them handled late, and the largest delay.
-    pub turns: u64,
-    pub late_turns: u64,
+    pub timers_handled: u64,
+    pub late_timers: u64,
     pub max_delay_s: f64,
     /// Why the phase was aborted.
     pub aborted: Option<String>,
@@ -117,7 +117,8 @@
 impl PhaseReport {
     /// Whether the harness ran on time, so that the figures show the program's behaviour.
     pub fn is_valid(&self) -> bool {
-        self.aborted.is_none() && self.late_turns as f64 <= MAX_LATE_SHARE * self.turns.max(1) as f64
+        self.aborted.is_none()
+            && self.late_timers as f64 <= MAX_LATE_SHARE * self.timers_handled.max(1) as f64
     }
 
     /// The traffic of all seconds and lease servers.
@@ -173,7 +174,7 @@
     second: usize,
     usage: Vec<Usage>,
     harness: Usage,
-    turns: (u64, u64),
+    timers_handled: (u64, u64),
 }
 
 /// Runs one step. Returns an error if the harness can't be set up or the instances don't get their leases in time.
@@ -241,7 +242,7 @@
     harness.fleet.wait_until_serving(lease)?;
     harness.wait_for_leases(lease)?;
     let time_to_leases_s = (clock.now() - begun).secs();
-    progress(&format!("{instances} instances have had leases after {time_to_leases_s:.1} s"));
+    progress(&format!("{instances} instances act after {time_to_leases_s:.1} s"));
     let phases = harness.run_phases(lease, progress);
     Ok(StepReport {
         instances,
@@ -373,15 +374,15 @@
     }
 
     fn baseline(&self, second: usize) -> Baseline {
-        let turns = |of: fn(&Shard) -> u64| self.shards.iter().map(of).sum();
+        let timers_handled = |of: fn(&Shard) -> u64| self.shards.iter().map(of).sum();
         self.shards.iter().for_each(|shard| shard.status.max_delay_us.store(0, Ordering::Relaxed));
         Baseline {
             second,
             usage: self.fleet.usage(),
             harness: Usage::of(std::process::id()).unwrap_or_default(),
-            turns: (
-                turns(|shard| shard.status.turns.load(Ordering::Relaxed)),
-                turns(|shard| shard.status.late_turns.load(Ordering::Relaxed)),
+            timers_handled: (
+                timers_handled(|shard| shard.status.timers_handled.load(Ordering::Relaxed)),
+                timers_handled(|shard| shard.status.late_timers.load(Ordering::Relaxed)),
             ),
         }
     }
@@ -414,7 +415,7 @@
             }
             if (second - from).is_multiple_of(10) {
                 progress(&format!(
-                    "{}: {} of {length} s, {} instances hold leases",
+                    "{}: {} of {length} s, {} act",
                     phase.name,
                     second - from,
                     self.with_lease()
@@ -455,15 +456,15 @@
             counts: self.collect(next, before.second),
             propagation: None,
             requests: RequestTotals::default(),
-            turns: after.turns.0 - before.turns.0,
-            late_turns: after.turns.1 - before.turns.1,
+            timers_handled: after.timers_handled.0 - before.timers_handled.0,
+            late_timers: after.timers_handled.1 - before.timers_handled.1,
             max_delay_s: Micros(max_delay_us.unwrap_or(0)).secs(),
             aborted: None,
         }
     }
 
-    /// Performs a phase's action; `time` counts its repetitions. Returns when, and how many instances are to learn of it.
-    fn perform(&mut self, action: PhaseAction, time: usize) -> (Micros, usize) {
+    /// Performs a phase's action; `repetition` counts from 0. Returns when, and how many instances are to learn of it.
+    fn perform(&mut self, action: PhaseAction, repetition: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
         let all = self.plan.shape.services * self.plan.shape.servers;
         let affected = Arc::new((0..all).map(|at| self.catalogue.zone_of(at) == zone).collect::<Vec<bool>>());
@@ -499,28 +500,29 @@
                 self.fleet.document = document.clone();
                 let recipients = self.expect_change(AwaitedChange::Version(document.version));
                 let now = self.clock.now();
-                let who = self.specs.len() / self.shards.len() / 2;
-                self.shards[0].send(Command::WriteSettings(Some(who), document));
+                let proposer = self.specs.len() / self.shards.len() / 2;
+                self.shards[0].send(Command::WriteSettings(Some(proposer), document));
                 (now, recipients)
             }
             PhaseAction::ReplaceServer => {
                 let servers = self.catalogue.servers_of(0);
-                let (leaves, before) = (time % servers.len(), (time + servers.len() - 1) % servers.len());
+                let (draining, previous) =
+                    (repetition % servers.len(), (repetition + servers.len() - 1) % servers.len());
                 let one = |server: usize| Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
-                let recipients = self.expect_change(AwaitedChange::Servers(one(leaves), true));
+                let recipients = self.expect_change(AwaitedChange::Servers(one(draining), true));
                 let now = self.clock.now();
                 self.broadcast(&Command::UpdateAllLists(
-                    one(leaves),
-                    ServerState { started_at_ms: self.started_at_ms[leaves], excluded: true },
+                    one(draining),
+                    ServerState { started_at_ms: self.started_at_ms[draining], excluded: true },
                 ));
-                self.fleet.announce(leaves, scene::ListChange::Draining);
-                if time > 0 {
-                    self.started_at_ms[before] = unix_ms();
+                self.fleet.announce(draining, scene::ListChange::Draining);
+                if repetition > 0 {
+                    self.started_at_ms[previous] = unix_ms();
                     self.broadcast(&Command::UpdateAllLists(
-                        one(before),
-                        ServerState { started_at_ms: self.started_at_ms[before], excluded: false },
+                        one(previous),
+                        ServerState { started_at_ms: self.started_at_ms[previous], excluded: false },
                     ));
-                    self.fleet.announce(before, scene::ListChange::Restarted);
+                    self.fleet.announce(previous, scene::ListChange::Restarted);
                 }
                 (now, recipients)
             }
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -85,8 +85,8 @@
     pub awaiting: AtomicUsize,
     pub last_learned_at: AtomicU64,
     /// Timers handled, those of them handled late, and the largest delay.
-    pub turns: AtomicU64,
-    pub late_turns: AtomicU64,
+    pub timers_handled: AtomicU64,
+    pub late_timers: AtomicU64,
     pub max_delay_us: AtomicU64,
 }
 
@@ -338,8 +338,8 @@
             };
             self.timers.pop();
             let delay = now - due;
-            self.status.turns.fetch_add(1, Ordering::Relaxed);
-            self.status.late_turns.fetch_add(u64::from(delay > LATE_THRESHOLD), Ordering::Relaxed);
+            self.status.timers_handled.fetch_add(1, Ordering::Relaxed);
+            self.status.late_timers.fetch_add(u64::from(delay > LATE_THRESHOLD), Ordering::Relaxed);
             self.status.max_delay_us.fetch_max(delay.0, Ordering::Relaxed);
             match timer {
                 Timer::Start => self.start(at, now),
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -24,15 +24,15 @@
 /// A server that answers immediately and counts its requests.
 struct Server {
     listed: ListedEndpoint,
-    seen: Arc<AtomicUsize>,
+    received: Arc<AtomicUsize>,
 }
 
 impl Server {
     fn start(name: String) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let seen = Arc::<AtomicUsize>::default();
-        let count = seen.clone();
+        let received = Arc::<AtomicUsize>::default();
+        let count = received.clone();
         serve_connections(listener, move |stream| {
             let _ = stream.set_nodelay(true);
             let mut stream = BufReader::new(stream);
@@ -44,7 +44,7 @@
                 }
             }
         });
-        Server { listed: ListedEndpoint { name, address, since_ms: 0 }, seen }
+        Server { listed: ListedEndpoint { name, address, since_ms: 0 }, received }
     }
 }
 
@@ -53,7 +53,7 @@
     sidecar: Sidecar,
     servers: Vec<Server>,
     discovery: SharedDiscovery,
-    calls: usize,
+    sent_requests: usize,
     _folder: TempDir,
 }
 
@@ -65,25 +65,26 @@
         let discovery = SharedDiscovery::start(listed).expect("a discovery");
         let folder = TempDir::new("faults");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
-        let told = ProcessConfig::alone(discovery.address);
-        sidecar.write_config(&config_json(&sidecar, &told)).expect("written");
+        let config = ProcessConfig::alone(discovery.address);
+        sidecar.write_config(&config_json(&sidecar, &config)).expect("written");
         sidecar.enable_faults().expect("the library of faults");
-        let mut setup = Setup { sidecar, servers, discovery, calls: 0, _folder: folder };
+        let mut setup = Setup { sidecar, servers, discovery, sent_requests: 0, _folder: folder };
         setup.faults().step_clock(clock_s).expect("stepped");
         setup.sidecar.start().expect("started");
-        setup.serves();
+        setup.wait_until_ready();
         setup
     }
 
     fn faults(&self) -> &Faults {
-        self.sidecar.faults().expect("bent")
+        self.sidecar.faults().expect("faults are enabled")
     }
 
+    /// Injects faults of this kind at the given rate from now on.
     fn set(&self, kind: FaultKind, rate: u64) {
         self.faults().set(kind, rate).expect("set");
     }
 
-    fn serves(&mut self) {
+    fn wait_until_ready(&mut self) {
         wait_until_all_ready(std::slice::from_mut(&mut self.sidecar)).expect("serves");
     }
 
@@ -91,38 +92,39 @@
     fn restart(&mut self) {
         self.sidecar.kill();
         self.sidecar.start().expect("started");
-        self.serves();
+        self.wait_until_ready();
     }
 
     /// Sends a PUT request to the console and returns the status of the answer.
     fn console_put(&self, path: &str) -> u16 {
-        let asked = format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+        let request = format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
         let to = self.sidecar.console;
-        let answer = connect(to).and_then(|mut stream| send_request(&mut stream, &asked));
+        let answer = connect(to).and_then(|mut stream| send_request(&mut stream, &request));
         answer.expect("an answer").0
     }
 
     /// Sends 100 requests a second for this long and returns the share of them that the server received.
     fn traffic_share(&mut self, server: usize, length: Duration) -> f64 {
-        let seen =
-            |setup: &Setup| setup.servers.iter().map(|server| server.seen.load(Ordering::Relaxed)).collect();
-        let (before, begun): (Vec<usize>, Instant) = (seen(self), Instant::now());
+        let received = |setup: &Setup| {
+            setup.servers.iter().map(|server| server.received.load(Ordering::Relaxed)).collect()
+        };
+        let (before, begun): (Vec<usize>, Instant) = (received(self), Instant::now());
         let mut stream = connect(self.sidecar.listen);
         while begun.elapsed() < length {
-            self.calls += 1;
-            let asked = stream
+            self.sent_requests += 1;
+            let answer = stream
                 .as_mut()
-                .and_then(|stream| send_request(stream, &view_request(&format!("p{}", self.calls))));
-            if !asked.is_some_and(|(_, lasts)| lasts) {
+                .and_then(|stream| send_request(stream, &view_request(&format!("p{}", self.sent_requests))));
+            if !answer.is_some_and(|(_, keep_alive)| keep_alive) {
                 stream = connect(self.sidecar.listen);
             }
             thread::sleep(Duration::from_millis(10));
         }
-        let after: Vec<usize> = seen(self);
-        let (had, all) =
+        let after: Vec<usize> = received(self);
+        let (of_server, total) =
             (after[server] - before[server], after.iter().sum::<usize>() - before.iter().sum::<usize>());
-        assert!(all > 50, "{all} requests reached a server");
-        had as f64 / all as f64
+        assert!(total > 50, "{total} requests reached a server");
+        of_server as f64 / total as f64
     }
 
     /// Announces at discovery that the server has just restarted.
@@ -134,12 +136,12 @@
 }
 
 /// The durations of requests sent by concurrent clients, `each` per client; `None` for no answer within 1.7 s.
-fn answers(to: SocketAddr, clients: usize, each: usize) -> Vec<Option<Duration>> {
+fn request_durations(to: SocketAddr, clients: usize, each: usize) -> Vec<Option<Duration>> {
     let call = move |client: usize, call: usize, stream: &mut Option<BufReader<std::net::TcpStream>>| {
         let begun = Instant::now();
         let id = format!("a{client}-{call}-{}", to.port());
         let answered = stream.as_mut().and_then(|stream| send_request(stream, &view_request(&id)));
-        if !answered.is_some_and(|(_, lasts)| lasts) {
+        if !answered.is_some_and(|(_, keep_alive)| keep_alive) {
             *stream = connect(to);
         }
         answered.map(|_| begun.elapsed())
@@ -177,7 +179,7 @@
     for kind in [FaultKind::ShortReceive, FaultKind::ShortSend, FaultKind::Interrupted] {
         setup.set(kind, ALWAYS / 20);
     }
-    let took = answers(setup.sidecar.listen, 6, 150);
+    let took = request_durations(setup.sidecar.listen, 6, 150);
     let lost = took.iter().filter(|took| took.is_none()).count();
     let slow = took.iter().flatten().filter(|took| **took > Duration::from_millis(500)).count();
     let short = setup.faults().arrived(FaultKind::ShortReceive);
@@ -249,7 +251,7 @@
         if setup.sidecar.has_exited() {
             continue;
         }
-        setup.serves();
+        setup.wait_until_ready();
         setup.set(FaultKind::FailedRead, 0);
         served += 1;
         assert_eq!(
--- a/lab/tests/handover.rs
+++ b/lab/tests/handover.rs
@@ -27,13 +27,14 @@
 impl Setup {
     /// Starts one process with a passed listener and this many servers; `prepare` gets the path of the handover socket.
     fn start(servers: usize, prepare: impl FnOnce(&PathBuf)) -> Setup {
-        let unused = "127.0.0.1:9".parse().expect("an address");
-        let named = |at| ListedEndpoint { name: format!("server-{at}"), address: unused, since_ms: 0 };
+        let unused_address = "127.0.0.1:9".parse().expect("an address");
+        let named =
+            |at| ListedEndpoint { name: format!("server-{at}"), address: unused_address, since_ms: 0 };
         let discovery = SharedDiscovery::start((0..servers).map(named).collect()).expect("a discovery");
         let folder = TempDir::new("handover");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
-        let told = ProcessConfig::alone(discovery.address);
-        sidecar.write_config(&config_json(&sidecar, &told)).expect("written");
+        let received = ProcessConfig::alone(discovery.address);
+        sidecar.write_config(&config_json(&sidecar, &received)).expect("written");
         sidecar.pass_listener().expect("a socket");
         let name = format!("oakhollow-{}.sock", sidecar.listen.to_string().replace(':', "_"));
         let socket = sidecar.folder().join(name);
@@ -58,8 +59,9 @@
 
     /// Puts the server into maintenance and returns the status of the answer.
     fn set_maintenance(&self, server: &str) -> u16 {
-        let asked = format!("PUT /endpoints/{server}/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-        let answer = connect(self.sidecar.console).and_then(|mut stream| send_request(&mut stream, &asked));
+        let request =
+            format!("PUT /endpoints/{server}/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+        let answer = connect(self.sidecar.console).and_then(|mut stream| send_request(&mut stream, &request));
         answer.expect("an answer").0
     }
 }
@@ -72,11 +74,11 @@
     let connect_successor = setup.connect_successor().expect("a predecessor");
     thread::sleep(Duration::from_millis(600));
     assert_eq!(setup.set_maintenance("server-7"), 200);
-    let mut told = BufReader::new(connect_successor);
+    let mut received = BufReader::new(connect_successor);
     let (mut snapshot, mut next) = (String::new(), String::new());
-    told.read_line(&mut snapshot).expect("a snapshot");
+    received.read_line(&mut snapshot).expect("a snapshot");
     let in_snapshot = snapshot.contains(r#""out":["server-7"]"#);
-    let follows = told.read_line(&mut next).is_ok() && next.contains("server-7");
+    let follows = received.read_line(&mut next).is_ok() && next.contains("server-7");
     assert!(in_snapshot || follows, "neither in {} bytes of snapshot nor after it: {next:?}", snapshot.len());
 }
 
--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -11,7 +11,8 @@
     check(scene, attempts, answers, logs).failed_expectations
 }
 
-/// Checks attempts written as `TIME SIDECAR WORKLOAD ID [SERVER]`: the longest contradiction and all failed expectations.
+/// Checks attempts written as `TIME SIDECAR WORKLOAD ID [SERVER]`. Returns the longest contradiction and all failed
+/// expectations.
 fn check_attempts(attempts: &str) -> (Option<f64>, Vec<String>) {
     let scene = Scene::parse(SCENE).expect("a scene");
     let attempt = |line: &str| {
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -77,7 +77,7 @@
     });
 }
 
-/// At the start N is 20 and 30.9 requests are allowed.
+/// At the start N is 20 and 30.9 requests are allowed; half way 30 and 42.9; at the end 40 and 54.6.
 const RAMP: Ramp =
     Ramp { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
 
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -139,7 +139,8 @@
 }
 
 /// Computed by hand: the points (1, 1), (2, 3), (3, 2), (4, 4) have the slope 0.8 and the intercept 0.5; the squared
-/// residuals sum up to 1.8, so the standard error is the root of 0.9, and the slope's error 4.303 times that over the root of 5.
+/// residuals sum up to 1.8, so the standard error is the root of 0.9, and the slope's error is 4.303 times that over the
+/// root of 5.
 #[test]
 fn intervals_match_a_calculation_by_hand() {
     let fit = Fit::linear(&[(1.0, 1.0), (2.0, 3.0), (3.0, 2.0), (4.0, 4.0)]).expect("a line");
@@ -187,15 +188,15 @@
         lease_server,
         alive: instances,
         counts,
-        turns: 1_000,
-        late_turns: late,
+        timers_handled: 1_000,
+        late_timers: late,
         ..PhaseReport::default()
     };
     StepReport { instances, phases: vec![phase], ..StepReport::default() }
 }
 
 #[test]
-fn a_slope_beyond_the_last_step_is_marked_as_predicted() {
+fn a_slope_beyond_the_last_step_is_reported_as_a_prediction() {
     let steps: Vec<StepReport> = [250, 500, 1_000].map(|size| reported(size, 0)).into();
     let slopes = report::slopes(&steps, 6_500);
     let core = slopes.iter().find(|slope| slope.figure == "keeper, core").expect("of processor time");
@@ -204,7 +205,7 @@
         "{}",
         core.text()
     );
-    assert!(core.text().contains("predicted at 6500: 6.500"), "{}", core.text());
+    assert!(core.text().contains("reckoned at 6500: 6.500"), "{}", core.text());
     let max_divergence_s = report::slopes(&steps, 1_000);
     assert!(max_divergence_s.iter().all(|slope| slope.text().contains("fitted at 1000") && !slope.beyond));
 }
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -61,7 +61,7 @@
     assert!(report.attempts > 100, "{}: {} attempts", file.display(), report.attempts);
 }
 
-/// Runs each scene with its faulty stand-in and with a correct one, so that nothing but the fault can cause the finding.
+/// Runs each scene with its faulty stand-in and with a correct one, so that only the fault can cause the finding.
 #[test]
 fn faulty_sidecars_are_found_and_named() {
     let (program, files) = (program(), files("faulty"));
