--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -32,7 +32,7 @@
 /// Interval of the empty list updates that keep a watch alive.
 const KEEPALIVE_INTERVAL: Micros = Micros::millis(2_000);
 const WAKE_TOKEN: u64 = u64::MAX;
-const BATCH: usize = 256;
+const MAX_EVENTS_PER_TURN: usize = 256;
 const READ_BUFFER_BYTES: usize = 256 * 1024;
 
 /// The start of a run, from which all its times are counted; the first time is 1 µs, not 0.
@@ -179,7 +179,7 @@
 
 impl EventLoop {
     fn run(mut self, commands: &Receiver<Command>, wake_fd: &OwnedFd) {
-        let mut events = [const { MaybeUninit::<Event>::uninit() }; BATCH];
+        let mut events = [const { MaybeUninit::<Event>::uninit() }; MAX_EVENTS_PER_TURN];
         loop {
             let now = self.clock.now();
             let wait = self.timers.peek().map(|Reverse((at, ..))| *at - now);
@@ -328,9 +328,9 @@
         }
     }
 
-    /// Handles due timers, at most `BATCH` at a time so that epoll events are not starved.
+    /// Handles due timers, at most `MAX_EVENTS_PER_TURN` at a time so that epoll events are not starved.
     fn run_due_timers(&mut self) {
-        for _ in 0..BATCH {
+        for _ in 0..MAX_EVENTS_PER_TURN {
             let now = self.clock.now();
             let Some(Reverse((due, at, timer))) = self.timers.peek().copied().filter(|next| next.0 .0 <= now)
             else {
