--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -190,18 +190,19 @@
     let program = args.program.clone().unwrap_or_else(beside);
     let mut without = Vec::new();
     for name in &args.without {
-        match Trouble::named(name) {
+        match Trouble::from_name(name) {
             Some(trouble) => without.push(trouble),
             None => {
-                eprintln!("--without: no kind {name:?}; there are {}", soak::report::kinds());
+                eprintln!("--without: no kind {name:?}; there are {}", soak::report::trouble_names());
                 return ExitCode::FAILURE;
             }
         }
     }
     let length = Duration::from_secs_f64(args.seconds);
-    let (mut pairs, mut clean) = (soak::report::Pairs::default(), true);
+    let (mut pairs, mut clean) = (soak::report::PairCounts::default(), true);
     for seed in args.seed..args.seed + args.seeds {
-        let plan = soak::Plan { seed, processes: args.processes, length, without: without.clone() };
+        let plan =
+            soak::Plan { seed, processes: args.processes, duration: length, excluded: without.clone() };
         match soak::run(&program, &plan) {
             Ok(report) => {
                 print!("{report}");
--- a/lab/src/soak/checker.rs
+++ b/lab/src/soak/checker.rs
@@ -1,72 +1,75 @@
-//! Reads what clients and servers wrote down, and says which promises were broken. It knows nothing of the program's own guard,
-//! whose verdict stands beside this one.
-use super::fleet::Ends;
-use super::records::{Attempt, Class, Deed, Ending, Event, ProcessId, Records, Request};
+//! Checks the records of clients and servers against the rules that the program has to keep. It is independent of the program's
+//! own guard; the violations that the guard logged are reported as findings of the rule `guard`.
+use super::fleet::ShutdownReport;
+use super::records::{
+    Attempt, AttemptOutcome, Event, ProcessId, Records, Request, RequestClass, RequestOutcome,
+};
 use crate::harness::lock;
 use std::collections::HashMap;
 
-/// By how much the rig itself may be late, in seconds.
-const RIG: f64 = 0.15;
-/// How late an answer may be until it counts as lost, in seconds.
-const ANSWER_SLACK: f64 = 0.5;
-/// How long after its client's close an attempt may begin, in seconds.
-const GONE_SLACK: f64 = 0.1;
-/// By how much a server may be told more than what is left, in seconds.
-const TOLD_SLACK: f64 = 0.15;
-/// How long a change may take until all of a process has heard it, in seconds.
-const HEARD: f64 = 0.2;
-/// A process that stood still for longer than this may be late by as much, in seconds.
-const HELD_UP: f64 = 0.15;
-/// How long a start may take until the process is ready, in seconds.
-const READY: f64 = 10.0;
-/// A fresh connection that ends so close to its process's end was never taken in, in seconds.
-const CROSSES_END: f64 = 0.1;
+/// Tolerance for delays of the harness itself, in seconds.
+const HARNESS_SLACK_S: f64 = 0.15;
+/// How long after its deadline an answer may come, in seconds.
+const ANSWER_SLACK_S: f64 = 0.5;
+/// How long after its client has left an attempt may begin, in seconds.
+const ABANDON_SLACK_S: f64 = 0.1;
+/// By how much the timeout that a server is told may exceed the time left, in seconds.
+const TIMEOUT_SLACK_S: f64 = 0.15;
+/// How long a change may take to reach all workers of a process, in seconds.
+const PROPAGATION_S: f64 = 0.2;
+/// A process that was stopped for longer than this may miss its deadlines, in seconds.
+const SIGNIFICANT_PAUSE_S: f64 = 0.15;
+/// How long a process may take from its start until it is ready, in seconds.
+const READY_LIMIT_S: f64 = 10.0;
+/// A fresh connection that closes this close to the exit of its process was never accepted, in seconds.
+const EXIT_RACE_S: f64 = 0.1;
 
-/// A broken promise, by the name of the promise and with what was seen.
+/// A violation of a rule.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Finding {
-    /// The promise.
-    pub promise: &'static str,
-    /// The process.
+    /// The name of the rule.
+    pub rule: &'static str,
+    /// The process that broke it.
     pub process: ProcessId,
-    /// What was seen.
-    pub seen: String,
+    /// What the records show.
+    pub details: String,
 }
 
-/// What came of a play.
+/// The result of a check.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Verdict {
-    /// All broken promises.
+    /// All violations.
     pub findings: Vec<Finding>,
-    /// Requests that were judged.
+    /// Requests that were checked.
     pub requests: usize,
-    /// Of these, those that were served.
+    /// Checked requests that were served.
     pub served: usize,
-    /// Of these, those that were refused.
+    /// Checked requests that were refused.
     pub refused: usize,
-    /// Requests of which nothing can be said: their process was killed or broken by the rig.
+    /// Failures that are not findings, since the harness killed or stopped the process, broke its connections, or the connection
+    /// closed as the request was sent.
     pub excused: usize,
 }
 
-/// The life of one process.
+/// The history of one process, as spans of time and moments in seconds.
 #[derive(Default)]
-struct Life {
-    /// Spans in which it did not run, or was about to be killed.
-    away: Vec<(f64, f64)>,
-    /// Spans in which it stood still.
-    stopped: Vec<(f64, f64)>,
-    /// Spans in which its connections were broken by the rig.
-    broken: Vec<(f64, f64)>,
-    /// Spans in which a second process stood beside it.
-    doubled: Vec<(f64, f64)>,
-    /// Moments at which it ended.
-    ends: Vec<f64>,
-    /// Of these, those at which it was killed when its grace was over.
-    grace_ends: Vec<f64>,
-    /// Spans in which a server was out by hand, as was acknowledged.
-    out: Vec<(usize, f64, f64)>,
-    /// Spans in which its watch had been told that a server takes nothing new.
-    drained: Vec<(usize, f64, f64)>,
+struct ProcessHistory {
+    /// When it did not run, or was about to be killed.
+    down: Vec<(f64, f64)>,
+    /// When it was stopped with SIGSTOP.
+    paused: Vec<(f64, f64)>,
+    /// When the harness broke its connections.
+    connection_faults: Vec<(f64, f64)>,
+    /// When a second process took over from it.
+    take_overs: Vec<(f64, f64)>,
+    /// When it exited or was killed.
+    exits: Vec<f64>,
+    /// The exits at which it was killed at the end of its grace period.
+    grace_kills: Vec<f64>,
+    /// By server: when it was in maintenance, from the console's confirmation on.
+    in_maintenance: Vec<(usize, f64, f64)>,
+    /// By server: when discovery had told the process that it is leaving or absent.
+    draining: Vec<(usize, f64, f64)>,
     findings: Vec<Finding>,
 }
 
@@ -74,92 +77,107 @@
     spans.iter().any(|(begin, end)| *begin < to && from < *end)
 }
 
-/// For how long of a span it stood still.
-fn stood(spans: &[(f64, f64)], from: f64, to: f64) -> f64 {
+/// How much of the time from `from` to `to` the spans cover.
+fn paused_for(spans: &[(f64, f64)], from: f64, to: f64) -> f64 {
     spans.iter().map(|(begin, end)| (end.min(to) - begin.max(from)).max(0.0)).sum()
 }
 
-/// Closes a span that was open.
-fn shut(open: &mut Option<f64>, at: f64, spans: &mut Vec<(f64, f64)>) {
-    spans.extend(open.take().map(|begun| (begun, at)));
+/// Closes an open span, if there is one.
+fn close_span(open: &mut Option<f64>, at: f64, spans: &mut Vec<(f64, f64)>) {
+    spans.extend(open.take().map(|start| (start, at)));
 }
 
-impl Life {
-    fn read(process: ProcessId, events: &[(f64, Event)]) -> Life {
-        let mut life = Life::default();
-        let (mut away, mut stopped, mut broken, mut doubled) = (None, None, None, None);
-        let (mut terminated, mut started) = (None, None);
-        let (mut out, mut drained): (HashMap<usize, f64>, HashMap<usize, f64>) = Default::default();
+impl ProcessHistory {
+    fn from_events(process: ProcessId, events: &[(f64, Event)]) -> ProcessHistory {
+        let mut history = ProcessHistory::default();
+        let (mut down, mut paused, mut connection_faults, mut take_overs) = (None, None, None, None);
+        let (mut termination_requested, mut started) = (None, None);
+        let (mut in_maintenance, mut draining): (HashMap<usize, f64>, HashMap<usize, f64>) =
+            Default::default();
         for (at, event) in events {
             let at = *at;
             match event {
                 Event::Started => {
                     started = Some(at);
-                    shut(&mut away, at, &mut life.away);
-                    for (server, since) in drained.drain() {
-                        life.drained.push((server, since, at));
+                    close_span(&mut down, at, &mut history.down);
+                    for (server, since) in draining.drain() {
+                        history.draining.push((server, since, at));
                     }
                 }
                 Event::Ready => {
                     let took = started.take().map_or(0.0, |started| at - started);
-                    if took > READY {
-                        life.find("ready-in-time", process, format!("ready {took:.1} s after its start"));
+                    if took > READY_LIMIT_S {
+                        history.add_finding(
+                            "ready-in-time",
+                            process,
+                            format!("ready {took:.1} s after its start"),
+                        );
                     }
                 }
-                Event::Terminated => terminated = Some(at),
+                Event::TerminationRequested => termination_requested = Some(at),
                 Event::Killed => {
-                    away.get_or_insert(at - CROSSES_END);
-                    life.ends.push(at);
+                    down.get_or_insert(at - EXIT_RACE_S);
+                    history.exits.push(at);
                 }
                 Event::KilledAfterGrace => {
-                    terminated = None;
-                    away.get_or_insert(at);
-                    life.ends.push(at);
-                    life.grace_ends.push(at);
+                    termination_requested = None;
+                    down.get_or_insert(at);
+                    history.exits.push(at);
+                    history.grace_kills.push(at);
                 }
-                Event::Ended(code) => {
-                    if terminated.take().is_none() || *code != Some(0) {
-                        life.find("ends-in-order", process, format!("ended with {code:?} at {at:.3} s"));
+                Event::Exited(code) => {
+                    if termination_requested.take().is_none() || *code != Some(0) {
+                        history.add_finding(
+                            "ends-in-order",
+                            process,
+                            format!("ended with {code:?} at {at:.3} s"),
+                        );
                     }
-                    away.get_or_insert(at);
-                    life.ends.push(at);
+                    down.get_or_insert(at);
+                    history.exits.push(at);
                 }
-                Event::Stopped => _ = stopped.get_or_insert(at),
-                Event::Continued => shut(&mut stopped, at, &mut life.stopped),
-                Event::Breaks(true) => _ = broken.get_or_insert(at),
-                Event::Breaks(false) => shut(&mut broken, at, &mut life.broken),
-                Event::TakesOver(true) => _ = doubled.get_or_insert(at),
-                Event::TakesOver(false) => shut(&mut doubled, at, &mut life.doubled),
-                Event::TakenOut(server) => _ = out.entry(*server).or_insert(at),
-                Event::PuttingBack(server) => {
-                    life.out.extend(out.remove(server).map(|since| (*server, since, at)));
+                Event::Paused => _ = paused.get_or_insert(at),
+                Event::Resumed => close_span(&mut paused, at, &mut history.paused),
+                Event::ConnectionFaults(true) => _ = connection_faults.get_or_insert(at),
+                Event::ConnectionFaults(false) => {
+                    close_span(&mut connection_faults, at, &mut history.connection_faults)
                 }
-                Event::ToldDrained(server) => _ = drained.entry(*server).or_insert(at),
-                Event::ToldReady(server) => {
-                    life.drained.extend(drained.remove(server).map(|since| (*server, since, at)));
+                Event::TakeOverActive(true) => _ = take_overs.get_or_insert(at),
+                Event::TakeOverActive(false) => close_span(&mut take_overs, at, &mut history.take_overs),
+                Event::MaintenanceConfirmed(server) => _ = in_maintenance.entry(*server).or_insert(at),
+                Event::MaintenanceEnding(server) => {
+                    history
+                        .in_maintenance
+                        .extend(in_maintenance.remove(server).map(|since| (*server, since, at)));
+                }
+                Event::DrainAnnounced(server) => _ = draining.entry(*server).or_insert(at),
+                Event::ReadyAnnounced(server) => {
+                    history.draining.extend(draining.remove(server).map(|since| (*server, since, at)));
                 }
             }
         }
         for (open, spans) in [
-            (away, &mut life.away),
-            (stopped, &mut life.stopped),
-            (broken, &mut life.broken),
-            (doubled, &mut life.doubled),
+            (down, &mut history.down),
+            (paused, &mut history.paused),
+            (connection_faults, &mut history.connection_faults),
+            (take_overs, &mut history.take_overs),
         ] {
             spans.extend(open.map(|since| (since, f64::INFINITY)));
         }
-        life.out.extend(out.into_iter().map(|(server, since)| (server, since, f64::INFINITY)));
-        life.drained.extend(drained.into_iter().map(|(server, since)| (server, since, f64::INFINITY)));
-        life
+        history
+            .in_maintenance
+            .extend(in_maintenance.into_iter().map(|(server, since)| (server, since, f64::INFINITY)));
+        history.draining.extend(draining.into_iter().map(|(server, since)| (server, since, f64::INFINITY)));
+        history
     }
 
-    fn find(&mut self, promise: &'static str, process: ProcessId, seen: String) {
-        self.findings.push(Finding { promise, process, seen });
+    fn add_finding(&mut self, rule: &'static str, process: ProcessId, details: String) {
+        self.findings.push(Finding { rule, process, details });
     }
 }
 
-/// Reads all records.
-pub fn check(records: &Records, ends: &Ends) -> Verdict {
+/// Checks all records of a run.
+pub fn check(records: &Records, shutdown: &ShutdownReport) -> Verdict {
     let mut by_process: HashMap<ProcessId, Vec<(f64, Event)>> = HashMap::new();
     for (at, process, event) in lock(&records.events).iter() {
         by_process.entry(*process).or_default().push((*at, *event));
@@ -167,151 +185,180 @@
     for events in by_process.values_mut() {
         events.sort_by(|(one, _), (other, _)| one.total_cmp(other));
     }
-    let lives: HashMap<ProcessId, Life> =
-        by_process.iter().map(|(process, events)| (*process, Life::read(*process, events))).collect();
+    let histories: HashMap<ProcessId, ProcessHistory> = by_process
+        .iter()
+        .map(|(process, events)| (*process, ProcessHistory::from_events(*process, events)))
+        .collect();
     let attempts = lock(&records.attempts);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in attempts.iter() {
         by_id.entry(&attempt.id).or_default().push(attempt);
     }
     let mut verdict = Verdict::default();
-    verdict.findings.extend(lives.values().flat_map(|life| life.findings.iter().cloned()));
-    let (nobody, none) = (Life::default(), Vec::new());
+    verdict.findings.extend(histories.values().flat_map(|history| history.findings.iter().cloned()));
+    let (unknown_process, no_attempts) = (ProcessHistory::default(), Vec::new());
     for request in lock(&records.requests).iter() {
-        let life = lives.get(&request.process).unwrap_or(&nobody);
-        judge_request(request, by_id.get(request.id.as_str()).unwrap_or(&none), life, &mut verdict);
+        let history = histories.get(&request.process).unwrap_or(&unknown_process);
+        check_request(request, by_id.get(request.id.as_str()).unwrap_or(&no_attempts), history, &mut verdict);
     }
     for attempt in attempts.iter() {
-        let life = lives.get(&attempt.process).unwrap_or(&nobody);
-        judge_attempt(attempt, life, &mut verdict);
+        let history = histories.get(&attempt.process).unwrap_or(&unknown_process);
+        check_attempt(attempt, history, &mut verdict);
     }
     let requests = lock(&records.requests);
     let excused = |line: &str| {
-        let request = late_request(line).and_then(|id| requests.iter().find(|request| request.id == id));
+        let request = late_request_id(line).and_then(|id| requests.iter().find(|request| request.id == id));
         request.is_some_and(|request| {
-            let life = lives.get(&request.process).unwrap_or(&nobody);
-            let until = request.ended.max(request.sent.unwrap_or(0.0) + request.patience + ANSWER_SLACK);
-            stood(&life.stopped, request.sent.unwrap_or(request.ended) - 0.05, until + RIG) > HELD_UP
+            let history = histories.get(&request.process).unwrap_or(&unknown_process);
+            let until =
+                request.ended_at.max(request.sent_at.unwrap_or(0.0) + request.timeout_s + ANSWER_SLACK_S);
+            paused_for(
+                &history.paused,
+                request.sent_at.unwrap_or(request.ended_at) - 0.05,
+                until + HARNESS_SLACK_S,
+            ) > SIGNIFICANT_PAUSE_S
         })
     };
-    verdict.excused += ends.broken.iter().filter(|line| excused(line)).count();
-    for line in ends.broken.iter().filter(|line| !excused(line)) {
+    verdict.excused += shutdown.log_errors.iter().filter(|line| excused(line)).count();
+    for line in shutdown.log_errors.iter().filter(|line| !excused(line)) {
         let (group, number) = (usize::MAX, usize::MAX);
         verdict.findings.push(Finding {
-            promise: "guard",
+            rule: "guard",
             process: ProcessId { group, number },
-            seen: line.clone(),
+            details: line.clone(),
         });
     }
     verdict
 }
 
-/// The request that a line of the guard says was answered too late, if it says that: a process that stood still can't have
-/// answered in time, and its guard does not know that it did.
-fn late_request(line: &str) -> Option<&str> {
+/// The request that a log line of the guard reports as answered too late, if it is such a line. The guard does not know when
+/// its process was stopped, so such a line is excused if the process was stopped meanwhile.
+fn late_request_id(line: &str) -> Option<&str> {
     line.split_once("answer_in_time: request ")?.1.split(' ').next()
 }
 
-fn judge_request(request: &Request, attempts: &[&Attempt], life: &Life, verdict: &mut Verdict) {
-    let Some(sent) = request.sent else { return };
+fn check_request(request: &Request, attempts: &[&Attempt], history: &ProcessHistory, verdict: &mut Verdict) {
+    let Some(sent_at) = request.sent_at else { return };
     verdict.requests += 1;
-    let deadline = sent + request.patience;
-    let held_up = stood(&life.stopped, sent - 0.05, request.ended) > HELD_UP;
-    // What the end of its grace finds unanswered is lost, if it did not stand still meanwhile.
-    let overdue = life.grace_ends.iter().any(|end| (sent..request.ended).contains(end)) && !held_up;
-    let away = overlaps(&life.away, sent, request.ended) && !overdue;
-    let broken = overlaps(&life.broken, sent, request.ended);
-    let mut find = |promise, seen: String| {
-        let seen = format!(
-            "{} {} sent at {sent:.3} s, {:?} at {:.3} s: {seen}",
+    let deadline = sent_at + request.timeout_s;
+    let was_paused = paused_for(&history.paused, sent_at - 0.05, request.ended_at) > SIGNIFICANT_PAUSE_S;
+    // A request that is open when the grace period ends counts as lost, unless the process was stopped meanwhile.
+    let overdue =
+        history.grace_kills.iter().any(|exit| (sent_at..request.ended_at).contains(exit)) && !was_paused;
+    let was_down = overlaps(&history.down, sent_at, request.ended_at) && !overdue;
+    let had_connection_faults = overlaps(&history.connection_faults, sent_at, request.ended_at);
+    let mut add_finding = |rule, details: String| {
+        let details = format!(
+            "{} {} sent at {sent_at:.3} s, {:?} at {:.3} s: {details}",
             request.id,
             request.class.name(),
-            request.ending,
-            request.ended
+            request.outcome,
+            request.ended_at
         );
-        verdict.findings.push(Finding { promise, process: request.process, seen });
+        verdict.findings.push(Finding { rule, process: request.process, details });
     };
-    let ran = attempts.iter().filter(|attempt| attempt.deed == Deed::Ran).count();
-    if request.class == Class::Pay && ran > 1 {
-        find("run-once", format!("ran {ran} times: {attempts:?}"));
+    let executions = attempts.iter().filter(|attempt| attempt.outcome == AttemptOutcome::Executed).count();
+    if request.class == RequestClass::Pay && executions > 1 {
+        add_finding("run-once", format!("ran {executions} times: {attempts:?}"));
     }
-    if request.class == Class::Save {
-        let cells: Vec<usize> =
-            attempts.iter().filter(|attempt| attempt.deed == Deed::Ran).map(|attempt| attempt.cell).collect();
+    if request.class == RequestClass::Save {
+        let cells: Vec<usize> = attempts
+            .iter()
+            .filter(|attempt| attempt.outcome == AttemptOutcome::Executed)
+            .map(|attempt| attempt.cell)
+            .collect();
         if cells.windows(2).any(|pair| pair[0] != pair[1]) {
-            find("keyed-in-its-cell", format!("ran in cells {cells:?}"));
+            add_finding("keyed-in-its-cell", format!("ran in cells {cells:?}"));
         }
     }
-    match request.ending {
-        Ending::Answered { own: false, .. } => find("own-answer", "the body is another's".into()),
-        Ending::Answered { status: 429 | 503, .. } if request.class != Class::View && ran > 0 => {
-            find("refused-unless-run", format!("ran {ran} times"));
+    match request.outcome {
+        RequestOutcome::Answered { own_body: false, .. } => {
+            add_finding("own-answer", "the body is another's".into())
+        }
+        RequestOutcome::Answered { status: 429 | 503, .. }
+            if request.class != RequestClass::View && executions > 0 =>
+        {
+            add_finding("refused-unless-run", format!("ran {executions} times"));
         }
         _ => {}
     }
-    match request.ending {
-        Ending::Answered { status, .. } => {
+    match request.outcome {
+        RequestOutcome::Answered { status, .. } => {
             verdict.served += usize::from(status == 200);
             verdict.refused += usize::from(matches!(status, 429 | 503));
-            if request.ended > deadline + ANSWER_SLACK + RIG && !held_up && !away {
-                find("answered", "too late".into());
+            if request.ended_at > deadline + ANSWER_SLACK_S + HARNESS_SLACK_S && !was_paused && !was_down {
+                add_finding("answered", "too late".into());
             }
         }
-        Ending::Closed | Ending::Nothing if away || broken => verdict.excused += 1,
-        // It crossed the end of a connection that rested, and was not read.
-        Ending::Closed if request.reused && attempts.is_empty() => verdict.excused += 1,
-        Ending::Closed if crosses_end(request, life) && attempts.is_empty() => verdict.excused += 1,
-        Ending::Nothing if held_up => verdict.excused += 1,
-        Ending::Closed => find("answered", format!("closed, {} attempts", attempts.len())),
-        Ending::Nothing => find("answered", format!("nothing, {} attempts", attempts.len())),
-        Ending::Left => {
-            let late =
-                attempts.iter().filter(|attempt| attempt.first_byte > request.ended + GONE_SLACK + RIG);
-            for attempt in late {
-                find("nothing-after-leaving", format!("an attempt at {:.3} s", attempt.first_byte));
+        RequestOutcome::Closed | RequestOutcome::NoResponse if was_down || had_connection_faults => {
+            verdict.excused += 1
+        }
+        // The process closed the idle connection as the request was sent, and did not read it.
+        RequestOutcome::Closed if request.reused_connection && attempts.is_empty() => verdict.excused += 1,
+        RequestOutcome::Closed if closed_at_exit(request, history) && attempts.is_empty() => {
+            verdict.excused += 1
+        }
+        RequestOutcome::NoResponse if was_paused => verdict.excused += 1,
+        RequestOutcome::Closed => add_finding("answered", format!("closed, {} attempts", attempts.len())),
+        RequestOutcome::NoResponse => {
+            add_finding("answered", format!("nothing, {} attempts", attempts.len()))
+        }
+        RequestOutcome::ClientLeft => {
+            let late_attempts = attempts.iter().filter(|attempt| {
+                attempt.first_byte_at > request.ended_at + ABANDON_SLACK_S + HARNESS_SLACK_S
+            });
+            for attempt in late_attempts {
+                add_finding("nothing-after-leaving", format!("an attempt at {:.3} s", attempt.first_byte_at));
             }
         }
     }
     for attempt in attempts {
-        let left = deadline - attempt.first_byte;
-        if attempt.told.is_some_and(|told| told > left + TOLD_SLACK + RIG) {
-            let late = stood(&life.stopped, sent, attempt.first_byte) > HELD_UP;
-            if !late {
-                find("told-time-left", format!("told {:?} s of {left:.3} s", attempt.told));
+        let left = deadline - attempt.first_byte_at;
+        if attempt
+            .announced_timeout_s
+            .is_some_and(|announced| announced > left + TIMEOUT_SLACK_S + HARNESS_SLACK_S)
+        {
+            let excused = paused_for(&history.paused, sent_at, attempt.first_byte_at) > SIGNIFICANT_PAUSE_S;
+            if !excused {
+                add_finding(
+                    "told-time-left",
+                    format!("told {:?} s of {left:.3} s", attempt.announced_timeout_s),
+                );
             }
         }
     }
 }
 
-/// Its connection was in the kernel's queue as its process ended.
-fn crosses_end(request: &Request, life: &Life) -> bool {
-    life.ends.iter().any(|end| (request.ended - end).abs() < CROSSES_END)
+/// Whether the request ended as its process exited, with its connection still in the kernel's accept queue.
+fn closed_at_exit(request: &Request, history: &ProcessHistory) -> bool {
+    history.exits.iter().any(|exit| (request.ended_at - exit).abs() < EXIT_RACE_S)
 }
 
-fn judge_attempt(attempt: &Attempt, life: &Life, verdict: &mut Verdict) {
-    let mut find = |promise, since: f64| {
-        let seen = format!(
+fn check_attempt(attempt: &Attempt, history: &ProcessHistory, verdict: &mut Verdict) {
+    let mut add_finding = |rule, since: f64| {
+        let details = format!(
             "{} at server {} at {:.3} s, {:.3} s after that",
             attempt.id,
             attempt.server,
-            attempt.first_byte,
-            attempt.first_byte - since
+            attempt.first_byte_at,
+            attempt.first_byte_at - since
         );
-        verdict.findings.push(Finding { promise, process: attempt.process, seen });
+        verdict.findings.push(Finding { rule, process: attempt.process, details });
     };
     let within = |spans: &[(usize, f64, f64)]| {
         spans.iter().find_map(|(server, since, until)| {
-            let slack = HEARD + RIG + stood(&life.stopped, *since, attempt.first_byte);
-            let inside = attempt.first_byte > since + slack && attempt.first_byte < *until;
+            let slack =
+                PROPAGATION_S + HARNESS_SLACK_S + paused_for(&history.paused, *since, attempt.first_byte_at);
+            let inside = attempt.first_byte_at > since + slack && attempt.first_byte_at < *until;
             (*server == attempt.server && inside).then_some(*since)
         })
     };
-    if let Some(since) = within(&life.out) {
-        find("nothing-to-one-out-by-hand", since);
+    if let Some(since) = within(&history.in_maintenance) {
+        add_finding("nothing-to-one-out-by-hand", since);
     }
-    // Two processes have two watches, and hear at two times.
-    let doubled = overlaps(&life.doubled, attempt.first_byte - 3.0, attempt.first_byte);
-    if let Some(since) = within(&life.drained).filter(|_| !doubled) {
-        find("nothing-to-one-drained", since);
+    // During a take-over each of the two processes has its own watch and learns of a drain at its own time.
+    let during_take_over = overlaps(&history.take_overs, attempt.first_byte_at - 3.0, attempt.first_byte_at);
+    if let Some(since) = within(&history.draining).filter(|_| !during_take_over) {
+        add_finding("nothing-to-one-drained", since);
     }
 }
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients, well-behaved and otherwise, each of which writes down how its requests ended.
-use super::records::{Class, Ending, ProcessId, Records, Request};
+//! Clients, well-behaved and misbehaving. Each client records how its requests ended.
+use super::records::{ProcessId, Records, Request, RequestClass, RequestOutcome};
 use super::servers::reset;
 use crate::fakes::{header, read_head};
 use crate::harness::lock;
@@ -11,101 +11,101 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How much longer than it said a client waits, to see what comes late.
-const WAITS_ON: f64 = 0.9;
-/// How long a connection may take to come up.
-const CONNECTS: Duration = Duration::from_millis(500);
-/// How long a client rests between two requests, in milliseconds.
-const RESTS_MS: std::ops::Range<u64> = 30..160;
-/// How long a client waits for its answer, in milliseconds.
-const PATIENCE_MS: std::ops::Range<u64> = 350..900;
-/// How long a request that was sent in part is held open.
-const HALF_WAY: Duration = Duration::from_millis(3_400);
+/// How much longer than its announced timeout a client waits, to see late answers, in seconds.
+const EXTRA_WAIT_S: f64 = 0.9;
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause of a client between two requests, in milliseconds.
+const PAUSE_MS: std::ops::Range<u64> = 30..160;
+/// Timeouts that clients announce, in milliseconds.
+const TIMEOUT_MS: std::ops::Range<u64> = 350..900;
+/// How long a partly sent request is held open.
+const PARTIAL_REQUEST_HOLD: Duration = Duration::from_millis(3_400);
 
 /// How a client behaves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Habit {
-    /// One request after another, each waited for.
+pub enum ClientBehaviour {
+    /// Sends one request after another and waits for each answer.
     Steady,
-    /// It leaves while it waits.
+    /// Closes the connection before the answer.
     Leaves,
-    /// It sends half a request and stays.
+    /// Sends part of a request and keeps the connection open.
     StopsHalfWay,
-    /// It sends several requests at once.
+    /// Sends several requests at once.
     Pipelines,
-    /// It writes and reads a byte at a time.
+    /// Writes a byte at a time.
     Drips,
-    /// It asks again at once.
+    /// Sends the next request almost at once.
     Retries,
 }
 
-/// Whom a client asks, and where it writes down what came of it.
+/// A client of one process.
 #[derive(Clone)]
 pub struct Client {
-    /// Which process that is.
+    /// The process that it connects to.
     pub process: ProcessId,
-    /// Where it listens.
-    pub to: SocketAddr,
-    /// Where all is written down.
+    /// The address of the process.
+    pub address: SocketAddr,
+    /// Where outcomes are recorded.
     pub records: Arc<Records>,
 }
 
 type Connection = BufReader<TcpStream>;
 
-/// One request, before it is sent.
-struct Asked {
+/// A request that is ready to be sent.
+struct PreparedRequest {
     id: String,
-    class: Class,
-    patience_ms: u64,
+    class: RequestClass,
+    timeout_ms: u64,
     text: String,
 }
 
-static IDS: AtomicU64 = AtomicU64::new(0);
+static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-fn ask(process: ProcessId, chance: &mut WyRand) -> Asked {
-    let number = IDS.fetch_add(1, Ordering::Relaxed);
-    let class = match chance.generate_range(0..10_u8) {
-        0..=4 => Class::View,
-        5..=6 => Class::Save,
-        _ => Class::Pay,
+fn prepare_request(process: ProcessId, rng: &mut WyRand) -> PreparedRequest {
+    let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+    let class = match rng.generate_range(0..10_u8) {
+        0..=4 => RequestClass::View,
+        5..=6 => RequestClass::Save,
+        _ => RequestClass::Pay,
     };
     let id = format!("g{}p{}-{number}", process.group, process.number);
-    let patience_ms = chance.generate_range(PATIENCE_MS);
+    let timeout_ms = rng.generate_range(TIMEOUT_MS);
     let (method, rest) = match class {
-        Class::View => ("GET", String::new()),
-        Class::Save => ("POST", format!("Idempotency-Key: k{number}\r\nContent-Length: 0\r\n")),
-        Class::Pay => ("POST", "Content-Length: 0\r\n".to_string()),
+        RequestClass::View => ("GET", String::new()),
+        RequestClass::Save => ("POST", format!("Idempotency-Key: k{number}\r\nContent-Length: 0\r\n")),
+        RequestClass::Pay => ("POST", "Content-Length: 0\r\n".to_string()),
     };
     let text = format!(
-        "{method} /{} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Timeout-Ms: {patience_ms}\r\n{rest}\r\n",
+        "{method} /{} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n{rest}\r\n",
         class.name()
     );
-    Asked { id, class, patience_ms, text }
+    PreparedRequest { id, class, timeout_ms, text }
 }
 
-fn dial(to: SocketAddr) -> Option<Connection> {
-    let stream = TcpStream::connect_timeout(&to, CONNECTS).ok()?;
+fn connect(address: SocketAddr) -> Option<Connection> {
+    let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
     stream.set_nodelay(true).ok()?;
     stream.set_write_timeout(Some(Duration::from_secs(2))).ok()?;
     Some(BufReader::new(stream))
 }
 
-/// Reads one answer: its status, its body, and whether the connection lasts.
-fn answer(connection: &mut Connection) -> std::io::Result<Option<(u16, String, bool)>> {
+/// Reads one answer: its status, its body, and whether the connection may be reused. None if the connection was closed.
+fn read_response(connection: &mut Connection) -> std::io::Result<Option<(u16, String, bool)>> {
     let mut first = [0];
-    // Told apart from an end in the middle of an answer, which is no end of a request that waits.
+    // An error before the first byte is returned, so that a timeout without any answer differs from a broken-off answer.
     match connection.read(&mut first) {
         Ok(0) => return Ok(None),
         Ok(_) => {}
         Err(error) => return Err(error),
     }
-    let head = read_head_and_keep(connection, first[0]);
+    let head = read_rest_of_response(connection, first[0]);
     let Some((head, body)) = head else { return Ok(None) };
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
     Ok(Some((status, body, header(&head, "Connection") != Some("close"))))
 }
 
-fn read_head_and_keep(connection: &mut Connection, first: u8) -> Option<(String, String)> {
+fn read_rest_of_response(connection: &mut Connection, first: u8) -> Option<(String, String)> {
     let mut head = vec![first];
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -113,122 +113,130 @@
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).ok()?;
-    let length = header(&head, "Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
-    let mut body = vec![0; length];
+    let content_length =
+        header(&head, "Content-Length").and_then(|content_length| content_length.parse().ok()).unwrap_or(0);
+    let mut body = vec![0; content_length];
     connection.read_exact(&mut body).ok()?;
     Some((head, String::from_utf8(body).ok()?))
 }
 
 impl Client {
-    /// Behaves so until it is told to end.
-    pub fn run(&self, habit: Habit, seed: u64, ends: &AtomicBool) {
-        let mut chance = WyRand::new_seed(seed);
+    /// Sends requests with this behaviour until it is asked to stop.
+    pub fn run(&self, behaviour: ClientBehaviour, seed: u64, stop_requested: &AtomicBool) {
+        let mut rng = WyRand::new_seed(seed);
         let mut connection: Option<Connection> = None;
-        while !ends.load(Ordering::Relaxed) {
-            let reused = connection.is_some();
-            let Some(stream) = connection.take().or_else(|| dial(self.to)) else {
+        while !stop_requested.load(Ordering::Relaxed) {
+            let reused_connection = connection.is_some();
+            let Some(stream) = connection.take().or_else(|| connect(self.address)) else {
                 thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            connection = match habit {
-                Habit::Steady | Habit::Retries => self.exchange(stream, reused, &mut chance),
-                Habit::Drips => self.drip(stream, reused, &mut chance),
-                Habit::Pipelines => self.pipeline(stream, &mut chance),
-                Habit::Leaves => self.leave(stream, &mut chance),
-                Habit::StopsHalfWay => self.stop_half_way(stream, &mut chance, ends),
+            connection = match behaviour {
+                ClientBehaviour::Steady | ClientBehaviour::Retries => {
+                    self.exchange(stream, reused_connection, &mut rng)
+                }
+                ClientBehaviour::Drips => self.drip(stream, reused_connection, &mut rng),
+                ClientBehaviour::Pipelines => self.pipeline(stream, &mut rng),
+                ClientBehaviour::Leaves => self.leave(stream, &mut rng),
+                ClientBehaviour::StopsHalfWay => self.stop_half_way(stream, &mut rng, stop_requested),
             };
-            if habit != Habit::Retries {
-                thread::sleep(Duration::from_millis(chance.generate_range(RESTS_MS)));
+            if behaviour != ClientBehaviour::Retries {
+                thread::sleep(Duration::from_millis(rng.generate_range(PAUSE_MS)));
             } else {
                 thread::sleep(Duration::from_millis(5));
             }
         }
     }
 
-    /// One request and its answer. The connection, where it may be used again.
-    fn exchange(&self, mut stream: Connection, reused: bool, chance: &mut WyRand) -> Option<Connection> {
-        let asked = ask(self.process, chance);
-        if stream.get_mut().write_all(asked.text.as_bytes()).is_err() {
+    /// Sends one request and waits for its answer. Returns the connection if it may be reused.
+    fn exchange(
+        &self, mut stream: Connection, reused_connection: bool, rng: &mut WyRand,
+    ) -> Option<Connection> {
+        let request = prepare_request(self.process, rng);
+        if stream.get_mut().write_all(request.text.as_bytes()).is_err() {
             return None;
         }
-        let sent = self.records.now();
-        self.wait(stream, asked, sent, reused)
+        let sent_at = self.records.now();
+        self.await_response(stream, request, sent_at, reused_connection)
     }
 
-    /// Waits for the answer to a request that was sent.
-    fn wait(&self, mut stream: Connection, asked: Asked, sent: f64, reused: bool) -> Option<Connection> {
-        let patience = asked.patience_ms as f64 / 1_000.0;
-        let left = (sent + patience + WAITS_ON - self.records.now()).max(0.01);
+    /// Waits for the answer to a request that was sent, and records the outcome.
+    fn await_response(
+        &self, mut stream: Connection, request: PreparedRequest, sent_at: f64, reused_connection: bool,
+    ) -> Option<Connection> {
+        let timeout_s = request.timeout_ms as f64 / 1_000.0;
+        let left = (sent_at + timeout_s + EXTRA_WAIT_S - self.records.now()).max(0.01);
         let _ = stream.get_ref().set_read_timeout(Some(Duration::from_secs_f64(left)));
-        let (ending, lasts) = match answer(&mut stream) {
-            Ok(Some((status, body, lasts))) => {
-                (Ending::Answered { status, own: status != 200 || body == asked.id }, lasts)
+        let (outcome, reusable) = match read_response(&mut stream) {
+            Ok(Some((status, body, reusable))) => {
+                (RequestOutcome::Answered { status, own_body: status != 200 || body == request.id }, reusable)
             }
             Err(error)
                 if matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
             {
-                (Ending::Nothing, false)
+                (RequestOutcome::NoResponse, false)
             }
-            Ok(None) | Err(_) => (Ending::Closed, false),
+            Ok(None) | Err(_) => (RequestOutcome::Closed, false),
         };
-        self.write_down(&asked, Some(sent), reused, ending);
-        lasts.then_some(stream)
+        self.record_request(&request, Some(sent_at), reused_connection, outcome);
+        reusable.then_some(stream)
     }
 
-    /// The same, a byte at a time either way.
-    fn drip(&self, mut stream: Connection, reused: bool, chance: &mut WyRand) -> Option<Connection> {
-        let asked = ask(self.process, chance);
-        for byte in asked.text.bytes() {
+    /// Like [`Client::exchange`], but sends the request a byte at a time.
+    fn drip(&self, mut stream: Connection, reused_connection: bool, rng: &mut WyRand) -> Option<Connection> {
+        let request = prepare_request(self.process, rng);
+        for byte in request.text.bytes() {
             stream.get_mut().write_all(&[byte]).ok()?;
-            if chance.generate_range(0..8_u8) == 0 {
+            if rng.generate_range(0..8_u8) == 0 {
                 thread::sleep(Duration::from_millis(1));
             }
         }
-        let sent = self.records.now();
-        self.wait(stream, asked, sent, reused)
+        let sent_at = self.records.now();
+        self.await_response(stream, request, sent_at, reused_connection)
     }
 
-    /// Three requests at once; only the first has its whole time.
-    fn pipeline(&self, mut stream: Connection, chance: &mut WyRand) -> Option<Connection> {
-        let asked = ask(self.process, chance);
-        let behind = [ask(self.process, chance), ask(self.process, chance)];
-        let text: String = [&asked, &behind[0], &behind[1]].iter().map(|asked| asked.text.as_str()).collect();
+    /// Sends three requests at once; only the first is recorded, as the others wait behind it.
+    fn pipeline(&self, mut stream: Connection, rng: &mut WyRand) -> Option<Connection> {
+        let request = prepare_request(self.process, rng);
+        let followers = [prepare_request(self.process, rng), prepare_request(self.process, rng)];
+        let text: String =
+            [&request, &followers[0], &followers[1]].iter().map(|request| request.text.as_str()).collect();
         stream.get_mut().write_all(text.as_bytes()).ok()?;
-        let sent = self.records.now();
-        // What is behind is answered or not: to send ahead is the client's own risk.
-        let mut stream = self.wait(stream, asked, sent, false)?;
-        for _ in behind {
+        let sent_at = self.records.now();
+        // The pipelined requests may stay unanswered: the client sends ahead at its own risk.
+        let mut stream = self.await_response(stream, request, sent_at, false)?;
+        for _ in followers {
             let _ = stream.get_ref().set_read_timeout(Some(Duration::from_secs(2)));
-            answer(&mut stream).ok()??;
+            read_response(&mut stream).ok()??;
         }
         None
     }
 
-    /// Leaves at some moment, by an end or a reset.
-    fn leave(&self, mut stream: Connection, chance: &mut WyRand) -> Option<Connection> {
-        let asked = ask(self.process, chance);
-        stream.get_mut().write_all(asked.text.as_bytes()).ok()?;
-        let sent = self.records.now();
-        thread::sleep(Duration::from_micros(chance.generate_range(0..40_000)));
-        let resets = chance.generate_range(0..2_u8) == 0;
-        // The moment before the close: what comes later is later than the close, too.
-        self.write_down(&asked, Some(sent), true, Ending::Left);
-        if resets {
+    /// Sends a request and closes or resets the connection after up to 40 ms.
+    fn leave(&self, mut stream: Connection, rng: &mut WyRand) -> Option<Connection> {
+        let request = prepare_request(self.process, rng);
+        stream.get_mut().write_all(request.text.as_bytes()).ok()?;
+        let sent_at = self.records.now();
+        thread::sleep(Duration::from_micros(rng.generate_range(0..40_000)));
+        let by_reset = rng.generate_range(0..2_u8) == 0;
+        // Recorded before the close, so that the recorded time is never later than the close.
+        self.record_request(&request, Some(sent_at), true, RequestOutcome::ClientLeft);
+        if by_reset {
             reset(stream.get_ref());
         }
         None
     }
 
-    /// Half a request, and silence.
+    /// Sends part of a request and then nothing.
     fn stop_half_way(
-        &self, mut stream: Connection, chance: &mut WyRand, ends: &AtomicBool,
+        &self, mut stream: Connection, rng: &mut WyRand, stop_requested: &AtomicBool,
     ) -> Option<Connection> {
-        let asked = ask(self.process, chance);
-        let part = chance.generate_range(1..asked.text.len());
-        stream.get_mut().write_all(&asked.text.as_bytes()[..part]).ok()?;
+        let request = prepare_request(self.process, rng);
+        let partial_length = rng.generate_range(1..request.text.len());
+        stream.get_mut().write_all(&request.text.as_bytes()[..partial_length]).ok()?;
         let _ = stream.get_ref().set_read_timeout(Some(Duration::from_millis(100)));
-        let begun = Instant::now();
-        while begun.elapsed() < HALF_WAY && !ends.load(Ordering::Relaxed) {
+        let start = Instant::now();
+        while start.elapsed() < PARTIAL_REQUEST_HOLD && !stop_requested.load(Ordering::Relaxed) {
             match read_head(&mut stream) {
                 Some(_) => return None,
                 None => thread::sleep(Duration::from_millis(20)),
@@ -237,46 +245,49 @@
         None
     }
 
-    fn write_down(&self, asked: &Asked, sent: Option<f64>, reused: bool, ending: Ending) {
+    fn record_request(
+        &self, request: &PreparedRequest, sent_at: Option<f64>, reused_connection: bool,
+        outcome: RequestOutcome,
+    ) {
         lock(&self.records.requests).push(Request {
             process: self.process,
-            id: asked.id.clone(),
-            class: asked.class,
-            sent,
-            patience: asked.patience_ms as f64 / 1_000.0,
-            reused,
-            ended: self.records.now(),
-            ending,
+            id: request.id.clone(),
+            class: request.class,
+            sent_at,
+            timeout_s: request.timeout_ms as f64 / 1_000.0,
+            reused_connection,
+            ended_at: self.records.now(),
+            outcome,
         });
     }
 }
 
-/// Clients that run until they are told to end.
+/// Clients that run, each on its own thread, until they are stopped.
 #[derive(Default)]
-pub struct Running {
-    ends: Arc<AtomicBool>,
+pub struct ClientPool {
+    stop_requested: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Running {
-    /// One more.
-    pub fn add(&mut self, client: Client, habit: Habit, seed: u64) {
-        let ends = self.ends.clone();
+impl ClientPool {
+    /// Starts one more client.
+    pub fn add(&mut self, client: Client, behaviour: ClientBehaviour, seed: u64) {
+        let stop_requested = self.stop_requested.clone();
         let thread = thread::Builder::new().stack_size(256 * 1024);
-        self.threads.extend(thread.spawn(move || client.run(habit, seed, &ends)).ok());
+        self.threads.extend(thread.spawn(move || client.run(behaviour, seed, &stop_requested)).ok());
     }
 
-    /// Tells them to end, and waits until they have.
+    /// Stops all clients and waits until they have ended.
     pub fn stop(self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop_requested.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|thread| _ = thread.join());
     }
 }
 
-/// So many connections that say nothing, held for that long.
-pub fn flood(to: SocketAddr, count: usize, length: Duration) {
+/// Opens `count` connections that send nothing, and closes them after `duration`.
+pub fn hold_idle_connections(address: SocketAddr, count: usize, duration: Duration) {
     let held: Vec<TcpStream> =
-        (0..count).filter_map(|_| TcpStream::connect_timeout(&to, CONNECTS).ok()).collect();
-    thread::sleep(length);
+        (0..count).filter_map(|_| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()).collect();
+    thread::sleep(duration);
     drop(held);
 }
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! One discovery of a group: an address for each of its processes, so that it knows whom it tells, and faults of its own.
+//! The fake discovery of a group, with faults. Each process gets an address of its own, so that the records show which process
+//! was told what.
 use super::records::{Event, ProcessId, Records};
 use crate::fakes::{endpoint_json, read_head, reject, serve_connections};
 use crate::harness::{lock, unix_ms};
@@ -8,55 +9,55 @@
 use std::thread;
 use std::time::Duration;
 
-/// How calls are met.
+/// How discovery treats list requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Mode {
-    /// Told the list, and its changes as they come.
+pub enum DiscoveryMode {
+    /// Answers with the list, and streams its changes.
     Up,
-    /// Closed at once; watches have ended.
+    /// Closes connections at once; watches end.
     Down,
-    /// Taken and told nothing; watches are silent.
+    /// Accepts requests without answering; watches stay open and silent.
     Silent,
-    /// Told the list after a while.
+    /// Answers with the list after [`SLOW_RESPONSE_DELAY`].
     Slow,
-    /// Turned away after a while; watches have ended.
+    /// Rejects requests after [`REJECTION_DELAY`]; watches end.
     Crowded,
 }
 
-/// How a server stands.
+/// The status of a server in the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
-    /// It takes requests.
+pub enum ServerStatus {
+    /// Takes requests.
     Active,
-    /// It drains.
+    /// Drains: takes no new requests.
     Leaving,
-    /// It is on no list.
+    /// Is not on the list.
     Absent,
 }
 
-/// An empty line comes that often where nothing changes.
-const BEAT: Duration = Duration::from_secs(1);
-/// How long a call waits until it is turned away.
-const CROWDED: Duration = Duration::from_millis(700);
-/// How long a slow one takes.
-const SLOW: Duration = Duration::from_millis(900);
+/// How often a watch sends an empty line while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a request waits until it is rejected.
+const REJECTION_DELAY: Duration = Duration::from_millis(700);
+/// How long a slow answer takes.
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(900);
 
-struct Listed {
+struct ListedServer {
     address: SocketAddr,
-    standing: Standing,
+    status: ServerStatus,
     since_ms: u64,
 }
 
 struct State {
-    servers: Vec<Listed>,
+    servers: Vec<ListedServer>,
     index: u64,
-    /// Servers that have changed, in order.
+    /// Servers whose entries have changed, in order.
     changes: Vec<usize>,
-    mode: Mode,
-    /// Watches of an earlier life have ended.
-    life: u64,
-    /// The next line of each watch ends in its middle.
-    cuts: bool,
+    mode: DiscoveryMode,
+    /// Incremented to end all watches that began before.
+    incarnation: u64,
+    /// Each watch sends half of its next line and ends.
+    cut_next_line: bool,
 }
 
 /// The discovery of one group.
@@ -67,70 +68,73 @@
 }
 
 impl Discovery {
-    /// One that lists these servers as active.
+    /// Creates a discovery that lists these servers as active.
     pub fn new(servers: &[SocketAddr], records: Arc<Records>) -> Discovery {
-        let listed =
-            |address: &SocketAddr| Listed { address: *address, standing: Standing::Active, since_ms: 0 };
+        let listed = |address: &SocketAddr| ListedServer {
+            address: *address,
+            status: ServerStatus::Active,
+            since_ms: 0,
+        };
         let state = State {
             servers: servers.iter().map(listed).collect(),
             index: 1,
             changes: Vec::new(),
-            mode: Mode::Up,
-            life: 0,
-            cuts: false,
+            mode: DiscoveryMode::Up,
+            incarnation: 0,
+            cut_next_line: false,
         };
         Discovery { shared: Arc::new((Mutex::new(state), Condvar::new())), records }
     }
 
-    /// A new address at which that process is told the list.
-    pub fn address(&self, process: ProcessId) -> std::io::Result<SocketAddr> {
+    /// Opens a new address for this process to watch the list at.
+    pub fn listen_for(&self, process: ProcessId) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (address, discovery) = (listener.local_addr()?, self.clone());
         serve_connections(listener, move |stream| _ = discovery.serve(stream, process));
         Ok(address)
     }
 
-    /// The whole list as it is now.
-    pub fn list(&self) -> String {
-        lock(&self.shared.0).whole()
+    /// The current list as a snapshot line.
+    pub fn snapshot_json(&self) -> String {
+        lock(&self.shared.0).snapshot_json()
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut State)) {
         change(&mut lock(&self.shared.0));
         self.shared.1.notify_all();
     }
 
-    /// Calls are met so from now on. Watches end where it goes down, and live through all else.
-    pub fn set_mode(&self, mode: Mode) {
-        self.change(|state| {
+    /// Changes how requests are treated from now on. Watches end in the modes `Down` and `Crowded`, and stay open in the others.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
+        self.update(|state| {
             state.mode = mode;
-            state.life += u64::from(matches!(mode, Mode::Down | Mode::Crowded));
+            state.incarnation += u64::from(matches!(mode, DiscoveryMode::Down | DiscoveryMode::Crowded));
         });
     }
 
-    /// Each watch ends in the middle of a line.
-    pub fn cut(&self) {
-        self.change(|state| state.cuts = true);
+    /// Ends each watch in the middle of a line.
+    pub fn cut_watches(&self) {
+        self.update(|state| state.cut_next_line = true);
         thread::sleep(Duration::from_millis(30));
-        self.change(|state| (state.cuts, state.life) = (false, state.life + 1));
+        self.update(|state| (state.cut_next_line, state.incarnation) = (false, state.incarnation + 1));
     }
 
-    /// Starts again and numbers from the first.
-    pub fn begin_anew(&self) {
-        self.change(|state| {
-            (state.index, state.life) = (1, state.life + 1);
+    /// Simulates a restart: watches end, and the index starts again at 1.
+    pub fn restart(&self) {
+        self.update(|state| {
+            (state.index, state.incarnation) = (1, state.incarnation + 1);
             state.changes.clear();
         });
     }
 
-    /// Tells how a server stands from now on; `again` if it has started anew.
-    pub fn tell(&self, server: usize, standing: Standing, again: bool) {
-        self.change(|state| {
+    /// Changes the status of a server; with `restarted` it also gets a new start time.
+    pub fn set_status(&self, server: usize, status: ServerStatus, restarted: bool) {
+        self.update(|state| {
             state.index += 1;
             state.changes.push(server);
             let listed = &mut state.servers[server];
-            listed.standing = standing;
-            if again {
+            listed.status = status;
+            if restarted {
                 listed.since_ms = unix_ms();
             }
         });
@@ -139,90 +143,93 @@
     fn serve(&self, stream: TcpStream, process: ProcessId) -> Option<()> {
         let mut stream = BufReader::new(stream);
         let mode = lock(&self.shared.0).mode;
-        if mode == Mode::Down {
+        if mode == DiscoveryMode::Down {
             return None;
         }
         read_head(&mut stream)?;
-        if mode == Mode::Silent {
-            let silent = |state: &mut State| state.mode == Mode::Silent;
+        if mode == DiscoveryMode::Silent {
+            let silent = |state: &mut State| state.mode == DiscoveryMode::Silent;
             drop(self.shared.1.wait_while(lock(&self.shared.0), silent));
         }
-        if mode == Mode::Crowded {
-            thread::sleep(CROWDED);
+        if mode == DiscoveryMode::Crowded {
+            thread::sleep(REJECTION_DELAY);
             return reject(stream.get_mut());
         }
-        if mode == Mode::Slow {
-            thread::sleep(SLOW);
+        if mode == DiscoveryMode::Slow {
+            thread::sleep(SLOW_RESPONSE_DELAY);
         }
-        self.watch(stream.get_mut(), process)
+        self.stream_list(stream.get_mut(), process)
     }
 
-    fn watch(&self, stream: &mut TcpStream, process: ProcessId) -> Option<()> {
+    fn stream_list(&self, stream: &mut TcpStream, process: ProcessId) -> Option<()> {
         let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-        let (state, news) = &*self.shared;
-        let (mut said, life, mut told, mut noted) = {
+        let (state, changed_signal) = &*self.shared;
+        let (mut line, incarnation, mut sent_changes, mut unrecorded) = {
             let state = lock(state);
             let all: Vec<usize> = (0..state.servers.len()).collect();
-            (state.whole(), state.life, state.changes.len(), state.standings(&all))
+            (state.snapshot_json(), state.incarnation, state.changes.len(), state.statuses(&all))
         };
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         loop {
-            if lock(state).cuts {
-                let text = chunk(&said);
+            if lock(state).cut_next_line {
+                let text = chunk(&line);
                 stream.write_all(&text.as_bytes()[..text.len() / 2]).ok()?;
                 return None;
             }
-            stream.write_all(chunk(&said).as_bytes()).ok()?;
-            for (server, standing) in noted.drain(..) {
-                let event = match standing {
-                    Standing::Active => Event::ToldReady(server),
-                    Standing::Leaving | Standing::Absent => Event::ToldDrained(server),
+            stream.write_all(chunk(&line).as_bytes()).ok()?;
+            for (server, status) in unrecorded.drain(..) {
+                let event = match status {
+                    ServerStatus::Active => Event::ReadyAnnounced(server),
+                    ServerStatus::Leaving | ServerStatus::Absent => Event::DrainAnnounced(server),
                 };
-                self.records.note(process, event);
+                self.records.record_event(process, event);
             }
-            let nothing =
-                |state: &mut State| state.life == life && !state.cuts && state.changes.len() == told;
-            let waited = news.wait_timeout_while(lock(state), BEAT, nothing);
-            let (mut now, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            while now.mode == Mode::Silent && now.life == life {
-                now = news.wait(now).unwrap_or_else(PoisonError::into_inner);
+            let unchanged = |state: &mut State| {
+                state.incarnation == incarnation
+                    && !state.cut_next_line
+                    && state.changes.len() == sent_changes
+            };
+            let waited = changed_signal.wait_timeout_while(lock(state), KEEPALIVE_INTERVAL, unchanged);
+            let (mut current, _) = waited.unwrap_or_else(PoisonError::into_inner);
+            while current.mode == DiscoveryMode::Silent && current.incarnation == incarnation {
+                current = changed_signal.wait(current).unwrap_or_else(PoisonError::into_inner);
             }
-            if now.life != life && !now.cuts {
+            if current.incarnation != incarnation && !current.cut_next_line {
                 return None;
             }
-            let changed: Vec<usize> = now.changes.get(told..).unwrap_or_default().to_vec();
-            told = now.changes.len();
-            said = if changed.is_empty() { String::new() } else { now.line(&changed) };
-            noted = now.standings(&changed);
+            let changed: Vec<usize> = current.changes.get(sent_changes..).unwrap_or_default().to_vec();
+            sent_changes = current.changes.len();
+            line = if changed.is_empty() { String::new() } else { current.update_json(&changed) };
+            unrecorded = current.statuses(&changed);
         }
     }
 }
 
 impl State {
-    fn entry(&self, server: usize) -> String {
+    fn entry_json(&self, server: usize) -> String {
         let listed = &self.servers[server];
-        let status = match listed.standing {
-            Standing::Active => "active",
-            Standing::Leaving => "leaving",
-            Standing::Absent => "left",
+        let status = match listed.status {
+            ServerStatus::Active => "active",
+            ServerStatus::Leaving => "leaving",
+            ServerStatus::Absent => "left",
         };
-        let named = endpoint_json(&format!("s{server}"), listed.address, status, listed.since_ms);
-        // Two cells, by which keyed requests are told for repeats.
-        named.replace(r#""group":0"#, &format!(r#""group":{}"#, server % 2))
+        let entry = endpoint_json(&format!("s{server}"), listed.address, status, listed.since_ms);
+        // Two cells: a keyed request may be repeated only within its cell.
+        entry.replace(r#""group":0"#, &format!(r#""group":{}"#, server % 2))
     }
 
-    fn whole(&self) -> String {
-        let there = (0..self.servers.len()).filter(|at| self.servers[*at].standing != Standing::Absent);
-        let entries: Vec<String> = there.map(|at| self.entry(at)).collect();
+    fn snapshot_json(&self) -> String {
+        let present = (0..self.servers.len()).filter(|at| self.servers[*at].status != ServerStatus::Absent);
+        let entries: Vec<String> = present.map(|at| self.entry_json(at)).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
-    fn line(&self, servers: &[usize]) -> String {
-        let entries: Vec<String> = servers.iter().map(|at| self.entry(*at)).collect();
+    fn update_json(&self, servers: &[usize]) -> String {
+        let entries: Vec<String> = servers.iter().map(|at| self.entry_json(*at)).collect();
         format!(r#"{{"index":{},"snapshot":false,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
-    fn standings(&self, servers: &[usize]) -> Vec<(usize, Standing)> {
-        servers.iter().map(|at| (*at, self.servers[*at].standing)).collect()
+    fn statuses(&self, servers: &[usize]) -> Vec<(usize, ServerStatus)> {
+        servers.iter().map(|at| (*at, self.servers[*at].status)).collect()
     }
 }
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -1,9 +1,9 @@
-//! The processes under test, in four groups that are set up differently, with the servers, discoveries and clients of each.
-use super::clients::{Client, Habit, Running};
+//! The processes under test, in four groups with different setups, and the servers, discovery and clients of each group.
+use super::clients::{Client, ClientBehaviour, ClientPool};
 use super::discovery::Discovery;
 use super::records::{Event, ProcessId, Records};
 use super::servers::Server;
-use super::timetable::Shape;
+use super::timetable::FleetSize;
 use super::Plan;
 use crate::fakes::{connect, send_request};
 use crate::harness::{lock, READY_REQUEST};
@@ -19,59 +19,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Servers of each group.
-const SERVERS: usize = 4;
-/// How long after it was asked to end a process is killed: the longest deadline of its settings, and 0.7 s.
-const GRACE: Duration = Duration::from_millis(LONGEST_DEADLINE_MS + 700);
+/// Servers per group.
+const SERVERS_PER_GROUP: usize = 4;
+/// How long after SIGTERM a process is killed: the longest deadline of its settings plus 0.7 s.
+const TERMINATION_GRACE: Duration = Duration::from_millis(LONGEST_DEADLINE_MS + 700);
 const LONGEST_DEADLINE_MS: u64 = 1_000;
-/// What its log says once it has heard that it is to end.
-const HEARD: &str = ": Told after ";
-/// How long the kernel and the loader may take until the program runs.
-const LOADS: Duration = Duration::from_millis(60);
-const LOOK: Duration = Duration::from_millis(5);
-/// Lines of its log that are shown of a process which did not end.
-const LAST_LINES: usize = 12;
-
-/// How a group is set up.
+/// Part of the log line that a process writes once it has received SIGTERM.
+const TERMINATION_LOG_TEXT: &str = ": Told after ";
+/// How long the kernel and the loader may take to start the program; a signal that comes sooner kills it.
+const PROGRAM_LOAD_TIME: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Log lines that are printed of a process that did not exit.
+const LOG_TAIL_LINES: usize = 12;
+
+/// The setup of a group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Setup {
-    /// Discovery is asked; one worker.
+pub enum GroupSetup {
+    /// Discovery on request, one worker.
     Plain,
-    /// The list is pushed and known at the start; two workers.
+    /// Discovery pushed, with the list known at the start; two workers.
     Pushed,
-    /// Instances agree on settings.
-    Agreeing,
-    /// The listening socket is passed on, so that one process can take over from another.
-    Passed,
+    /// Instances agree on settings by leases (`[accord]`).
+    WithAccord,
+    /// The listening socket is passed in, so that a second process can take over from the first.
+    PassedListener,
 }
 
-impl Setup {
-    /// All, a group each.
-    pub const ALL: [Setup; 4] = [Setup::Plain, Setup::Pushed, Setup::Agreeing, Setup::Passed];
+impl GroupSetup {
+    /// All setups; there is one group of each.
+    pub const ALL: [GroupSetup; 4] =
+        [GroupSetup::Plain, GroupSetup::Pushed, GroupSetup::WithAccord, GroupSetup::PassedListener];
 }
 
-/// One process, whichever runs in its place.
+/// A slot for a process under test, whichever incarnation of it runs.
 pub struct Process {
-    /// Which it is.
+    /// Identifies it.
     pub id: ProcessId,
     /// How its group is set up.
-    pub setup: Setup,
-    /// Where clients connect.
+    pub setup: GroupSetup,
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators do.
+    /// The address of the console.
     pub console: SocketAddr,
-    /// The process itself.
+    /// The child process and its files.
     pub sidecar: Mutex<Sidecar>,
-    /// When it was started last.
+    /// When it was last started.
     started: Mutex<Instant>,
-    /// Something is under way that starts or ends it.
-    pub busy: AtomicBool,
-    /// What it is told of discovery, and the rest of its file.
-    file: Mutex<String>,
+    /// Set while something starts or ends it; see [`RestartGuard`].
+    pub restarting: AtomicBool,
+    /// Its configuration file, with `DISCOVERY` in place of discovery's address.
+    config_template: Mutex<String>,
     records: Arc<Records>,
 }
 
-/// One group.
+/// A group of processes with the same setup.
 pub struct Group {
     /// Its processes.
     pub processes: Vec<Arc<Process>>,
@@ -81,143 +82,144 @@
     pub discovery: Discovery,
 }
 
-/// All groups.
+/// All groups of a run.
 pub struct Fleet {
-    /// In the order of [`Setup::ALL`].
+    /// In the order of [`GroupSetup::ALL`].
     pub groups: Vec<Group>,
     records: Arc<Records>,
 }
 
-/// What is known of the processes once all have ended.
+/// What the logs and fault counters of all processes show after shutdown.
 #[derive(Clone, PartialEq, Debug, Default)]
-pub struct Ends {
-    /// Lines of their logs that tell of a broken rule, a panic or an unexpected end.
-    pub broken: Vec<String>,
-    /// How often each fault arrived.
-    pub arrived: BTreeMap<String, u64>,
+pub struct ShutdownReport {
+    /// Log lines that report a broken rule, a panic or a worker that ended.
+    pub log_errors: Vec<String>,
+    /// How often each injected fault took effect.
+    pub fault_counts: BTreeMap<String, u64>,
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts the process.
     pub fn start(self: &Arc<Self>) -> std::io::Result<()> {
         let process = self.clone();
-        on_lasting_thread(move || lock(&process.sidecar).start())?;
+        run_on_spawner_thread(move || lock(&process.sidecar).start())?;
         *lock(&self.started) = Instant::now();
-        self.records.note(self.id, Event::Started);
+        self.records.record_event(self.id, Event::Started);
         Ok(())
     }
 
-    /// Starts a second one beside it.
+    /// Starts a second process beside the first.
     pub fn start_second(self: &Arc<Self>) -> std::io::Result<()> {
         let process = self.clone();
-        on_lasting_thread(move || lock(&process.sidecar).start_second())
+        run_on_spawner_thread(move || lock(&process.sidecar).start_second())
     }
 
-    /// Waits until it listens for signals: one that comes before its program runs at all ends it.
+    /// Waits until the process can handle signals: one that comes before its program runs kills it.
     pub fn wait_for_handlers(&self) {
         let since = *lock(&self.started);
-        thread::sleep((since + LOADS).saturating_duration_since(Instant::now()));
+        thread::sleep((since + PROGRAM_LOAD_TIME).saturating_duration_since(Instant::now()));
     }
 
-    /// Sends it a signal.
+    /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         lock(&self.sidecar).signal(signal);
     }
 
-    /// Kills it outright.
+    /// Sends SIGKILL.
     pub fn kill(&self) {
-        self.records.note(self.id, Event::Killed);
+        self.records.record_event(self.id, Event::Killed);
         lock(&self.sidecar).kill();
     }
 
-    /// How often its processes have said that they heard they are to end.
-    fn times_heard(&self) -> usize {
-        lock(&self.sidecar).log_text().matches(HEARD).count()
+    /// How often the log says that SIGTERM was received.
+    fn termination_log_count(&self) -> usize {
+        lock(&self.sidecar).log_text().matches(TERMINATION_LOG_TEXT).count()
     }
 
-    /// Asks it to end and kills it as early as may be after that, if it has not ended. One that has not even heard is a find.
+    /// Sends SIGTERM, and kills the process if it still runs after [`TERMINATION_GRACE`]. A process that did not even log the
+    /// signal by then is recorded as a failure, with its last log lines and the state of its threads printed.
     pub fn terminate(&self) {
-        let heard_before = self.times_heard();
-        self.records.note(self.id, Event::Terminated);
+        let logged_before = self.termination_log_count();
+        self.records.record_event(self.id, Event::TerminationRequested);
         self.signal(Signal::TERM);
-        let begun = Instant::now();
-        while begun.elapsed() < GRACE {
-            let ended = lock(&self.sidecar).exit_code();
-            if let Some(code) = ended {
-                self.records.note(self.id, Event::Ended(code));
+        let start = Instant::now();
+        while start.elapsed() < TERMINATION_GRACE {
+            let exit_code = lock(&self.sidecar).exit_code();
+            if let Some(code) = exit_code {
+                self.records.record_event(self.id, Event::Exited(code));
                 return lock(&self.sidecar).kill();
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        if self.times_heard() > heard_before {
-            self.records.note(self.id, Event::KilledAfterGrace);
+        if self.termination_log_count() > logged_before {
+            self.records.record_event(self.id, Event::KilledAfterGrace);
             return lock(&self.sidecar).kill();
         }
-        self.records.note(self.id, Event::Ended(None));
+        self.records.record_event(self.id, Event::Exited(None));
         let log = lock(&self.sidecar).log_text();
-        let last: Vec<&str> = log.lines().rev().take(LAST_LINES).collect();
+        let last: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINES).collect();
         eprintln!(
-            "{:?} did not end; its last lines, the newest first:\n{}\n{}",
+            "{:?} did not exit; its last log lines, newest first:\n{}\n{}",
             self.id,
             last.join("\n"),
-            self.threads()
+            self.thread_states()
         );
         self.kill();
     }
 
-    /// What its threads wait for, as the kernel tells it.
-    fn threads(&self) -> String {
+    /// What the threads of the process wait for, from `/proc`.
+    fn thread_states(&self) -> String {
         let id = lock(&self.sidecar).pid().unwrap_or_default();
         let tasks = std::fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
-        let told = tasks.map(|task| {
+        let states = tasks.map(|task| {
             let read = |name: &str| std::fs::read_to_string(task.path().join(name)).unwrap_or_default();
             format!("{} {} {}", read("comm").trim(), read("wchan").trim(), read("syscall").trim())
         });
-        told.collect::<Vec<_>>().join("\n")
+        states.collect::<Vec<_>>().join("\n")
     }
 
-    /// Writes its file as it was built, with discovery there.
+    /// Writes the complete configuration file with this address of discovery.
     pub fn write_config(&self, discovery: SocketAddr) -> std::io::Result<()> {
-        let text = lock(&self.file).replace("DISCOVERY", &discovery.to_string());
+        let text = lock(&self.config_template).replace("DISCOVERY", &discovery.to_string());
         lock(&self.sidecar).write_config(&text)
     }
 
-    /// Leaves half of its file, until it is written again.
+    /// Truncates the configuration file to half until it is written again.
     pub fn truncate_config(&self) -> std::io::Result<()> {
         lock(&self.sidecar).truncate_config()
     }
 
-    /// Has a kind of system call fail from now on, so many of a million.
+    /// Sets how many of a million system calls of a kind fail from now on.
     pub fn set_fault(&self, kind: FaultKind, rate: u64) {
         if let Some(faults) = lock(&self.sidecar).faults() {
             let _ = faults.set(kind, rate);
         }
     }
 
-    /// Steps its wall clock, by so much from the host's.
+    /// Sets the offset of its wall clock from the host's.
     pub fn step_clock(&self, seconds: i64) {
         if let Some(faults) = lock(&self.sidecar).faults() {
             let _ = faults.step_clock(seconds);
         }
     }
 
-    /// Waits until it says that it is ready. False if it does not in time.
+    /// Waits until the process reports that it is ready. Returns false if it does not do so in time or exits.
     pub fn wait_ready(&self, within: Duration) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < within && !lock(&self.sidecar).has_exited() {
+        let start = Instant::now();
+        while start.elapsed() < within && !lock(&self.sidecar).has_exited() {
             let ready = connect(self.listen).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
             if ready.is_some_and(|(status, _)| status == 200) {
-                self.records.note(self.id, Event::Ready);
+                self.records.record_event(self.id, Event::Ready);
                 return true;
             }
-            thread::sleep(4 * LOOK);
+            thread::sleep(4 * POLL_INTERVAL);
         }
         false
     }
 
-    /// Asks its console to take a server out, or to put it back. The status.
-    pub fn mark(&self, server: usize, out: bool) -> Option<u16> {
-        let word = if out { "maint" } else { "ready" };
+    /// Asks its console to set or clear the maintenance of a server. Returns the HTTP status.
+    pub fn set_maintenance(&self, server: usize, in_maintenance: bool) -> Option<u16> {
+        let word = if in_maintenance { "maint" } else { "ready" };
         let text =
             format!("PUT /endpoints/s{server}/{word} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
         connect(self.console)
@@ -225,33 +227,33 @@
             .map(|(status, _)| status)
     }
 
-    /// Writes down what happens to it.
-    pub fn note(&self, event: Event) {
-        self.records.note(self.id, event);
+    /// Records an event of this process.
+    pub fn record_event(&self, event: Event) {
+        self.records.record_event(self.id, event);
     }
 }
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Does something on a thread that lasts as long as the rig: a process dies with the thread that started it.
-fn on_lasting_thread<T: Send + 'static>(
+/// Runs `work` on a thread that lives as long as the harness: a child process gets killed when the thread that started it ends.
+fn run_on_spawner_thread<T: Send + 'static>(
     work: impl FnOnce() -> std::io::Result<T> + Send + 'static,
 ) -> std::io::Result<T> {
     static JOBS: OnceLock<Mutex<Sender<Job>>> = OnceLock::new();
     let jobs = JOBS.get_or_init(|| {
-        let (jobs, taken) = channel::<Job>();
-        thread::spawn(move || taken.into_iter().for_each(|job| job()));
+        let (jobs, queue) = channel::<Job>();
+        thread::spawn(move || queue.into_iter().for_each(|job| job()));
         Mutex::new(jobs)
     });
-    let (tell, done) = channel();
-    let job: Job = Box::new(move || _ = tell.send(work()));
+    let (result_sender, result_receiver) = channel();
+    let job: Job = Box::new(move || _ = result_sender.send(work()));
     lock(jobs).send(job).map_err(|_| std::io::ErrorKind::BrokenPipe)?;
-    done.recv().map_err(|_| std::io::Error::from(std::io::ErrorKind::BrokenPipe))?
+    result_receiver.recv().map_err(|_| std::io::Error::from(std::io::ErrorKind::BrokenPipe))?
 }
 
-/// What all files have in common.
-fn settings(setup: Setup, me: usize, balancers: usize) -> String {
-    let discovery = if setup == Setup::Pushed { "pushed" } else { "on_request" };
+/// The settings of a process, as its configuration file has them.
+fn settings_json(setup: GroupSetup, me: usize, balancers: usize) -> String {
+    let discovery = if setup == GroupSetup::Pushed { "pushed" } else { "on_request" };
     let class = |name: &str, semantics: &str| {
         format!(
             r#"{{"name":"{name}","semantics":{semantics},"quoted_time_s":0.5,"abandon_time_s":{},"payoff":1}}"#,
@@ -271,41 +273,41 @@
 }
 
 impl Fleet {
-    /// Starts everything.
-    pub fn build(
+    /// Starts the servers, discoveries and processes of all groups.
+    pub fn start(
         program: &Path, plan: &Plan, folder: &Path, records: &Arc<Records>,
     ) -> std::io::Result<Fleet> {
-        let each = (plan.processes / Setup::ALL.len()).max(1);
+        let processes_per_group = (plan.processes / GroupSetup::ALL.len()).max(1);
         let mut groups = Vec::new();
-        for (group, setup) in Setup::ALL.into_iter().enumerate() {
-            let servers: Vec<Server> = (0..SERVERS)
+        for (group, setup) in GroupSetup::ALL.into_iter().enumerate() {
+            let servers: Vec<Server> = (0..SERVERS_PER_GROUP)
                 .map(|at| Server::start(at, at % 2, records.clone()))
                 .collect::<std::io::Result<_>>()?;
             let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
             let discovery = Discovery::new(&addresses, records.clone());
-            let ids = (0..each).map(|number| ProcessId { group, number });
-            let made =
-                ids.map(|id| sidecar(program, folder, id, setup)).collect::<std::io::Result<Vec<_>>>()?;
-            let operator = operator(setup, &made)?;
+            let ids = (0..processes_per_group).map(|number| ProcessId { group, number });
+            let sidecars =
+                ids.map(|id| new_sidecar(program, folder, id, setup)).collect::<std::io::Result<Vec<_>>>()?;
+            let operator = operator_config(setup, &sidecars)?;
             let mut processes = Vec::new();
-            for (number, mut sidecar) in made.into_iter().enumerate() {
+            for (number, mut sidecar) in sidecars.into_iter().enumerate() {
                 let id = ProcessId { group, number };
                 if let Some(operator) = &operator {
                     sidecar.write_operator_config(operator)?;
                 }
-                let known = if setup == Setup::Pushed {
-                    format!(r#""known":{},"#, discovery.list())
+                let known = if setup == GroupSetup::Pushed {
+                    format!(r#""known":{},"#, discovery.snapshot_json())
                 } else {
                     String::new()
                 };
                 let seed =
                     0x9E37_79B9_7F4A_7C15_u64.wrapping_mul(plan.seed + 1 + (group * 100 + number) as u64);
-                let file = format!(
+                let config_template = format!(
                     r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"DISCOVERY","seed":"{seed:x}","version":{{"number":1}},{known}{}}}"#,
                     sidecar.name,
                     sidecar.listen,
                     sidecar.console,
-                    settings(setup, number, each),
+                    settings_json(setup, number, processes_per_group),
                 );
                 let process = Process {
                     id,
@@ -314,12 +316,12 @@
                     console: sidecar.console,
                     sidecar: Mutex::new(sidecar),
                     started: Mutex::new(Instant::now()),
-                    busy: AtomicBool::new(false),
-                    file: Mutex::new(file),
+                    restarting: AtomicBool::new(false),
+                    config_template: Mutex::new(config_template),
                     records: records.clone(),
                 };
                 let process = Arc::new(process);
-                process.write_config(discovery.address(id)?)?;
+                process.write_config(discovery.listen_for(id)?)?;
                 process.start()?;
                 processes.push(process);
             }
@@ -328,9 +330,13 @@
         Ok(Fleet { groups, records: records.clone() })
     }
 
-    /// How many there are of everything.
-    pub fn shape(&self) -> Shape {
-        Shape { groups: self.groups.len(), processes: self.groups[0].processes.len(), servers: SERVERS }
+    /// The number of groups, processes and servers.
+    pub fn size(&self) -> FleetSize {
+        FleetSize {
+            groups: self.groups.len(),
+            processes: self.groups[0].processes.len(),
+            servers: SERVERS_PER_GROUP,
+        }
     }
 
     /// All processes of all groups.
@@ -338,11 +344,11 @@
         self.groups.iter().flat_map(|group| &group.processes)
     }
 
-    /// Waits until all are ready.
-    pub fn all_ready(&self, within: Duration) -> Result<(), String> {
-        let begun = Instant::now();
+    /// Waits until all processes are ready.
+    pub fn wait_until_all_ready(&self, within: Duration) -> Result<(), String> {
+        let start = Instant::now();
         for process in self.processes() {
-            if !process.wait_ready(within.saturating_sub(begun.elapsed())) {
+            if !process.wait_ready(within.saturating_sub(start.elapsed())) {
                 let log = lock(&process.sidecar).log_text();
                 return Err(format!("{:?} is not ready:\n{log}", process.id));
             }
@@ -350,26 +356,26 @@
         Ok(())
     }
 
-    /// Starts two steady clients of each process.
-    pub fn start_clients(&self, seed: u64) -> Running {
-        let mut running = Running::default();
+    /// Starts two steady clients per process.
+    pub fn start_clients(&self, seed: u64) -> ClientPool {
+        let mut clients = ClientPool::default();
         for (at, process) in self.processes().enumerate() {
             for client in 0..2 {
                 let seed = seed.wrapping_mul(1_000).wrapping_add(2 * at as u64 + client);
-                running.add(self.client(process), Habit::Steady, seed);
+                clients.add(self.client(process), ClientBehaviour::Steady, seed);
             }
         }
-        running
+        clients
     }
 
-    /// A client of a process.
+    /// Creates a client of a process.
     pub fn client(&self, process: &Process) -> Client {
-        Client { process: process.id, to: process.listen, records: self.records.clone() }
+        Client { process: process.id, address: process.listen, records: self.records.clone() }
     }
 
-    /// Ends all processes, each asked to.
-    pub fn end(self) -> Ends {
-        let mut ends = Ends::default();
+    /// Terminates all processes, and reads their logs and fault counters.
+    pub fn shut_down(self) -> ShutdownReport {
+        let mut shutdown = ShutdownReport::default();
         thread::scope(|scope| {
             for process in self.processes() {
                 scope.spawn(move || process.terminate());
@@ -377,39 +383,39 @@
         });
         for process in self.processes() {
             let sidecar = lock(&process.sidecar);
-            for line in sidecar.log_text().lines().filter(|line| tells_of_a_fault(line)) {
-                ends.broken.push(format!("{}: {line}", sidecar.name));
+            for line in sidecar.log_text().lines().filter(|line| reports_failure(line)) {
+                shutdown.log_errors.push(format!("{}: {line}", sidecar.name));
             }
             if let Some(faults) = sidecar.faults() {
                 for kind in FaultKind::ALL {
-                    *ends.arrived.entry(format!("{kind:?}")).or_default() += faults.arrived(kind);
+                    *shutdown.fault_counts.entry(format!("{kind:?}")).or_default() += faults.arrived(kind);
                 }
-                *ends.arrived.entry("SteppedClock".into()).or_default() += faults.clock_readings();
+                *shutdown.fault_counts.entry("SteppedClock".into()).or_default() += faults.clock_readings();
             }
         }
-        ends
+        shutdown
     }
 }
 
-fn tells_of_a_fault(line: &str) -> bool {
+fn reports_failure(line: &str) -> bool {
     ["rule broken:", "panicked", "worker ended"].iter().any(|word| line.contains(word))
 }
 
-fn sidecar(program: &Path, folder: &Path, id: ProcessId, setup: Setup) -> std::io::Result<Sidecar> {
+fn new_sidecar(program: &Path, folder: &Path, id: ProcessId, setup: GroupSetup) -> std::io::Result<Sidecar> {
     let mut sidecar = Sidecar::new(program, &format!("g{}p{}", id.group, id.number), folder)?;
     sidecar.enable_faults()?;
-    if setup == Setup::Passed {
+    if setup == GroupSetup::PassedListener {
         sidecar.pass_listener()?;
     }
     Ok(sidecar)
 }
 
-/// The operator's file of a group, if it has one.
-fn operator(setup: Setup, sidecars: &[Sidecar]) -> std::io::Result<Option<String>> {
+/// The operator's configuration of a group, if it has one.
+fn operator_config(setup: GroupSetup, sidecars: &[Sidecar]) -> std::io::Result<Option<String>> {
     Ok(match setup {
-        Setup::Plain | Setup::Passed => None,
-        Setup::Pushed => Some("workers = 2\n".into()),
-        Setup::Agreeing => {
+        GroupSetup::Plain | GroupSetup::PassedListener => None,
+        GroupSetup::Pushed => Some("workers = 2\n".into()),
+        GroupSetup::WithAccord => {
             let keepers: Vec<String> = sidecars
                 .iter()
                 .take(if sidecars.len() < 3 { 1 } else { 3 })
@@ -425,18 +431,18 @@
     })
 }
 
-/// Holds a process for something that starts or ends it. None if it is held already.
-pub struct Hold<'a>(&'a Process);
+/// Exclusive permission to start or end a process, released on drop.
+pub struct RestartGuard<'a>(&'a Process);
 
-impl<'a> Hold<'a> {
-    /// Takes it, if it is free.
-    pub fn take(process: &'a Process) -> Option<Hold<'a>> {
-        (!process.busy.swap(true, Ordering::SeqCst)).then_some(Hold(process))
+impl<'a> RestartGuard<'a> {
+    /// Acquires the permission, or returns none if something else starts or ends the process.
+    pub fn try_acquire(process: &'a Process) -> Option<RestartGuard<'a>> {
+        (!process.restarting.swap(true, Ordering::SeqCst)).then_some(RestartGuard(process))
     }
 }
 
-impl Drop for Hold<'_> {
+impl Drop for RestartGuard<'_> {
     fn drop(&mut self) {
-        self.0.busy.store(false, Ordering::SeqCst);
+        self.0.restarting.store(false, Ordering::SeqCst);
     }
 }
--- a/lab/src/soak/injector.rs
+++ b/lab/src/soak/injector.rs
@@ -1,9 +1,9 @@
-//! Carries a timetable out.
-use super::clients::{flood, Habit, Running};
-use super::discovery::{Mode, Standing};
-use super::fleet::{Fleet, Group, Hold, Process, Setup};
+//! Runs a timetable: injects each trouble at its time and ends it again.
+use super::clients::{hold_idle_connections, ClientBehaviour, ClientPool};
+use super::discovery::{DiscoveryMode, ServerStatus};
+use super::fleet::{Fleet, Group, GroupSetup, Process, RestartGuard};
 use super::records::Event;
-use super::servers::Manner;
+use super::servers::ServerBehaviour;
 use super::timetable::{Entry, Timetable};
 use super::trouble::Trouble;
 use crate::harness::lock;
@@ -13,100 +13,111 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a process that was started may take to be ready, at the longest.
-const READY_WITHIN: Duration = Duration::from_secs(12);
-/// How long two processes live side by side before the first is asked to end.
-const SIDE_BY_SIDE: Duration = Duration::from_millis(500);
-/// How long the first of two may take to end.
-const FIRST_ENDS: Duration = Duration::from_secs(5);
-/// Clients that misbehave at a time.
-const ODD_CLIENTS: u64 = 4;
-/// Connections of a flood.
-const FLOOD: usize = 120;
+/// How long to wait for a started process to become ready, and for maintenance to be cleared.
+const READY_TIMEOUT: Duration = Duration::from_secs(12);
+/// How long two processes run side by side before the first gets SIGTERM.
+const TAKE_OVER_OVERLAP: Duration = Duration::from_millis(500);
+/// How long the first of two processes may take to exit.
+const FIRST_EXIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Clients per trouble that makes clients misbehave.
+const MISBEHAVING_CLIENTS: u64 = 4;
+/// Idle connections of the trouble `clients-flood`.
+const FLOOD_CONNECTIONS: usize = 120;
 const HOUR_S: i64 = 3_600;
-/// How often system calls fail: in one of so many cases.
-const ONE_IN: u64 = 20;
+/// One in this many system calls on a socket is short or fails.
+const FAULT_ONE_IN: u64 = 20;
 
-/// Plays all entries, each at its time, and waits until the last is over.
-pub fn carry_out(fleet: &mut Fleet, timetable: &Timetable, begun: Instant) {
+/// Injects all entries, each at its time, and waits until the last one is over.
+pub fn run_timetable(fleet: &mut Fleet, timetable: &Timetable, start: Instant) {
     let fleet = &*fleet;
     thread::scope(|scope| {
         for entry in &timetable.entries {
-            thread::sleep((begun + entry.at).saturating_duration_since(Instant::now()));
-            scope.spawn(move || play(fleet, entry));
+            thread::sleep((start + entry.at).saturating_duration_since(Instant::now()));
+            scope.spawn(move || inject(fleet, entry));
         }
     });
 }
 
-fn play(fleet: &Fleet, entry: &Entry) {
+fn inject(fleet: &Fleet, entry: &Entry) {
     let group = &fleet.groups[entry.target.group];
     let process = &group.processes[entry.target.process];
     match entry.trouble {
         Trouble::Terminate | Trouble::Kill | Trouble::SignalSeries => restart(process, entry),
-        Trouble::StopShort => stop(process, Duration::from_millis(20 + entry.chance % 130)),
-        Trouble::StopLong => stop(process, Duration::from_millis(200 + entry.chance % 800)),
-        Trouble::HangupTwice | Trouble::HangupBroken | Trouble::HangupMoved => hang_up(group, process, entry),
+        Trouble::StopShort => pause(process, Duration::from_millis(20 + entry.random % 130)),
+        Trouble::StopLong => pause(process, Duration::from_millis(200 + entry.random % 800)),
+        Trouble::HangupTwice | Trouble::HangupBroken | Trouble::HangupMoved => reload(group, process, entry),
         Trouble::TakeOver | Trouble::TakeOverKilled => take_over(process, entry),
-        Trouble::DiscoveryDown => discovery(group, Mode::Down, entry.length),
-        Trouble::DiscoverySilent => discovery(group, Mode::Silent, entry.length),
-        Trouble::DiscoverySlow => discovery(group, Mode::Slow, entry.length),
-        Trouble::DiscoveryCrowded => discovery(group, Mode::Crowded, entry.length),
-        Trouble::DiscoveryCut => group.discovery.cut(),
-        Trouble::DiscoveryLower => group.discovery.begin_anew(),
-        Trouble::ServerDrains => drain(group, entry),
+        Trouble::DiscoveryDown => set_discovery_mode(group, DiscoveryMode::Down, entry.duration),
+        Trouble::DiscoverySilent => set_discovery_mode(group, DiscoveryMode::Silent, entry.duration),
+        Trouble::DiscoverySlow => set_discovery_mode(group, DiscoveryMode::Slow, entry.duration),
+        Trouble::DiscoveryCrowded => set_discovery_mode(group, DiscoveryMode::Crowded, entry.duration),
+        Trouble::DiscoveryCut => group.discovery.cut_watches(),
+        Trouble::DiscoveryLower => group.discovery.restart(),
+        Trouble::ServerDrains => drain_server(group, entry),
         Trouble::ServerRestarts => {
             group.servers[entry.target.server].restart();
-            group.discovery.tell(entry.target.server, Standing::Active, true);
+            group.discovery.set_status(entry.target.server, ServerStatus::Active, true);
         }
-        Trouble::ServerHangs => misbehave(group, entry, Manner::Hangs),
-        Trouble::ServerResets => misbehave(group, entry, Manner::Resets),
-        Trouble::ServerFull => misbehave(group, entry, Manner::Full),
-        Trouble::ServerAnswersTwice => misbehave(group, entry, Manner::Twice),
-        Trouble::ServerClosesIdle => misbehave(group, entry, Manner::ClosesIdle),
-        Trouble::ClientsLeave => odd_clients(fleet, process, entry, Habit::Leaves),
-        Trouble::ClientsStopHalfWay => odd_clients(fleet, process, entry, Habit::StopsHalfWay),
-        Trouble::ClientsPipeline => odd_clients(fleet, process, entry, Habit::Pipelines),
-        Trouble::ClientsDrip => odd_clients(fleet, process, entry, Habit::Drips),
-        Trouble::ClientsRetry => odd_clients(fleet, process, entry, Habit::Retries),
-        Trouble::ClientsFlood => flood(process.listen, FLOOD, entry.length),
-        Trouble::Maintenance => maintain(process, entry),
+        Trouble::ServerHangs => misbehave_server(group, entry, ServerBehaviour::Hangs),
+        Trouble::ServerResets => misbehave_server(group, entry, ServerBehaviour::Resets),
+        Trouble::ServerFull => misbehave_server(group, entry, ServerBehaviour::Full),
+        Trouble::ServerAnswersTwice => misbehave_server(group, entry, ServerBehaviour::AnswersTwice),
+        Trouble::ServerClosesIdle => misbehave_server(group, entry, ServerBehaviour::ClosesIdle),
+        Trouble::ClientsLeave => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Leaves),
+        Trouble::ClientsStopHalfWay => {
+            run_misbehaving_clients(fleet, process, entry, ClientBehaviour::StopsHalfWay)
+        }
+        Trouble::ClientsPipeline => {
+            run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Pipelines)
+        }
+        Trouble::ClientsDrip => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Drips),
+        Trouble::ClientsRetry => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Retries),
+        Trouble::ClientsFlood => hold_idle_connections(process.listen, FLOOD_CONNECTIONS, entry.duration),
+        Trouble::Maintenance => set_and_clear_maintenance(process, entry),
         Trouble::ClockStep => step_clock(process, entry),
         Trouble::ShortTransfers => {
             let kinds = [FaultKind::ShortReceive, FaultKind::ShortSend, FaultKind::Interrupted];
-            faults(process, &kinds, ALWAYS / ONE_IN, entry.length);
+            inject_system_faults(process, &kinds, ALWAYS / FAULT_ONE_IN, entry.duration);
         }
         Trouble::BrokenTransfers => {
-            process.note(Event::Breaks(true));
-            faults(process, &[FaultKind::BrokenConnection], ALWAYS / ONE_IN, entry.length);
-            process.note(Event::Breaks(false));
+            process.record_event(Event::ConnectionFaults(true));
+            inject_system_faults(
+                process,
+                &[FaultKind::BrokenConnection],
+                ALWAYS / FAULT_ONE_IN,
+                entry.duration,
+            );
+            process.record_event(Event::ConnectionFaults(false));
+        }
+        Trouble::FailedAccepts => {
+            inject_system_faults(process, &[FaultKind::FailedAccept], ALWAYS / 3, entry.duration)
         }
-        Trouble::FailedAccepts => faults(process, &[FaultKind::FailedAccept], ALWAYS / 3, entry.length),
-        Trouble::FolderFull => faults(process, &[FaultKind::FullDisk], ALWAYS, entry.length),
+        Trouble::FolderFull => inject_system_faults(process, &[FaultKind::FullDisk], ALWAYS, entry.duration),
         Trouble::FolderFails => {
             let kinds = [FaultKind::FailedSync, FaultKind::FailedRename];
-            faults(process, &kinds, ALWAYS / 2, entry.length);
+            inject_system_faults(process, &kinds, ALWAYS / 2, entry.duration);
         }
     }
 }
 
-/// Ends a process one way or the other, and starts it again.
+/// Terminates or kills a process, and starts it again.
 fn restart(process: &Arc<Process>, entry: &Entry) {
-    let Some(_hold) = Hold::take(process) else { return };
+    let Some(_guard) = RestartGuard::try_acquire(process) else { return };
     match entry.trouble {
         Trouble::Terminate => process.terminate(),
         Trouble::SignalSeries => signal_series(process, entry),
         _ => process.kill(),
     }
-    thread::sleep(Duration::from_millis(entry.chance % 200));
+    thread::sleep(Duration::from_millis(entry.random % 200));
     if process.start().is_ok() {
-        process.wait_ready(READY_WITHIN);
+        process.wait_ready(READY_TIMEOUT);
     }
 }
 
-/// Reloads in a row, and then its end, asked for twice.
+/// Sends SIGHUP three times, then SIGTERM twice.
 fn signal_series(process: &Process, entry: &Entry) {
     process.wait_for_handlers();
-    let gap = Duration::from_millis(entry.chance % 40);
+    let gap = Duration::from_millis(entry.random % 40);
     for _ in 0..3 {
         process.signal(Signal::HUP);
         thread::sleep(gap);
@@ -120,111 +131,113 @@
     });
 }
 
-fn stop(process: &Process, length: Duration) {
+fn pause(process: &Process, duration: Duration) {
     let Some(id) = lock(&process.sidecar).pid() else { return };
-    process.note(Event::Stopped);
+    process.record_event(Event::Paused);
     lock(&process.sidecar).signal_child(id, Signal::STOP);
-    thread::sleep(length);
+    thread::sleep(duration);
     lock(&process.sidecar).signal_child(id, Signal::CONT);
-    process.note(Event::Continued);
+    process.record_event(Event::Resumed);
 }
 
-fn hang_up(group: &Group, process: &Process, entry: &Entry) {
+fn reload(group: &Group, process: &Process, entry: &Entry) {
     process.wait_for_handlers();
     if entry.trouble == Trouble::HangupBroken {
         let _ = process.truncate_config();
         process.signal(Signal::HUP);
         thread::sleep(Duration::from_millis(30));
     }
-    let Ok(discovery) = group.discovery.address(process.id) else { return };
+    let Ok(discovery) = group.discovery.listen_for(process.id) else { return };
     if process.write_config(discovery).is_err() {
         return;
     }
     process.signal(Signal::HUP);
     if entry.trouble == Trouble::HangupTwice {
-        thread::sleep(Duration::from_millis(entry.chance % 20));
+        thread::sleep(Duration::from_millis(entry.random % 20));
         process.signal(Signal::HUP);
     }
 }
 
-/// A second process comes, and the first goes; or the second is killed before that.
+/// Starts a second process and terminates the first, or kills the second before that.
 fn take_over(process: &Arc<Process>, entry: &Entry) {
-    let passed = process.setup == Setup::Passed;
-    let Some(_hold) = Hold::take(process).filter(|_| passed) else { return };
-    process.note(Event::TakesOver(true));
+    let can_take_over = process.setup == GroupSetup::PassedListener;
+    let Some(_guard) = RestartGuard::try_acquire(process).filter(|_| can_take_over) else { return };
+    process.record_event(Event::TakeOverActive(true));
     if process.start_second().is_ok() {
         if entry.trouble == Trouble::TakeOverKilled {
-            thread::sleep(Duration::from_millis(entry.chance % 300));
+            thread::sleep(Duration::from_millis(entry.random % 300));
             lock(&process.sidecar).kill_second();
         } else {
-            thread::sleep(SIDE_BY_SIDE);
+            thread::sleep(TAKE_OVER_OVERLAP);
             lock(&process.sidecar).terminate_first();
-            let begun = Instant::now();
-            while begun.elapsed() < FIRST_ENDS && !lock(&process.sidecar).first_has_exited() {
+            let start = Instant::now();
+            while start.elapsed() < FIRST_EXIT_TIMEOUT && !lock(&process.sidecar).first_has_exited() {
                 thread::sleep(Duration::from_millis(10));
             }
         }
     }
-    process.note(Event::TakesOver(false));
+    process.record_event(Event::TakeOverActive(false));
 }
 
-fn discovery(group: &Group, mode: Mode, length: Duration) {
+fn set_discovery_mode(group: &Group, mode: DiscoveryMode, duration: Duration) {
     group.discovery.set_mode(mode);
-    thread::sleep(length);
-    group.discovery.set_mode(Mode::Up);
+    thread::sleep(duration);
+    group.discovery.set_mode(DiscoveryMode::Up);
 }
 
-/// It drains, is gone, and comes back as another life.
-fn drain(group: &Group, entry: &Entry) {
+/// Marks a server as leaving, removes it from the list, and lists it again as restarted.
+fn drain_server(group: &Group, entry: &Entry) {
     let server = entry.target.server;
-    group.discovery.tell(server, Standing::Leaving, false);
-    thread::sleep(entry.length / 2);
-    group.discovery.tell(server, Standing::Absent, false);
-    thread::sleep(entry.length / 2);
+    group.discovery.set_status(server, ServerStatus::Leaving, false);
+    thread::sleep(entry.duration / 2);
+    group.discovery.set_status(server, ServerStatus::Absent, false);
+    thread::sleep(entry.duration / 2);
     group.servers[server].restart();
-    group.discovery.tell(server, Standing::Active, true);
+    group.discovery.set_status(server, ServerStatus::Active, true);
 }
 
-fn misbehave(group: &Group, entry: &Entry, manner: Manner) {
+fn misbehave_server(group: &Group, entry: &Entry, behaviour: ServerBehaviour) {
     let server = &group.servers[entry.target.server];
-    server.set(manner);
-    thread::sleep(entry.length);
-    server.set(Manner::Answers);
+    server.set_behaviour(behaviour);
+    thread::sleep(entry.duration);
+    server.set_behaviour(ServerBehaviour::Answers);
 }
 
-fn odd_clients(fleet: &Fleet, process: &Process, entry: &Entry, habit: Habit) {
-    let mut running = Running::default();
-    for at in 0..ODD_CLIENTS {
-        running.add(fleet.client(process), habit, entry.chance.wrapping_add(at));
+fn run_misbehaving_clients(fleet: &Fleet, process: &Process, entry: &Entry, behaviour: ClientBehaviour) {
+    let mut clients = ClientPool::default();
+    for at in 0..MISBEHAVING_CLIENTS {
+        clients.add(fleet.client(process), behaviour, entry.random.wrapping_add(at));
     }
-    thread::sleep(entry.length);
-    running.stop();
+    thread::sleep(entry.duration);
+    clients.stop();
 }
 
-/// Takes a server out, and puts it back once that was acknowledged for a while.
-fn maintain(process: &Process, entry: &Entry) {
+/// Sets a server to maintenance, and clears it after the entry's duration; repeats the
+/// clearing until the console confirms it or [`READY_TIMEOUT`] is over.
+fn set_and_clear_maintenance(process: &Process, entry: &Entry) {
     let server = entry.target.server;
-    if process.mark(server, true) == Some(200) {
-        process.note(Event::TakenOut(server));
+    if process.set_maintenance(server, true) == Some(200) {
+        process.record_event(Event::MaintenanceConfirmed(server));
     }
-    thread::sleep(entry.length);
-    let begun = Instant::now();
-    process.note(Event::PuttingBack(server));
-    while process.mark(server, false) != Some(200) && begun.elapsed() < READY_WITHIN {
+    thread::sleep(entry.duration);
+    let start = Instant::now();
+    process.record_event(Event::MaintenanceEnding(server));
+    while process.set_maintenance(server, false) != Some(200) && start.elapsed() < READY_TIMEOUT {
         thread::sleep(Duration::from_millis(100));
-        process.note(Event::PuttingBack(server));
+        process.record_event(Event::MaintenanceEnding(server));
     }
 }
 
-/// The clock is wrong from the next start on, and stepped under the process that runs.
+/// Steps the wall clock of a running process by an hour. A process that starts meanwhile reads the stepped clock from its
+/// beginning.
 fn step_clock(process: &Process, entry: &Entry) {
-    process.step_clock(if entry.chance & 1 == 0 { HOUR_S } else { -HOUR_S });
-    thread::sleep(entry.length);
+    process.step_clock(if entry.random & 1 == 0 { HOUR_S } else { -HOUR_S });
+    thread::sleep(entry.duration);
     process.step_clock(0);
 }
 
-fn faults(process: &Process, kinds: &[FaultKind], rate: u64, length: Duration) {
+fn inject_system_faults(process: &Process, kinds: &[FaultKind], rate: u64, duration: Duration) {
     kinds.iter().for_each(|kind| process.set_fault(*kind, rate));
-    thread::sleep(length);
+    thread::sleep(duration);
     kinds.iter().for_each(|kind| process.set_fault(*kind, 0));
 }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! A soak test: dozens of real processes of the program on loopback, with two or three troubles always at a time, judged from
-//! the records of clients and servers. One seed draws one timetable.
+//! A soak test: dozens of real processes of the program on loopback, with up to three faults injected at a time and checked
+//! against the records of clients and servers. The seed determines the timetable of faults.
 //!
-//! Each of the parts has one job: [`trouble`] names the kinds of trouble, [`timetable`] draws when they happen and to whom,
-//! [`fleet`] starts the processes, [`servers`], [`clients`] and [`discovery`] stand for everybody else and keep records,
-//! [`injector`] carries the timetable out, and [`checker`] reads the records.
+//! [`trouble`] lists the kinds of faults ("troubles"), [`timetable`] draws when and where each one happens, [`fleet`] starts the
+//! processes, [`servers`], [`clients`] and [`discovery`] are the fake peers that keep records, [`injector`] runs the
+//! timetable, and [`checker`] checks the records.
 pub mod checker;
 pub mod clients;
 pub mod discovery;
@@ -26,75 +26,77 @@
 use timetable::Timetable;
 use trouble::Trouble;
 
-/// How long all may take to get ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-/// How long what is open may take to end once the timetable is over.
-const SETTLES: Duration = Duration::from_millis(3_000);
+/// How long all processes may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long open requests get to finish once the timetable is over.
+const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// One play in so many has a crowd from its beginning to its end: one process of each group is held by so many idle clients, more
-/// than it takes in.
-const CROWD_ONE_IN: u64 = 3;
-const CROWD: usize = 520;
+/// Seeds divisible by this run with a crowd: for the whole run, [`CROWD_CONNECTIONS`] idle clients, more than a process
+/// accepts, connect to the first process of each group.
+const CROWD_SEED_DIVISOR: u64 = 3;
+const CROWD_CONNECTIONS: usize = 520;
 
-/// What is played.
+/// The parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Draws the timetable and all else that is left to chance.
+    /// Seeds the timetable and all other random choices.
     pub seed: u64,
     /// Processes of the program, at least four.
     pub processes: usize,
-    /// How long troubles go on.
-    pub length: Duration,
-    /// Kinds that are left out.
-    pub without: Vec<Trouble>,
+    /// How long troubles are injected.
+    pub duration: Duration,
+    /// Kinds of troubles that are left out.
+    pub excluded: Vec<Trouble>,
 }
 
-/// Plays a seed. An error means that the rig could not be built: there is no verdict.
+/// Runs the soak of one seed. An error means that the harness could not be set up, so there is no verdict.
 pub fn run(program: &Path, plan: &Plan) -> Result<Report, String> {
     let folder = TempDir::new("soak");
     let records = Arc::new(Records::new());
     let mut fleet =
-        Fleet::build(program, plan, folder.path(), &records).map_err(|error| error.to_string())?;
-    fleet.all_ready(READY_WITHIN)?;
-    let timetable = Timetable::draw(plan, &fleet.shape());
+        Fleet::start(program, plan, folder.path(), &records).map_err(|error| error.to_string())?;
+    fleet.wait_until_all_ready(READY_TIMEOUT)?;
+    let timetable = Timetable::draw(plan, &fleet.size());
     let delay_monitor = DelayMonitor::start();
-    let begun = Instant::now();
-    let callers = fleet.start_clients(plan.seed);
+    let start = Instant::now();
+    let clients = fleet.start_clients(plan.seed);
     let crowd = start_crowd(&fleet, plan);
-    injector::carry_out(&mut fleet, &timetable, begun);
-    crowd.into_iter().for_each(|held| _ = held.join());
-    callers.stop();
-    thread::sleep(SETTLES);
+    injector::run_timetable(&mut fleet, &timetable, start);
+    crowd.into_iter().for_each(|holder| _ = holder.join());
+    clients.stop();
+    thread::sleep(SETTLE_TIME);
     let harness_delay_s = delay_monitor.max_delay_s();
-    let ends = fleet.end();
-    let verdict = checker::check(&records, &ends);
-    Ok(Report::new(plan, timetable, verdict, ends, harness_delay_s, &records))
+    let shutdown = fleet.shut_down();
+    let verdict = checker::check(&records, &shutdown);
+    Ok(Report::new(plan, timetable, verdict, shutdown, harness_delay_s, &records))
 }
 
 fn start_crowd(fleet: &Fleet, plan: &Plan) -> Vec<JoinHandle<()>> {
-    let crowded = plan.seed.is_multiple_of(CROWD_ONE_IN);
+    let crowded = plan.seed.is_multiple_of(CROWD_SEED_DIVISOR);
     let first_of_each = fleet.groups.iter().map(|group| group.processes[0].listen);
-    let length = plan.length;
-    let hold = |to| thread::spawn(move || clients::flood(to, CROWD, length));
-    first_of_each.filter(|_| crowded).map(hold).collect()
+    let duration = plan.duration;
+    let spawn_holder =
+        |address| thread::spawn(move || clients::hold_idle_connections(address, CROWD_CONNECTIONS, duration));
+    first_of_each.filter(|_| crowded).map(spawn_holder).collect()
 }
 
-/// Leaves out of a plan, one after the other, each kind without which something is still found, and says the command that
-/// plays the rest.
+/// Reduces a failing plan: excludes each kind of trouble without which the run still has findings, and returns the command
+/// that runs what is left.
 pub fn shrink(program: &Path, plan: &Plan) -> String {
-    let mut smaller = plan.clone();
-    for kind in Trouble::ALL.iter().filter(|kind| !plan.without.contains(kind)) {
-        smaller.without.push(*kind);
-        let found = run(program, &smaller).is_ok_and(|report| !report.is_clean() && !report.is_late());
-        if !found {
-            smaller.without.pop();
+    let mut reduced = plan.clone();
+    for kind in Trouble::ALL.iter().filter(|kind| !plan.excluded.contains(kind)) {
+        reduced.excluded.push(*kind);
+        let still_fails = run(program, &reduced).is_ok_and(|report| !report.is_clean() && !report.is_late());
+        if !still_fails {
+            reduced.excluded.pop();
         }
     }
-    let without: String = smaller.without.iter().map(|kind| format!(" --without {}", kind.name())).collect();
+    let excluded: String =
+        reduced.excluded.iter().map(|kind| format!(" --without {}", kind.name())).collect();
     format!(
-        "oakhollow-lab soak --seed {} --processes {} --seconds {}{without}",
+        "oakhollow-lab soak --seed {} --processes {} --seconds {}{excluded}",
         plan.seed,
         plan.processes,
-        plan.length.as_secs_f64()
+        plan.duration.as_secs_f64()
     )
 }
--- a/lab/src/soak/records.rs
+++ b/lab/src/soak/records.rs
@@ -1,179 +1,181 @@
-//! What clients, servers, discovery and the rig itself write down, by one clock.
+//! The records of clients, servers, discovery and the harness, with times from one clock.
 use crate::harness::lock;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// A process, by its group and its number there.
+/// Identifies a process by its group and its number in the group.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ProcessId {
-    /// Its group.
+    /// Index of its group.
     pub group: usize,
-    /// Its number there.
+    /// Index in its group.
     pub number: usize,
 }
 
-/// What a request may do at a server.
+/// The workload of a request, which decides whether it may be repeated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Class {
-    /// Safe to repeat.
+pub enum RequestClass {
+    /// Read-like: safe to repeat.
     View,
-    /// With a key, by which servers of one cell tell a repeat.
+    /// Has an idempotency key, by which the servers of one cell recognise a repeat.
     Save,
-    /// Unsafe to repeat.
+    /// Non-idempotent: unsafe to repeat.
     Pay,
 }
 
-impl Class {
-    /// Its name, as the settings have it.
+impl RequestClass {
+    /// The name of the workload in the settings.
     pub fn name(self) -> &'static str {
         match self {
-            Class::View => "view",
-            Class::Save => "save",
-            Class::Pay => "pay",
+            RequestClass::View => "view",
+            RequestClass::Save => "save",
+            RequestClass::Pay => "pay",
         }
     }
 
-    /// By its name.
-    pub fn named(name: &str) -> Option<Class> {
-        [Class::View, Class::Save, Class::Pay].into_iter().find(|class| class.name() == name)
+    /// Looks a class up by its name.
+    pub fn from_name(name: &str) -> Option<RequestClass> {
+        [RequestClass::View, RequestClass::Save, RequestClass::Pay]
+            .into_iter()
+            .find(|class| class.name() == name)
     }
 }
 
-/// How a client's request ended for it.
+/// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Ending {
-    /// With an answer.
+pub enum RequestOutcome {
+    /// An answer came.
     Answered {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// Its body is the one that a server made for this request.
-        own: bool,
+        /// Whether the body is the one that a server made for this request.
+        own_body: bool,
     },
     /// The connection was closed or reset before an answer.
     Closed,
-    /// Nothing came until well past its time.
-    Nothing,
-    /// The client left.
-    Left,
+    /// Nothing came until well after the timeout.
+    NoResponse,
+    /// The client closed the connection first.
+    ClientLeft,
 }
 
-/// A request, as its client saw it. Times are in seconds from the records' beginning.
+/// A request as its client saw it. Times are in seconds since the records began.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Request {
-    /// Where it went.
+    /// The process that it was sent to.
     pub process: ProcessId,
-    /// Its id, which no other has.
+    /// The unique request id.
     pub id: String,
-    /// What it may do.
-    pub class: Class,
-    /// When its last byte was written; none where it never was.
-    pub sent: Option<f64>,
-    /// How long the client said that it would wait, in seconds.
-    pub patience: f64,
-    /// The connection had carried a request before.
-    pub reused: bool,
+    /// Its workload.
+    pub class: RequestClass,
+    /// When its last byte was written, if it was.
+    pub sent_at: Option<f64>,
+    /// The timeout that the client announced, in seconds.
+    pub timeout_s: f64,
+    /// Whether the connection had carried a request before.
+    pub reused_connection: bool,
     /// When it ended.
-    pub ended: f64,
-    /// How.
-    pub ending: Ending,
+    pub ended_at: f64,
+    /// How it ended.
+    pub outcome: RequestOutcome,
 }
 
 /// What a server did with an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Deed {
-    /// The connection broke before the last byte had come: it never began.
+pub enum AttemptOutcome {
+    /// The connection broke before the request was complete, so it was not executed.
     Incomplete,
-    /// It said that it did not begin.
-    TurnedAway,
-    /// It began.
-    Ran,
+    /// The server answered that it did not start the request.
+    Rejected,
+    /// The server started the request.
+    Executed,
 }
 
-/// An attempt, as its server saw it.
+/// An attempt as its server saw it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Attempt {
-    /// The process that made it.
+    /// The process that sent it.
     pub process: ProcessId,
-    /// The server, of the same group.
+    /// Index of the server in its group.
     pub server: usize,
-    /// Its cell.
+    /// The server's cell: the servers that share one record of idempotency keys.
     pub cell: usize,
     /// The request's id.
     pub id: String,
     /// When its first byte came.
-    pub first_byte: f64,
+    pub first_byte_at: f64,
     /// When its last byte came, if it did.
-    pub last_byte: Option<f64>,
-    /// When its connection had ended, or its answer was written.
-    pub over: f64,
-    /// The time that the server was told, in seconds.
-    pub told: Option<f64>,
-    /// What became of it.
-    pub deed: Deed,
+    pub last_byte_at: Option<f64>,
+    /// When its answer was written or its connection ended.
+    pub ended_at: f64,
+    /// The remaining time that the server was told, in seconds.
+    pub announced_timeout_s: Option<f64>,
+    /// What the server did with it.
+    pub outcome: AttemptOutcome,
 }
 
-/// What happened to a process.
+/// An event in the life of a process.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Event {
-    /// Started by the rig.
+    /// The harness started it.
     Started,
-    /// It answered that it was ready.
+    /// It reported that it was ready.
     Ready,
-    /// Asked to end.
-    Terminated,
-    /// Killed by the rig.
+    /// The harness sent SIGTERM.
+    TerminationRequested,
+    /// The harness killed it.
     Killed,
-    /// Killed by the rig as early as it may be after it was asked to end: what it had read was to be answered by then.
+    /// The harness killed it when the grace period after SIGTERM was over, by when it has to have answered all that it had read.
     KilledAfterGrace,
-    /// It ended: with that code, if it had one.
-    Ended(Option<i32>),
-    /// It stands still from now on.
-    Stopped,
-    /// It runs again.
-    Continued,
-    /// From now on its connections are broken by the library of faults, or no more.
-    Breaks(bool),
-    /// A second process stands beside it from now on, or no more.
-    TakesOver(bool),
-    /// Its watch was told that a server takes nothing new.
-    ToldDrained(usize),
-    /// Its watch was told that a server is there.
-    ToldReady(usize),
-    /// Its console said that a server is out.
-    TakenOut(usize),
-    /// An operator asked for a server to be put back.
-    PuttingBack(usize),
+    /// It exited, with this code if it had one.
+    Exited(Option<i32>),
+    /// It was stopped with SIGSTOP.
+    Paused,
+    /// It runs again after SIGCONT.
+    Resumed,
+    /// The fault library begins (true) or ceases (false) to break its connections.
+    ConnectionFaults(bool),
+    /// A take-over by a second process begins (true) or is over (false).
+    TakeOverActive(bool),
+    /// Discovery told it that a server is leaving or absent.
+    DrainAnnounced(usize),
+    /// Discovery told it that a server is active.
+    ReadyAnnounced(usize),
+    /// Its console confirmed that a server is in maintenance.
+    MaintenanceConfirmed(usize),
+    /// The harness is about to clear the maintenance of a server.
+    MaintenanceEnding(usize),
 }
 
-/// All that was written down.
+/// All records of a run.
 pub struct Records {
-    begun: Instant,
-    /// By clients.
+    start: Instant,
+    /// Recorded by clients.
     pub requests: Mutex<Vec<Request>>,
-    /// By servers.
+    /// Recorded by servers.
     pub attempts: Mutex<Vec<Attempt>>,
-    /// By the rig and by discovery.
+    /// Recorded by the harness and by discovery, with their times.
     pub events: Mutex<Vec<(f64, ProcessId, Event)>>,
 }
 
 impl Records {
-    /// None yet; times are counted from now.
+    /// Creates empty records; times count from now.
     pub fn new() -> Records {
         Records {
-            begun: Instant::now(),
+            start: Instant::now(),
             requests: Mutex::default(),
             attempts: Mutex::default(),
             events: Mutex::default(),
         }
     }
 
-    /// Seconds since the beginning.
+    /// Seconds since the records began.
     pub fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        self.start.elapsed().as_secs_f64()
     }
 
-    /// Writes down what happens to a process now.
-    pub fn note(&self, process: ProcessId, event: Event) {
+    /// Records an event of a process at the present time.
+    pub fn record_event(&self, process: ProcessId, event: Event) {
         lock(&self.events).push((self.now(), process, event));
     }
 }
--- a/lab/src/soak/report.rs
+++ b/lab/src/soak/report.rs
@@ -1,6 +1,6 @@
-//! What a play prints.
+//! The printed report of a soak run.
 use super::checker::Verdict;
-use super::fleet::Ends;
+use super::fleet::ShutdownReport;
 use super::records::Records;
 use super::timetable::Timetable;
 use super::trouble::Trouble;
@@ -9,32 +9,32 @@
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter, Result};
 
-/// A rig whose own threads ran later than this, in seconds, gives no figure.
-const LATE: f64 = 0.1;
-/// Findings that are printed of each promise.
-const MOST_PRINTED: usize = 6;
+/// If the harness's own threads ran later than this, in seconds, findings are inconclusive.
+const MAX_HARNESS_DELAY_S: f64 = 0.1;
+/// Findings that are printed per rule.
+const MAX_PRINTED_PER_RULE: usize = 6;
 
-/// All that is known of a play.
+/// The result of a soak run.
 pub struct Report {
     /// Its seed.
     pub seed: u64,
-    /// What was played.
+    /// The troubles that were injected.
     pub timetable: Timetable,
-    /// What was found.
+    /// The result of the check.
     pub verdict: Verdict,
-    /// How the processes ended, and which faults arrived.
-    pub ends: Ends,
-    /// How late the rig itself ran at worst, in seconds.
+    /// Errors in the processes' logs, and counts of injected faults.
+    pub shutdown: ShutdownReport,
+    /// The largest delay of the harness's own threads, in seconds.
     pub harness_delay_s: f64,
-    /// Attempts that servers saw.
+    /// Attempts that servers recorded.
     pub attempts: usize,
     processes: usize,
 }
 
 impl Report {
-    /// Of a play that is over.
+    /// Creates the report of a finished run.
     pub fn new(
-        plan: &Plan, timetable: Timetable, verdict: Verdict, ends: Ends, harness_delay_s: f64,
+        plan: &Plan, timetable: Timetable, verdict: Verdict, shutdown: ShutdownReport, harness_delay_s: f64,
         records: &Records,
     ) -> Report {
         let attempts = lock(&records.attempts).len();
@@ -42,29 +42,29 @@
             seed: plan.seed,
             timetable,
             verdict,
-            ends,
+            shutdown,
             harness_delay_s,
             attempts,
             processes: plan.processes,
         }
     }
 
-    /// The rig ran so late that it may be the cause of what was found.
+    /// Whether the harness ran so late that it may have caused the findings.
     pub fn is_late(&self) -> bool {
-        self.harness_delay_s > LATE
+        self.harness_delay_s > MAX_HARNESS_DELAY_S
     }
 
-    /// Nothing was found.
+    /// Whether there are no findings.
     pub fn is_clean(&self) -> bool {
         self.verdict.findings.is_empty()
     }
 
-    /// How often each two kinds overlapped.
-    pub fn pairs(&self) -> BTreeMap<(Trouble, Trouble), usize> {
-        self.timetable.pairs()
+    /// How often each pair of kinds overlapped.
+    pub fn pair_counts(&self) -> BTreeMap<(Trouble, Trouble), usize> {
+        self.timetable.overlapping_pairs()
     }
 
-    /// The timetable, a line each.
+    /// The timetable, one line per entry.
     pub fn timetable_text(&self) -> String {
         let line = |entry: &super::timetable::Entry| {
             let target = entry.target;
@@ -72,7 +72,7 @@
                 "  {:.3} s {} for {:.3} s at group {} process {} server {}\n",
                 entry.at.as_secs_f64(),
                 entry.trouble.name(),
-                entry.length.as_secs_f64(),
+                entry.duration.as_secs_f64(),
                 target.group,
                 target.process,
                 target.server
@@ -87,7 +87,7 @@
         let Verdict { findings, requests, served, refused, excused } = &self.verdict;
         let verdict = match (self.is_clean(), self.is_late()) {
             (true, _) => "clean",
-            (false, true) => "no figure: the rig ran late",
+            (false, true) => "no figure: the harness ran late",
             (false, false) => "FOUND",
         };
         writeln!(
@@ -97,73 +97,77 @@
             self.seed,
             self.processes,
             self.timetable.entries.len(),
-            self.pairs().len(),
+            self.pair_counts().len(),
             self.attempts,
             self.harness_delay_s,
         )?;
-        let arrived: Vec<String> =
-            self.ends.arrived.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
-        writeln!(out, "  faults arrived: {}", arrived.join(", "))?;
-        let mut by_promise: BTreeMap<&str, Vec<_>> = BTreeMap::new();
+        let fault_counts: Vec<String> =
+            self.shutdown.fault_counts.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+        writeln!(out, "  faults arrived: {}", fault_counts.join(", "))?;
+        let mut by_rule: BTreeMap<&str, Vec<_>> = BTreeMap::new();
         for finding in findings {
-            by_promise.entry(finding.promise).or_default().push(finding);
+            by_rule.entry(finding.rule).or_default().push(finding);
         }
-        for (promise, findings) in by_promise {
-            writeln!(out, "  {promise}: {} times", findings.len())?;
-            for finding in findings.iter().take(MOST_PRINTED) {
-                writeln!(out, "    g{}p{} {}", finding.process.group, finding.process.number, finding.seen)?;
+        for (rule, findings) in by_rule {
+            writeln!(out, "  {rule}: {} times", findings.len())?;
+            for finding in findings.iter().take(MAX_PRINTED_PER_RULE) {
+                writeln!(
+                    out,
+                    "    g{}p{} {}",
+                    finding.process.group, finding.process.number, finding.details
+                )?;
             }
         }
         Ok(())
     }
 }
 
-/// How often each two kinds overlapped, over many plays.
+/// How often each pair of kinds overlapped, over many runs.
 #[derive(Default)]
-pub struct Pairs {
-    met: BTreeMap<(Trouble, Trouble), usize>,
-    plays: usize,
+pub struct PairCounts {
+    counts: BTreeMap<(Trouble, Trouble), usize>,
+    runs: usize,
 }
 
-impl Pairs {
-    /// Adds those of a play.
+impl PairCounts {
+    /// Adds the counts of a run.
     pub fn add(&mut self, report: &Report) {
-        self.plays += 1;
-        for (pair, count) in report.pairs() {
-            *self.met.entry(pair).or_default() += count;
+        self.runs += 1;
+        for (pair, count) in report.pair_counts() {
+            *self.counts.entry(pair).or_default() += count;
         }
     }
 
-    /// Pairs of two kinds that were met fewer than so many times.
+    /// The pairs of kinds that overlapped fewer than `least` times.
     pub fn rarer_than(&self, least: usize) -> Vec<(Trouble, Trouble)> {
         let kinds = Trouble::ALL.iter().copied();
         let all = kinds
             .enumerate()
             .flat_map(|(at, one)| Trouble::ALL[at + 1..].iter().map(move |other| (one, *other)));
-        all.filter(|pair| self.met.get(pair).copied().unwrap_or(0) < least).collect()
+        all.filter(|pair| self.counts.get(pair).copied().unwrap_or(0) < least).collect()
     }
 }
 
-/// A pair is met often enough from here on.
-const OFTEN: usize = 5;
+/// Pairs that overlapped fewer times than this are counted as rare.
+const MIN_PAIR_COUNT: usize = 5;
 
-impl Display for Pairs {
+impl Display for PairCounts {
     fn fmt(&self, out: &mut Formatter) -> Result {
-        writeln!(out, "pairs of kinds met in {} plays:", self.plays)?;
-        for ((one, other), count) in &self.met {
+        writeln!(out, "pairs of kinds met in {} plays:", self.runs)?;
+        for ((one, other), count) in &self.counts {
             writeln!(out, "  {} + {}: {count}", one.name(), other.name())?;
         }
-        let rare = self.rarer_than(OFTEN);
+        let rare = self.rarer_than(MIN_PAIR_COUNT);
         writeln!(
             out,
-            "met fewer than {OFTEN} times: {} of {}",
+            "met fewer than {MIN_PAIR_COUNT} times: {} of {}",
             rare.len(),
             Trouble::ALL.len() * (Trouble::ALL.len() - 1) / 2
         )
     }
 }
 
-/// The names of all kinds.
-pub fn kinds() -> String {
+/// The names of all kinds, separated by commas.
+pub fn trouble_names() -> String {
     Trouble::ALL.iter().map(|kind| kind.name()).collect::<Vec<_>>().join(", ")
 }
--- a/lab/src/soak/servers.rs
+++ b/lab/src/soak/servers.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers: each answers a request with its id, misbehaves as it is told, and writes every attempt down.
-use super::records::{Attempt, Deed, ProcessId, Records};
+//! Fake servers: each answers a request with its id, misbehaves when told to, and records every attempt.
+use super::records::{Attempt, AttemptOutcome, ProcessId, Records};
 use crate::fakes::header;
 use crate::harness::lock;
 use nanorand::{Rng, WyRand};
@@ -13,31 +13,31 @@
 
 /// How a server treats requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Manner {
-    /// It answers, now and then late.
+pub enum ServerBehaviour {
+    /// Answers, now and then slowly.
     Answers,
-    /// It takes requests and says nothing.
+    /// Accepts requests without answering.
     Hangs,
-    /// It resets connections, each at a point of its own.
+    /// Resets each connection at a random point of a request or answer.
     Resets,
-    /// It turns requests away.
+    /// Rejects requests as not started.
     Full,
-    /// It answers twice.
-    Twice,
-    /// It closes connections as soon as they are idle.
+    /// Sends each answer twice.
+    AnswersTwice,
+    /// Closes connections as soon as they are idle.
     ClosesIdle,
 }
 
-/// How often an idle connection looks whether its server has changed its manner.
-const LOOK: Duration = Duration::from_millis(60);
-/// How soon one is closed by a server that closes idle ones.
-const CLOSES_AFTER: Duration = Duration::from_millis(4);
-/// The longest that a server hangs on one request.
-const HANGS: Duration = Duration::from_millis(2_500);
-/// One request of so many takes long.
-const ONE_IN_LONG: u64 = 25;
+/// How often a waiting connection checks whether its server's behaviour has changed or the server has restarted.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// How soon a server that closes idle connections does so.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(4);
+/// How long a hanging server holds a request at most.
+const MAX_HANG: Duration = Duration::from_millis(2_500);
+/// One in this many requests takes 40 to 160 ms instead of 1 to 5.
+const SLOW_REQUEST_ONE_IN: u64 = 25;
 
-/// One server.
+/// A fake server.
 #[derive(Clone)]
 pub struct Server {
     /// Where it listens.
@@ -48,19 +48,19 @@
 struct State {
     number: usize,
     cell: usize,
-    manner: Mutex<Manner>,
-    /// Connections of an earlier life are over.
-    life: AtomicU64,
+    behaviour: Mutex<ServerBehaviour>,
+    /// Counts restarts; connections that began before the last one are closed or reset.
+    incarnation: AtomicU64,
     records: Arc<Records>,
 }
 
 impl Server {
-    /// Starts one.
+    /// Starts a server that answers normally.
     pub fn start(number: usize, cell: usize, records: Arc<Records>) -> std::io::Result<Server> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let manner = Mutex::new(Manner::Answers);
-        let state = Arc::new(State { number, cell, manner, life: AtomicU64::new(0), records });
+        let behaviour = Mutex::new(ServerBehaviour::Answers);
+        let state = Arc::new(State { number, cell, behaviour, incarnation: AtomicU64::new(0), records });
         let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -71,184 +71,193 @@
         Ok(Server { address, state })
     }
 
-    /// From now on it treats requests so.
-    pub fn set(&self, manner: Manner) {
-        *lock(&self.state.manner) = manner;
+    /// Changes how it treats requests from now on.
+    pub fn set_behaviour(&self, behaviour: ServerBehaviour) {
+        *lock(&self.state.behaviour) = behaviour;
     }
 
-    /// It starts again: its connections are reset.
+    /// Simulates a restart: open connections end, by a reset where a request comes on them.
     pub fn restart(&self) {
-        self.state.life.fetch_add(1, Ordering::SeqCst);
+        self.state.incarnation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// A request as it came.
-struct Came {
-    first_byte: f64,
+/// A request that was read whole.
+struct ReceivedRequest {
+    first_byte_at: f64,
     head: String,
 }
 
-/// Why no whole request came.
-enum Ended {
-    /// Between requests.
-    Idle,
-    /// After these bytes of one, of which the first came then.
-    Within(f64, Vec<u8>),
+/// How a connection ended without another whole request.
+enum ReceiveEnd {
+    /// Between two requests.
+    BetweenRequests,
+    /// Within a request: when its first byte came, and the bytes that came.
+    MidRequest(f64, Vec<u8>),
 }
 
 impl State {
-    fn manner(&self) -> Manner {
-        *lock(&self.manner)
+    fn behaviour(&self) -> ServerBehaviour {
+        *lock(&self.behaviour)
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let life = self.life.load(Ordering::SeqCst);
-        let mut chance = WyRand::new();
+        let incarnation = self.incarnation.load(Ordering::SeqCst);
+        let mut rng = WyRand::new();
         let _ = stream.set_nodelay(true);
         let _ = stream.set_write_timeout(Some(Duration::from_secs(2)));
         loop {
-            match self.request(&mut stream, life, &mut chance) {
-                Ok(came) => {
-                    if !self.treat(&mut stream, came, life, &mut chance) {
+            match self.read_request(&mut stream, incarnation, &mut rng) {
+                Ok(received) => {
+                    if !self.respond(&mut stream, received, incarnation, &mut rng) {
                         return;
                     }
                 }
-                Err(Ended::Idle) => return,
-                Err(Ended::Within(first_byte, bytes)) => {
+                Err(ReceiveEnd::BetweenRequests) => return,
+                Err(ReceiveEnd::MidRequest(first_byte_at, bytes)) => {
                     let head = String::from_utf8_lossy(&bytes).into_owned();
-                    self.write_down(&Came { first_byte, head }, None, Deed::Incomplete);
+                    self.record_attempt(
+                        &ReceivedRequest { first_byte_at, head },
+                        None,
+                        AttemptOutcome::Incomplete,
+                    );
                     return;
                 }
             }
         }
     }
 
-    /// Reads one request, whole.
-    fn request(&self, stream: &mut TcpStream, life: u64, chance: &mut WyRand) -> Result<Came, Ended> {
-        let (mut bytes, mut first_byte, mut buffer) = (Vec::new(), 0.0, [0; 4096]);
-        let breaks_at = chance.generate_range(1..300_usize);
+    /// Reads one whole request.
+    fn read_request(
+        &self, stream: &mut TcpStream, incarnation: u64, rng: &mut WyRand,
+    ) -> Result<ReceivedRequest, ReceiveEnd> {
+        let (mut bytes, mut first_byte_at, mut buffer) = (Vec::new(), 0.0, [0; 4096]);
+        let reset_at_byte = rng.generate_range(1..300_usize);
         loop {
-            let closes_idle = self.manner() == Manner::ClosesIdle && bytes.is_empty();
-            let _ = stream.set_read_timeout(Some(if closes_idle { CLOSES_AFTER } else { LOOK }));
+            let closes_idle = self.behaviour() == ServerBehaviour::ClosesIdle && bytes.is_empty();
+            let _ = stream.set_read_timeout(Some(if closes_idle { IDLE_CLOSE_DELAY } else { POLL_INTERVAL }));
             match stream.read(&mut buffer) {
                 Ok(count @ 1..) => {
                     if bytes.is_empty() {
-                        first_byte = self.records.now();
+                        first_byte_at = self.records.now();
                     }
                     bytes.extend_from_slice(&buffer[..count]);
                 }
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    let over = closes_idle || self.life.load(Ordering::SeqCst) != life;
-                    if over && bytes.is_empty() {
-                        return Err(Ended::Idle);
+                    let closing = closes_idle || self.incarnation.load(Ordering::SeqCst) != incarnation;
+                    if closing && bytes.is_empty() {
+                        return Err(ReceiveEnd::BetweenRequests);
                     }
                 }
-                _ if bytes.is_empty() => return Err(Ended::Idle),
-                _ => return Err(Ended::Within(first_byte, bytes)),
+                _ if bytes.is_empty() => return Err(ReceiveEnd::BetweenRequests),
+                _ => return Err(ReceiveEnd::MidRequest(first_byte_at, bytes)),
             }
-            if let Some(head) = whole_head(&bytes) {
-                return Ok(Came { first_byte, head });
+            if let Some(head) = complete_head(&bytes) {
+                return Ok(ReceivedRequest { first_byte_at, head });
             }
-            if self.manner() == Manner::Resets && bytes.len() > breaks_at {
+            if self.behaviour() == ServerBehaviour::Resets && bytes.len() > reset_at_byte {
                 reset(stream);
-                return Err(Ended::Within(first_byte, bytes));
+                return Err(ReceiveEnd::MidRequest(first_byte_at, bytes));
             }
         }
     }
 
-    /// Does with a request what its manner asks for. False if the connection is over.
-    fn treat(&self, stream: &mut TcpStream, came: Came, life: u64, chance: &mut WyRand) -> bool {
-        let last_byte = Some(self.records.now());
-        let id = header(&came.head, "Request-Id").unwrap_or_default().to_string();
+    /// Treats a request according to the server's behaviour. Returns false if the connection is over.
+    fn respond(
+        &self, stream: &mut TcpStream, received: ReceivedRequest, incarnation: u64, rng: &mut WyRand,
+    ) -> bool {
+        let last_byte_at = Some(self.records.now());
+        let id = header(&received.head, "Request-Id").unwrap_or_default().to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
-        if self.life.load(Ordering::SeqCst) != life {
-            // It ended with its earlier life, as this came.
+        if self.incarnation.load(Ordering::SeqCst) != incarnation {
+            // The server restarted as this request came.
             reset(stream);
-            self.write_down(&came, last_byte, Deed::Ran);
+            self.record_attempt(&received, last_byte_at, AttemptOutcome::Executed);
             return false;
         }
-        match self.manner() {
-            Manner::Answers | Manner::ClosesIdle => {
-                thread::sleep(work(chance));
-                let written = stream.write_all(answer.as_bytes());
-                self.write_down(&came, last_byte, Deed::Ran);
-                written.is_ok()
+        match self.behaviour() {
+            ServerBehaviour::Answers | ServerBehaviour::ClosesIdle => {
+                thread::sleep(service_time(rng));
+                let write_result = stream.write_all(answer.as_bytes());
+                self.record_attempt(&received, last_byte_at, AttemptOutcome::Executed);
+                write_result.is_ok()
             }
-            Manner::Hangs => {
+            ServerBehaviour::Hangs => {
                 self.hang(stream);
-                self.write_down(&came, last_byte, Deed::Ran);
+                self.record_attempt(&received, last_byte_at, AttemptOutcome::Executed);
                 false
             }
-            Manner::Resets => {
-                // Before, within or right behind the answer.
-                let part = chance.generate_range(0..=answer.len());
+            ServerBehaviour::Resets => {
+                // Before, within or right after the answer.
+                let part = rng.generate_range(0..=answer.len());
                 let _ = stream.write_all(&answer.as_bytes()[..part]);
                 reset(stream);
-                self.write_down(&came, last_byte, Deed::Ran);
+                self.record_attempt(&received, last_byte_at, AttemptOutcome::Executed);
                 false
             }
-            Manner::Full => {
+            ServerBehaviour::Full => {
                 let full = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-                let written = stream.write_all(full.as_bytes());
-                self.write_down(&came, last_byte, Deed::TurnedAway);
-                written.is_ok()
+                let write_result = stream.write_all(full.as_bytes());
+                self.record_attempt(&received, last_byte_at, AttemptOutcome::Rejected);
+                write_result.is_ok()
             }
-            Manner::Twice => {
-                thread::sleep(work(chance));
-                let written = stream.write_all(answer.as_bytes());
-                thread::sleep(Duration::from_millis(chance.generate_range(0..6_u64)));
-                let again = stream.write_all(answer.as_bytes());
-                self.write_down(&came, last_byte, Deed::Ran);
-                written.and(again).is_ok()
+            ServerBehaviour::AnswersTwice => {
+                thread::sleep(service_time(rng));
+                let write_result = stream.write_all(answer.as_bytes());
+                thread::sleep(Duration::from_millis(rng.generate_range(0..6_u64)));
+                let second_result = stream.write_all(answer.as_bytes());
+                self.record_attempt(&received, last_byte_at, AttemptOutcome::Executed);
+                write_result.and(second_result).is_ok()
             }
         }
     }
 
-    /// Says nothing until the other side gives up, or for as long as it hangs.
+    /// Waits without an answer until the other side closes the connection, at most for [`MAX_HANG`].
     fn hang(&self, stream: &mut TcpStream) {
-        let _ = stream.set_read_timeout(Some(HANGS));
+        let _ = stream.set_read_timeout(Some(MAX_HANG));
         let _ = stream.read(&mut [0; 64]);
     }
 
-    fn write_down(&self, came: &Came, last_byte: Option<f64>, deed: Deed) {
-        let Some(id) = header(&came.head, "Request-Id") else { return };
-        let Some(process) = process_of(id) else { return };
-        let told = header(&came.head, "Request-Timeout-Ms").and_then(|told| told.parse::<f64>().ok());
+    fn record_attempt(&self, received: &ReceivedRequest, last_byte_at: Option<f64>, outcome: AttemptOutcome) {
+        let Some(id) = header(&received.head, "Request-Id") else { return };
+        let Some(process) = process_from_request_id(id) else { return };
+        let timeout_ms = header(&received.head, "Request-Timeout-Ms")
+            .and_then(|timeout_ms| timeout_ms.parse::<f64>().ok());
         lock(&self.records.attempts).push(Attempt {
             process,
             server: self.number,
             cell: self.cell,
             id: id.to_string(),
-            first_byte: came.first_byte,
-            last_byte,
-            over: self.records.now(),
-            told: told.map(|told| told / 1_000.0),
-            deed,
+            first_byte_at: received.first_byte_at,
+            last_byte_at,
+            ended_at: self.records.now(),
+            announced_timeout_s: timeout_ms.map(|timeout_ms| timeout_ms / 1_000.0),
+            outcome,
         });
     }
 }
 
-/// How long a server works on a request.
-fn work(chance: &mut WyRand) -> Duration {
-    let long = chance.generate_range(0..ONE_IN_LONG) == 0;
-    Duration::from_millis(if long { chance.generate_range(40..160) } else { chance.generate_range(1..5) })
+/// Draws how long a server works on a request.
+fn service_time(rng: &mut WyRand) -> Duration {
+    let long = rng.generate_range(0..SLOW_REQUEST_ONE_IN) == 0;
+    Duration::from_millis(if long { rng.generate_range(40..160) } else { rng.generate_range(1..5) })
 }
 
-/// The process that an id names.
-pub fn process_of(id: &str) -> Option<ProcessId> {
+/// The process that a request id names.
+pub fn process_from_request_id(id: &str) -> Option<ProcessId> {
     let (group, number) = id.split_once('-')?.0.strip_prefix('g')?.split_once('p')?;
     Some(ProcessId { group: group.parse().ok()?, number: number.parse().ok()? })
 }
 
-/// The head of a request of which all has come.
-fn whole_head(bytes: &[u8]) -> Option<String> {
+/// The head of a request, once its head and body have come.
+fn complete_head(bytes: &[u8]) -> Option<String> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let length = header(&head, "Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
     (bytes.len() >= end + length).then_some(head)
 }
 
-/// Ends a connection so that the other side is told of a reset.
+/// Makes the close of a connection a reset instead of a regular end.
 pub fn reset(stream: &TcpStream) {
     let _ = sockopt::set_socket_linger(stream, Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Read);
--- a/lab/src/soak/trouble.rs
+++ b/lab/src/soak/trouble.rs
@@ -1,18 +1,18 @@
-//! The kinds of trouble that a soak plays.
+//! The kinds of faults that a soak run injects.
 
 macro_rules! troubles {
     ($($(#[$doc:meta])* $name:ident = $text:literal;)*) => {
-        /// One kind of trouble.
+        /// A kind of fault, called a trouble.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
         pub enum Trouble {
             $($(#[$doc])* $name,)*
         }
 
         impl Trouble {
-            /// All kinds.
+            /// All kinds, in the order in which they are drawn.
             pub const ALL: &[Trouble] = &[$(Trouble::$name,)*];
 
-            /// The name by which it is printed and left out.
+            /// The name in reports and for `--without`.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Trouble::$name => $text,)*
@@ -23,83 +23,83 @@
 }
 
 troubles! {
-    /// A process is asked to end, and started again.
+    /// A process gets SIGTERM, and is started again.
     Terminate = "terminate";
-    /// SIGHUP three times, then a process is asked to end twice, and started again.
+    /// A process gets SIGHUP three times and SIGTERM twice, and is started again.
     SignalSeries = "signal-series";
-    /// A process is killed, and started again.
+    /// A process gets SIGKILL, and is started again.
     Kill = "kill";
-    /// A process stands still for up to 0.15 s.
+    /// A process is stopped with SIGSTOP for up to 0.15 s.
     StopShort = "stop-short";
-    /// A process stands still for up to a second.
+    /// A process is stopped with SIGSTOP for up to a second.
     StopLong = "stop-long";
     /// SIGHUP twice in a row.
     HangupTwice = "hangup-twice";
-    /// SIGHUP with half a file, and then with a whole one.
+    /// SIGHUP with a truncated configuration file, and then with a complete one.
     HangupBroken = "hangup-broken";
-    /// SIGHUP with discovery at another address.
+    /// SIGHUP with a configuration that has discovery at another address.
     HangupMoved = "hangup-moved";
-    /// A second process takes over from the first.
+    /// A second process takes over from the first on the same listening socket.
     TakeOver = "take-over";
     /// A second process begins to take over, and is killed.
     TakeOverKilled = "take-over-killed";
-    /// Discovery refuses connections, and its watches end.
+    /// Discovery closes each connection at once, and ends its watches.
     DiscoveryDown = "discovery-down";
-    /// Discovery accepts and says nothing; its watches fall silent.
+    /// Discovery accepts requests without answering, and sends nothing on its watches.
     DiscoverySilent = "discovery-silent";
-    /// Discovery answers each call after a while.
+    /// Discovery delays each answer.
     DiscoverySlow = "discovery-slow";
-    /// Discovery has too many callers: its watches end, and each call is turned away when it has waited.
+    /// Discovery is overloaded: it ends its watches, and rejects each request after a wait.
     DiscoveryCrowded = "discovery-crowded";
-    /// Watches end in the middle of a line.
+    /// Discovery ends its watches in the middle of a line.
     DiscoveryCut = "discovery-cut";
-    /// Discovery starts again, and numbers its versions from the first.
+    /// Discovery restarts, and its list index starts again at 1.
     DiscoveryLower = "discovery-lower";
-    /// A server drains, leaves, and comes back.
+    /// A server drains, is removed from the list, and returns.
     ServerDrains = "server-drains";
-    /// A server starts again cold.
+    /// A server restarts cold.
     ServerRestarts = "server-restarts";
-    /// A server takes requests and says nothing.
+    /// A server accepts requests without answering.
     ServerHangs = "server-hangs";
-    /// A server resets connections at every point of a request.
+    /// A server resets connections at random points of a request or answer.
     ServerResets = "server-resets";
-    /// A server turns requests away.
+    /// A server rejects requests as not started.
     ServerFull = "server-full";
-    /// A server answers twice.
+    /// A server sends each answer twice.
     ServerAnswersTwice = "server-answers-twice";
-    /// A server closes its idle connections at once.
+    /// A server closes its connections as soon as they are idle.
     ServerClosesIdle = "server-closes-idle";
-    /// Clients leave while they wait.
+    /// Clients close their connection before the answer.
     ClientsLeave = "clients-leave";
-    /// Clients send half a request and stay.
+    /// Clients send part of a request and keep the connection open.
     ClientsStopHalfWay = "clients-stop-half-way";
-    /// Clients send several requests at once.
+    /// Clients pipeline several requests.
     ClientsPipeline = "clients-pipeline";
-    /// Clients write and read a byte at a time.
+    /// Clients send their requests a byte at a time.
     ClientsDrip = "clients-drip";
-    /// Many connections that say nothing.
+    /// Many connections that send nothing.
     ClientsFlood = "clients-flood";
-    /// Clients retry at once.
+    /// Clients send their next request almost at once after each answer or failure.
     ClientsRetry = "clients-retry";
-    /// An operator takes a server out, and puts it back.
+    /// An operator sets a server to maintenance, and clears it again.
     Maintenance = "maintenance";
     /// The wall clock of a process is stepped by an hour.
     ClockStep = "clock-step";
-    /// Reads and writes on sockets are short, or interrupted.
+    /// Reads and writes on sockets are short, or fail with `EINTR`.
     ShortTransfers = "short-transfers";
     /// Connections break with `ETIMEDOUT` and `EHOSTUNREACH`.
     BrokenTransfers = "broken-transfers";
-    /// Accepts fail.
+    /// `accept4` fails.
     FailedAccepts = "failed-accepts";
-    /// The folder is full.
+    /// Writes to files fail with `ENOSPC`.
     FolderFull = "folder-full";
-    /// Syncs, renames and reads in the folder fail.
+    /// Syncs and renames of files fail.
     FolderFails = "folder-fails";
 }
 
 impl Trouble {
-    /// By its name.
-    pub fn named(name: &str) -> Option<Trouble> {
+    /// Looks a trouble up by its name.
+    pub fn from_name(name: &str) -> Option<Trouble> {
         Trouble::ALL.iter().copied().find(|trouble| trouble.name() == name)
     }
 }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -1,65 +1,65 @@
-//! Three fixed seeds of the soak, short: nothing is found, and the timetable of a seed is always the same.
+//! Short soak runs with three fixed seeds have no findings, and a seed always gives the same timetable.
 mod beside;
 
 use beside::program;
-use oakhollow_lab::soak::timetable::{Shape, Timetable};
+use oakhollow_lab::soak::timetable::{FleetSize, Timetable};
 use oakhollow_lab::soak::trouble::Trouble;
 use oakhollow_lab::soak::{run, Plan};
 use std::time::Duration;
 
-/// A rig that ran late gives no figure: it is played again, so often.
-const PLAYS: usize = 3;
+/// A run with findings in which the harness ran late is inconclusive and is repeated, up to this many runs.
+const MAX_RUNS: usize = 3;
 
 fn plan(seed: u64) -> Plan {
-    Plan { seed, processes: 8, length: Duration::from_secs(4), without: Vec::new() }
+    Plan { seed, processes: 8, duration: Duration::from_secs(4), excluded: Vec::new() }
 }
 
-fn is_clean(seed: u64) {
-    for _ in 0..PLAYS {
-        let report = run(&program(), &plan(seed)).expect("the rig is built");
+fn assert_clean(seed: u64) {
+    for _ in 0..MAX_RUNS {
+        let report = run(&program(), &plan(seed)).expect("the harness is set up");
         println!("{report}{}", report.timetable_text());
         if report.is_clean() {
             return;
         }
         assert!(report.is_late(), "{report}");
     }
-    panic!("seed {seed}: no figure in {PLAYS} plays");
+    panic!("seed {seed}: no conclusive run in {MAX_RUNS}");
 }
 
 #[test]
-fn nothing_is_found_with_seed_3() {
-    is_clean(3);
+fn seed_3_has_no_findings() {
+    assert_clean(3);
 }
 
 #[test]
-fn nothing_is_found_with_seed_5() {
-    is_clean(5);
+fn seed_5_has_no_findings() {
+    assert_clean(5);
 }
 
 #[test]
-fn nothing_is_found_with_seed_8() {
-    is_clean(8);
+fn seed_8_has_no_findings() {
+    assert_clean(8);
 }
 
 #[test]
-fn a_seed_draws_the_same_timetable_and_what_is_left_out_leaves_the_rest_in_place() {
-    let shape = Shape { groups: 4, processes: 9, servers: 4 };
-    let whole = Timetable::draw(&plan(7), &shape);
-    assert_eq!(whole, Timetable::draw(&plan(7), &shape));
-    assert_ne!(whole, Timetable::draw(&plan(9), &shape));
+fn a_seed_gives_the_same_timetable_and_an_excluded_kind_leaves_the_other_entries_unchanged() {
+    let size = FleetSize { groups: 4, processes: 9, servers: 4 };
+    let whole = Timetable::draw(&plan(7), &size);
+    assert_eq!(whole, Timetable::draw(&plan(7), &size));
+    assert_ne!(whole, Timetable::draw(&plan(9), &size));
     let kind = whole.entries[0].trouble;
-    let rest = Timetable::draw(&Plan { without: vec![kind], ..plan(7) }, &shape);
+    let rest = Timetable::draw(&Plan { excluded: vec![kind], ..plan(7) }, &size);
     let expected: Vec<_> = whole.entries.iter().filter(|entry| entry.trouble != kind).copied().collect();
     assert_eq!(rest.entries, expected);
 }
 
 #[test]
-fn troubles_overlap_and_each_two_kinds_meet() {
-    let shape = Shape { groups: 4, processes: 9, servers: 4 };
+fn each_pair_of_kinds_overlaps_in_some_timetables() {
+    let size = FleetSize { groups: 4, processes: 9, servers: 4 };
     let mut met = std::collections::BTreeMap::new();
     for seed in 0..200 {
-        let plan = Plan { length: Duration::from_secs(8), ..plan(seed) };
-        for (pair, count) in Timetable::draw(&plan, &shape).pairs() {
+        let plan = Plan { duration: Duration::from_secs(8), ..plan(seed) };
+        for (pair, count) in Timetable::draw(&plan, &size).overlapping_pairs() {
             *met.entry(pair).or_insert(0) += count;
         }
     }
