--- a/lab/src/chain/client.rs
+++ b/lab/src/chain/client.rs
@@ -1,6 +1,6 @@
-//! The one caller before a chain: an open loop, counted from when each call should have gone out.
-use super::tiers::{histogram, IDLE};
-use super::wire::{request, Clock, Link, Message};
+//! The client of a chain: an open-loop load generator that measures latency from when each request was due to be sent.
+use super::tiers::{histogram, IDLE_LIMIT_NS};
+use super::wire::{encode_request, Clock, Connection, Message};
 use hdrhistogram::Histogram;
 use polling::{Events, Poller};
 use std::collections::HashMap;
@@ -8,179 +8,183 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a caller waits for an answer.
-pub const PATIENCE_MS: u64 = 3_000;
-/// A call that goes out later than that is late.
-pub const LATE: Duration = Duration::from_millis(5);
-/// After the last call: patience, and some.
-const DRAINED: u64 = (PATIENCE_MS + 1_000) * 1_000_000;
+/// The timeout that the client announces, in milliseconds.
+pub const CLIENT_TIMEOUT_MS: u64 = 3_000;
+/// A request that is sent later than this after it was due counts as late.
+pub const LATE_THRESHOLD: Duration = Duration::from_millis(5);
+/// How long the client waits after the last request was due: the timeout plus a second.
+const DRAIN_TIME_NS: u64 = (CLIENT_TIMEOUT_MS + 1_000) * 1_000_000;
 
-/// One round of calls.
+/// The requests of one round.
 #[derive(Clone, Copy)]
-pub struct Calls {
+pub struct LoadPlan {
     pub rate: f64,
-    /// Before the figures count.
-    pub lead: Duration,
-    pub length: Duration,
-    /// No other round has calls of these numbers.
-    pub first: u64,
+    /// Requests that are due during the warm-up are not measured.
+    pub warm_up: Duration,
+    pub duration: Duration,
+    /// Request numbers count from here; no other round uses the same ones.
+    pub first_id: u64,
 }
 
-impl Calls {
-    pub fn count(&self) -> u64 {
-        ((self.lead + self.length).as_secs_f64() * self.rate) as u64
+impl LoadPlan {
+    pub fn request_count(&self) -> u64 {
+        ((self.warm_up + self.duration).as_secs_f64() * self.rate) as u64
     }
 
-    /// When a call is due after the round's start, in nanoseconds.
-    fn due(&self, call: u64) -> u64 {
+    /// When a request is due after the round's start, in nanoseconds.
+    fn due_ns(&self, call: u64) -> u64 {
         (call as f64 / self.rate * 1e9) as u64
     }
 }
 
-/// What came of them.
-pub struct Called {
+/// The results of a round as the client saw them.
+pub struct ClientResults {
     pub sent: u64,
-    /// By status; 0 is a connection that broke.
-    pub answers: HashMap<u16, u64>,
-    /// Answers on connections on which nothing was asked.
-    pub unasked: u64,
+    /// Responses by status; 0 counts connections that broke before the response.
+    pub responses: HashMap<u16, u64>,
+    /// Responses on connections without an open request.
+    pub unsolicited: u64,
     pub unanswered: u64,
-    /// Of those that count: how many, how many went out late, and from when each was due to its answer's last byte.
-    pub counted: u64,
+    /// Requests after the warm-up.
+    pub measured: u64,
+    /// Requests after the warm-up that were sent late.
     pub late: u64,
+    /// From when a request was due to its response's last byte, in nanoseconds, of served requests after the warm-up.
     pub latency: Histogram<u64>,
-    pub answer_transit: Histogram<u64>,
+    pub response_transit: Histogram<u64>,
 }
 
-impl Called {
-    pub fn late_share(&self) -> f64 {
-        self.late as f64 / self.counted.max(1) as f64
+impl ClientResults {
+    pub fn late_fraction(&self) -> f64 {
+        self.late as f64 / self.measured.max(1) as f64
     }
 
     pub fn served(&self) -> u64 {
-        self.answers.get(&200).copied().unwrap_or(0)
+        self.responses.get(&200).copied().unwrap_or(0)
     }
 }
 
-struct Caller {
-    to: SocketAddr,
+struct Client {
+    address: SocketAddr,
     clock: Clock,
     poller: Poller,
-    links: HashMap<usize, (Link, Option<u64>)>,
-    /// With when each was last used.
-    unused: Vec<(usize, u64)>,
-    given: usize,
-    seen: Called,
+    connections: HashMap<usize, (Connection, Option<u64>)>,
+    /// Idle connections, with when each was last used.
+    idle: Vec<(usize, u64)>,
+    last_key: usize,
+    results: ClientResults,
 }
 
-pub fn call(to: SocketAddr, calls: &Calls, begin: u64, clock: Clock) -> Result<Called> {
-    let seen = Called {
+/// Sends the requests of a round to `address`, beginning at `begin_ns` of the clock, and waits for their responses.
+pub fn run_load(address: SocketAddr, load: &LoadPlan, begin: u64, clock: Clock) -> Result<ClientResults> {
+    let results = ClientResults {
         sent: 0,
-        answers: HashMap::new(),
-        unasked: 0,
+        responses: HashMap::new(),
+        unsolicited: 0,
         unanswered: 0,
-        counted: 0,
+        measured: 0,
         late: 0,
         latency: histogram(),
-        answer_transit: histogram(),
+        response_transit: histogram(),
     };
-    let mut caller = Caller {
-        to,
+    let mut client = Client {
+        address,
         clock,
         poller: Poller::new()?,
-        links: HashMap::new(),
-        unused: Vec::new(),
-        given: 0,
-        seen,
+        connections: HashMap::new(),
+        idle: Vec::new(),
+        last_key: 0,
+        results,
     };
-    caller.run(calls, begin)?;
-    Ok(caller.seen)
+    client.run(load, begin)?;
+    Ok(client.results)
 }
 
-impl Caller {
-    fn run(&mut self, calls: &Calls, begin: u64) -> Result<()> {
-        let (mut events, count) = (Events::new(), calls.count());
-        let (counts_from, end) = (begin + calls.lead.as_nanos() as u64, begin + calls.due(count) + DRAINED);
+impl Client {
+    fn run(&mut self, load: &LoadPlan, begin: u64) -> Result<()> {
+        let (mut events, count) = (Events::new(), load.request_count());
+        let (measured_from, end) =
+            (begin + load.warm_up.as_nanos() as u64, begin + load.due_ns(count) + DRAIN_TIME_NS);
         loop {
             let now = self.clock.now();
-            if self.seen.sent == count && (self.open() == 0 || now >= end) {
-                self.seen.unanswered = self.open() as u64;
+            if self.results.sent == count && (self.open_requests() == 0 || now >= end) {
+                self.results.unanswered = self.open_requests() as u64;
                 return Ok(());
             }
-            let due = begin + calls.due(self.seen.sent);
-            if self.seen.sent < count && now >= due {
-                self.ask(calls.first + self.seen.sent, due)?;
-                if due >= counts_from {
-                    self.seen.counted += 1;
-                    self.seen.late += u64::from(now - due > LATE.as_nanos() as u64);
+            let due_at = begin + load.due_ns(self.results.sent);
+            if self.results.sent < count && now >= due_at {
+                self.send_request(load.first_id + self.results.sent, due_at)?;
+                if due_at >= measured_from {
+                    self.results.measured += 1;
+                    self.results.late += u64::from(now - due_at > LATE_THRESHOLD.as_nanos() as u64);
                 }
                 continue;
             }
-            let until = if self.seen.sent < count { due } else { end };
+            let until = if self.results.sent < count { due_at } else { end };
             events.clear();
             self.poller.wait(&mut events, Some(Duration::from_nanos(until - now)))?;
             for event in events.iter() {
-                self.stirred(event.key, counts_from);
+                self.handle_event(event.key, measured_from);
             }
         }
     }
 
-    fn open(&self) -> usize {
-        self.links.values().filter(|(_, due)| due.is_some()).count()
+    fn open_requests(&self) -> usize {
+        self.connections.values().filter(|(_, due_at)| due_at.is_some()).count()
     }
 
-    fn ask(&mut self, number: u64, due: u64) -> Result<()> {
-        self.seen.sent += 1;
-        let ask = request(&format!("{number}-0"), PATIENCE_MS, self.clock);
-        while let Some((key, since)) = self.unused.pop() {
-            let Some((link, open)) = self.links.get_mut(&key) else { continue };
-            if self.clock.now() - since < IDLE && link.write(&ask).is_ok() {
-                *open = Some(due);
+    fn send_request(&mut self, number: u64, due_at: u64) -> Result<()> {
+        self.results.sent += 1;
+        let request = encode_request(&format!("{number}-0"), CLIENT_TIMEOUT_MS, self.clock);
+        while let Some((key, since)) = self.idle.pop() {
+            let Some((connection, pending)) = self.connections.get_mut(&key) else { continue };
+            if self.clock.now() - since < IDLE_LIMIT_NS && connection.write(&request).is_ok() {
+                *pending = Some(due_at);
                 return Ok(());
             }
             self.close(key);
         }
-        self.given += 1;
-        let mut link = Link::connect(self.to, &self.poller, self.given)?;
-        link.write(&ask)?;
-        self.links.insert(self.given, (link, Some(due)));
+        self.last_key += 1;
+        let mut connection = Connection::connect(self.address, &self.poller, self.last_key)?;
+        connection.write(&request)?;
+        self.connections.insert(self.last_key, (connection, Some(due_at)));
         Ok(())
     }
 
     fn close(&mut self, key: usize) -> Option<u64> {
-        let (link, due) = self.links.remove(&key)?;
-        link.close(&self.poller);
-        due
+        let (connection, due_at) = self.connections.remove(&key)?;
+        connection.close(&self.poller);
+        due_at
     }
 
-    fn stirred(&mut self, key: usize, counts_from: u64) {
-        let Some((link, due)) = self.links.get_mut(&key) else { return };
-        match link.read(self.clock) {
+    fn handle_event(&mut self, key: usize, measured_from: u64) {
+        let Some((connection, due_at)) = self.connections.get_mut(&key) else { return };
+        match connection.read(self.clock) {
             Ok(None) => {}
             Ok(Some(message)) => {
-                match due.take() {
-                    Some(due) => self.answered(due, &message, counts_from),
-                    None => self.seen.unasked += 1,
+                match due_at.take() {
+                    Some(due_at) => self.record_response(due_at, &message, measured_from),
+                    None => self.results.unsolicited += 1,
                 }
-                match message.lasts() {
-                    true => self.unused.push((key, self.clock.now())),
+                match message.keeps_alive() {
+                    true => self.idle.push((key, self.clock.now())),
                     false => _ = self.close(key),
                 }
             }
             Err(_) => {
                 if self.close(key).is_some() {
-                    *self.seen.answers.entry(0).or_default() += 1;
+                    *self.results.responses.entry(0).or_default() += 1;
                 }
             }
         }
     }
 
-    fn answered(&mut self, due: u64, message: &Message, counts_from: u64) {
-        *self.seen.answers.entry(message.status()).or_default() += 1;
-        if due >= counts_from && message.status() == 200 {
-            self.seen.latency.saturating_record(self.clock.now() - due);
+    fn record_response(&mut self, due_at: u64, message: &Message, measured_from: u64) {
+        *self.results.responses.entry(message.status()).or_default() += 1;
+        if due_at >= measured_from && message.status() == 200 {
+            self.results.latency.saturating_record(self.clock.now() - due_at);
             if let Some(transit) = message.transit() {
-                self.seen.answer_transit.saturating_record(transit);
+                self.results.response_transit.saturating_record(transit);
             }
         }
     }
--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -1,6 +1,7 @@
-//! What a chain of sidecars adds to a call, and how many calls reach its end. The caller, sidecar 1, app 1, sidecar 2 and so
-//! on to the last tier's servers; beside it the same chain without the sidecars. The two are played in turn, in short
-//! rounds, so that what the machine does meanwhile meets both alike, and each pair of rounds gives one difference.
+//! Measures what a chain of sidecars adds to a request's latency, and how many attempts reach each tier for one request. The
+//! chain is: client, sidecar 1, application 1, sidecar 2 and so on to the last tier's servers. A second chain has no sidecars.
+//! The two chains run alternately in short rounds, so that other load on the machine affects both alike, and each pair of
+//! rounds gives one difference.
 pub mod client;
 pub mod report;
 pub mod statistics;
@@ -11,7 +12,7 @@
 use crate::fakes::Discovery;
 use crate::processes::Sidecar;
 use crate::scene_runner::console_request;
-use client::{call, Called, Calls};
+use client::{run_load, ClientResults, LoadPlan};
 use hdrhistogram::Histogram;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,33 +20,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tiers::{histogram, Tier};
-use usage::{usage, Usage};
+use usage::{read_usage, Usage};
 use wire::Clock;
 
-/// How long a sidecar may take until it serves.
-const STARTS: Duration = Duration::from_secs(20);
-/// Between a round's setting up and its first call.
-const SET_UP: Duration = Duration::from_millis(20);
+/// How long all sidecars may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between the set-up of a round and its first request.
+const SETUP_TIME: Duration = Duration::from_millis(20);
 
-/// How a chain is built.
+/// The configuration of a chain.
 #[derive(Clone, Copy)]
-pub struct Plan<'a> {
+pub struct ChainConfig<'a> {
     pub program: &'a Path,
-    /// Tiers, each with a sidecar before it or without.
+    /// Number of tiers. A chain has a sidecar before each tier, or none at all.
     pub depth: usize,
-    /// Servers in each tier.
+    /// Servers per tier.
     pub servers: usize,
     pub seed: u64,
 }
 
-/// A chain that runs, ended with this.
+/// A running chain, stopped on drop.
 pub struct Chain {
-    first: SocketAddr,
-    /// From the first to the last; none where calls go straight to the next tier.
+    entry_address: SocketAddr,
+    /// From the first tier's to the last; empty if requests go directly to the next tier.
     sidecars: Vec<Sidecar>,
     tiers: Vec<Tier>,
     clock: Clock,
-    given: u64,
+    next_request_id: u64,
     folder: PathBuf,
 }
 
@@ -57,51 +58,52 @@
     }
 }
 
-/// What one tier saw of a round.
-pub struct Reached {
-    pub hops: u64,
-    /// Different calls of the caller among them.
-    pub calls: u64,
-    /// Sent by this tier's sidecar beside a request's first hop.
-    pub copies: u64,
-    pub withdrawn: u64,
-    pub broken: u64,
+/// What one tier received in a round.
+pub struct TierResults {
+    pub attempts: u64,
+    /// Distinct requests of the client among the attempts.
+    pub requests: u64,
+    /// Attempts whose request id had come before: retries and hedges by this tier's sidecar.
+    pub repeats: u64,
+    pub cancelled: u64,
+    pub broken_connections: u64,
 }
 
-/// What came of one round.
+/// The results of one round.
 pub struct Round {
-    pub called: Called,
+    pub client: ClientResults,
     /// From the first tier to the last.
-    pub reached: Vec<Reached>,
-    /// Over all links between tiers, from the write at one end to the first byte at the other, there and back.
+    pub tiers: Vec<TierResults>,
+    /// Transit times of requests and of responses over all connections between tiers, from the sender's write to the receiver's
+    /// first byte, in nanoseconds.
     pub request_transit: Histogram<u64>,
-    pub answer_transit: Histogram<u64>,
-    /// Of all sidecars since the lead, the hops that came through them meanwhile, and for how long.
-    pub used: Option<Usage>,
-    pub used_hops: u64,
-    pub used_s: f64,
+    pub response_transit: Histogram<u64>,
+    /// The resource usage of all sidecars since the warm-up, the attempts that passed through them, and the seconds measured.
+    pub usage: Option<Usage>,
+    pub usage_attempts: u64,
+    pub usage_s: f64,
 }
 
 impl Round {
-    /// Every call was answered once, and nothing else was.
-    pub fn whole(&self) -> bool {
-        let answers = self.called.answers.iter().filter(|(status, _)| **status > 0);
-        answers.map(|(_, count)| count).sum::<u64>() == self.called.sent
-            && self.called.unasked == 0
-            && self.called.unanswered == 0
+    /// Whether every request got exactly one response and no other response came.
+    pub fn all_answered_once(&self) -> bool {
+        let responses = self.client.responses.iter().filter(|(status, _)| **status > 0);
+        responses.map(|(_, count)| count).sum::<u64>() == self.client.sent
+            && self.client.unsolicited == 0
+            && self.client.unanswered == 0
     }
 
-    /// Hops that reached a tier for each call of the caller.
-    pub fn reach(&self, tier: usize) -> f64 {
-        self.reached[tier].hops as f64 / self.called.sent.max(1) as f64
+    /// Attempts that reached a tier per request of the client.
+    pub fn amplification(&self, tier: usize) -> f64 {
+        self.tiers[tier].attempts as f64 / self.client.sent.max(1) as f64
     }
 }
 
-fn ready(listen: SocketAddr) -> bool {
+fn is_ready(listen: SocketAddr) -> bool {
     console_request(listen, "GET", "/ready").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
-fn file(sidecar: &Sidecar, discovery: SocketAddr, seed: u64) -> String {
+fn config_json(sidecar: &Sidecar, discovery: SocketAddr, seed: u64) -> String {
     format!(
         r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"{discovery}","seed":"{seed:x}",
         "settings":{{"me":0,"balancers":1,"zones":["a"],"discovery":"on_request",
@@ -113,50 +115,54 @@
 }
 
 impl Chain {
-    /// Built from its end, so that each tier knows the next one; with `sidecars`, one before each tier.
-    pub fn start(plan: &Plan, sidecars: bool) -> Result<Chain, String> {
+    /// Starts a chain; with `sidecars`, one before each tier. Tiers start from the last, so that each knows the next one's address.
+    pub fn start(config: &ChainConfig, sidecars: bool) -> Result<Chain, String> {
         static CHAINS: AtomicU32 = AtomicU32::new(0);
         let number = CHAINS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("oakhollow-lab-chain-{}-{number}", std::process::id()));
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let no_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut chain = Chain {
-            first: nowhere,
+            entry_address: no_address,
             sidecars: Vec::new(),
             tiers: Vec::new(),
             clock: Clock::start(),
-            given: 0,
+            next_request_id: 0,
             folder,
         };
-        chain.build(plan, sidecars).map_err(|fault| fault.to_string())?;
-        chain.serves()?;
+        chain.build(config, sidecars).map_err(|error| error.to_string())?;
+        chain.wait_until_ready()?;
         Ok(chain)
     }
 
-    fn build(&mut self, plan: &Plan, sidecars: bool) -> std::io::Result<()> {
+    fn build(&mut self, config: &ChainConfig, sidecars: bool) -> std::io::Result<()> {
         let mut next = None;
-        for number in (1..=plan.depth).rev() {
-            let seed = plan.seed.wrapping_mul(31).wrapping_add(number as u64);
-            let tier = Tier::start(number, plan.servers, next, self.clock, seed)?;
+        for number in (1..=config.depth).rev() {
+            let seed = config.seed.wrapping_mul(31).wrapping_add(number as u64);
+            let tier = Tier::start(number, config.servers, next, self.clock, seed)?;
             next = tier.addresses.first().copied();
             if sidecars {
-                let mut sidecar = Sidecar::new(plan.program, &format!("n{number}"), &self.folder)?;
-                sidecar.write_config(&file(&sidecar, Discovery::start(&tier.addresses)?.address, seed))?;
+                let mut sidecar = Sidecar::new(config.program, &format!("n{number}"), &self.folder)?;
+                sidecar.write_config(&config_json(
+                    &sidecar,
+                    Discovery::start(&tier.addresses)?.address,
+                    seed,
+                ))?;
                 sidecar.start()?;
                 next = Some(sidecar.listen);
                 self.sidecars.insert(0, sidecar);
             }
             self.tiers.insert(0, tier);
         }
-        self.first = next.ok_or(std::io::ErrorKind::InvalidInput)?;
+        self.entry_address = next.ok_or(std::io::ErrorKind::InvalidInput)?;
         Ok(())
     }
 
-    fn serves(&mut self) -> Result<(), String> {
-        let begun = Instant::now();
+    fn wait_until_ready(&mut self) -> Result<(), String> {
+        let start = Instant::now();
         for sidecar in &mut self.sidecars {
-            while !ready(sidecar.listen) {
-                if sidecar.has_exited() || begun.elapsed() > STARTS {
+            while !is_ready(sidecar.listen) {
+                if sidecar.has_exited() || start.elapsed() > READY_TIMEOUT {
                     return Err(format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text()));
                 }
                 thread::sleep(Duration::from_millis(20));
@@ -165,67 +171,69 @@
         Ok(())
     }
 
-    /// How long the last tier's answers take from now on; some take ten times as long.
-    pub fn slow_down(&self, length: Duration) {
-        self.tiers.iter().rev().take(1).for_each(|tier| tier.slow_down(length));
+    /// Sets how long the last tier's responses take from now on; one in 20 takes ten times as long.
+    pub fn slow_down(&self, delay: Duration) {
+        self.tiers.iter().rev().take(1).for_each(|tier| tier.slow_down(delay));
     }
 
-    /// Of all sidecars; none where there are none, or one of them is not told.
-    pub fn usage(&self) -> Option<Usage> {
-        let each = self.sidecars.iter().map(|sidecar| usage(sidecar.pid()?));
-        each.reduce(|sum, one| {
-            let (sum, one) = (sum?, one?);
+    /// The summed usage of all sidecars; none without sidecars, or if the usage of one can't be read.
+    pub fn read_usage(&self) -> Option<Usage> {
+        let each = self.sidecars.iter().map(|sidecar| read_usage(sidecar.pid()?));
+        each.reduce(|sum, other| {
+            let (sum, other) = (sum?, other?);
             Some(Usage {
-                wake_ups: sum.wake_ups + one.wake_ups,
-                processor_ns: sum.processor_ns + one.processor_ns,
-                waited_ns: sum.waited_ns + one.waited_ns,
-                reads_and_writes: sum.reads_and_writes + one.reads_and_writes,
+                wake_ups: sum.wake_ups + other.wake_ups,
+                cpu_ns: sum.cpu_ns + other.cpu_ns,
+                run_queue_wait_ns: sum.run_queue_wait_ns + other.run_queue_wait_ns,
+                reads_and_writes: sum.reads_and_writes + other.reads_and_writes,
             })
         })?
     }
 
+    /// The number of sidecars.
     pub fn sidecars(&self) -> usize {
         self.sidecars.len()
     }
 
-    /// Plays one round to its last answer.
-    pub fn run(&mut self, rate: f64, lead: Duration, length: Duration) -> Result<Round, String> {
-        let calls = Calls { rate, lead, length, first: self.given };
-        self.given += calls.count();
-        self.tiers.iter().for_each(|tier| _ = tier.take());
-        let (to, clock, begin) = (self.first, self.clock, self.clock.now() + SET_UP.as_nanos() as u64);
-        let (called, early, before, from) = thread::scope(|scope| {
-            let caller = scope.spawn(move || call(to, &calls, begin, clock));
-            let counts_from = clock.instant(begin) + lead;
-            thread::sleep(counts_from.saturating_duration_since(Instant::now()));
-            // The caller goes on meanwhile.
-            let early: Vec<_> = self.tiers.iter().map(Tier::take).collect();
-            let (before, from) = (self.usage(), Instant::now());
-            (caller.join(), early, before, from)
+    /// Runs one round until its last response or timeout.
+    pub fn run(&mut self, rate: f64, warm_up: Duration, duration: Duration) -> Result<Round, String> {
+        let load = LoadPlan { rate, warm_up, duration, first_id: self.next_request_id };
+        self.next_request_id += load.request_count();
+        self.tiers.iter().for_each(|tier| _ = tier.take_counters());
+        let (address, clock, begin_ns) =
+            (self.entry_address, self.clock, self.clock.now() + SETUP_TIME.as_nanos() as u64);
+        let (client, early, before, from) = thread::scope(|scope| {
+            let client_thread = scope.spawn(move || run_load(address, &load, begin_ns, clock));
+            let measured_from = clock.instant(begin_ns) + warm_up;
+            thread::sleep(measured_from.saturating_duration_since(Instant::now()));
+            // The client thread goes on sending meanwhile.
+            let early: Vec<_> = self.tiers.iter().map(Tier::take_counters).collect();
+            let (before, from) = (self.read_usage(), Instant::now());
+            (client_thread.join(), early, before, from)
         });
-        let used = self.usage().zip(before).map(|(after, before)| after - before);
-        let used_s = from.elapsed().as_secs_f64();
-        let called = called.map_err(|_| "the caller panicked")?.map_err(|fault| fault.to_string())?;
-        let (mut request_transit, mut answer_transit) = (histogram(), histogram());
-        let add = |sum: &mut Histogram<u64>, one: &Histogram<u64>| {
-            sum.add(one).unwrap_or_else(|fault| unreachable!("equal bounds: {fault:?}"));
+        let usage = self.read_usage().zip(before).map(|(after, before)| after - before);
+        let usage_s = from.elapsed().as_secs_f64();
+        let client = client.map_err(|_| "the client panicked")?.map_err(|error| error.to_string())?;
+        let (mut request_transit, mut response_transit) = (histogram(), histogram());
+        let add = |sum: &mut Histogram<u64>, other: &Histogram<u64>| {
+            sum.add(other).unwrap_or_else(|error| unreachable!("equal bounds: {error:?}"));
         };
-        add(&mut answer_transit, &called.answer_transit);
-        let (mut reached, mut used_hops) = (Vec::new(), 0);
+        add(&mut response_transit, &client.response_transit);
+        let (mut tiers, mut usage_attempts) = (Vec::new(), 0);
         for (tier, mut early) in self.tiers.iter().zip(early) {
-            let late = tier.take();
+            let late = tier.take_counters();
             add(&mut request_transit, &late.request_transit);
-            add(&mut answer_transit, &late.answer_transit);
-            used_hops += late.hops;
-            early.calls.extend(&late.calls);
-            reached.push(Reached {
-                hops: early.hops + late.hops,
-                calls: early.calls.len() as u64,
-                copies: early.copies + late.copies,
-                withdrawn: early.withdrawn + late.withdrawn,
-                broken: early.broken + late.broken,
+            add(&mut response_transit, &late.response_transit);
+            usage_attempts += late.attempts;
+            early.requests.extend(&late.requests);
+            tiers.push(TierResults {
+                attempts: early.attempts + late.attempts,
+                requests: early.requests.len() as u64,
+                repeats: early.repeats + late.repeats,
+                cancelled: early.cancelled + late.cancelled,
+                broken_connections: early.broken_connections + late.broken_connections,
             });
         }
-        Ok(Round { called, reached, request_transit, answer_transit, used, used_hops, used_s })
+        Ok(Round { client, tiers, request_transit, response_transit, usage, usage_attempts, usage_s })
     }
 }
--- a/lab/src/chain/report.rs
+++ b/lab/src/chain/report.rs
@@ -1,144 +1,155 @@
-//! Plays the pairs of one depth and its slow round, and words what came of them, as text or as lines of JSON.
-use super::client::LATE;
-use super::statistics::{reach_bound, Interval};
-use super::{Chain, Plan, Round};
+//! Runs the pairs of rounds of one depth and its slow round, and formats the results as text or JSON lines.
+use super::client::LATE_THRESHOLD;
+use super::statistics::{amplification_bound, Interval};
+use super::{Chain, ChainConfig, Round};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// What is played at each depth.
+/// The settings of a run at each depth.
 #[derive(Clone, Copy)]
 pub struct RunSettings {
     pub rate: f64,
     pub pairs: usize,
-    pub length: Duration,
-    /// Before each round's figures count.
-    pub lead: Duration,
-    /// A pair with a larger share of late calls gives no figure.
-    pub late_share: f64,
-    /// What an answer of the last tier takes in the slow round; zero plays none.
-    pub slow: Duration,
-    pub slow_length: Duration,
-    /// Beside what a tier may add.
-    pub budget: f64,
+    pub duration: Duration,
+    /// Requests that are due in this time from a round's start are not measured.
+    pub warm_up: Duration,
+    /// A pair with a larger share of late requests gives no latency figures.
+    pub max_late_fraction: f64,
+    /// How long a response of the last tier takes in the slow round; zero skips that round.
+    pub slow_latency: Duration,
+    pub slow_duration: Duration,
+    /// The share of attempts that each tier may add, for the computed bound.
+    pub max_extra_share: f64,
 }
 
-/// One round without the sidecars and one with them, whichever came first.
+/// One round without the sidecars and one with them, in either order.
 pub struct Pair {
     pub without: Round,
     pub with: Round,
-    /// Not all was served: it gives no figure.
-    pub unserved: Option<String>,
-    /// The caller ran late: it gives no figure that counts from when a call was due.
-    pub late: Option<String>,
+    /// Set if not all requests were served; the pair then gives no figures.
+    pub incomplete_reason: Option<String>,
+    /// Set if the client ran late; the pair then gives no figures that are measured from when a request was due.
+    pub late_reason: Option<String>,
 }
 
-/// What is told of one depth.
+/// The results of one depth.
 pub struct Report {
     pub depth: usize,
     pub pairs: Vec<Pair>,
-    pub slow: Option<Round>,
-    /// What the sidecars did while no calls came, and for how long.
-    pub rest: Option<(super::Usage, f64)>,
+    pub slow_round: Option<Round>,
+    /// The usage of the sidecars without requests, and the seconds measured.
+    pub idle_usage: Option<(super::Usage, f64)>,
 }
 
-/// In milliseconds.
-fn at(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+/// A quantile in milliseconds.
+fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1e6
 }
 
-fn unserved(name: &str, round: &Round) -> Option<String> {
-    let Round { called, .. } = round;
-    let fault = !round.whole() || called.served() < called.sent;
-    fault.then(|| {
-        let answers = &called.answers;
-        format!("{name} sidecars {} of {} calls were served: {answers:?}", called.served(), called.sent)
+fn incomplete_reason(name: &str, round: &Round) -> Option<String> {
+    let Round { client, .. } = round;
+    let failed = !round.all_answered_once() || client.served() < client.sent;
+    failed.then(|| {
+        let responses = &client.responses;
+        format!("{name} sidecars {} of {} requests were served: {responses:?}", client.served(), client.sent)
     })
 }
 
-fn late(name: &str, round: &Round, share: f64) -> Option<String> {
-    let Round { called, .. } = round;
-    let (late, counted, bound) = (called.late, called.counted, LATE.as_millis());
-    (called.late_share() > share).then(|| {
-        format!("{name} sidecars the caller sent {late} of {counted} calls more than {bound} ms late")
+fn late_reason(name: &str, round: &Round, share: f64) -> Option<String> {
+    let Round { client, .. } = round;
+    let (late, measured, bound) = (client.late, client.measured, LATE_THRESHOLD.as_millis());
+    (client.late_fraction() > share).then(|| {
+        format!("{name} sidecars the client sent {late} of {measured} requests more than {bound} ms late")
     })
 }
 
-/// The quantities of which each pair gives a difference, in milliseconds; first those that count from when a call was due.
+/// A reported quantity: its key, and its value for a round.
 type Quantity = (&'static str, fn(&Round) -> f64);
-const ADDED: [Quantity; 2] = [
-    ("added_p50_ms", |round| at(&round.called.latency, 0.5)),
-    ("added_p99_ms", |round| at(&round.called.latency, 0.99)),
+/// Latencies, measured from when a request was due, of which each pair gives a difference in milliseconds.
+const ADDED_LATENCY: [Quantity; 2] = [
+    ("added_p50_ms", |round| quantile_ms(&round.client.latency, 0.5)),
+    ("added_p99_ms", |round| quantile_ms(&round.client.latency, 0.99)),
 ];
-const ADDED_A_HOP: [Quantity; 4] = [
-    ("added_a_hop_there_p50_ms", |round| at(&round.request_transit, 0.5)),
-    ("added_a_hop_there_p99_ms", |round| at(&round.request_transit, 0.99)),
-    ("added_a_hop_back_p50_ms", |round| at(&round.answer_transit, 0.5)),
-    ("added_a_hop_back_p99_ms", |round| at(&round.answer_transit, 0.99)),
+/// Transit times between tiers, of which each pair gives a difference in milliseconds.
+const ADDED_TRANSIT: [Quantity; 4] = [
+    ("added_a_hop_there_p50_ms", |round| quantile_ms(&round.request_transit, 0.5)),
+    ("added_a_hop_there_p99_ms", |round| quantile_ms(&round.request_transit, 0.99)),
+    ("added_a_hop_back_p50_ms", |round| quantile_ms(&round.response_transit, 0.5)),
+    ("added_a_hop_back_p99_ms", |round| quantile_ms(&round.response_transit, 0.99)),
 ];
 
-/// What each call costs each sidecar that it passes.
-const COST: [Quantity; 4] = [
-    ("wake_ups_a_hop", |round| a_hop(round, |used| used.wake_ups as f64)),
-    ("processor_us_a_hop", |round| a_hop(round, |used| used.processor_ns as f64 / 1e3)),
-    ("waited_for_a_processor_us_a_hop", |round| a_hop(round, |used| used.waited_ns as f64 / 1e3)),
-    ("reads_and_writes_a_hop", |round| a_hop(round, |used| used.reads_and_writes as f64)),
+/// Resource usage of a sidecar per attempt that passes through it.
+const COST_PER_ATTEMPT: [Quantity; 4] = [
+    ("wake_ups_a_hop", |round| per_attempt(round, |usage| usage.wake_ups as f64)),
+    ("processor_us_a_hop", |round| per_attempt(round, |usage| usage.cpu_ns as f64 / 1e3)),
+    ("waited_for_a_processor_us_a_hop", |round| {
+        per_attempt(round, |usage| usage.run_queue_wait_ns as f64 / 1e3)
+    }),
+    ("reads_and_writes_a_hop", |round| per_attempt(round, |usage| usage.reads_and_writes as f64)),
 ];
 
-fn a_hop(round: &Round, figure: fn(&super::Usage) -> f64) -> f64 {
-    round.used.as_ref().map_or(f64::NAN, |used| figure(used) / round.used_hops.max(1) as f64)
+fn per_attempt(round: &Round, figure: fn(&super::Usage) -> f64) -> f64 {
+    round.usage.as_ref().map_or(f64::NAN, |usage| figure(usage) / round.usage_attempts.max(1) as f64)
 }
 
-/// Plays one depth. Progress is told on standard error.
-pub fn run(plan: &Plan, settings: &RunSettings) -> Result<Report, String> {
-    let depth = plan.depth;
-    let mut without = Chain::start(plan, false)?;
-    let mut with = Chain::start(plan, true)?;
-    let mut report = Report { depth, pairs: Vec::new(), slow: None, rest: None };
+/// Runs one depth. Progress is printed on standard error.
+pub fn run(config: &ChainConfig, settings: &RunSettings) -> Result<Report, String> {
+    let depth = config.depth;
+    let mut without = Chain::start(config, false)?;
+    let mut with = Chain::start(config, true)?;
+    let mut report = Report { depth, pairs: Vec::new(), slow_round: None, idle_usage: None };
     for number in 0..settings.pairs {
-        let round = |chain: &mut Chain| chain.run(settings.rate, settings.lead, settings.length);
-        // Every other pair begins with the other one.
-        let (one, other) = if (number as u64 ^ plan.seed) & 1 == 0 {
-            let one = round(&mut without)?;
-            (one, round(&mut with)?)
+        let round = |chain: &mut Chain| chain.run(settings.rate, settings.warm_up, settings.duration);
+        // The order alternates from pair to pair.
+        let (without_round, with_round) = if (number as u64 ^ config.seed) & 1 == 0 {
+            let without_round = round(&mut without)?;
+            (without_round, round(&mut with)?)
         } else {
-            let other = round(&mut with)?;
-            (round(&mut without)?, other)
+            let with_round = round(&mut with)?;
+            (round(&mut without)?, with_round)
         };
-        let pair = Pair::of(one, other, settings.late_share);
-        eprintln!("oakhollow-lab: depth {depth}, pair {} of {}: {}", number + 1, settings.pairs, pair.line());
+        let pair = Pair::new(without_round, with_round, settings.max_late_fraction);
+        eprintln!(
+            "oakhollow-lab: depth {depth}, pair {} of {}: {}",
+            number + 1,
+            settings.pairs,
+            pair.summary_line()
+        );
         report.pairs.push(pair);
     }
-    if let (Some(before), begun) = (with.usage(), std::time::Instant::now()) {
+    if let (Some(before), start) = (with.read_usage(), std::time::Instant::now()) {
         std::thread::sleep(Duration::from_secs(2));
-        report.rest = with.usage().map(|after| (after - before, begun.elapsed().as_secs_f64()));
+        report.idle_usage = with.read_usage().map(|after| (after - before, start.elapsed().as_secs_f64()));
     }
-    if !settings.slow.is_zero() {
+    if !settings.slow_latency.is_zero() {
         eprintln!("oakhollow-lab: depth {depth}, the last tier slow");
-        with.slow_down(settings.slow);
-        report.slow = Some(with.run(settings.rate, settings.lead, settings.slow_length)?);
+        with.slow_down(settings.slow_latency);
+        report.slow_round = Some(with.run(settings.rate, settings.warm_up, settings.slow_duration)?);
     }
     Ok(report)
 }
 
 impl Pair {
-    fn of(without: Round, with: Round, late_share: f64) -> Pair {
-        let unserved = unserved("without", &without).or_else(|| unserved("with", &with));
-        let late = late("without", &without, late_share).or_else(|| late("with", &with, late_share));
-        Pair { without, with, unserved, late }
+    fn new(without: Round, with: Round, max_late_fraction: f64) -> Pair {
+        let incomplete_reason =
+            incomplete_reason("without", &without).or_else(|| incomplete_reason("with", &with));
+        let late_reason = late_reason("without", &without, max_late_fraction)
+            .or_else(|| late_reason("with", &with, max_late_fraction));
+        Pair { without, with, incomplete_reason, late_reason }
     }
 
-    /// Why it gives no figure, or none that counts from when a call was due.
-    pub fn void(&self) -> Option<&String> {
-        self.unserved.as_ref().or(self.late.as_ref())
+    /// Why the pair gives no figures, or no latency figures.
+    pub fn exclusion_reason(&self) -> Option<&String> {
+        self.incomplete_reason.as_ref().or(self.late_reason.as_ref())
     }
 
-    fn line(&self) -> String {
-        match self.void() {
+    fn summary_line(&self) -> String {
+        match self.exclusion_reason() {
             Some(why) => format!("no figure: {why}"),
             None => {
-                let quantile = |round: &Round, quantile| at(&round.called.latency, quantile);
+                let quantile = |round: &Round, quantile| quantile_ms(&round.client.latency, quantile);
                 format!(
                     "p50 {:.2} ms without, {:.2} with; p99 {:.2} and {:.2}",
                     quantile(&self.without, 0.5),
@@ -152,145 +163,151 @@
 }
 
 impl Report {
-    fn sound(&self) -> impl Iterator<Item = &Pair> {
-        self.pairs.iter().filter(|pair| pair.void().is_none())
+    fn valid_pairs(&self) -> impl Iterator<Item = &Pair> {
+        self.pairs.iter().filter(|pair| pair.exclusion_reason().is_none())
     }
 
-    /// A difference for each pair, with what was added.
+    /// What the sidecars add: the mean difference over the pairs, by key.
     pub fn added(&self) -> Vec<(&'static str, Option<Interval>)> {
         let interval = |pairs: &[&Pair], figure: fn(&Round) -> f64| {
             let added = pairs.iter().map(|pair| figure(&pair.with) - figure(&pair.without));
-            Interval::of(&added.collect::<Vec<f64>>())
+            Interval::from_samples(&added.collect::<Vec<f64>>())
         };
-        let sound: Vec<&Pair> = self.sound().collect();
-        // From one end of a link to the other: when the call was due has no part in it.
-        let served: Vec<&Pair> = self.pairs.iter().filter(|pair| pair.unserved.is_none()).collect();
-        let added = ADDED.iter().map(|(name, figure)| (*name, interval(&sound, *figure)));
-        let a_hop = ADDED_A_HOP.iter().map(|(name, figure)| (*name, interval(&served, *figure)));
-        added.chain(a_hop).collect()
+        let valid_pairs: Vec<&Pair> = self.valid_pairs().collect();
+        // Transit times don't depend on when a request was due, so pairs with a late client count here.
+        let served: Vec<&Pair> = self.pairs.iter().filter(|pair| pair.incomplete_reason.is_none()).collect();
+        let added = ADDED_LATENCY.iter().map(|(name, figure)| (*name, interval(&valid_pairs, *figure)));
+        let transit = ADDED_TRANSIT.iter().map(|(name, figure)| (*name, interval(&served, *figure)));
+        added.chain(transit).collect()
     }
 
-    /// By all rounds with sidecars: a caller that runs late does not change it.
-    pub fn cost(&self) -> Vec<(&'static str, Option<Interval>)> {
+    /// The resource usage per attempt, over all rounds with sidecars; a late client does not distort it.
+    pub fn cost_per_attempt(&self) -> Vec<(&'static str, Option<Interval>)> {
         let interval = |figure: fn(&Round) -> f64| {
-            let figures: Vec<f64> = self.pairs.iter().map(|pair| figure(&pair.with)).collect();
-            Interval::of(&figures).filter(|interval| interval.mean.is_finite())
+            let samples: Vec<f64> = self.pairs.iter().map(|pair| figure(&pair.with)).collect();
+            Interval::from_samples(&samples).filter(|interval| interval.mean.is_finite())
         };
-        COST.iter().map(|(name, figure)| (*name, interval(*figure))).collect()
+        COST_PER_ATTEMPT.iter().map(|(name, figure)| (*name, interval(*figure))).collect()
     }
 
-    /// Hops that reached each tier for each call of the caller, over all rounds with sidecars.
-    pub fn reach(&self) -> Vec<f64> {
-        let sent: u64 = self.pairs.iter().map(|pair| pair.with.called.sent).sum();
-        let hops = |tier: usize| self.pairs.iter().map(|pair| pair.with.reached[tier].hops).sum::<u64>();
-        (0..self.depth).map(|tier| hops(tier) as f64 / sent.max(1) as f64).collect()
+    /// Attempts that reached each tier per request of the client, over all rounds with sidecars.
+    pub fn amplification(&self) -> Vec<f64> {
+        let sent: u64 = self.pairs.iter().map(|pair| pair.with.client.sent).sum();
+        let attempts =
+            |tier: usize| self.pairs.iter().map(|pair| pair.with.tiers[tier].attempts).sum::<u64>();
+        (0..self.depth).map(|tier| attempts(tier) as f64 / sent.max(1) as f64).collect()
     }
 
-    fn slow_reach(&self) -> Option<Vec<f64>> {
-        let slow = self.slow.as_ref()?;
-        Some((0..self.depth).map(|tier| slow.reach(tier)).collect())
+    fn slow_amplification(&self) -> Option<Vec<f64>> {
+        let slow_round = self.slow_round.as_ref()?;
+        Some((0..self.depth).map(|tier| slow_round.amplification(tier)).collect())
     }
 
+    /// The report as text.
     pub fn text(&self, settings: &RunSettings) -> String {
         let mut out = String::new();
-        let (depth, sound, all) = (self.depth, self.sound().count(), self.pairs.len());
-        let length = settings.length.as_secs_f64();
+        let (depth, valid_pairs, all) = (self.depth, self.valid_pairs().count(), self.pairs.len());
+        let duration = settings.duration.as_secs_f64();
         let _ = writeln!(
             out,
-            "depth {depth}, {} calls a second, {sound} of {all} pairs of {length} s give figures from when calls were due, 95 % intervals",
+            "depth {depth}, {} calls a second, {valid_pairs} of {all} pairs of {duration} s give figures from when calls were due, 95 % intervals",
             settings.rate
         );
-        for (name, interval) in self.added().into_iter().chain(self.cost()) {
-            let _ = writeln!(out, "  {name}: {}", worded(interval));
+        for (name, interval) in self.added().into_iter().chain(self.cost_per_attempt()) {
+            let _ = writeln!(out, "  {name}: {}", format_interval(interval));
         }
-        if let Some((used, seconds)) = &self.rest {
-            let each = seconds * self.depth as f64;
+        if let Some((usage, seconds)) = &self.idle_usage {
+            let sidecar_seconds = seconds * self.depth as f64;
             let _ = writeln!(
                 out,
                 "  a sidecar without calls: {:.1} wake-ups and {:.0} us of processor a second",
-                used.wake_ups as f64 / each,
-                used.processor_ns as f64 / 1e3 / each
+                usage.wake_ups as f64 / sidecar_seconds,
+                usage.cpu_ns as f64 / 1e3 / sidecar_seconds
             );
         }
-        let _ = writeln!(out, "  hops at each tier for a call, nothing slow: {}", figures(&self.reach()));
-        if let (Some(slow), Some(reach)) = (&self.slow, self.slow_reach()) {
+        let _ = writeln!(
+            out,
+            "  hops at each tier for a call, nothing slow: {}",
+            format_numbers(&self.amplification())
+        );
+        if let (Some(slow_round), Some(amplification)) = (&self.slow_round, self.slow_amplification()) {
             let _ = writeln!(
                 out,
                 "  hops at each tier for a call, the last one's answers take {} ms, one in 20 ten times that: {}",
-                settings.slow.as_millis(),
-                figures(&reach)
+                settings.slow_latency.as_millis(),
+                format_numbers(&amplification)
             );
-            let called = &slow.called;
+            let client = &slow_round.client;
             let _ = writeln!(
                 out,
                 "  then {} of {} calls are served, p50 {:.1} ms, p99 {:.1} ms, {} went out late",
-                called.served(),
-                called.sent,
-                at(&called.latency, 0.5),
-                at(&called.latency, 0.99),
-                called.late
+                client.served(),
+                client.sent,
+                quantile_ms(&client.latency, 0.5),
+                quantile_ms(&client.latency, 0.99),
+                client.late
             );
         }
         let _ = writeln!(
             out,
             "  reckoned: if each tier adds at most {} of what reaches it, the last one gets {:.2} for a call",
-            settings.budget,
-            reach_bound(settings.budget, depth)
+            settings.max_extra_share,
+            amplification_bound(settings.max_extra_share, depth)
         );
         out
     }
 
-    /// A line for each pair, and one for all.
+    /// One line for each pair, and one for the whole depth.
     pub fn json(&self, settings: &RunSettings) -> Vec<Value> {
         let round = |round: &Round| {
-            let Round { called, .. } = round;
+            let Round { client, .. } = round;
             json!({
-                "sent": called.sent, "answers": called.answers, "unasked": called.unasked, "unanswered": called.unanswered,
-                "counted": called.counted, "late": called.late,
-                "p50_ms": at(&called.latency, 0.5), "p99_ms": at(&called.latency, 0.99),
-                "hops": round.reached.iter().map(|reached| reached.hops).collect::<Vec<_>>(),
-                "copies": round.reached.iter().map(|reached| reached.copies).collect::<Vec<_>>(),
-                "withdrawn": round.reached.iter().map(|reached| reached.withdrawn).collect::<Vec<_>>(),
-                "broken": round.reached.iter().map(|reached| reached.broken).collect::<Vec<_>>(),
-                "there_p50_ms": at(&round.request_transit, 0.5), "there_p99_ms": at(&round.request_transit, 0.99),
-                "back_p50_ms": at(&round.answer_transit, 0.5), "back_p99_ms": at(&round.answer_transit, 0.99),
+                "sent": client.sent, "answers": client.responses, "unasked": client.unsolicited, "unanswered": client.unanswered,
+                "counted": client.measured, "late": client.late,
+                "p50_ms": quantile_ms(&client.latency, 0.5), "p99_ms": quantile_ms(&client.latency, 0.99),
+                "hops": round.tiers.iter().map(|tier| tier.attempts).collect::<Vec<_>>(),
+                "copies": round.tiers.iter().map(|tier| tier.repeats).collect::<Vec<_>>(),
+                "withdrawn": round.tiers.iter().map(|tier| tier.cancelled).collect::<Vec<_>>(),
+                "broken": round.tiers.iter().map(|tier| tier.broken_connections).collect::<Vec<_>>(),
+                "there_p50_ms": quantile_ms(&round.request_transit, 0.5), "there_p99_ms": quantile_ms(&round.request_transit, 0.99),
+                "back_p50_ms": quantile_ms(&round.response_transit, 0.5), "back_p99_ms": quantile_ms(&round.response_transit, 0.99),
             })
         };
         let interval = |(name, interval): (&'static str, Option<Interval>)| {
-            let told = interval.map(|interval| {
-                json!({"mean": interval.mean, "half": interval.half, "pairs": interval.count, "told": interval.can_be_told()})
+            let object = interval.map(|interval| {
+                json!({"mean": interval.mean, "half": interval.half_width, "pairs": interval.count, "told": interval.is_significant()})
             });
-            (name.to_string(), told.unwrap_or(Value::Null))
+            (name.to_string(), object.unwrap_or(Value::Null))
         };
         let depth = self.depth;
-        let pair = |pair: &Pair| json!({"depth": depth, "without": round(&pair.without), "with": round(&pair.with), "void": pair.void()});
+        let pair = |pair: &Pair| json!({"depth": depth, "without": round(&pair.without), "with": round(&pair.with), "void": pair.exclusion_reason()});
         let mut lines: Vec<Value> = self.pairs.iter().map(pair).collect();
         let measures: serde_json::Map<String, Value> =
-            self.added().into_iter().chain(self.cost()).map(interval).collect();
-        let rest = self.rest.as_ref().map(|(used, seconds)| {
-            let each = seconds * depth as f64;
-            json!({"wake_ups_a_second": used.wake_ups as f64 / each, "processor_us_a_second": used.processor_ns as f64 / 1e3 / each})
+            self.added().into_iter().chain(self.cost_per_attempt()).map(interval).collect();
+        let idle_usage = self.idle_usage.as_ref().map(|(usage, seconds)| {
+            let sidecar_seconds = seconds * depth as f64;
+            json!({"wake_ups_a_second": usage.wake_ups as f64 / sidecar_seconds, "processor_us_a_second": usage.cpu_ns as f64 / 1e3 / sidecar_seconds})
         });
         lines.push(json!({
-            "depth": depth, "rate": settings.rate, "pairs": self.pairs.len(), "sound": self.sound().count(), "measures": measures,
-            "rest": rest, "reach": self.reach(), "slow_ms": settings.slow.as_millis() as u64, "slow_reach": self.slow_reach(),
-            "slow": self.slow.as_ref().map(round), "budget": settings.budget, "reach_bound": reach_bound(settings.budget, depth),
+            "depth": depth, "rate": settings.rate, "pairs": self.pairs.len(), "sound": self.valid_pairs().count(), "measures": measures,
+            "rest": idle_usage, "reach": self.amplification(), "slow_ms": settings.slow_latency.as_millis() as u64, "slow_reach": self.slow_amplification(),
+            "slow": self.slow_round.as_ref().map(round), "budget": settings.max_extra_share, "reach_bound": amplification_bound(settings.max_extra_share, depth),
         }));
         lines
     }
 }
 
-fn figures(all: &[f64]) -> String {
+fn format_numbers(all: &[f64]) -> String {
     all.iter().map(|figure| format!("{figure:.3}")).collect::<Vec<_>>().join(" ")
 }
 
-fn worded(interval: Option<Interval>) -> String {
+fn format_interval(interval: Option<Interval>) -> String {
     match interval {
         None => "no figure".into(),
         Some(interval) => {
-            let Interval { mean, half, .. } = interval;
-            let told = if interval.can_be_told() { "" } else { "can't be told: " };
-            format!("{told}{mean:.3} +- {half:.3} ({} pairs)", interval.count)
+            let Interval { mean, half_width, .. } = interval;
+            let caveat = if interval.is_significant() { "" } else { "can't be told: " };
+            format!("{caveat}{mean:.3} +- {half_width:.3} ({} pairs)", interval.count)
         }
     }
 }
--- a/lab/src/chain/tiers.rs
+++ b/lab/src/chain/tiers.rs
@@ -1,6 +1,6 @@
-//! The tiers of a chain: apps that pass each call on to the next tier, and the last one's servers, which answer it.
-//! Each tier has a thread, which sleeps until something comes or is due.
-use super::wire::{answer, request, Clock, Link, Message};
+//! The tiers of a chain: applications that forward each request to the next tier, and the last tier's servers, which answer it.
+//! Each tier runs an event loop on a thread of its own.
+use super::wire::{encode_request, encode_response, Clock, Connection, Message};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
 use polling::{Event, Events, PollMode, Poller};
@@ -12,65 +12,66 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A connection to the next tier that is unused for longer is not used again: whoever listens there closes it later.
-pub const IDLE: u64 = 5_000_000_000;
-/// Of the slow answers so many take ten times as long.
-const TAIL: f64 = 0.05;
+/// A connection that was idle for this long, in nanoseconds, is not used again. The listener closes idle connections later than
+/// that.
+pub const IDLE_LIMIT_NS: u64 = 5_000_000_000;
+/// The share of slow responses that take [`TAIL_FACTOR`] times as long.
+const TAIL_SHARE: f64 = 0.05;
 const TAIL_FACTOR: u64 = 10;
 
-/// Nanoseconds, to three figures.
+/// A histogram of nanoseconds with three significant digits.
 pub fn histogram() -> Histogram<u64> {
     let made = Histogram::new_with_bounds(1, 60_000_000_000, 3);
-    made.unwrap_or_else(|fault| unreachable!("bounds that are sound: {fault}"))
+    made.unwrap_or_else(|fault| unreachable!("valid bounds: {fault}"))
 }
 
-/// What one tier saw since it was last asked.
-pub struct Seen {
-    /// Requests that reached it, copies included.
-    pub hops: u64,
-    /// Of these, those whose id had come before.
-    pub copies: u64,
-    /// Ended by whoever asked before there was an answer.
-    pub withdrawn: u64,
-    /// Connections to the next tier that broke under a call.
-    pub broken: u64,
-    /// From the write of a request before this tier to its first byte here; first copies alone.
+/// What one tier received since the counters were last taken.
+pub struct TierCounters {
+    /// Requests that reached it, repeats included.
+    pub attempts: u64,
+    /// Attempts whose request id had come before.
+    pub repeats: u64,
+    /// Requests whose connection the sender closed before the response.
+    pub cancelled: u64,
+    /// Connections to the next tier that failed or broke with a request open.
+    pub broken_connections: u64,
+    /// Transit times of requests to this tier, from the sender's write to the first byte here, without repeats.
     pub request_transit: Histogram<u64>,
-    /// The same of answers from the next tier.
-    pub answer_transit: Histogram<u64>,
-    ids: HashSet<String>,
-    /// Numbers of the first caller's calls that came.
-    pub calls: HashSet<u64>,
+    /// Transit times of responses from the next tier.
+    pub response_transit: Histogram<u64>,
+    seen_ids: HashSet<String>,
+    /// Numbers of the client's requests that came.
+    pub requests: HashSet<u64>,
 }
 
-impl Default for Seen {
-    fn default() -> Seen {
-        Seen {
-            hops: 0,
-            copies: 0,
-            withdrawn: 0,
-            broken: 0,
+impl Default for TierCounters {
+    fn default() -> TierCounters {
+        TierCounters {
+            attempts: 0,
+            repeats: 0,
+            cancelled: 0,
+            broken_connections: 0,
             request_transit: histogram(),
-            answer_transit: histogram(),
-            ids: HashSet::new(),
-            calls: HashSet::new(),
+            response_transit: histogram(),
+            seen_ids: HashSet::new(),
+            requests: HashSet::new(),
         }
     }
 }
 
-/// A running tier, ended with this.
+/// A running tier, stopped on drop.
 pub struct Tier {
     pub addresses: Vec<SocketAddr>,
-    seen: Arc<Mutex<Seen>>,
-    /// How long an answer of the last tier takes, in nanoseconds.
-    slow: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    counters: Arc<Mutex<TierCounters>>,
+    /// How long a response of the last tier takes, in nanoseconds.
+    response_delay_ns: Arc<AtomicU64>,
+    stopping: Arc<AtomicBool>,
     poller: Arc<Poller>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Tier {
-    /// Listens at so many addresses; passes calls on to `next`, or answers them where there is none.
+    /// Starts a tier that listens at `servers` addresses, and forwards requests to `next` or answers them itself if there is none.
     pub fn start(
         number: usize, servers: usize, next: Option<SocketAddr>, clock: Clock, seed: u64,
     ) -> Result<Tier> {
@@ -80,48 +81,49 @@
             let listener = TcpListener::bind("127.0.0.1:0")?;
             listener.set_nonblocking(true)?;
             addresses.push(listener.local_addr()?);
-            // SAFETY: the loop owns the listeners, and uses the poller no more once they are closed.
+            // SAFETY: the event loop owns the listeners and does not use the poller after they are closed.
             unsafe { poller.add_with_mode(&listener, Event::readable(key), PollMode::Level)? };
             listeners.push(listener);
         }
-        let (seen, slow, over) = <(Arc<Mutex<Seen>>, Arc<AtomicU64>, Arc<AtomicBool>)>::default();
-        let mut work = Loop {
+        let (counters, response_delay_ns, stopping) =
+            <(Arc<Mutex<TierCounters>>, Arc<AtomicU64>, Arc<AtomicBool>)>::default();
+        let mut event_loop = EventLoop {
             number,
             next,
             clock,
             poller: poller.clone(),
-            given: listeners.len(),
+            last_key: listeners.len(),
             listeners,
-            links: HashMap::new(),
-            unused: Vec::new(),
-            due: BTreeSet::new(),
-            random: WyRand::new_seed(seed),
-            seen: seen.clone(),
-            slow: slow.clone(),
+            connections: HashMap::new(),
+            idle: Vec::new(),
+            due_responses: BTreeSet::new(),
+            rng: WyRand::new_seed(seed),
+            counters: counters.clone(),
+            response_delay_ns: response_delay_ns.clone(),
         };
-        let end = over.clone();
+        let end = stopping.clone();
         let thread = std::thread::Builder::new().name(format!("tier {number}")).spawn(move || {
-            if let Err(fault) = work.run(&end) {
+            if let Err(fault) = event_loop.run(&end) {
                 eprintln!("oakhollow-lab: tier {number}: {fault}");
             }
         })?;
-        Ok(Tier { addresses, seen, slow, over, poller, thread: Some(thread) })
+        Ok(Tier { addresses, counters, response_delay_ns, stopping, poller, thread: Some(thread) })
     }
 
-    /// What it saw; counted anew from here on.
-    pub fn take(&self) -> Seen {
-        std::mem::take(&mut *self.seen.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Returns the counters and resets them.
+    pub fn take_counters(&self) -> TierCounters {
+        std::mem::take(&mut *self.counters.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on each answer takes so long, and some ten times that.
-    pub fn slow_down(&self, length: Duration) {
-        self.slow.store(length.as_nanos() as u64, Ordering::Relaxed);
+    /// Sets how long each response takes from now on; some take [`TAIL_FACTOR`] times that.
+    pub fn slow_down(&self, delay: Duration) {
+        self.response_delay_ns.store(delay.as_nanos() as u64, Ordering::Relaxed);
     }
 }
 
 impl Drop for Tier {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopping.store(true, Ordering::SeqCst);
         let _ = self.poller.notify();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -129,205 +131,224 @@
     }
 }
 
-/// What a connection is for, and which one stands at the other end of its call.
-enum Role {
-    /// From the tier before; its own key stands where the call waits for its time here.
-    Asks { open: Option<usize> },
-    /// To the next tier; none asks while it is unused.
-    Asked { by: Option<usize>, unused_since: u64 },
+/// The direction of a connection, and the connection that its open request is paired with.
+enum ConnectionRole {
+    /// From the previous tier. `waiting_on` is the key of the connection to the next tier that carries the open request, or the
+    /// connection's own key while the response is delayed here.
+    Incoming { waiting_on: Option<usize> },
+    /// To the next tier. `request_key` is the key of the incoming connection that waits for the response, none while it is idle.
+    Outgoing { request_key: Option<usize>, idle_since: u64 },
 }
 
-struct Loop {
+struct EventLoop {
     number: usize,
     next: Option<SocketAddr>,
     clock: Clock,
     poller: Arc<Poller>,
     listeners: Vec<TcpListener>,
-    /// Keys are given once, so that nothing late meets another connection.
-    links: HashMap<usize, (Link, Role)>,
-    given: usize,
-    /// Connections to the next tier; the last was used last.
-    unused: Vec<usize>,
-    /// Answers that wait for their time.
-    due: BTreeSet<(u64, usize)>,
-    random: WyRand,
-    seen: Arc<Mutex<Seen>>,
-    slow: Arc<AtomicU64>,
+    /// Keys are never reused, so that a late event can't be taken for another connection's.
+    connections: HashMap<usize, (Connection, ConnectionRole)>,
+    last_key: usize,
+    /// Idle connections to the next tier, the most recently used last.
+    idle: Vec<usize>,
+    /// Delayed responses, by when they are due, with the key of the connection.
+    due_responses: BTreeSet<(u64, usize)>,
+    rng: WyRand,
+    counters: Arc<Mutex<TierCounters>>,
+    response_delay_ns: Arc<AtomicU64>,
 }
 
-impl Loop {
-    fn run(&mut self, over: &AtomicBool) -> Result<()> {
+impl EventLoop {
+    fn run(&mut self, stopping: &AtomicBool) -> Result<()> {
         let mut events = Events::new();
         loop {
-            let next = self.due.first().map(|(at, _)| *at);
-            let wait = next.map(|at| Duration::from_nanos(at.saturating_sub(self.clock.now())));
+            let next = self.due_responses.first().map(|(at, _)| *at);
+            let timeout = next.map(|at| Duration::from_nanos(at.saturating_sub(self.clock.now())));
             events.clear();
-            self.poller.wait(&mut events, wait)?;
-            if over.load(Ordering::SeqCst) {
+            self.poller.wait(&mut events, timeout)?;
+            if stopping.load(Ordering::SeqCst) {
                 return Ok(());
             }
             for event in events.iter() {
                 match self.listeners.get(event.key) {
                     Some(_) => self.accept(event.key)?,
-                    None => self.stirred(event.key),
+                    None => self.handle_event(event.key),
                 }
             }
-            self.answer_due();
+            self.send_due_responses();
         }
     }
 
-    fn note(&self, write: impl FnOnce(&mut Seen)) {
-        write(&mut self.seen.lock().unwrap_or_else(PoisonError::into_inner));
+    fn update_counters(&self, write: impl FnOnce(&mut TierCounters)) {
+        write(&mut self.counters.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    fn key(&mut self) -> usize {
-        self.given += 1;
-        self.given
+    fn next_key(&mut self) -> usize {
+        self.last_key += 1;
+        self.last_key
     }
 
     fn accept(&mut self, at: usize) -> Result<()> {
         while let Ok((stream, _)) = self.listeners[at].accept() {
-            let key = self.key();
-            let link = Link::taken(stream, &self.poller, key)?;
-            self.links.insert(key, (link, Role::Asks { open: None }));
+            let key = self.next_key();
+            let connection = Connection::accepted(stream, &self.poller, key)?;
+            self.connections.insert(key, (connection, ConnectionRole::Incoming { waiting_on: None }));
         }
         Ok(())
     }
 
-    fn stirred(&mut self, key: usize) {
-        let Some((link, _)) = self.links.get_mut(&key) else { return };
-        match link.read(self.clock) {
+    fn handle_event(&mut self, key: usize) {
+        let Some((connection, _)) = self.connections.get_mut(&key) else { return };
+        match connection.read(self.clock) {
             Ok(None) => {}
-            Ok(Some(message)) => match self.links[&key].1 {
-                Role::Asks { .. } => self.asked(key, &message),
-                Role::Asked { by, .. } => self.answered(key, by, &message),
+            Ok(Some(message)) => match self.connections[&key].1 {
+                ConnectionRole::Incoming { .. } => self.handle_request(key, &message),
+                ConnectionRole::Outgoing { request_key, .. } => {
+                    self.handle_response(key, request_key, &message)
+                }
             },
-            Err(_) => self.gone(key),
+            Err(_) => self.handle_closed(key),
         }
     }
 
-    fn close(&mut self, key: usize) -> Option<Role> {
-        let (link, role) = self.links.remove(&key)?;
-        link.close(&self.poller);
-        self.unused.retain(|unused| *unused != key);
+    fn close(&mut self, key: usize) -> Option<ConnectionRole> {
+        let (connection, role) = self.connections.remove(&key)?;
+        connection.close(&self.poller);
+        self.idle.retain(|idle| *idle != key);
         Some(role)
     }
 
-    /// A connection has ended: what is open on it is withdrawn, or can't be answered any more.
-    fn gone(&mut self, key: usize) {
+    /// Handles the end of a connection: an open incoming request is cancelled, and one that waits on the next tier fails with 502.
+    fn handle_closed(&mut self, key: usize) {
         match self.close(key) {
-            Some(Role::Asks { open: Some(open) }) => {
-                self.note(|seen| seen.withdrawn += 1);
-                self.due.retain(|(_, waiting)| *waiting != key);
-                if open != key {
-                    self.close(open);
+            Some(ConnectionRole::Incoming { waiting_on: Some(waiting_on) }) => {
+                self.update_counters(|counters| counters.cancelled += 1);
+                self.due_responses.retain(|(_, waiting)| *waiting != key);
+                if waiting_on != key {
+                    self.close(waiting_on);
                 }
             }
-            Some(Role::Asked { by: Some(by), .. }) => self.fail(by),
+            Some(ConnectionRole::Outgoing { request_key: Some(request_key), .. }) => {
+                self.reply_bad_gateway(request_key)
+            }
             _ => {}
         }
     }
 
-    fn fail(&mut self, key: usize) {
-        self.note(|seen| seen.broken += 1);
-        let failed = answer(502, None, "", self.clock);
-        self.reply(key, &failed);
+    fn reply_bad_gateway(&mut self, key: usize) {
+        self.update_counters(|counters| counters.broken_connections += 1);
+        let response = encode_response(502, None, "", self.clock);
+        self.reply(key, &response);
     }
 
     fn reply(&mut self, key: usize, message: &str) {
-        if let Some((link, role)) = self.links.get_mut(&key) {
-            *role = Role::Asks { open: None };
-            if link.write(message).is_err() {
+        if let Some((connection, role)) = self.connections.get_mut(&key) {
+            *role = ConnectionRole::Incoming { waiting_on: None };
+            if connection.write(message).is_err() {
                 self.close(key);
             }
         }
     }
 
-    fn asked(&mut self, key: usize, message: &Message) {
+    fn handle_request(&mut self, key: usize, message: &Message) {
         let id = message.header("Request-Id").unwrap_or_default().to_string();
-        let call = id.split('-').next().unwrap_or_default().to_string();
+        let request_number = id.split('-').next().unwrap_or_default().to_string();
         let transit = message.transit();
-        self.note(|seen| {
-            seen.hops += 1;
-            seen.calls.extend(call.parse::<u64>());
-            match seen.ids.insert(id) {
-                true => {
-                    transit.into_iter().for_each(|transit| seen.request_transit.saturating_record(transit))
-                }
-                false => seen.copies += 1,
+        self.update_counters(|counters| {
+            counters.attempts += 1;
+            counters.requests.extend(request_number.parse::<u64>());
+            match counters.seen_ids.insert(id) {
+                true => transit
+                    .into_iter()
+                    .for_each(|transit| counters.request_transit.saturating_record(transit)),
+                false => counters.repeats += 1,
             }
         });
-        let Some(next) = self.next else { return self.take_in(key) };
-        let left: u64 = message.header("Request-Timeout-Ms").and_then(|left| left.parse().ok()).unwrap_or(1);
-        let passed_ms = (self.clock.now() - message.first_byte) / 1_000_000;
-        // Whatever id a copy has, the next tier's sidecar must not take it for the same request.
-        let onward = self.key();
-        let ask = request(
-            &format!("{call}-{}-{onward}", self.number),
-            left.saturating_sub(passed_ms).max(1),
+        let Some(next) = self.next else { return self.schedule_response(key) };
+        let time_left_ms: u64 = message
+            .header("Request-Timeout-Ms")
+            .and_then(|time_left_ms| time_left_ms.parse().ok())
+            .unwrap_or(1);
+        let elapsed_ms = (self.clock.now() - message.first_byte_at) / 1_000_000;
+        // A repeat gets an id of its own here, so that the next tier's sidecar does not take it for the same request.
+        let onward_key = self.next_key();
+        let request = encode_request(
+            &format!("{request_number}-{}-{onward_key}", self.number),
+            time_left_ms.saturating_sub(elapsed_ms).max(1),
             self.clock,
         );
-        match self.send(next, onward, key, &ask) {
-            Some(open) => {
-                _ = self.links.get_mut(&key).map(|(_, role)| *role = Role::Asks { open: Some(open) })
+        match self.send_request(next, onward_key, key, &request) {
+            Some(waiting_on) => {
+                _ = self
+                    .connections
+                    .get_mut(&key)
+                    .map(|(_, role)| *role = ConnectionRole::Incoming { waiting_on: Some(waiting_on) })
             }
-            None => self.fail(key),
+            None => self.reply_bad_gateway(key),
         }
     }
 
-    /// On a connection that is still good, or on a new one under the given key.
-    fn send(&mut self, next: SocketAddr, fresh: usize, by: usize, ask: &str) -> Option<usize> {
+    /// Sends a request on an idle connection that is still usable, or on a new one under `new_key`. Returns the connection's key.
+    fn send_request(
+        &mut self, next: SocketAddr, new_key: usize, request_key: usize, request: &str,
+    ) -> Option<usize> {
         let now = self.clock.now();
-        while let Some(kept) = self.unused.pop() {
-            let Some((link, role)) = self.links.get_mut(&kept) else { continue };
-            let good = matches!(role, Role::Asked { unused_since, .. } if now - *unused_since < IDLE);
-            if good && link.write(ask).is_ok() {
-                *role = Role::Asked { by: Some(by), unused_since: now };
-                return Some(kept);
+        while let Some(key) = self.idle.pop() {
+            let Some((connection, role)) = self.connections.get_mut(&key) else { continue };
+            let good = matches!(role, ConnectionRole::Outgoing { idle_since, .. } if now - *idle_since < IDLE_LIMIT_NS);
+            if good && connection.write(request).is_ok() {
+                *role = ConnectionRole::Outgoing { request_key: Some(request_key), idle_since: now };
+                return Some(key);
             }
-            self.close(kept);
+            self.close(key);
         }
-        let mut link = Link::connect(next, &self.poller, fresh).ok()?;
-        link.write(ask).ok()?;
-        self.links.insert(fresh, (link, Role::Asked { by: Some(by), unused_since: now }));
-        Some(fresh)
+        let mut connection = Connection::connect(next, &self.poller, new_key).ok()?;
+        connection.write(request).ok()?;
+        self.connections.insert(
+            new_key,
+            (connection, ConnectionRole::Outgoing { request_key: Some(request_key), idle_since: now }),
+        );
+        Some(new_key)
     }
 
-    fn answered(&mut self, key: usize, by: Option<usize>, message: &Message) {
+    fn handle_response(&mut self, key: usize, request_key: Option<usize>, message: &Message) {
         let now = self.clock.now();
         if let Some(transit) = message.transit() {
-            self.note(|seen| seen.answer_transit.saturating_record(transit));
+            self.update_counters(|counters| counters.response_transit.saturating_record(transit));
         }
-        match message.lasts() {
+        match message.keeps_alive() {
             true => {
                 _ = self
-                    .links
+                    .connections
                     .get_mut(&key)
-                    .map(|(_, role)| *role = Role::Asked { by: None, unused_since: now });
-                self.unused.push(key);
+                    .map(|(_, role)| *role = ConnectionRole::Outgoing { request_key: None, idle_since: now });
+                self.idle.push(key);
             }
             false => _ = self.close(key),
         }
-        if let Some(by) = by {
-            let passed = answer(message.status(), Some(message), &message.body, self.clock);
-            self.reply(by, &passed);
+        if let Some(request_key) = request_key {
+            let forwarded = encode_response(message.status(), Some(message), &message.body, self.clock);
+            self.reply(request_key, &forwarded);
         }
     }
 
-    /// The last tier's work.
-    fn take_in(&mut self, key: usize) {
-        let slow = self.slow.load(Ordering::Relaxed);
-        let long = slow > 0 && self.random.generate::<f64>() < TAIL;
-        let takes = if long { slow * TAIL_FACTOR } else { slow };
-        _ = self.links.get_mut(&key).map(|(_, role)| *role = Role::Asks { open: Some(key) });
-        self.due.insert((self.clock.now() + takes, key));
+    /// Schedules the last tier's response to a request.
+    fn schedule_response(&mut self, key: usize) {
+        let response_delay_ns = self.response_delay_ns.load(Ordering::Relaxed);
+        let in_tail = response_delay_ns > 0 && self.rng.generate::<f64>() < TAIL_SHARE;
+        let delay_ns = if in_tail { response_delay_ns * TAIL_FACTOR } else { response_delay_ns };
+        _ = self
+            .connections
+            .get_mut(&key)
+            .map(|(_, role)| *role = ConnectionRole::Incoming { waiting_on: Some(key) });
+        self.due_responses.insert((self.clock.now() + delay_ns, key));
     }
 
-    fn answer_due(&mut self) {
-        while let Some(&(at, key)) = self.due.first().filter(|(at, _)| *at <= self.clock.now()) {
-            self.due.remove(&(at, key));
-            let done = answer(200, None, "ok", self.clock);
-            self.reply(key, &done);
+    fn send_due_responses(&mut self) {
+        while let Some(&(at, key)) = self.due_responses.first().filter(|(at, _)| *at <= self.clock.now()) {
+            self.due_responses.remove(&(at, key));
+            let response = encode_response(200, None, "ok", self.clock);
+            self.reply(key, &response);
         }
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -307,12 +307,12 @@
 }
 
 /// False if it could not be played.
-fn play_chain(plan: &chain::Plan, to_play: &chain::report::RunSettings, json: bool) -> bool {
-    match chain::report::run(plan, to_play) {
+fn play_chain(config: &chain::ChainConfig, to_play: &chain::report::RunSettings, json: bool) -> bool {
+    match chain::report::run(config, to_play) {
         Ok(report) if json => report.json(to_play).iter().for_each(|line| println!("{line}")),
         Ok(report) => print!("{}", report.text(to_play)),
         Err(why) => {
-            eprintln!("oakhollow-lab: depth {}: {why}", plan.depth);
+            eprintln!("oakhollow-lab: depth {}: {why}", config.depth);
             return false;
         }
     }
@@ -360,15 +360,16 @@
             let to_play = chain::report::RunSettings {
                 rate,
                 pairs,
-                length: Duration::from_secs_f64(seconds),
-                lead: Duration::from_millis(500),
-                late_share,
-                slow: Duration::from_millis(slow_ms),
-                slow_length: Duration::from_secs_f64(slow_seconds),
-                budget,
+                duration: Duration::from_secs_f64(seconds),
+                warm_up: Duration::from_millis(500),
+                max_late_fraction: late_share,
+                slow_latency: Duration::from_millis(slow_ms),
+                slow_duration: Duration::from_secs_f64(slow_seconds),
+                max_extra_share: budget,
             };
-            let plan = |depth| chain::Plan { program: &program, depth, servers: servers.into(), seed };
-            let whole = depth.into_iter().all(|depth| play_chain(&plan(depth.into()), &to_play, json));
+            let config =
+                |depth| chain::ChainConfig { program: &program, depth, servers: servers.into(), seed };
+            let whole = depth.into_iter().all(|depth| play_chain(&config(depth.into()), &to_play, json));
             if whole {
                 ExitCode::SUCCESS
             } else {
--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -1,19 +1,19 @@
-//! The chain: its statistics, its caller, and a short one of two tiers played on processes of the program.
+//! The chain's statistics and client, and a short run of a chain of two tiers with processes of the program.
 mod beside;
 
 use beside::program;
-use oakhollow_lab::chain::client::{call, Called, Calls};
+use oakhollow_lab::chain::client::{run_load, ClientResults, LoadPlan};
 use oakhollow_lab::chain::report::{self, RunSettings};
-use oakhollow_lab::chain::statistics::{reach_bound, t_quantile, Interval};
+use oakhollow_lab::chain::statistics::{amplification_bound, t_quantile, Interval};
 use oakhollow_lab::chain::tiers::Tier;
-use oakhollow_lab::chain::usage::{figure, usage};
+use oakhollow_lab::chain::usage::{field_value, read_usage};
 use oakhollow_lab::chain::wire::Clock;
-use oakhollow_lab::chain::{Chain, Plan};
+use oakhollow_lab::chain::{Chain, ChainConfig};
 use std::thread;
 use std::time::Duration;
 
 #[test]
-fn t_is_that_of_the_tables() {
+fn t_quantiles_agree_with_the_tables() {
     let table = [(1, 12.706), (2, 4.303), (7, 2.365), (10, 2.228), (11, 2.201), (15, 2.131), (30, 2.042)];
     for (degrees, quantile) in table.into_iter().chain([(60, 2.000), (120, 1.980), (100_000, 1.960)]) {
         let found = t_quantile(degrees);
@@ -22,130 +22,145 @@
 }
 
 #[test]
-fn an_interval_is_told_where_it_is_not_wider_than_its_figure() {
-    assert_eq!(Interval::of(&[]), None);
-    assert_eq!(Interval::of(&[1.0]), None);
-    let wide = Interval::of(&[1.0, 2.0, 3.0, 4.0, 5.0]).expect("five");
+fn an_interval_is_significant_if_it_is_not_wider_than_its_mean() {
+    assert_eq!(Interval::from_samples(&[]), None);
+    assert_eq!(Interval::from_samples(&[1.0]), None);
+    let wide = Interval::from_samples(&[1.0, 2.0, 3.0, 4.0, 5.0]).expect("five");
     // 2.776 times the root of 2.5 / 5.
-    assert!((wide.mean, wide.count) == (3.0, 5) && (wide.half - 1.963).abs() < 0.001, "{wide:?}");
-    assert!(!wide.can_be_told());
-    let narrow = Interval::of(&[-10.0, -10.1, -9.9, -10.0]).expect("four");
-    assert!(narrow.can_be_told(), "{narrow:?}");
-    assert!(!Interval::of(&[-1.0, 1.0]).expect("two").can_be_told());
+    assert!((wide.mean, wide.count) == (3.0, 5) && (wide.half_width - 1.963).abs() < 0.001, "{wide:?}");
+    assert!(!wide.is_significant());
+    let narrow = Interval::from_samples(&[-10.0, -10.1, -9.9, -10.0]).expect("four");
+    assert!(narrow.is_significant(), "{narrow:?}");
+    assert!(!Interval::from_samples(&[-1.0, 1.0]).expect("two").is_significant());
 }
 
 #[test]
-fn shares_of_tiers_multiply() {
-    assert!((reach_bound(0.05, 9) - 1.5513).abs() < 0.0001);
-    assert_eq!((reach_bound(0.05, 0), reach_bound(0.0, 9)), (1.0, 1.0));
+fn the_amplification_bound_multiplies_over_tiers() {
+    assert!((amplification_bound(0.05, 9) - 1.5513).abs() < 0.0001);
+    assert_eq!((amplification_bound(0.05, 0), amplification_bound(0.0, 9)), (1.0, 1.0));
 }
 
 #[test]
-fn figures_of_the_machine_are_read_by_their_whole_name() {
+fn proc_fields_are_matched_by_their_whole_name() {
     let status = "Name:\tx\nnonvoluntary_ctxt_switches:\t7\nvoluntary_ctxt_switches:\t12\n";
-    assert_eq!(figure(status, "voluntary_ctxt_switches"), Some(12));
-    assert_eq!(figure(status, "ctxt_switches"), None);
-    assert_eq!(usage(u32::MAX), None);
+    assert_eq!(field_value(status, "voluntary_ctxt_switches"), Some(12));
+    assert_eq!(field_value(status, "ctxt_switches"), None);
+    assert_eq!(read_usage(u32::MAX), None);
 }
 
-/// Five calls at one tier that answers by itself, of which the first was due so long ago.
-fn five(slow: Duration, ago: Duration) -> Called {
+/// Sends five requests, the first of which was due `overdue` ago, to a single tier that answers them.
+fn run_five_requests(slow_latency: Duration, overdue: Duration) -> ClientResults {
     let clock = Clock::start();
     let tier = Tier::start(1, 1, None, clock, 1).expect("listens");
-    tier.slow_down(slow);
-    thread::sleep(ago);
-    let begin = clock.now() - ago.as_nanos() as u64;
-    let calls = Calls { rate: 1000.0, lead: Duration::ZERO, length: Duration::from_millis(5), first: 0 };
-    let called = call(tier.addresses[0], &calls, begin, clock).expect("called");
-    let seen = tier.take();
-    assert_eq!((called.sent, called.counted, called.unasked), (5, 5, 0));
-    assert_eq!((seen.hops, seen.copies, seen.calls.len()), (5, 0, 5));
-    called
+    tier.slow_down(slow_latency);
+    thread::sleep(overdue);
+    let begin_ns = clock.now() - overdue.as_nanos() as u64;
+    let load =
+        LoadPlan { rate: 1000.0, warm_up: Duration::ZERO, duration: Duration::from_millis(5), first_id: 0 };
+    let client = run_load(tier.addresses[0], &load, begin_ns, clock).expect("called");
+    let counters = tier.take_counters();
+    assert_eq!((client.sent, client.measured, client.unsolicited), (5, 5, 0));
+    assert_eq!((counters.attempts, counters.repeats, counters.requests.len()), (5, 0, 5));
+    client
 }
 
 #[test]
-fn latency_counts_from_when_a_call_was_due() {
-    let called = five(Duration::ZERO, Duration::from_millis(200));
-    assert_eq!((called.late, called.late_share(), called.served()), (5, 1.0, 5));
-    // To three figures.
-    assert!(called.latency.min() >= 194_000_000, "{}", called.latency.min());
-    let slow = five(Duration::from_millis(30), Duration::ZERO);
+fn latency_is_measured_from_when_a_request_was_due() {
+    let client = run_five_requests(Duration::ZERO, Duration::from_millis(200));
+    assert_eq!((client.late, client.late_fraction(), client.served()), (5, 1.0, 5));
+    // The histogram has three significant digits.
+    assert!(client.latency.min() >= 194_000_000, "{}", client.latency.min());
+    let slow = run_five_requests(Duration::from_millis(30), Duration::ZERO);
     assert!(slow.served() == 5 && slow.latency.min() >= 29_900_000, "{}", slow.latency.min());
 }
 
 #[test]
-fn calls_without_an_answer_are_counted() {
-    let called = five(Duration::from_secs(60), Duration::ZERO);
-    assert_eq!((called.served(), called.unanswered), (0, 5));
+fn unanswered_requests_are_counted() {
+    let client = run_five_requests(Duration::from_secs(60), Duration::ZERO);
+    assert_eq!((client.served(), client.unanswered), (0, 5));
 }
 
 #[test]
-fn a_chain_of_two_carries_each_call_to_its_last_tier_and_back_once() {
+fn a_chain_of_two_tiers_answers_each_request_once() {
     let program = program();
-    let plan = Plan { program: &program, depth: 2, servers: 2, seed: 3 };
-    let (lead, length) = (Duration::from_millis(200), Duration::from_millis(800));
+    let config = ChainConfig { program: &program, depth: 2, servers: 2, seed: 3 };
+    let (warm_up, duration) = (Duration::from_millis(200), Duration::from_millis(800));
     for sidecars in [false, true] {
-        let mut chain = Chain::start(&plan, sidecars).expect("starts");
+        let mut chain = Chain::start(&config, sidecars).expect("starts");
         assert_eq!(chain.sidecars(), if sidecars { 2 } else { 0 });
-        let mut calls = 0;
-        for slow in [Duration::ZERO, Duration::from_millis(20)] {
-            chain.slow_down(slow);
-            let round = chain.run(100.0, lead, length).expect("played");
-            let called = &round.called;
-            assert!(round.whole() && called.sent == 100, "{:?}, {} open", called.answers, called.unanswered);
-            assert_eq!(called.counted, 80);
-            assert_eq!(round.used.is_some(), sidecars);
+        let mut sent = 0;
+        for slow_latency in [Duration::ZERO, Duration::from_millis(20)] {
+            chain.slow_down(slow_latency);
+            let round = chain.run(100.0, warm_up, duration).expect("played");
+            let client = &round.client;
             assert!(
-                round.used.is_none_or(|used| used.wake_ups > 0 && used.processor_ns > 0),
+                round.all_answered_once() && client.sent == 100,
+                "{:?}, {} open",
+                client.responses,
+                client.unanswered
+            );
+            assert_eq!(client.measured, 80);
+            assert_eq!(round.usage.is_some(), sidecars);
+            assert!(
+                round.usage.is_none_or(|usage| usage.wake_ups > 0 && usage.cpu_ns > 0),
                 "{:?}",
-                round.used
+                round.usage
+            );
+            // A request that a sidecar refused went no further; a served one reached the last tier.
+            let (first, last) = (&round.tiers[0], &round.tiers[1]);
+            assert!(
+                last.requests >= client.served() && last.requests <= first.requests && first.requests <= 100
             );
-            // What a sidecar dismissed reached no further; what was served reached the end.
-            let (first, last) = (&round.reached[0], &round.reached[1]);
-            assert!(last.calls >= called.served() && last.calls <= first.calls && first.calls <= 100);
-            assert!(first.hops - first.copies <= 100 && last.hops - last.copies <= first.hops);
+            assert!(first.attempts - first.repeats <= 100 && last.attempts - last.repeats <= first.attempts);
             if !sidecars {
-                let hops = [first.hops, last.hops, first.copies, last.copies, called.served()];
-                assert_eq!(hops, [100, 100, 0, 0, 100]);
-                assert_eq!((round.reach(0), round.reach(1)), (1.0, 1.0));
+                let attempts = [first.attempts, last.attempts, first.repeats, last.repeats, client.served()];
+                assert_eq!(attempts, [100, 100, 0, 0, 100]);
+                assert_eq!((round.amplification(0), round.amplification(1)), (1.0, 1.0));
             }
-            let least = called.latency.value_at_quantile(0.0);
-            assert!(called.served() > 0 && least * 1001 / 1000 >= slow.as_nanos() as u64, "{least}");
-            calls += called.sent;
+            let min_latency_ns = client.latency.value_at_quantile(0.0);
+            assert!(
+                client.served() > 0 && min_latency_ns * 1001 / 1000 >= slow_latency.as_nanos() as u64,
+                "{min_latency_ns}"
+            );
+            sent += client.sent;
         }
-        assert_eq!(calls, 200);
+        assert_eq!(sent, 200);
     }
 }
 
 #[test]
-fn pairs_are_reported_and_a_late_caller_s_latency_is_not() {
+fn pairs_are_reported_without_the_latency_of_a_late_client() {
     let program = program();
-    let plan = Plan { program: &program, depth: 1, servers: 2, seed: 0 };
-    let length = Duration::from_millis(300);
-    // No share is below it: every pair ran late.
-    let late = RunSettings {
+    let config = ChainConfig { program: &program, depth: 1, servers: 2, seed: 0 };
+    let duration = Duration::from_millis(300);
+    // Every share of late requests exceeds -1, so every pair counts as late.
+    let settings = RunSettings {
         rate: 100.0,
         pairs: 2,
-        length,
-        lead: Duration::from_millis(100),
-        late_share: -1.0,
-        slow: Duration::from_millis(5),
-        slow_length: length,
-        budget: 0.05,
+        duration,
+        warm_up: Duration::from_millis(100),
+        max_late_fraction: -1.0,
+        slow_latency: Duration::from_millis(5),
+        slow_duration: duration,
+        max_extra_share: 0.05,
     };
-    let report = report::run(&plan, &late).expect("played");
-    // What does not count from when calls were due is told all the same.
+    let report = report::run(&config, &settings).expect("played");
+    // Figures that are not measured from when requests were due are reported nevertheless.
     let told: Vec<bool> = report.added().iter().map(|(_, interval)| interval.is_some()).collect();
-    let served = report.pairs.iter().filter(|pair| pair.unserved.is_none()).count() >= 2;
+    let served = report.pairs.iter().filter(|pair| pair.incomplete_reason.is_none()).count() >= 2;
     assert_eq!(told, [false, false, served, served, served, served]);
     assert!(report
         .pairs
         .iter()
-        .all(|pair| pair.late.as_ref().is_some_and(|why| why.contains("the caller sent"))));
-    assert!(report.cost().iter().all(|(_, interval)| interval.is_some()), "{:?}", report.cost());
-    let text = report.text(&late);
+        .all(|pair| pair.late_reason.as_ref().is_some_and(|why| why.contains("the client sent"))));
+    assert!(
+        report.cost_per_attempt().iter().all(|(_, interval)| interval.is_some()),
+        "{:?}",
+        report.cost_per_attempt()
+    );
+    let text = report.text(&settings);
     assert!(text.contains("0 of 2 pairs") && text.contains("added_p50_ms: no figure"), "{text}");
-    let lines = report.json(&late);
+    let lines = report.json(&settings);
     assert_eq!(lines.len(), 3);
     assert!(lines[0]["void"].is_string(), "{}", lines[0]);
     assert_eq!((&lines[2]["sound"], &lines[2]["pairs"]), (&0.into(), &2.into()));
