--- a/lab/faults/examples/faulty_calls.rs
+++ b/lab/faults/examples/faulty_calls.rs
@@ -1,33 +1,35 @@
-//! Loaded into one process of the program by `LD_PRELOAD`, this library makes its system calls fail as the control block says,
-//! and counts each failure there. It bends what reaches the C library: `recv`, `send`, `accept4`, `read`, `write`, `fsync`,
-//! `fdatasync`, `rename` and the wall clock of `clock_gettime`. What the program asks of the kernel directly (`epoll_wait`,
-//! `connect` and `socket` through `rustix`) passes it by.
+//! This library, loaded into a process by `LD_PRELOAD`, makes its system calls fail at the rates in the control block, and counts
+//! each fault there. It interposes the C library's `recv`, `send`, `accept4`, `read`, `write`, `fsync`, `fdatasync`, `rename`
+//! and the wall clock of `clock_gettime`. System calls that bypass the C library (`epoll_wait`, `connect` and `socket`
+//! through `rustix`) are not affected.
 use libc::{c_char, c_int, c_long, c_void, clockid_t, size_t, ssize_t, timespec};
-use oakhollow_faults::{FaultKind, ALWAYS, CLOCK_COUNT_WORD, CLOCK_WORD, CONTROL_VARIABLE, WORDS};
+use oakhollow_faults::{
+    FaultKind, ALWAYS, CLOCK_OFFSET_WORD, CLOCK_READ_COUNT_WORD, CONTROL_VARIABLE, WORD_COUNT,
+};
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-/// The longest short read or write, in bytes.
-const SHORT: usize = 7;
-/// Standard input, output and error are left alone.
-const FIRST_DESCRIPTOR: c_int = 3;
+/// The longest short `recv` or `send`, in bytes.
+const MAX_SHORT_LENGTH: usize = 7;
+/// Lower descriptors (standard input, output and error) never fail.
+const FIRST_FAULTY_DESCRIPTOR: c_int = 3;
 const ACCEPT_ERRORS: [c_int; 5] =
     [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EPROTO, libc::ENETUNREACH];
-const NANOS: i64 = 1_000_000_000;
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// The control block, once it is mapped.
-static CONTROL: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-/// Draws chances; started from the process's id.
-static CHANCE: AtomicU64 = AtomicU64::new(0);
+/// The mapped control block; null until it is mapped.
+static CONTROL_BLOCK: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
+/// State of the random number generator, seeded with the process id.
+static RNG_STATE: AtomicU64 = AtomicU64::new(0);
 
-/// Runs when the library is loaded, before the program's own start.
+/// Runs when the library is loaded, before the program's `main`.
 #[used]
 #[link_section = ".init_array"]
-static LOADED: extern "C" fn() = map_control_block;
+static INIT: extern "C" fn() = map_control_block;
 
 extern "C" fn map_control_block() {
     let mut name = CONTROL_VARIABLE.as_bytes().to_vec();
     name.push(0);
-    // SAFETY: the name ends with a zero; the file, if it opens, is as long as the mapping by the rig's doing.
+    // SAFETY: the name ends with a zero, and the harness makes the file as long as the mapping.
     unsafe {
         let path = libc::getenv(name.as_ptr().cast());
         if path.is_null() {
@@ -38,52 +40,52 @@
             return;
         }
         let access = libc::PROT_READ | libc::PROT_WRITE;
-        let block = libc::mmap(std::ptr::null_mut(), WORDS * 8, access, libc::MAP_SHARED, file, 0);
+        let block = libc::mmap(std::ptr::null_mut(), WORD_COUNT * 8, access, libc::MAP_SHARED, file, 0);
         libc::close(file);
         if block != libc::MAP_FAILED {
-            CHANCE.store(libc::getpid() as u64, Ordering::Relaxed);
-            CONTROL.store(block.cast(), Ordering::Release);
+            RNG_STATE.store(libc::getpid() as u64, Ordering::Relaxed);
+            CONTROL_BLOCK.store(block.cast(), Ordering::Release);
         }
     }
 }
 
 fn word(at: usize) -> Option<&'static AtomicU64> {
-    let block = CONTROL.load(Ordering::Acquire);
-    // SAFETY: the mapping holds `WORDS` words, lives as long as the process and is only ever used atomically.
+    let block = CONTROL_BLOCK.load(Ordering::Acquire);
+    // SAFETY: the mapping has `WORD_COUNT` words, is never unmapped and is accessed only atomically.
     (!block.is_null()).then(|| unsafe { &*block.add(at) })
 }
 
-/// A number that is spread over all 64 bits (splitmix64).
-fn draw() -> u64 {
-    let state = CHANCE.fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
+/// The next random number (splitmix64).
+fn next_random() -> u64 {
+    let state = RNG_STATE.fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
     let mixed = (state ^ (state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     mixed ^ (mixed >> 31)
 }
 
-/// Whether this call is struck, which is then counted.
-fn strikes(kind: FaultKind) -> bool {
+/// Draws whether this call fails, and counts the fault if so.
+fn should_fail(kind: FaultKind) -> bool {
     let rate = word(kind.rate_word()).map_or(0, |rate| rate.load(Ordering::Relaxed));
-    let struck = rate > 0 && draw() % ALWAYS < rate;
-    if struck {
-        count(kind);
+    let fails = rate > 0 && next_random() % ALWAYS < rate;
+    if fails {
+        count_fault(kind);
     }
-    struck
+    fails
 }
 
-/// Counts a failure; returns how often it had struck before.
-fn count(kind: FaultKind) -> u64 {
+/// Counts a fault, and returns how often it was injected before.
+fn count_fault(kind: FaultKind) -> u64 {
     word(kind.count_word()).map_or(0, |count| count.fetch_add(1, Ordering::Relaxed))
 }
 
-fn fail(error: c_int) -> ssize_t {
+fn fail_with(error: c_int) -> ssize_t {
     // SAFETY: errno is this thread's own.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
 fn is_regular_file(descriptor: c_int) -> bool {
-    if descriptor < FIRST_DESCRIPTOR || CONTROL.load(Ordering::Acquire).is_null() {
+    if descriptor < FIRST_FAULTY_DESCRIPTOR || CONTROL_BLOCK.load(Ordering::Acquire).is_null() {
         return false;
     }
     // SAFETY: an all-zero `stat` is valid, and is filled in by the call.
@@ -93,8 +95,9 @@
     }
 }
 
-/// A pair of local sockets, by which a process wakes itself or hears of signals, does not break.
-fn crosses_the_network(socket: c_int) -> bool {
+/// Whether `BrokenConnection` is on and applies to this socket. Local socket pairs, by which a process wakes itself or
+/// receives signals, must not break.
+fn may_break(socket: c_int) -> bool {
     if word(FaultKind::BrokenConnection.rate_word()).is_none_or(|rate| rate.load(Ordering::Relaxed) == 0) {
         return false;
     }
@@ -107,18 +110,18 @@
     }
 }
 
-/// What befalls a transfer on a socket: an error, or fewer bytes.
-fn bend_transfer(socket: c_int, length: usize, short: FaultKind) -> Result<usize, c_int> {
-    if strikes(FaultKind::Interrupted) {
+/// Injects the faults of a transfer on a socket: returns an error, or the number of bytes to transfer.
+fn inject_transfer_fault(socket: c_int, length: usize, short: FaultKind) -> Result<usize, c_int> {
+    if should_fail(FaultKind::Interrupted) {
         return Err(libc::EINTR);
     }
-    if crosses_the_network(socket) && strikes(FaultKind::BrokenConnection) {
-        // SAFETY: concerns the caller's own descriptor; a failure changes nothing.
+    if may_break(socket) && should_fail(FaultKind::BrokenConnection) {
+        // SAFETY: the descriptor is the caller's, and a failure has no effect.
         unsafe { libc::shutdown(socket, libc::SHUT_RDWR) };
-        return Err(if draw() & 1 == 0 { libc::ETIMEDOUT } else { libc::EHOSTUNREACH });
+        return Err(if next_random() & 1 == 0 { libc::ETIMEDOUT } else { libc::EHOSTUNREACH });
     }
-    if length > 1 && strikes(short) {
-        return Ok(length.min(1 + (draw() % SHORT as u64) as usize));
+    if length > 1 && should_fail(short) {
+        return Ok(length.min(1 + (next_random() % MAX_SHORT_LENGTH as u64) as usize));
     }
     Ok(length)
 }
@@ -127,29 +130,29 @@
 /// As the C library's `recv`.
 #[no_mangle]
 pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    // A peek takes nothing: it is left as it is.
-    let bent = match flags & libc::MSG_PEEK {
-        0 => bend_transfer(socket, length, FaultKind::ShortReceive),
+    // A peek consumes nothing, so it gets no faults.
+    let transfer = match flags & libc::MSG_PEEK {
+        0 => inject_transfer_fault(socket, length, FaultKind::ShortReceive),
         _ => Ok(length),
     };
-    let length = match bent {
+    let length = match transfer {
         Ok(length) => length,
-        Err(error) => return fail(error),
+        Err(error) => return fail_with(error),
     };
-    let none = std::ptr::null_mut::<c_void>();
-    libc::syscall(libc::SYS_recvfrom, socket, buffer, length, flags, none, none) as ssize_t
+    let null_address = std::ptr::null_mut::<c_void>();
+    libc::syscall(libc::SYS_recvfrom, socket, buffer, length, flags, null_address, null_address) as ssize_t
 }
 
 /// # Safety
 /// As the C library's `send`.
 #[no_mangle]
 pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match bend_transfer(socket, length, FaultKind::ShortSend) {
+    let length = match inject_transfer_fault(socket, length, FaultKind::ShortSend) {
         Ok(length) => length,
-        Err(error) => return fail(error),
+        Err(error) => return fail_with(error),
     };
-    let none = std::ptr::null_mut::<c_void>();
-    libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, none, 0 as c_long) as ssize_t
+    let null_address = std::ptr::null_mut::<c_void>();
+    libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, null_address, 0 as c_long) as ssize_t
 }
 
 /// # Safety
@@ -159,9 +162,9 @@
     socket: c_int, address: *mut libc::sockaddr, length: *mut libc::socklen_t, flags: c_int,
 ) -> c_int {
     let rate = word(FaultKind::FailedAccept.rate_word()).map_or(0, |rate| rate.load(Ordering::Relaxed));
-    if rate > 0 && draw() % ALWAYS < rate {
-        let before = count(FaultKind::FailedAccept) as usize;
-        return fail(ACCEPT_ERRORS[before % ACCEPT_ERRORS.len()]) as c_int;
+    if rate > 0 && next_random() % ALWAYS < rate {
+        let before = count_fault(FaultKind::FailedAccept) as usize;
+        return fail_with(ACCEPT_ERRORS[before % ACCEPT_ERRORS.len()]) as c_int;
     }
     libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int
 }
@@ -170,8 +173,8 @@
 /// As the C library's `read`.
 #[no_mangle]
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
-    if is_regular_file(descriptor) && strikes(FaultKind::FailedRead) {
-        return fail(libc::EIO);
+    if is_regular_file(descriptor) && should_fail(FaultKind::FailedRead) {
+        return fail_with(libc::EIO);
     }
     libc::syscall(libc::SYS_read, descriptor, buffer, length) as ssize_t
 }
@@ -181,12 +184,12 @@
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     if is_regular_file(descriptor) {
-        if strikes(FaultKind::KilledWrite) {
+        if should_fail(FaultKind::KilledWrite) {
             libc::syscall(libc::SYS_write, descriptor, buffer, length / 2);
             libc::kill(libc::getpid(), libc::SIGKILL);
         }
-        if strikes(FaultKind::FullDisk) {
-            return fail(libc::ENOSPC);
+        if should_fail(FaultKind::FullDisk) {
+            return fail_with(libc::ENOSPC);
         }
     }
     libc::syscall(libc::SYS_write, descriptor, buffer, length) as ssize_t
@@ -196,8 +199,8 @@
 /// As the C library's `fsync`.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    if strikes(FaultKind::FailedSync) {
-        return fail(libc::EIO) as c_int;
+    if should_fail(FaultKind::FailedSync) {
+        return fail_with(libc::EIO) as c_int;
     }
     libc::syscall(libc::SYS_fsync, descriptor) as c_int
 }
@@ -206,8 +209,8 @@
 /// As the C library's `fdatasync`.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
-    if strikes(FaultKind::FailedSync) {
-        return fail(libc::EIO) as c_int;
+    if should_fail(FaultKind::FailedSync) {
+        return fail_with(libc::EIO) as c_int;
     }
     libc::syscall(libc::SYS_fdatasync, descriptor) as c_int
 }
@@ -216,8 +219,8 @@
 /// As the C library's `rename`.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    if strikes(FaultKind::FailedRename) {
-        return fail(libc::EIO) as c_int;
+    if should_fail(FaultKind::FailedRename) {
+        return fail_with(libc::EIO) as c_int;
     }
     libc::syscall(libc::SYS_renameat2, libc::AT_FDCWD, from, libc::AT_FDCWD, to, 0 as c_long) as c_int
 }
@@ -226,12 +229,13 @@
 /// As the C library's `clock_gettime`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
-    let ahead = word(CLOCK_WORD).map_or(0, |ahead| ahead.load(Ordering::Relaxed) as i64);
-    if done == 0 && clock == libc::CLOCK_REALTIME && ahead != 0 {
-        let bent = (*time).tv_sec * NANOS + (*time).tv_nsec + ahead;
-        ((*time).tv_sec, (*time).tv_nsec) = (bent.div_euclid(NANOS), bent.rem_euclid(NANOS));
-        word(CLOCK_COUNT_WORD).map(|count| count.fetch_add(1, Ordering::Relaxed));
-    }
-    done
+    let result = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
+    let offset_ns = word(CLOCK_OFFSET_WORD).map_or(0, |offset_ns| offset_ns.load(Ordering::Relaxed) as i64);
+    if result == 0 && clock == libc::CLOCK_REALTIME && offset_ns != 0 {
+        let shifted_ns = (*time).tv_sec * NANOS_PER_SECOND + (*time).tv_nsec + offset_ns;
+        ((*time).tv_sec, (*time).tv_nsec) =
+            (shifted_ns.div_euclid(NANOS_PER_SECOND), shifted_ns.rem_euclid(NANOS_PER_SECOND));
+        word(CLOCK_READ_COUNT_WORD).map(|count| count.fetch_add(1, Ordering::Relaxed));
+    }
+    result
 }
--- a/lab/faults/src/control.rs
+++ b/lab/faults/src/control.rs
@@ -1,57 +1,57 @@
-//! The rig's side of the control block: what is to fail, and how often it has.
-use crate::layout::{FaultKind, CLOCK_COUNT_WORD, CLOCK_WORD, WORDS};
+//! The harness's side of the control block: sets which system calls fail, and reads how often they did.
+use crate::layout::{FaultKind, CLOCK_OFFSET_WORD, CLOCK_READ_COUNT_WORD, WORD_COUNT};
 use std::fs::{self, File};
 use std::io::Result;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The preloaded library's file, among the examples that were built with the program.
-const LIBRARY: &str = "libfaulty_calls.so";
+/// File name of the preloaded library, among the examples that were built with the program.
+const LIBRARY_FILE: &str = "libfaulty_calls.so";
 
-/// Where the library stands that was built with that program. None if it was not built.
-pub fn library(program: &Path) -> Option<PathBuf> {
-    let path = program.parent()?.join("examples").join(LIBRARY);
+/// The path of the library that was built with this program. None if it was not built.
+pub fn library_path(program: &Path) -> Option<PathBuf> {
+    let path = program.parent()?.join("examples").join(LIBRARY_FILE);
     path.exists().then_some(path)
 }
 
-/// What fails in one process, and how often it has.
+/// The faults of one process under test.
 pub struct Faults {
     path: PathBuf,
     file: File,
 }
 
 impl Faults {
-    /// A control block in that folder, by which nothing fails yet.
+    /// Creates a control block in this folder, with all faults off.
     pub fn new(folder: &Path) -> Result<Faults> {
         let path = folder.join("faults");
-        fs::write(&path, vec![0; WORDS * 8])?;
+        fs::write(&path, vec![0; WORD_COUNT * 8])?;
         let file = File::options().read(true).write(true).open(&path)?;
         Ok(Faults { path, file })
     }
 
-    /// Where the control block stands, for the process under test.
+    /// The path of the control block, for the environment of the process under test.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// From now on so many of a million calls of that kind fail.
-    pub fn set(&self, kind: FaultKind, rate: u64) -> Result<()> {
+    /// Sets how many of a million calls of a kind fail from now on.
+    pub fn set_rate(&self, kind: FaultKind, rate: u64) -> Result<()> {
         self.write(kind.rate_word(), rate)
     }
 
-    /// How often that has happened.
-    pub fn arrived(&self, kind: FaultKind) -> u64 {
+    /// How often a fault of this kind was injected.
+    pub fn injected_count(&self, kind: FaultKind) -> u64 {
         self.read(kind.count_word())
     }
 
-    /// Steps the wall clock, by so many seconds from the machine's.
+    /// Sets the offset of the process's wall clock from the machine's, in seconds.
     pub fn step_clock(&self, seconds: i64) -> Result<()> {
-        self.write(CLOCK_WORD, (seconds * 1_000_000_000) as u64)
+        self.write(CLOCK_OFFSET_WORD, (seconds * 1_000_000_000) as u64)
     }
 
-    /// How often a stepped clock was read.
+    /// How often the wall clock was read while it had an offset.
     pub fn clock_readings(&self) -> u64 {
-        self.read(CLOCK_COUNT_WORD)
+        self.read(CLOCK_READ_COUNT_WORD)
     }
 
     fn write(&self, word: usize, value: u64) -> Result<()> {
--- a/lab/faults/src/layout.rs
+++ b/lab/faults/src/layout.rs
@@ -1,10 +1,10 @@
-//! The control block that the rig shares with a process under test: a file of 64-bit words, mapped by the preloaded library
-//! and written through the file by the rig.
+//! The control block that the harness shares with a process under test: a file of 64-bit words. The preloaded library maps the
+//! file, and the harness reads and writes it.
 
-/// Names the control file in the environment of the process under test.
+/// The environment variable that names the control file to the process under test.
 pub const CONTROL_VARIABLE: &str = "OAKHOLLOW_FAULTS";
 
-/// What can be made to fail, by its place in the control block.
+/// The kinds of faults, in the order of the control block.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[repr(usize)]
 pub enum FaultKind {
@@ -26,7 +26,7 @@
     FailedRename,
     /// `read` of a regular file returns `EIO`.
     FailedRead,
-    /// `write` to a regular file writes half, and the process is killed by `SIGKILL`.
+    /// `write` to a regular file writes half of the bytes, and the process is killed by `SIGKILL`.
     KilledWrite,
 }
 
@@ -45,25 +45,25 @@
         FaultKind::KilledWrite,
     ];
 
-    /// The word that holds how often it strikes, in millionths of the calls concerned.
+    /// Index of the word with the rate of the fault, in millionths of the calls that it applies to.
     pub const fn rate_word(self) -> usize {
         self as usize * 2
     }
 
-    /// The word that counts how often it has struck.
+    /// Index of the word that counts how often the fault was injected.
     pub const fn count_word(self) -> usize {
         self as usize * 2 + 1
     }
 }
 
-/// A rate at which every call is concerned.
+/// The rate at which every call fails.
 pub const ALWAYS: u64 = 1_000_000;
 
-/// The word that holds what the wall clock is ahead by, in nanoseconds, as a signed number.
-pub const CLOCK_WORD: usize = FaultKind::ALL.len() * 2;
+/// Index of the word with the offset of the wall clock, in nanoseconds, as a signed number.
+pub const CLOCK_OFFSET_WORD: usize = FaultKind::ALL.len() * 2;
 
-/// The word that counts how often a bent wall clock was read.
-pub const CLOCK_COUNT_WORD: usize = CLOCK_WORD + 1;
+/// Index of the word that counts how often the wall clock was read while it had an offset.
+pub const CLOCK_READ_COUNT_WORD: usize = CLOCK_OFFSET_WORD + 1;
 
-/// Words in the control block.
-pub const WORDS: usize = CLOCK_COUNT_WORD + 1;
+/// Number of words in the control block.
+pub const WORD_COUNT: usize = CLOCK_READ_COUNT_WORD + 1;
--- a/lab/faults/src/lib.rs
+++ b/lab/faults/src/lib.rs
@@ -1,8 +1,9 @@
-//! System calls that fail in one process under test. The library of the example `faulty_calls`, loaded into that process by
-//! `LD_PRELOAD`, fails them as a control block says and counts each failure there; [`Faults`] is the rig's side of the block.
+//! Fault injection for the system calls of a process under test. The library of the example `faulty_calls`, loaded into the
+//! process by `LD_PRELOAD`, makes calls fail at the rates in a control block and counts each fault there. [`Faults`] is the
+//! harness's side of the control block.
 #![warn(missing_docs)]
 mod control;
 mod layout;
 
-pub use control::{library, Faults};
-pub use layout::{FaultKind, ALWAYS, CLOCK_COUNT_WORD, CLOCK_WORD, CONTROL_VARIABLE, WORDS};
+pub use control::{library_path, Faults};
+pub use layout::{FaultKind, ALWAYS, CLOCK_OFFSET_WORD, CLOCK_READ_COUNT_WORD, CONTROL_VARIABLE, WORD_COUNT};
--- a/lab/faults/tests/arrivals.rs
+++ b/lab/faults/tests/arrivals.rs
@@ -1,5 +1,5 @@
-//! Each kind of failure really arrives in a process that the library is loaded into, and is counted as often as it did.
-use oakhollow_faults::{library, FaultKind, Faults, ALWAYS, CONTROL_VARIABLE};
+//! Each kind of fault takes effect in a process that the library is loaded into, and is counted.
+use oakhollow_faults::{library_path, FaultKind, Faults, ALWAYS, CONTROL_VARIABLE};
 use std::fs::{self, File};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,13 +8,13 @@
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Tells the child which call it makes.
-const CHILD: &str = "OAKHOLLOW_FAULTS_CHILD";
+/// The environment variable that tells the child process which call to make.
+const CHILD_VARIABLE: &str = "OAKHOLLOW_FAULTS_CHILD";
 const SIGKILL: i32 = 9;
 
-fn preloaded() -> PathBuf {
+fn preload_library() -> PathBuf {
     let own = std::env::current_exe().expect("this test's path");
-    library(own.parent().expect("deps")).expect("cargo test builds the examples")
+    library_path(own.parent().expect("deps")).expect("cargo test builds the examples")
 }
 
 struct Control {
@@ -31,18 +31,18 @@
     }
 
     fn set(&self, kind: FaultKind) {
-        self.faults.set(kind, ALWAYS).expect("set");
+        self.faults.set_rate(kind, ALWAYS).expect("set");
     }
 
-    /// What the child says of the call, or the signal that ended it.
-    fn child(&self, call: &str) -> Result<String, i32> {
+    /// Runs a child process that makes one call. Returns its report, or the signal that killed it.
+    fn run_child(&self, call: &str) -> Result<String, i32> {
         let mut child = Command::new(std::env::current_exe().expect("this test"));
-        child.args(["--exact", "child", "--nocapture"]).env(CHILD, call).env("TMPDIR", &self.folder);
-        child.env("LD_PRELOAD", preloaded()).env(CONTROL_VARIABLE, self.faults.path());
+        child.args(["--exact", "child", "--nocapture"]).env(CHILD_VARIABLE, call).env("TMPDIR", &self.folder);
+        child.env("LD_PRELOAD", preload_library()).env(CONTROL_VARIABLE, self.faults.path());
         let output = child.output().expect("started");
         let text = String::from_utf8(output.stdout).expect("text");
-        let said = text.lines().find_map(|line| Some(line.split_once("said: ")?.1.to_string()));
-        said.ok_or(output.status.signal().unwrap_or_default())
+        let child_output = text.lines().find_map(|line| Some(line.split_once("said: ")?.1.to_string()));
+        child_output.ok_or(output.status.signal().unwrap_or_default())
     }
 }
 
@@ -52,26 +52,26 @@
     }
 }
 
-fn pair() -> (TcpStream, TcpStream) {
+fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let near = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
-    (near, listener.accept().expect("accepted").0)
+    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
+    (client, listener.accept().expect("accepted").0)
 }
 
-fn error<T>(done: std::io::Result<T>) -> String {
-    done.err().and_then(|fault| fault.raw_os_error()).map_or("none".into(), |error| error.to_string())
+fn error_code<T>(result: std::io::Result<T>) -> String {
+    result.err().and_then(|fault| fault.raw_os_error()).map_or("none".into(), |error| error.to_string())
 }
 
-fn make(call: &str, folder: &Path) -> String {
+fn make_call(call: &str, folder: &Path) -> String {
     let file = folder.join("data");
     match call {
         "receive" => {
-            let (mut near, mut far) = pair();
-            near.write_all(&[1; 64]).expect("sent");
-            drop(near);
+            let (mut client, mut accepted) = connected_pair();
+            client.write_all(&[1; 64]).expect("sent");
+            drop(client);
             let mut sizes = Vec::new();
             loop {
-                match far.read(&mut [0; 64]) {
+                match accepted.read(&mut [0; 64]) {
                     Ok(0) => break,
                     Ok(size) => sizes.push(size),
                     Err(_) => return "an error".into(),
@@ -79,24 +79,25 @@
             }
             format!("{} of {}", sizes.iter().filter(|size| **size <= 7).count(), sizes.len())
         }
-        "send" => {
-            pair().0.write(&[1; 64]).map_or_else(|fault| fault.to_string(), |size| (size <= 7).to_string())
-        }
-        "error" => error(pair().0.write(&[1; 64])),
+        "send" => connected_pair()
+            .0
+            .write(&[1; 64])
+            .map_or_else(|fault| fault.to_string(), |size| (size <= 7).to_string()),
+        "error" => error_code(connected_pair().0.write(&[1; 64])),
         "accept" => {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let _near = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
-            error(listener.accept())
+            let _client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
+            error_code(listener.accept())
         }
-        "write" => error(fs::write(&file, b"twelve bytes")),
-        "sync" => error(File::create(&file).and_then(|file| file.sync_all())),
+        "write" => error_code(fs::write(&file, b"twelve bytes")),
+        "sync" => error_code(File::create(&file).and_then(|file| file.sync_all())),
         "rename" => {
             fs::write(&file, b"").expect("written");
-            error(fs::rename(&file, folder.join("other")))
+            error_code(fs::rename(&file, folder.join("other")))
         }
         "read" => {
             fs::write(&file, b"12").expect("written");
-            error(File::open(&file).and_then(|mut file| file.read(&mut [0; 2])))
+            error_code(File::open(&file).and_then(|mut file| file.read(&mut [0; 2])))
         }
         "clock" => SystemTime::now().duration_since(UNIX_EPOCH).expect("later").as_secs().to_string(),
         other => panic!("no call {other}"),
@@ -105,13 +106,13 @@
 
 #[test]
 fn child() {
-    if let Ok(call) = std::env::var(CHILD) {
-        println!("said: {}", make(&call, &std::env::temp_dir()));
+    if let Ok(call) = std::env::var(CHILD_VARIABLE) {
+        println!("said: {}", make_call(&call, &std::env::temp_dir()));
     }
 }
 
 #[test]
-fn each_failure_arrives_and_is_counted() {
+fn each_fault_takes_effect_and_is_counted() {
     let cases = [
         (FaultKind::ShortSend, "send", "true"),
         (FaultKind::Interrupted, "error", "4"),
@@ -121,50 +122,50 @@
         (FaultKind::FailedRename, "rename", "5"),
         (FaultKind::FailedRead, "read", "5"),
     ];
-    for (kind, call, said) in cases {
+    for (kind, call, child_output) in cases {
         let control = Control::new(call);
         assert_eq!(
-            control.child(call).as_deref(),
+            control.run_child(call).as_deref(),
             Ok(if call == "send" { "false" } else { "none" }),
             "{kind:?}"
         );
-        assert_eq!(control.faults.arrived(kind), 0, "{kind:?}");
+        assert_eq!(control.faults.injected_count(kind), 0, "{kind:?}");
         control.set(kind);
-        assert_eq!(control.child(call).as_deref(), Ok(said), "{kind:?}");
-        assert!(control.faults.arrived(kind) >= 1, "{kind:?}");
+        assert_eq!(control.run_child(call).as_deref(), Ok(child_output), "{kind:?}");
+        assert!(control.faults.injected_count(kind) >= 1, "{kind:?}");
     }
 }
 
 #[test]
-fn short_reads_and_broken_connections_arrive() {
+fn short_reads_and_broken_connections_take_effect() {
     let control = Control::new("receive");
     control.set(FaultKind::ShortReceive);
-    let said = control.child("receive").expect("an answer");
-    let (short, all) = said.split_once(" of ").expect("two counts");
-    assert!(short == all && all.parse::<u64>().is_ok_and(|all| all > 9), "{said}");
-    assert!(control.faults.arrived(FaultKind::ShortReceive) > 9);
+    let child_output = control.run_child("receive").expect("an answer");
+    let (short, all) = child_output.split_once(" of ").expect("two counts");
+    assert!(short == all && all.parse::<u64>().is_ok_and(|all| all > 9), "{child_output}");
+    assert!(control.faults.injected_count(FaultKind::ShortReceive) > 9);
     let control = Control::new("broken");
     control.set(FaultKind::BrokenConnection);
-    let said = control.child("error").expect("an answer");
-    assert!(said == "110" || said == "113", "{said}");
+    let child_output = control.run_child("error").expect("an answer");
+    assert!(child_output == "110" || child_output == "113", "{child_output}");
 }
 
 #[test]
-fn a_write_is_cut_in_half_by_a_kill() {
+fn a_killed_write_leaves_half_of_the_bytes() {
     let control = Control::new("killed");
     control.set(FaultKind::KilledWrite);
-    assert_eq!(control.child("write"), Err(SIGKILL));
+    assert_eq!(control.run_child("write"), Err(SIGKILL));
     assert_eq!(fs::read(control.folder.join("data")).expect("half"), b"twelve");
 }
 
 #[test]
-fn the_wall_clock_is_stepped_either_way() {
+fn the_wall_clock_is_stepped_forwards_and_backwards() {
     for hours in [1_i64, -1] {
         let control = Control::new(&format!("clock{hours}"));
         control.faults.step_clock(hours * 3_600).expect("stepped");
-        let said: i64 = control.child("clock").expect("a time").parse().expect("seconds");
+        let child_output: i64 = control.run_child("clock").expect("a time").parse().expect("seconds");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("later").as_secs() as i64;
-        assert!((said - now - hours * 3_600).abs() < 60, "{said} at {now}");
+        assert!((child_output - now - hours * 3_600).abs() < 60, "{child_output} at {now}");
         assert!(control.faults.clock_readings() > 0);
     }
 }
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,6 +1,6 @@
 //! Processes of the program: started, signalled and ended by their own ids alone, and never left behind: each dies with
 //! the thread that started it, whatever ends that.
-use oakhollow_faults::{library, Faults, CONTROL_VARIABLE};
+use oakhollow_faults::{library_path, Faults, CONTROL_VARIABLE};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::{self, File};
 use std::net::{SocketAddr, TcpListener};
@@ -74,7 +74,7 @@
 
     /// From now on the library of faults is loaded into its processes.
     pub fn enable_faults(&mut self) -> std::io::Result<()> {
-        let library = library(&self.program).ok_or_else(|| {
+        let library = library_path(&self.program).ok_or_else(|| {
             let beside = self.program.display();
             let text = format!("no library of faults beside {beside}: {BUILDS_LIBRARY} builds it");
             std::io::Error::new(std::io::ErrorKind::NotFound, text)
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -192,7 +192,7 @@
     /// Sets how many of a million system calls of a kind fail from now on.
     pub fn set_fault(&self, kind: FaultKind, rate: u64) {
         if let Some(faults) = lock(&self.sidecar).faults() {
-            let _ = faults.set(kind, rate);
+            let _ = faults.set_rate(kind, rate);
         }
     }
 
@@ -388,7 +388,8 @@
             }
             if let Some(faults) = sidecar.faults() {
                 for kind in FaultKind::ALL {
-                    *shutdown.fault_counts.entry(format!("{kind:?}")).or_default() += faults.arrived(kind);
+                    *shutdown.fault_counts.entry(format!("{kind:?}")).or_default() +=
+                        faults.injected_count(kind);
                 }
                 *shutdown.fault_counts.entry("SteppedClock".into()).or_default() += faults.clock_readings();
             }
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -79,7 +79,7 @@
     }
 
     fn set(&self, kind: FaultKind, rate: u64) {
-        self.faults().set(kind, rate).expect("set");
+        self.faults().set_rate(kind, rate).expect("set");
     }
 
     fn serves(&mut self) {
@@ -177,7 +177,7 @@
     let took = answers(rig.sidecar.listen, 6, 150);
     let lost = took.iter().filter(|took| took.is_none()).count();
     let slow = took.iter().flatten().filter(|took| **took > Duration::from_millis(500)).count();
-    let short = rig.faults().arrived(FaultKind::ShortReceive);
+    let short = rig.faults().injected_count(FaultKind::ShortReceive);
     assert!(short > 20, "{short} reads were short");
     assert_eq!((lost, slow), (0, 0), "of {} calls: without an answer, and after more than 0.5 s", took.len());
 }
@@ -197,7 +197,7 @@
         assert_eq!(answered.map(|(status, _)| status), Some(200));
         worst = worst.max(begun.elapsed());
     }
-    let arrived = rig.faults().arrived(FaultKind::FailedAccept);
+    let arrived = rig.faults().injected_count(FaultKind::FailedAccept);
     assert!(arrived > 10, "{arrived} accepts failed");
     assert_eq!(
         send_request(&mut rests, &view_request("last")).map(|(status, _)| status),
@@ -214,7 +214,7 @@
         rig.set(kind, ALWAYS);
         let status = rig.console("/endpoints/s0/maint");
         assert_ne!(status, 200, "{kind:?}: a promise that a kill undoes");
-        assert!(rig.faults().arrived(kind) > 0, "{kind:?} never arrived");
+        assert!(rig.faults().injected_count(kind) > 0, "{kind:?} never arrived");
         // Out at once all the same, and kept as soon as there is room.
         assert_eq!(rig.part(0, Duration::from_secs(1)), 0.0, "{kind:?}");
         rig.set(kind, 0);
@@ -246,7 +246,7 @@
         served += 1;
         assert_eq!(rig.part(0, Duration::from_secs(1)), 0.0, "at start {starts}, {}", rig.sidecar.log_text());
     }
-    assert!(rig.faults().arrived(FaultKind::FailedRead) > 0);
+    assert!(rig.faults().injected_count(FaultKind::FailedRead) > 0);
 }
 
 #[test]
