--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -1,193 +1,227 @@
-//! Reads what servers and callers saw, and says for how long sidecars acted on rules that contradict each other.
-//! The evidence is what a sidecar does: a hop that some versions of the settings allow and others forbid.
+//! Checks what servers and clients observed in a scene: for how long instances acted on contradicting versions of the
+//! settings, for how long they sent to draining servers, and whether the scene's expectations hold.
+//! The evidence is what an instance does: an attempt that some versions of the settings allow and others forbid.
 use crate::scene::{Action, Expectation, ListChange, Scene, WorkloadKind, SERVERS};
 use std::collections::{BTreeMap, HashSet};
 
-/// A hop as a server saw it.
+/// An attempt as a server received it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Attempt {
-    /// In seconds from the start of the load.
+    /// When it arrived, in seconds from the start of the load.
     pub at: f64,
+    /// The instance that sent it.
     pub sidecar: usize,
+    /// The server that received it.
     pub server: usize,
+    /// The workload that it names.
     pub workload: String,
-    /// The call that it belongs to.
+    /// The id of the request that it belongs to.
     pub id: String,
 }
 
-/// An answer as a caller saw it; no status where there was none.
+/// The end of a request as its client saw it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ResponseSeen {
+    /// When the request was sent, in seconds from the start of the load.
     pub at: f64,
+    /// The instance that it was sent to.
     pub sidecar: usize,
+    /// The status of the answer; none where no answer came.
     pub status: Option<u16>,
 }
 
-/// How long a call may be open, and until one that is back takes calls again, in seconds.
-const OPEN: f64 = 3.0;
-const BACK: f64 = 1.0;
+/// How long a request may be open, in seconds.
+const MAX_OPEN_S: f64 = 3.0;
+/// How long an instance that was started or continued may take until it answers requests again, in seconds.
+const RECOVERY_S: f64 = 1.0;
 
-/// How long one sidecar did what a later version forbids after another had acted on that.
+/// An instance did what a later version of the settings forbids after another instance had acted on that version.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Contradiction {
+    /// How long after the other instance's first attempt by the later version.
     pub duration_s: f64,
+    /// The instance that acted on the later version, and the version.
     pub later: (usize, u64),
+    /// The instance that still acted on the earlier version, and the version.
     pub earlier: (usize, u64),
+    /// The workload of the contradicting attempt.
     pub workload: String,
 }
 
-/// The earliest and the latest version that allow a hop; none if no version does.
-fn allowed(scene: &Scene, hop: &Attempt, repeat: bool) -> Option<(u64, u64)> {
+/// The earliest and the latest version that allow an attempt; none if no version does.
+fn allowing_versions(scene: &Scene, attempt: &Attempt, repeat: bool) -> Option<(u64, u64)> {
     let allows = |workloads: &Vec<(String, WorkloadKind)>| {
-        let offered = workloads.iter().find(|(name, _)| *name == hop.workload);
-        offered.is_some_and(|(_, kind)| !repeat || *kind == WorkloadKind::ReadLike)
+        let workload = workloads.iter().find(|(name, _)| *name == attempt.workload);
+        workload.is_some_and(|(_, kind)| !repeat || *kind == WorkloadKind::ReadLike)
     };
     let mut by = scene.versions.iter().filter(|(_, workloads)| allows(workloads)).map(|(number, _)| *number);
     let first = by.next()?;
     Some((first, by.next_back().unwrap_or(first)))
 }
 
-/// The longest contradiction; a hop that no version allows is told as a fault.
-pub fn longest_contradiction(scene: &Scene, hops: &[Attempt]) -> Result<Option<Contradiction>, String> {
-    let mut hops: Vec<&Attempt> = hops.iter().collect();
-    hops.sort_by(|one, other| one.at.total_cmp(&other.at));
+/// The longest contradiction; an error for an attempt that no version allows.
+pub fn longest_contradiction(scene: &Scene, attempts: &[Attempt]) -> Result<Option<Contradiction>, String> {
+    let mut attempts: Vec<&Attempt> = attempts.iter().collect();
+    attempts.sort_by(|one, other| one.at.total_cmp(&other.at));
     let mut seen: HashSet<&str> = HashSet::new();
-    // Since when a version, or a later one, was acted on by each: whoever was the first may be the one that goes back.
+    // When each instance first acted on a version. Kept by instance, since the instance that acted on a version first may
+    // also be the one that goes back to an earlier one.
     let mut since: BTreeMap<(u64, usize), f64> = BTreeMap::new();
     let mut longest: Option<Contradiction> = None;
-    for hop in hops {
-        let repeat = !seen.insert(&hop.id);
-        let Some((earliest, latest)) = allowed(scene, hop, repeat) else {
-            let what = if repeat { "a repeat" } else { "a hop" };
+    for attempt in attempts {
+        let repeat = !seen.insert(&attempt.id);
+        let Some((earliest, latest)) = allowing_versions(scene, attempt, repeat) else {
+            let what = if repeat { "a repeat" } else { "an attempt" };
             return Err(format!(
                 "{what} of {} by n{} at {:.3} s that no version allows",
-                hop.workload, hop.sidecar, hop.at
+                attempt.workload, attempt.sidecar, attempt.at
             ));
         };
-        let others = since.range((latest + 1, 0)..).filter(|((_, by), _)| *by != hop.sidecar);
+        let others = since.range((latest + 1, 0)..).filter(|((_, by), _)| *by != attempt.sidecar);
         for ((version, by), from) in others {
-            let duration_s = hop.at - from;
+            let duration_s = attempt.at - from;
             if longest.as_ref().is_none_or(|longest| duration_s > longest.duration_s) {
                 longest = Some(Contradiction {
                     duration_s,
                     later: (*by, *version),
-                    earlier: (hop.sidecar, latest),
-                    workload: hop.workload.clone(),
+                    earlier: (attempt.sidecar, latest),
+                    workload: attempt.workload.clone(),
                 });
             }
         }
-        since.entry((earliest, hop.sidecar)).or_insert(hop.at);
+        since.entry((earliest, attempt.sidecar)).or_insert(attempt.at);
     }
     Ok(longest)
 }
 
-/// How long one sent to a server that another knew to drain, and acted.
+/// An instance sent to a server after another instance, which serves, was told that the server drains.
 #[derive(Clone, PartialEq, Debug)]
 pub struct DrainViolation {
+    /// How long after the other instance was informed_at.
     pub duration_s: f64,
+    /// The server that drains.
     pub server: usize,
-    pub told: usize,
-    pub sends: usize,
+    /// The instance that was told so.
+    pub informed: usize,
+    /// The instance that still sent to the server.
+    pub sender: usize,
 }
 
-/// Whoever has a hop this close before and after acts, in seconds.
-const ACTS: f64 = 0.3;
-/// Until one whose discovery is back has asked it again, in seconds.
-const ASKS_AGAIN: f64 = 2.0;
+/// An instance serves at a moment if it sent an attempt within this time before and within this time after it, in seconds.
+const MAX_ATTEMPT_GAP_S: f64 = 0.3;
+/// How long an instance takes to ask its discovery again after the discovery is back, in seconds.
+const RECONNECT_S: f64 = 2.0;
 
-/// The longest time for which somebody went on sending to a server after another was told that it drains, and acted.
-/// Whoever has stopped acting meanwhile counts from when it began again.
-pub fn longest_drain_violation(scene: &Scene, hops: &[Attempt]) -> Option<DrainViolation> {
+/// The longest time for which an instance went on sending to a server after another instance, which serves, was told that
+/// the server drains. Where the other instance stopped serving meanwhile, the time counts from when it served again.
+pub fn longest_drain_violation(scene: &Scene, attempts: &[Attempt]) -> Option<DrainViolation> {
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); scene.sidecars];
-    for hop in hops {
-        times.get_mut(hop.sidecar).into_iter().for_each(|own| own.push(hop.at));
+    for attempt in attempts {
+        times.get_mut(attempt.sidecar).into_iter().for_each(|own| own.push(attempt.at));
     }
     times.iter_mut().for_each(|own| own.sort_by(f64::total_cmp));
-    // Since when one acts without a break, if it does so then.
-    let acts_since = |who: usize, at: f64| {
-        let own = &times[who];
+    // When the instance began to serve without a gap, if it serves at that moment.
+    let serving_since = |instance: usize, at: f64| {
+        let own = &times[instance];
         let place = own.partition_point(|time| *time <= at);
         let (before, after) = own.split_at(place);
-        let near = |time: Option<&f64>| time.is_some_and(|time| (time - at).abs() < ACTS);
-        let breaks = |pair: &[f64]| pair[1] - pair[0] > 2.0 * ACTS;
+        let near = |time: Option<&f64>| time.is_some_and(|time| (time - at).abs() < MAX_ATTEMPT_GAP_S);
+        let breaks = |pair: &[f64]| pair[1] - pair[0] > 2.0 * MAX_ATTEMPT_GAP_S;
         let first = before.windows(2).rposition(breaks).map_or(0, |place| place + 1);
         before.get(first).filter(|_| near(before.last()) && near(after.first())).copied()
     };
     let mut longest: Option<DrainViolation> = None;
-    for hop in hops {
-        // Since when each was told, by what had been told by then.
-        let mut told: Vec<[Option<f64>; SERVERS]> = vec![[None; SERVERS]; scene.sidecars];
+    for attempt in attempts {
+        // When each instance was told that each server drains, as of this attempt.
+        let mut informed_at: Vec<[Option<f64>; SERVERS]> = vec![[None; SERVERS]; scene.sidecars];
         let mut down = vec![false; scene.sidecars];
-        for (at, who, fault) in scene.actions.iter().filter(|(at, ..)| *at < hop.at) {
-            match *fault {
+        for (at, instance, action) in scene.actions.iter().filter(|(at, ..)| *at < attempt.at) {
+            match *action {
                 Action::ChangeList(ListChange::Draining | ListChange::Removed, server) => {
-                    told[*who][server] = Some(if down[*who] { f64::MAX } else { *at });
+                    informed_at[*instance][server] = Some(if down[*instance] { f64::MAX } else { *at });
                 }
-                Action::SetMaintenance(true, server) => told[*who][server] = Some(*at),
+                Action::SetMaintenance(true, server) => informed_at[*instance][server] = Some(*at),
                 Action::ChangeList(ListChange::Ready, server) | Action::SetMaintenance(false, server) => {
-                    told[*who][server] = None
+                    informed_at[*instance][server] = None
                 }
-                // Another life: what was said of the one before concerns nobody.
+                // A new incarnation: facts about the one before no longer apply.
                 Action::ChangeList(ListChange::Restarted, server) => {
-                    told.iter_mut().for_each(|told| told[server] = None)
+                    informed_at.iter_mut().for_each(|servers| servers[server] = None)
                 }
-                Action::DiscoveryDown => down[*who] = true,
+                Action::DiscoveryDown => down[*instance] = true,
                 Action::DiscoveryUp => {
-                    down[*who] = false;
-                    let unheard = told[*who].iter_mut().flatten().filter(|since| **since == f64::MAX);
-                    unheard.for_each(|since| *since = at + ASKS_AGAIN);
+                    down[*instance] = false;
+                    let unheard =
+                        informed_at[*instance].iter_mut().flatten().filter(|since| **since == f64::MAX);
+                    unheard.for_each(|since| *since = at + RECONNECT_S);
                 }
                 _ => {}
             }
         }
-        for (who, told) in told.iter().enumerate().filter(|(who, _)| *who != hop.sidecar) {
-            let since = told[hop.server].and_then(|since| Some(since.max(acts_since(who, hop.at)?)));
-            let duration_s = since.map_or(0.0, |since| hop.at - since);
+        for (instance, informed_at) in
+            informed_at.iter().enumerate().filter(|(instance, _)| *instance != attempt.sidecar)
+        {
+            let since = informed_at[attempt.server]
+                .and_then(|since| Some(since.max(serving_since(instance, attempt.at)?)));
+            let duration_s = since.map_or(0.0, |since| attempt.at - since);
             let longer = longest.as_ref().is_none_or(|longest| duration_s > longest.duration_s);
             if duration_s > 0.0 && longer {
-                longest =
-                    Some(DrainViolation { duration_s, server: hop.server, told: who, sends: hop.sidecar });
+                longest = Some(DrainViolation {
+                    duration_s,
+                    server: attempt.server,
+                    informed: instance,
+                    sender: attempt.sidecar,
+                });
             }
         }
     }
     longest
 }
 
-/// What the judge finds.
+/// What the checker found.
 pub struct Findings {
+    /// The longest contradiction.
     pub contradiction: Option<Contradiction>,
+    /// The longest drain violation.
     pub drain_violation: Option<DrainViolation>,
-    /// What of the scene's expectations does not hold, a line each.
+    /// One line for each expectation of the scene that does not hold.
     pub failed_expectations: Vec<String>,
 }
 
+/// Checks a scene by its attempts, the answers that its clients saw, and the logs of its instances, each with the
+/// instance's name.
 pub fn check(
-    scene: &Scene, hops: &[Attempt], answers: &[ResponseSeen], logs: &[(String, String)],
+    scene: &Scene, attempts: &[Attempt], responses: &[ResponseSeen], logs: &[(String, String)],
 ) -> Findings {
-    let drain_violation = longest_drain_violation(scene, hops);
-    let mut faults = Vec::new();
-    let contradiction = match longest_contradiction(scene, hops) {
+    let drain_violation = longest_drain_violation(scene, attempts);
+    let mut failures = Vec::new();
+    let contradiction = match longest_contradiction(scene, attempts) {
         Ok(contradiction) => contradiction,
-        Err(fault) => {
-            faults.push(fault);
+        Err(failure) => {
+            failures.push(failure);
             None
         }
     };
-    let sent = |who: usize, from: f64, to: f64| {
-        hops.iter().filter(|hop| hop.sidecar == who && (from..to).contains(&hop.at)).count()
+    let sent = |instance: usize, from: f64, to: f64| {
+        attempts
+            .iter()
+            .filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.at))
+            .count()
     };
-    let sent_to = |who: usize, server: usize, from: f64, to: f64| {
-        let own = hops.iter().filter(|hop| hop.sidecar == who && hop.server == server);
-        own.filter(|hop| (from..to).contains(&hop.at)).count()
+    let sent_to = |instance: usize, server: usize, from: f64, to: f64| {
+        let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.server == server);
+        own.filter(|attempt| (from..to).contains(&attempt.at)).count()
     };
-    let acts_on = |who: usize, version: u64, by: f64| {
-        let mut own = hops.iter().filter(|hop| hop.sidecar == who && hop.at <= by);
-        own.find(|hop| allowed(scene, hop, false).is_some_and(|(first, _)| first >= version))
+    let first_attempt_by = |instance: usize, version: u64, by: f64| {
+        let mut own = attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.at <= by);
+        own.find(|attempt| {
+            allowing_versions(scene, attempt, false).is_some_and(|(first, _)| first >= version)
+        })
     };
-    for expected in &scene.expectations {
-        let fault = match *expected {
-            Expectation::MaxContradiction(most) => {
-                contradiction.as_ref().filter(|found| found.duration_s > most).map(|found| {
+    for expectation in &scene.expectations {
+        let failure = match *expectation {
+            Expectation::MaxContradiction(max) => {
+                contradiction.as_ref().filter(|found| found.duration_s > max).map(|found| {
                     let ((later, on), (earlier, still)) = (found.later, found.earlier);
                     format!(
                     "contradiction of {:.3} s: n{earlier} sent {} by version {still}, n{later} acted on {on}",
@@ -195,61 +229,61 @@
                 )
                 })
             }
-            Expectation::ActsOnVersion(who, version, by) => acts_on(who, version, by)
+            Expectation::ActsOnVersion(instance, version, by) => first_attempt_by(instance, version, by)
                 .is_none()
-                .then(|| format!("n{who} does not act on version {version} by {by} s")),
-            Expectation::NotYetOnVersion(who, version, until) => acts_on(who, version, until)
-                .map(|hop| format!("n{who} sends {} by version {version} at {:.3} s", hop.workload, hop.at)),
-            Expectation::NoRepeats(who, from, to) => {
+                .then(|| format!("n{instance} does not act on version {version} by {by} s")),
+            Expectation::NotYetOnVersion(instance, version, until) => first_attempt_by(instance, version, until)
+                .map(|attempt| format!("n{instance} sends {} by version {version} at {:.3} s", attempt.workload, attempt.at)),
+            Expectation::NoRepeats(instance, from, to) => {
                 let mut begun: HashSet<&str> = HashSet::new();
-                let own = hops.iter().filter(|hop| hop.sidecar == who && (from..to).contains(&hop.at));
-                { own }.find(|hop| !begun.insert(&hop.id)).map(|hop| {
-                    format!("n{who} repeats {} at {:.3} s, first hops alone were expected", hop.workload, hop.at)
+                let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.at));
+                { own }.find(|attempt| !begun.insert(&attempt.id)).map(|attempt| {
+                    format!("n{instance} repeats {} at {:.3} s, no repeats were expected", attempt.workload, attempt.at)
                 })
             }
-            Expectation::Logs(who, ref text) => {
-                let said = logs.get(who).is_some_and(|(_, log)| log.contains(text));
-                (!said).then(|| format!("n{who} does not say: {text}"))
+            Expectation::Logs(instance, ref text) => {
+                let logged = logs.get(instance).is_some_and(|(_, log)| log.contains(text));
+                (!logged).then(|| format!("n{instance} does not log: {text}"))
             }
-            Expectation::SendsNothing(who, from, to) => match sent(who, from, to) {
+            Expectation::SendsNothing(instance, from, to) => match sent(instance, from, to) {
                 0 => None,
                 count => {
-                    Some(format!("n{who} sends {count} hops from {from} s to {to} s, none were expected"))
+                    Some(format!("n{instance} sends {count} attempts from {from} s to {to} s, none were expected"))
                 }
             },
-            Expectation::SendsTo(who, one, from, to) => (sent_to(who, one, from, to) == 0)
-                .then(|| format!("n{who} sends nothing to s{one} from {from} s to {to} s")),
-            Expectation::SendsNothingTo(who, one, from, to) => match sent_to(who, one, from, to) {
+            Expectation::SendsTo(instance, server, from, to) => (sent_to(instance, server, from, to) == 0)
+                .then(|| format!("n{instance} sends nothing to s{server} from {from} s to {to} s")),
+            Expectation::SendsNothingTo(instance, server, from, to) => match sent_to(instance, server, from, to) {
                 0 => None,
-                count => Some(format!("n{who} sends {count} hops to s{one} from {from} s to {to} s, none were expected")),
+                count => Some(format!("n{instance} sends {count} attempts to s{server} from {from} s to {to} s, none were expected")),
             },
-            Expectation::MaxDrainViolation(most) => drain_violation.as_ref().filter(|found| found.duration_s > most).map(|found| {
-                let DrainViolation { duration_s, server, told, sends } = found;
-                format!("n{sends} sends to s{server} {duration_s:.3} s after n{told}, which serves, was told that it drains")
+            Expectation::MaxDrainViolation(max) => drain_violation.as_ref().filter(|found| found.duration_s > max).map(|found| {
+                let DrainViolation { duration_s, server, informed, sender } = found;
+                format!("n{sender} sends to s{server} {duration_s:.3} s after n{informed}, which serves, was told that it drains")
             }),
-            Expectation::Sends(who, from, to) => {
-                (sent(who, from, to) == 0).then(|| format!("n{who} sends nothing from {from} s to {to} s"))
+            Expectation::Sends(instance, from, to) => {
+                (sent(instance, from, to) == 0).then(|| format!("n{instance} sends nothing from {from} s to {to} s"))
             }
         };
-        faults.extend(fault);
+        failures.extend(failure);
     }
-    let missing: Vec<&ResponseSeen> = answers.iter().filter(|answer| answer.status.is_none()).collect();
-    // Whoever was killed or stopped answers nobody, from what it had open then until a moment after it is back.
-    let excused = |answer: &&ResponseSeen| {
-        let own = scene.actions.iter().filter(|(_, who, _)| *who == answer.sidecar);
+    let missing: Vec<&ResponseSeen> = responses.iter().filter(|response| response.status.is_none()).collect();
+    // A killed or stopped instance answers neither the requests that it had open nor those until it has recovered.
+    let excused = |response: &&ResponseSeen| {
+        let own = scene.actions.iter().filter(|(_, instance, _)| *instance == response.sidecar);
         let mut gone = false;
-        for (at, _, fault) in own {
-            match fault {
-                Action::Kill | Action::Stop if *at < answer.at + OPEN => gone = true,
-                Action::Start | Action::Continue if *at + BACK < answer.at => gone = false,
+        for (at, _, action) in own {
+            match action {
+                Action::Kill | Action::Stop if *at < response.at + MAX_OPEN_S => gone = true,
+                Action::Start | Action::Continue if *at + RECOVERY_S < response.at => gone = false,
                 _ => {}
             }
         }
         gone
     };
-    let lost = missing.iter().filter(|answer| !excused(answer)).count();
+    let lost = missing.iter().filter(|response| !excused(response)).count();
     if lost > 0 {
-        faults.push(format!("{lost} calls without an answer"));
+        failures.push(format!("{lost} requests without an answer"));
     }
-    Findings { contradiction, drain_violation, failed_expectations: faults }
+    Findings { contradiction, drain_violation, failed_expectations: failures }
 }
--- a/lab/src/fakes.rs
+++ b/lab/src/fakes.rs
@@ -1,4 +1,5 @@
-//! Stand-ins: servers that note each hop, discoveries that tell a list, and callers with a constant load.
+//! Fakes for scenes: servers that record each attempt, discoveries that serve a list, and clients with a constant load.
+//! Also plain HTTP/1.1 helpers that the other tests use.
 use crate::checker::{Attempt, ResponseSeen};
 use crate::scene::ListChange;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,25 +8,27 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What all stand-ins write down.
+/// What the fake servers and clients record.
 #[derive(Default)]
 pub struct Observations {
+    /// Attempts that servers received.
     pub attempts: Mutex<Vec<Attempt>>,
+    /// The ends of the clients' requests.
     pub responses: Mutex<Vec<ResponseSeen>>,
-    /// Calls that went out later than they should have.
+    /// How many requests went out more than 0.1 s later than they were due.
     pub late_requests: Mutex<usize>,
 }
 
-/// The longest head, in bytes.
-const HEAD: u64 = 16 * 1024;
+/// The longest head that is read, in bytes.
+const MAX_HEAD_BYTES: u64 = 16 * 1024;
 
-/// The head of one message; its body is read and dropped.
+/// Reads one message and returns its head; the body is dropped.
 pub fn read_head(stream: &mut impl BufRead) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        let room = HEAD - head.len() as u64;
-        // No line's end: the stream's, or that of the room.
-        if stream.by_ref().take(room).read_until(b'\n', &mut head).ok()? == 0 {
+        let remaining = MAX_HEAD_BYTES - head.len() as u64;
+        // 0 at the end of the stream, or once the head has its full length.
+        if stream.by_ref().take(remaining).read_until(b'\n', &mut head).ok()? == 0 {
             return None;
         }
     }
@@ -36,11 +39,12 @@
     Some(head)
 }
 
-/// The answer of a service that is down, or has too many callers.
+/// Answers 503, as a service that is down or overloaded.
 pub fn reject(stream: &mut TcpStream) -> Option<()> {
     stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").ok()
 }
 
+/// The value of a header field, if the head has it.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (key, value) = line.split_once(':')?;
@@ -48,7 +52,7 @@
     })
 }
 
-/// A connection as a caller has it.
+/// Opens a client connection, with a read timeout of 2 s.
 pub fn connect(to: SocketAddr) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect(to).ok()?;
     stream.set_nodelay(true).ok()?;
@@ -56,14 +60,15 @@
     Some(BufReader::new(stream))
 }
 
-/// Asks on a connection: the status, and whether the connection lasts.
-pub fn send_request(stream: &mut BufReader<TcpStream>, asked: &str) -> Option<(u16, bool)> {
-    stream.get_mut().write_all(asked.as_bytes()).ok()?;
+/// Sends a request; returns the status of the answer, and whether the connection stays open.
+pub fn send_request(stream: &mut BufReader<TcpStream>, send: &str) -> Option<(u16, bool)> {
+    stream.get_mut().write_all(send.as_bytes()).ok()?;
     let head = read_head(stream)?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some((status, header(&head, "Connection") != Some("close")))
 }
 
+/// Accepts connections on a thread of its own and runs `work` on a thread for each.
 pub fn serve_connections(listener: TcpListener, work: impl Fn(TcpStream) + Clone + Send + 'static) {
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -73,8 +78,10 @@
     });
 }
 
-/// A server that answers at once; calls whose workload's name begins with `fails` with an error.
-pub fn start_server(number: usize, begun: Instant, notes: Arc<Observations>) -> std::io::Result<SocketAddr> {
+/// Starts a server that answers at once: 500 to a workload whose name begins with `fails`, 200 to others.
+pub fn start_server(
+    number: usize, begun: Instant, observations: Arc<Observations>,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     serve_connections(listener, move |stream| {
@@ -89,8 +96,8 @@
                 true => b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
                 false => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             };
-            let hop = Attempt { at, sidecar, server: number, workload, id };
-            notes.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(hop);
+            let attempt = Attempt { at, sidecar, server: number, workload, id };
+            observations.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
             if stream.get_mut().write_all(answer).is_err() {
                 return;
             }
@@ -99,15 +106,15 @@
     Ok(address)
 }
 
-/// A server as a discovery words it.
-struct Entry {
+/// A server in the list of a discovery.
+struct ListedServer {
     name: String,
     address: SocketAddr,
     leaving: bool,
     since_ms: u64,
 }
 
-impl Entry {
+impl ListedServer {
     fn json(&self) -> String {
         endpoint_json(
             &self.name,
@@ -118,7 +125,7 @@
     }
 }
 
-/// One server, as a list words it.
+/// One server as JSON, as the list of a discovery has it.
 pub fn endpoint_json(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","group":0,"status":"{status}","weight":1.0,"since_ms":{since_ms}}}"#
@@ -126,47 +133,47 @@
 }
 
 #[derive(Default)]
-struct Listing {
-    entries: Vec<Entry>,
+struct ServerList {
+    entries: Vec<ListedServer>,
     index: u64,
-    /// What was told since the service began, a line each.
+    /// The lines sent since the discovery started.
     lines: Vec<String>,
     down: bool,
-    /// How often the service has begun: a watch of an earlier one ends.
-    life: u64,
+    /// How often the discovery has gone down, come back or restarted; a watch of an earlier incarnation ends.
+    incarnation: u64,
 }
 
-impl Listing {
-    fn first(servers: &[SocketAddr]) -> Listing {
-        let named = servers.iter().enumerate().map(|(at, address)| Entry {
+impl ServerList {
+    fn first(servers: &[SocketAddr]) -> ServerList {
+        let servers = servers.iter().enumerate().map(|(at, address)| ListedServer {
             name: format!("s{at}"),
             address: *address,
             leaving: false,
             since_ms: 0,
         });
-        Listing { entries: named.collect(), index: 1, ..Listing::default() }
+        ServerList { entries: servers.collect(), index: 1, ..ServerList::default() }
     }
 
-    fn whole(&self) -> String {
-        let entries: Vec<String> = self.entries.iter().map(Entry::json).collect();
+    fn snapshot_json(&self) -> String {
+        let entries: Vec<String> = self.entries.iter().map(ListedServer::json).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
-    fn tell(&mut self, told: ListChange, server: usize, address: SocketAddr) {
+    fn announce(&mut self, change: ListChange, server: usize, address: SocketAddr) {
         let name = format!("s{server}");
         self.index += 1;
-        if told == ListChange::Removed {
+        if change == ListChange::Removed {
             self.entries.retain(|entry| entry.name != name);
-            let whole = self.whole();
-            return self.lines.push(whole);
+            let snapshot_json = self.snapshot_json();
+            return self.lines.push(snapshot_json);
         }
         let at = self.entries.iter().position(|entry| entry.name == name).unwrap_or_else(|| {
-            self.entries.push(Entry { name, address, leaving: false, since_ms: 0 });
+            self.entries.push(ListedServer { name, address, leaving: false, since_ms: 0 });
             self.entries.len() - 1
         });
         let entry = &mut self.entries[at];
-        entry.leaving = told == ListChange::Draining;
-        if told == ListChange::Restarted {
+        entry.leaving = change == ListChange::Draining;
+        if change == ListChange::Restarted {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             entry.since_ms = unix.as_millis() as u64;
         }
@@ -176,95 +183,100 @@
     }
 }
 
-/// The whole list as every discovery begins with it.
+/// The full list that every discovery begins with.
 pub fn initial_list(servers: &[SocketAddr]) -> String {
-    Listing::first(servers).whole()
+    ServerList::first(servers).snapshot_json()
 }
 
-/// A discovery of one instance, which tells it what the script says, and an empty line every second.
+/// The discovery of one instance. It sends the changes that a scene orders, and an empty line after every second of silence.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
-    listing: Arc<Watched>,
+    list: Arc<WatchedList>,
 }
 
-/// A listing, and the word to its watches that it has changed.
-type Watched = (Mutex<Listing>, Condvar);
+/// A list, and the signal to its watches that it has changed.
+type WatchedList = (Mutex<ServerList>, Condvar);
 
-/// How long a watch may be silent.
-const SILENCE: Duration = Duration::from_secs(1);
+/// After how long without a change a watch gets an empty line.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Discovery {
+    /// Starts a discovery that lists these servers.
     pub fn start(servers: &[SocketAddr]) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let listing = Listing::first(servers);
-        let (address, listing) = (listener.local_addr()?, Arc::new((Mutex::new(listing), Condvar::new())));
-        let discovery = Discovery { address, listing: listing.clone() };
-        serve_connections(listener, move |stream| _ = watch(stream, &listing));
+        let list = ServerList::first(servers);
+        let (address, list) = (listener.local_addr()?, Arc::new((Mutex::new(list), Condvar::new())));
+        let discovery = Discovery { address, list: list.clone() };
+        serve_connections(listener, move |stream| _ = watch(stream, &list));
         Ok(discovery)
     }
 
-    fn change(&self, change: impl FnOnce(&mut Listing)) {
-        let (listing, changed) = &*self.listing;
-        change(&mut listing.lock().unwrap_or_else(PoisonError::into_inner));
+    fn change(&self, change: impl FnOnce(&mut ServerList)) {
+        let (list, changed) = &*self.list;
+        change(&mut list.lock().unwrap_or_else(PoisonError::into_inner));
         changed.notify_all();
     }
 
-    pub fn tell(&self, told: ListChange, server: usize, address: SocketAddr) {
-        self.change(|listing| listing.tell(told, server, address));
+    /// Changes one server in the list and sends the change.
+    pub fn announce(&self, change: ListChange, server: usize, address: SocketAddr) {
+        self.change(|list| list.announce(change, server, address));
     }
 
+    /// Goes down or comes back; all watches end.
     pub fn set_down(&self, down: bool) {
-        self.change(|listing| (listing.down, listing.life) = (down, listing.life + 1));
+        self.change(|list| (list.down, list.incarnation) = (down, list.incarnation + 1));
     }
 
-    /// Starts again, and numbers from the first.
-    pub fn renumber(&self) {
-        self.change(|listing| {
-            (listing.index, listing.life) = (1, listing.life + 1);
-            listing.lines.clear();
+    /// Restarts: all watches end, and the versions of the list count from 1 again.
+    pub fn restart(&self) {
+        self.change(|list| {
+            (list.index, list.incarnation) = (1, list.incarnation + 1);
+            list.lines.clear();
         });
     }
 }
 
-fn watch(stream: TcpStream, (listing, changed): &Watched) -> Option<()> {
-    let lock = || listing.lock().unwrap_or_else(PoisonError::into_inner);
+fn watch(stream: TcpStream, (list, changed): &WatchedList) -> Option<()> {
+    let lock = || list.lock().unwrap_or_else(PoisonError::into_inner);
     let mut stream = BufReader::new(stream);
     read_head(&mut stream)?;
-    let (life, mut told, first) = {
-        let listing = lock();
-        if listing.down {
+    let (incarnation, mut sent, first) = {
+        let list = lock();
+        if list.down {
             return None;
         }
-        (listing.life, listing.lines.len(), listing.whole())
+        (list.incarnation, list.lines.len(), list.snapshot_json())
     };
     let line = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let mut stream = stream.into_inner();
     stream.write_all(format!("{head}{}", line(&first)).as_bytes()).ok()?;
     loop {
-        let waits = |listing: &mut Listing| listing.life == life && listing.lines.len() == told;
-        let (listing, _) =
-            changed.wait_timeout_while(lock(), SILENCE, waits).unwrap_or_else(PoisonError::into_inner);
-        if listing.life != life {
+        let unchanged = |list: &mut ServerList| list.incarnation == incarnation && list.lines.len() == sent;
+        let (list, _) = changed
+            .wait_timeout_while(lock(), HEARTBEAT_INTERVAL, unchanged)
+            .unwrap_or_else(PoisonError::into_inner);
+        if list.incarnation != incarnation {
             return None;
         }
-        let fresh: String = listing.lines[told..].iter().map(|fresh| line(fresh)).collect();
-        told = listing.lines.len();
-        drop(listing);
-        let said = if fresh.is_empty() { line("") } else { fresh };
-        stream.write_all(said.as_bytes()).ok()?;
+        let new_lines: String = list.lines[sent..].iter().map(|new| line(new)).collect();
+        sent = list.lines.len();
+        drop(list);
+        let text = if new_lines.is_empty() { line("") } else { new_lines };
+        stream.write_all(text.as_bytes()).ok()?;
     }
 }
 
-/// Calls one workload at one sidecar, so many a second, until the end, which may be set meanwhile. Each call is counted
-/// from when it was due.
+/// Sends requests of one workload to one sidecar at a constant rate until the end, which may change meanwhile. Lateness is
+/// counted from when a request was due.
 pub fn run_client(
     to: SocketAddr, (sidecar, workload): (usize, &str), rate: f64, begun: Instant, end: impl Fn() -> f64,
-    notes: &Observations,
+    observations: &Observations,
 ) {
     let mut stream: Option<BufReader<TcpStream>> = None;
-    for call in 0.. {
-        let due = call as f64 / rate;
+    for number in 0.. {
+        let due = number as f64 / rate;
         if due >= end() {
             return;
         }
@@ -272,29 +284,29 @@
         if due > now {
             thread::sleep(Duration::from_secs_f64(due - now));
         } else if now > due + 0.1 {
-            *notes.late_requests.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-            // Open loop: what could not be asked in time is not asked later in a crowd.
+            *observations.late_requests.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+            // Open loop: requests that are over a second late are skipped instead of sent in a burst.
             if now > due + 1.0 {
                 continue;
             }
         }
-        // A call sent once more by us is another call: whatever repeats an id is the sidecar's doing.
-        let asked = |stream: &mut BufReader<TcpStream>, again: &str| {
-            let asked = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {sidecar}-{workload}-{call}{again}\r\nRequest-Timeout-Ms: 900\r\n\r\n");
-            send_request(stream, &asked)
+        // A retry by this client gets another id, so that only the sidecar can repeat an id.
+        let send = |stream: &mut BufReader<TcpStream>, id_suffix: &str| {
+            let text = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {sidecar}-{workload}-{number}{id_suffix}\r\nRequest-Timeout-Ms: 900\r\n\r\n");
+            send_request(stream, &text)
         };
-        // Its connection may have been closed for being idle.
+        // The sidecar may have closed the idle connection; a failure within 0.05 s is retried on a new one.
         let at = begun.elapsed().as_secs_f64();
-        let mut answer = stream.as_mut().and_then(|stream| asked(stream, ""));
+        let mut answer = stream.as_mut().and_then(|stream| send(stream, ""));
         if answer.is_none() && stream.take().is_none_or(|_| begun.elapsed().as_secs_f64() < at + 0.05) {
             stream = connect(to);
-            answer = stream.as_mut().and_then(|stream| asked(stream, "b"));
+            answer = stream.as_mut().and_then(|stream| send(stream, "b"));
         }
-        if !answer.is_some_and(|(_, lasts)| lasts) {
+        if !answer.is_some_and(|(_, stays_open)| stays_open) {
             stream = None;
         }
         let status = answer.map(|(status, _)| status);
-        let mut answers = notes.responses.lock().unwrap_or_else(PoisonError::into_inner);
-        answers.push(ResponseSeen { at, sidecar, status });
+        let mut responses = observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
+        responses.push(ResponseSeen { at, sidecar, status });
     }
 }
--- a/lab/src/harness.rs
+++ b/lab/src/harness.rs
@@ -1,5 +1,5 @@
-//! What plays with dozens of processes need: one discovery for all of them that may be down or have too many callers, plain
-//! HTTP, and a pulse that tells how late the rig itself runs.
+//! Helpers for tests with dozens of processes: one discovery for all of them that may be down or overloaded, their settings
+//! files, and a monitor of how late the harness itself runs.
 use crate::fakes::{connect, endpoint_json, read_head, reject, send_request};
 use crate::processes::{reserve_address, Sidecar};
 use std::io::{BufReader, Write};
@@ -10,68 +10,79 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex, also where a thread panicked while it held the lock.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Unix time in milliseconds, as a list words when a server started.
+/// Unix time in milliseconds, as in a list's `since_ms`.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A server as the list words it.
+/// An endpoint in the list of discovery.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ListedEndpoint {
+    /// Its name.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
-    /// 0 for long ago.
+    /// When it started, in Unix time; 0 for long ago.
     pub since_ms: u64,
 }
 
-fn line(index: u64, snapshot: bool, listed: &[ListedEndpoint]) -> String {
-    let entries = listed.iter().map(|one| endpoint_json(&one.name, one.address, "active", one.since_ms));
+fn list_json(index: u64, snapshot: bool, listed: &[ListedEndpoint]) -> String {
+    let entries = listed
+        .iter()
+        .map(|endpoint| endpoint_json(&endpoint.name, endpoint.address, "active", endpoint.since_ms));
     let entries: Vec<String> = entries.collect();
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// What a call to a discovery that is down meets.
+/// How a discovery that is down handles requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OutageKind {
+    /// It does not listen.
     Refused,
-    /// Taken, noted and closed with no answer.
+    /// It accepts and records them, and closes the connection without an answer.
     Closed,
-    /// Taken and noted, and closed with no answer at the return, all at once.
+    /// It accepts and records them, and closes all connections without an answer when it is back.
     Held,
-    /// Taken and noted, and turned away after [`TURNS_AWAY_AFTER`].
+    /// It accepts and records them, and answers 503 after 2 s.
     Rejected,
 }
 
-/// How long a call waits at a discovery that is down and turns calls away.
-const TURNS_AWAY_AFTER: Duration = Duration::from_secs(2);
+/// How long a request waits for its 503 at a discovery that is down.
+const REJECTION_DELAY: Duration = Duration::from_secs(2);
 
-/// It works through calls in turn, so many a second; whoever would wait for longer is turned away.
+/// The capacity of a discovery that handles requests one after the other.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Capacity {
+    /// Requests that it handles in a second.
     pub requests_per_s: f64,
+    /// A request that would have to wait for longer is rejected.
     pub max_wait_s: f64,
+    /// When it is rejected.
     pub rejection: RejectionTiming,
 }
 
-/// How a call is turned away that would wait for too long.
+/// When a request is rejected that would have to wait for too long.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RejectionTiming {
-    /// When it comes, and at no cost.
+    /// On arrival; it takes no capacity.
     Immediate,
-    /// When it has waited for as long as any does. It is worked through all the same, for nobody.
+    /// After the longest wait; it takes capacity all the same.
     AfterMaxWait,
 }
 
-/// What became of a call to discovery.
+/// The outcome of a request to discovery.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DiscoveryOutcome {
+    /// It got the list.
     Served,
+    /// It got a 503 while discovery was up.
     Rejected,
-    /// It was down.
+    /// Discovery was down.
     Unanswered,
 }
 
@@ -79,89 +90,92 @@
 struct State {
     listed: Vec<ListedEndpoint>,
     index: u64,
-    /// Changes since the beginning, a line each.
+    /// The lines of all changes since the start.
     changes: Vec<String>,
     down: Option<OutageKind>,
-    /// How often it went down: watches of before have ended.
-    life: u64,
+    /// How often it went down; a watch of an earlier incarnation ends.
+    incarnation: u64,
     capacity: Option<Capacity>,
-    /// When the calls that wait have been worked through.
+    /// When the waiting requests have been handled.
     busy_until: Option<Instant>,
-    calls: Vec<(Instant, DiscoveryOutcome)>,
+    requests: Vec<(Instant, DiscoveryOutcome)>,
 }
 
 #[derive(Default)]
-struct Inner {
+struct DiscoveryServer {
     state: Mutex<State>,
-    news: Condvar,
+    changed: Condvar,
 }
 
-/// One discovery for all processes that are told its address.
+/// One discovery for several processes.
 pub struct SharedDiscovery {
+    /// Where it listens.
     pub address: SocketAddr,
-    inner: Arc<Inner>,
-    takes_in: Mutex<Option<JoinHandle<()>>>,
+    server: Arc<DiscoveryServer>,
+    accept_thread: Mutex<Option<JoinHandle<()>>>,
 }
 
-/// An empty line comes that often where nothing changes.
-const BEAT: Duration = Duration::from_secs(1);
+/// After how long without a change a watch gets an empty line.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl SharedDiscovery {
+    /// Starts a discovery that lists these endpoints.
     pub fn start(listed: Vec<ListedEndpoint>) -> std::io::Result<SharedDiscovery> {
         let state = Mutex::new(State { listed, index: 1, ..State::default() });
-        let inner = Arc::new(Inner { state, news: Condvar::new() });
-        let shared = SharedDiscovery { address: reserve_address()?, inner, takes_in: Mutex::new(None) };
-        shared.listen()?;
-        Ok(shared)
+        let server = Arc::new(DiscoveryServer { state, changed: Condvar::new() });
+        let discovery =
+            SharedDiscovery { address: reserve_address()?, server, accept_thread: Mutex::new(None) };
+        discovery.listen()?;
+        Ok(discovery)
     }
 
     fn listen(&self) -> std::io::Result<()> {
-        let (listener, inner) = (TcpListener::bind(self.address)?, self.inner.clone());
-        *lock(&self.takes_in) = Some(thread::spawn(move || {
+        let (listener, server) = (TcpListener::bind(self.address)?, self.server.clone());
+        *lock(&self.accept_thread) = Some(thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if lock(&inner.state).down == Some(OutageKind::Refused) {
+                if lock(&server.state).down == Some(OutageKind::Refused) {
                     return;
                 }
-                let inner = inner.clone();
-                thread::spawn(move || inner.serve(stream));
+                let server = server.clone();
+                thread::spawn(move || server.serve(stream));
             }
         }));
         Ok(())
     }
 
-    /// Tells a server that is new, or has started again.
+    /// Sends an endpoint that is new or has restarted.
     pub fn announce(&self, server: ListedEndpoint) {
-        let mut state = lock(&self.inner.state);
+        let mut state = lock(&self.server.state);
         state.index += 1;
-        let change = line(state.index, false, std::slice::from_ref(&server));
+        let change = list_json(state.index, false, std::slice::from_ref(&server));
         state.changes.push(change);
         state.listed.retain(|listed| listed.name != server.name);
         state.listed.push(server);
-        self.inner.news.notify_all();
+        self.server.changed.notify_all();
     }
 
-    /// Goes down; all watches end. Nobody is taken in any more once this is done.
-    pub fn go_down(&self, how: OutageKind) {
+    /// Goes down; all watches end. Where connections are refused, none is accepted any more once this returns.
+    pub fn go_down(&self, kind: OutageKind) {
         {
-            let mut state = lock(&self.inner.state);
-            (state.down, state.life) = (Some(how), state.life + 1);
+            let mut state = lock(&self.server.state);
+            (state.down, state.incarnation) = (Some(kind), state.incarnation + 1);
         }
-        self.inner.news.notify_all();
-        if how == OutageKind::Refused {
-            // Wakes whoever takes in.
+        self.server.changed.notify_all();
+        if kind == OutageKind::Refused {
+            // Wakes the accepting thread.
             drop(TcpStream::connect(self.address));
-            lock(&self.takes_in).take().map(JoinHandle::join);
+            lock(&self.accept_thread).take().map(JoinHandle::join);
         }
     }
 
-    /// Is back, and has so much capacity from now on.
+    /// Comes back with this capacity; none for no limit.
     pub fn come_back(&self, capacity: Option<Capacity>) -> std::io::Result<()> {
         {
-            let mut state = lock(&self.inner.state);
+            let mut state = lock(&self.server.state);
             (state.down, state.capacity) = (None, capacity);
         }
-        self.inner.news.notify_all();
-        let listens = lock(&self.takes_in).is_some();
+        self.server.changed.notify_all();
+        let listens = lock(&self.accept_thread).is_some();
         if listens {
             Ok(())
         } else {
@@ -169,9 +183,9 @@
         }
     }
 
-    /// All calls so far, each with when it came.
+    /// All requests so far, each with its arrival.
     pub fn requests(&self) -> Vec<(Instant, DiscoveryOutcome)> {
-        lock(&self.inner.state).calls.clone()
+        lock(&self.server.state).requests.clone()
     }
 }
 
@@ -181,23 +195,23 @@
     }
 }
 
-impl Inner {
+impl DiscoveryServer {
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let came = Instant::now();
+        let arrived = Instant::now();
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         let mut stream = BufReader::new(stream);
-        let (life, wait, met, down) = {
+        let (incarnation, wait, outcome, down) = {
             let mut state = lock(&self.state);
-            let (met, wait) = match (state.down, state.capacity) {
+            let (outcome, wait) = match (state.down, state.capacity) {
                 (Some(_), _) => (DiscoveryOutcome::Unanswered, Duration::ZERO),
                 (None, None) => (DiscoveryOutcome::Served, Duration::ZERO),
                 (None, Some(Capacity { requests_per_s, max_wait_s, rejection })) => {
-                    let turn = state.busy_until.map_or(came, |until| until.max(came));
-                    let wait = turn - came;
+                    let start = state.busy_until.map_or(arrived, |until| until.max(arrived));
+                    let wait = start - arrived;
                     let too_long = wait.as_secs_f64() > max_wait_s;
                     if !too_long || rejection == RejectionTiming::AfterMaxWait {
-                        state.busy_until = Some(turn + Duration::from_secs_f64(1.0 / requests_per_s));
+                        state.busy_until = Some(start + Duration::from_secs_f64(1.0 / requests_per_s));
                     }
                     match (too_long, rejection) {
                         (false, _) => (DiscoveryOutcome::Served, wait),
@@ -208,72 +222,83 @@
                     }
                 }
             };
-            state.calls.push((came, met));
-            (state.life, wait, met, state.down)
+            state.requests.push((arrived, outcome));
+            (state.incarnation, wait, outcome, state.down)
         };
         match down {
             None => {}
             Some(OutageKind::Rejected) => {
                 read_head(&mut stream)?;
-                thread::sleep(TURNS_AWAY_AFTER);
+                thread::sleep(REJECTION_DELAY);
                 return reject(stream.get_mut());
             }
             Some(OutageKind::Held) => {
-                let held = |state: &mut State| state.down == Some(OutageKind::Held);
-                drop(self.news.wait_while(lock(&self.state), held));
+                let still_held = |state: &mut State| state.down == Some(OutageKind::Held);
+                drop(self.changed.wait_while(lock(&self.state), still_held));
                 return None;
             }
             Some(OutageKind::Refused | OutageKind::Closed) => return None,
         }
         read_head(&mut stream)?;
         thread::sleep(wait);
-        if met == DiscoveryOutcome::Rejected {
+        if outcome == DiscoveryOutcome::Rejected {
             return reject(stream.get_mut());
         }
-        self.watch(stream.get_mut(), life)
+        self.watch(stream.get_mut(), incarnation)
     }
 
-    fn watch(&self, stream: &mut TcpStream, life: u64) -> Option<()> {
+    fn watch(&self, stream: &mut TcpStream, incarnation: u64) -> Option<()> {
         let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-        let (first, mut told) = {
+        let (first, mut sent) = {
             let state = lock(&self.state);
-            (line(state.index, true, &state.listed), state.changes.len())
+            (list_json(state.index, true, &state.listed), state.changes.len())
         };
-        let mut said = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&first));
+        let mut text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&first));
         loop {
-            stream.write_all(said.as_bytes()).ok()?;
-            let nothing = |state: &mut State| state.life == life && state.changes.len() == told;
+            stream.write_all(text.as_bytes()).ok()?;
+            let unchanged =
+                |state: &mut State| state.incarnation == incarnation && state.changes.len() == sent;
             let state = lock(&self.state);
-            let waited = self.news.wait_timeout_while(state, BEAT, nothing);
+            let waited = self.changed.wait_timeout_while(state, HEARTBEAT_INTERVAL, unchanged);
             let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            if state.life != life {
+            if state.incarnation != incarnation {
                 return None;
             }
-            let news = &state.changes[told..];
-            told = state.changes.len();
-            said = if news.is_empty() { chunk("") } else { news.iter().map(|line| chunk(line)).collect() };
+            let new_lines = &state.changes[sent..];
+            sent = state.changes.len();
+            text = if new_lines.is_empty() {
+                chunk("")
+            } else {
+                new_lines.iter().map(|line| chunk(line)).collect()
+            };
         }
     }
 }
 
-/// What a process's file says beyond the rest, which is the same for all.
+/// The part of a process's settings file that differs between tests.
 pub struct ProcessConfig<'a> {
-    /// Which of the processes it is, for its chance; `me` is what it takes itself for.
+    /// Which of the harness's processes it is; draws its seed.
     pub at: usize,
+    /// The setting `me`: which instance it is told to be.
     pub me: usize,
+    /// The setting `balancers`: how many instances it is told there are.
     pub balancers: usize,
+    /// The address of its discovery.
     pub discovery: SocketAddr,
     /// Whether it has a console.
     pub console: bool,
-    /// The list as the platform leaves it, if it does.
+    /// The list in the key `known`, if the file has that key.
     pub known: Option<&'a [ListedEndpoint]>,
+    /// The setting `cold_from`.
     pub cold_from: f64,
+    /// The setting `fall_s`.
     pub fall_s: f64,
+    /// The setting `warm_within_s`.
     pub warm_within_s: f64,
 }
 
 impl ProcessConfig<'_> {
-    /// What a process that is alone before its servers is told: it has a console, and servers warm up within 3 s.
+    /// The settings of a single instance: it has a console, and servers warm up within 3 s.
     pub fn alone(discovery: SocketAddr) -> ProcessConfig<'static> {
         ProcessConfig {
             at: 0,
@@ -289,12 +314,12 @@
     }
 }
 
-/// A process's file: one workload, `view`, that may be repeated.
-pub fn config_json(sidecar: &Sidecar, told: &ProcessConfig) -> String {
+/// The text of a process's settings file, with one workload, `view`, that may be repeated.
+pub fn config_json(sidecar: &Sidecar, config: &ProcessConfig) -> String {
     let ProcessConfig { at, me, balancers, discovery, console, known, cold_from, fall_s, warm_within_s } =
-        told;
+        config;
     let console = if *console { format!(r#""console":"{}","#, sidecar.console) } else { String::new() };
-    let known = known.map_or(String::new(), |listed| format!(r#""known":{},"#, line(1, true, listed)));
+    let known = known.map_or(String::new(), |listed| format!(r#""known":{},"#, list_json(1, true, listed)));
     let seed = 0x9E37_79B9_7F4A_7C15_u64.wrapping_mul(1 + *at as u64);
     format!(
         r#"{{"name":"{}","listen":"{}","discovery":"{discovery}","seed":"{seed:x}",{console}{known}
@@ -306,23 +331,24 @@
     )
 }
 
-/// A call as a caller words it.
+/// A client's request of the workload `view`.
 pub fn view_request(id: &str) -> String {
     format!("GET /view HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Timeout-Ms: 900\r\n\r\n")
 }
 
+/// A request for a sidecar's own readiness.
 pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// How long all may take until they serve.
-const STARTS: Duration = Duration::from_secs(20);
+/// How long the processes may take until all of them serve.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All answer that they serve, by `GET /ready`.
+/// Waits until all processes answer 200 to `GET /ready`.
 pub fn wait_until_all_ready(sidecars: &mut [Sidecar]) -> Result<(), String> {
     let begun = Instant::now();
     for sidecar in sidecars {
         let ready = |to| connect(to).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
         while ready(sidecar.listen).is_none_or(|(status, _)| status != 200) {
-            if sidecar.has_exited() || begun.elapsed() > STARTS {
+            if sidecar.has_exited() || begun.elapsed() > START_TIMEOUT {
                 return Err(format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text()));
             }
             thread::sleep(Duration::from_millis(20));
@@ -331,16 +357,18 @@
     Ok(())
 }
 
-/// A folder of a play's own, which goes with it.
+/// A temporary folder, removed when this is dropped.
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    pub fn new(of: &str) -> TempDir {
-        static PLAYS: AtomicU64 = AtomicU64::new(0);
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
-        TempDir(std::env::temp_dir().join(format!("oakhollow-{of}-{}-{play}", std::process::id())))
+    /// Names a folder; the first process in it creates it.
+    pub fn new(purpose: &str) -> TempDir {
+        static FOLDERS: AtomicU64 = AtomicU64::new(0);
+        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        TempDir(std::env::temp_dir().join(format!("oakhollow-{purpose}-{}-{number}", std::process::id())))
     }
 
+    /// Where it is.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -352,19 +380,21 @@
     }
 }
 
-/// How late the rig's own threads get to run: one that sleeps for a moment, again and again, notes by how much it overslept.
+/// Measures how late the harness's own threads run, by a thread that sleeps for 10 ms at a time and records by how much it
+/// overslept.
 pub struct DelayMonitor {
     worst_us: Arc<AtomicU64>,
-    ends: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl DelayMonitor {
+    /// Starts the thread.
     pub fn start() -> DelayMonitor {
-        let delay_monitor = DelayMonitor { worst_us: Arc::default(), ends: Arc::default() };
-        let (worst, ends) = (delay_monitor.worst_us.clone(), delay_monitor.ends.clone());
+        let delay_monitor = DelayMonitor { worst_us: Arc::default(), stopped: Arc::default() };
+        let (worst, stopped) = (delay_monitor.worst_us.clone(), delay_monitor.stopped.clone());
         let length = Duration::from_millis(10);
         thread::spawn(move || {
-            while !ends.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 let begun = Instant::now();
                 thread::sleep(length);
                 worst.fetch_max((begun.elapsed() - length).as_micros() as u64, Ordering::Relaxed);
@@ -373,7 +403,7 @@
         delay_monitor
     }
 
-    /// The longest that it overslept, in seconds.
+    /// The longest oversleep, in seconds.
     pub fn max_delay_s(&self) -> f64 {
         self.worst_us.load(Ordering::Relaxed) as f64 / 1e6
     }
@@ -381,36 +411,37 @@
 
 impl Drop for DelayMonitor {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-/// How the rig itself ran meanwhile.
+/// Whether the harness ran well enough for a run to count.
 #[derive(Clone, PartialEq, Debug)]
 pub enum RunValidity {
+    /// It did.
     Valid,
-    /// So late that it may be the cause of what was found, but not of what was not.
+    /// So late that it may have caused a failure; a success counts all the same.
     HarnessLate(String),
-    /// Not what was to be played: there is no figure.
+    /// The run was not what the test describes; it counts for nothing.
     Invalid(String),
 }
 
-/// Plays until there is a figure, three times at the most, and says each play that gave none: what is found of a rig that ran
-/// late counts only where it can't be the rig's doing. A fault is the judge's, or that there was no figure.
+/// Runs a test until a run counts, at most three times, and prints each run that does not. A run whose harness was late counts
+/// only if the check passes. The error is that of the check, or that no run counted.
 pub fn run_until_conclusive<R>(
-    name: &str, play: impl Fn() -> Result<(R, RunValidity), String>, judge: impl Fn(&R) -> Result<(), String>,
+    name: &str, run: impl Fn() -> Result<(R, RunValidity), String>, check: impl Fn(&R) -> Result<(), String>,
 ) -> Result<R, String> {
-    for attempt in 1..=PLAYS {
-        let (report, ran) = play()?;
-        let why = match (ran, judge(&report)) {
+    for number in 1..=MAX_RUNS {
+        let (report, validity) = run()?;
+        let why = match (validity, check(&report)) {
             (RunValidity::Valid | RunValidity::HarnessLate(_), Ok(())) => return Ok(report),
-            (RunValidity::Valid, Err(fault)) => return Err(format!("{name}: {fault}")),
-            (RunValidity::HarnessLate(why), Err(fault)) => format!("{why}, {fault}"),
+            (RunValidity::Valid, Err(failure)) => return Err(format!("{name}: {failure}")),
+            (RunValidity::HarnessLate(why), Err(failure)) => format!("{why}, {failure}"),
             (RunValidity::Invalid(why), _) => why,
         };
-        println!("{name}: play {attempt} gives no figure: {why}");
+        println!("{name}: run {number} is inconclusive: {why}");
     }
-    Err(format!("{name}: no figure in {PLAYS} plays"))
+    Err(format!("{name}: inconclusive in {MAX_RUNS} runs"))
 }
 
-const PLAYS: usize = 3;
+const MAX_RUNS: usize = 3;
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -135,7 +135,7 @@
     /// Whether the list of the real ones names that server, and all their discoveries tell that of it.
     pub fn lists_tell(&self, server: usize, told: ListChange) {
         if let Some(address) = self.servers.get(server) {
-            self.discoveries.iter().for_each(|discovery| discovery.tell(told, server, *address));
+            self.discoveries.iter().for_each(|discovery| discovery.announce(told, server, *address));
         }
     }
 
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -1,104 +1,182 @@
-//! Scenes, as written in small text files. `#` begins a comment; times are in seconds from the start of the load.
+//! Scenes: scripted fault-injection tests, each written in a small text file. `#` begins a comment; times are in seconds from
+//! the start of the load. Instances are n0, n1 and so on. Servers are s0, s1, s2, and s3, which no discovery lists at first.
 //!
-//! - `sidecars N keepers K within S [unsure HOW]`: instances n0, n1 ...; the first K of them are keepers
-//! - `version N NAME:KIND ...`: the workloads of a state of the settings, KIND one of read, once; all of them start with
-//!   the first. Servers answer calls of a workload whose name begins with `fails` with an error
-//! - `load RATE`: calls a second of each workload at each sidecar
-//! - `at T WHAT ...`: `tell A N` (its file and SIGHUP), `spoil A` (half a file and SIGHUP), `cut A`, `cut-to A` (it hears, and
-//!   is not heard), `cut-from A`, `heal A`, `delay A MS`, `reset A`, `refuse A` (its links break and none comes up until it is
-//!   healed), `half A` (of what comes next on each link one half, then it breaks), `replay A` (what was said on its links is
-//!   said again), `stranger A` (its keeper's address gets a foreign instance, a word without sense and a line without an
-//!   end), `stop A`, `continue A`, `kill A`, `start A`, `replace A` (a second process beside it), `part A` (SIGTERM to the first)
-//! - `at T WHAT A sN`, told by the discovery of A alone: `drain`, `back`, `again` (it has started again), `gone` (from a whole
-//!   list); `mute A` (that discovery is down), `unmute A`, `renumber A` (it starts again, numbers from 1 and tells the whole
-//!   list). `mark A sN`, `unmark A sN`: at its console. Servers are s0, s1, s2, and s3 that no list names at first
-//! - `stand-in A HOW`: a stand-in in the place of a process of the program, honest or with that fault (`stand_in.rs`)
-//! - `with KEY = VALUE`: one more line of `[accord]` in the operator's file
-//! - `until T`
-//! - `expect contradiction S`: at most; `expect A holds N by T`; `expect A silent T1 T2`: it sends nothing on between;
-//!   `expect A lacks N until T`: it does nothing before that only N or later allows; `expect A logs TEXT`; `expect A serves T1 T2`;
-//!   `expect A once T1 T2`: of what it begins between them it repeats nothing; `expect A uses sN T1 T2`, `expect A spares sN T1 T2`; `expect drains S`: nobody sends to a server
-//!   for longer, at most, after one that serves was told that it drains
+//! Setup:
+//!
+//! - `sidecars N keepers K within S [unsure HOW]`: starts N instances; the first K are lease servers (`keepers` in the
+//!   operator's file). S is the longest time for which two instances may act on different settings, HOW the `unsure` policy
+//! - `version N NAME:KIND ...`: the workloads in version N of the settings, KIND one of read, once; all instances start with
+//!   the first version. Servers answer requests of a workload whose name begins with `fails` with an error
+//! - `load RATE`: requests a second of each workload at each sidecar
+//! - `stand-in A HOW`: replaces the program of A by the stand-in of [`crate::stand_in`], HOW its behaviour
+//! - `with KEY = VALUE`: one more line in the section `[accord]` of the operator's file
+//! - `until T`: the end of the scene
+//!
+//! Actions on an instance A, written `at T ACTION A ...`:
+//!
+//! - `tell A N`: writes version N into its settings file and sends SIGHUP
+//! - `spoil A`: cuts its settings file to half of its length and sends SIGHUP
+//! - `cut A`: its links to other instances drop all data; `cut-to A`: only data from it; `cut-from A`: only data to it
+//! - `heal A`: ends `cut`, `cut-to`, `cut-from` and `refuse`
+//! - `delay A MS`: delays all data on its links
+//! - `reset A`: breaks its links once
+//! - `refuse A`: breaks its links and refuses new ones until `heal`
+//! - `half A`: forwards only the first half of the next read on each link, then breaks the link
+//! - `replay A`: repeats the last messages on each link
+//! - `stranger A`: connects to its lease server as an unknown instance, with a malformed message and with an endless line
+//! - `stop A`, `continue A`: SIGSTOP, SIGCONT; `kill A`: SIGKILL; `start A`: starts it again
+//! - `replace A`: starts a second process beside the first; `part A`: sends SIGTERM to the first
+//! - `drain A sN`, `back A sN`, `again A sN`, `gone A sN`: the discovery of A alone announces that the server drains, is ready,
+//!   has restarted, or (by a full list) is removed
+//! - `mute A`, `unmute A`: the discovery of A goes down, comes back; `renumber A`: it restarts, counts its versions from 1
+//!   and sends a full list
+//! - `mark A sN`, `unmark A sN`: puts the server in maintenance, or takes it out, at the console of A
+//!
+//! Expectations:
+//!
+//! - `expect contradiction S`: no instance acts on old settings for longer than S after another has acted on newer ones
+//! - `expect drains S`: no instance sends to a server for longer than S after another instance, which serves, was told that
+//!   the server drains
+//! - `expect A holds N by T`: by T it does what only version N or later allows
+//! - `expect A lacks N until T`: it does nothing before T that only version N or later allows
+//! - `expect A serves T1 T2`, `expect A silent T1 T2`: it sends at least one attempt, or none, in that time
+//! - `expect A uses sN T1 T2`, `expect A spares sN T1 T2`: the same of attempts to one server
+//! - `expect A once T1 T2`: it repeats no request in that time
+//! - `expect A logs TEXT`: its log contains the text
 use std::collections::BTreeMap;
 
+/// Whether requests of a workload may be repeated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WorkloadKind {
+    /// They may be repeated.
     ReadLike,
+    /// They must not be repeated once they may have run.
     NonIdempotent,
 }
 
+/// What a scene does to an instance, its links or its discovery. The module's documentation has the words of the file.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
+    /// `tell`, with the version.
     WriteVersion(u64),
+    /// `spoil`.
     TruncateFile,
+    /// `cut`.
     Cut,
+    /// `cut-to`.
     CutTo,
+    /// `cut-from`.
     CutFrom,
+    /// `heal`.
     Heal,
+    /// `delay`, in milliseconds.
     Delay(u64),
+    /// `reset`.
     Reset,
+    /// `refuse`.
     Refuse,
+    /// `half`.
     TruncateMessage,
+    /// `replay`.
     Replay,
+    /// `stranger`.
     ForeignConnections,
+    /// `replace`.
     StartSecond,
+    /// `part`.
     TerminateFirst,
+    /// `stop`.
     Stop,
+    /// `continue`.
     Continue,
+    /// `kill`.
     Kill,
+    /// `start`.
     Start,
+    /// `drain`, `back`, `again` and `gone`, with the server.
     ChangeList(ListChange, usize),
+    /// `mute`.
     DiscoveryDown,
+    /// `unmute`.
     DiscoveryUp,
+    /// `renumber`.
     RestartDiscovery,
+    /// `mark` (true) and `unmark` (false), with the server.
     SetMaintenance(bool, usize),
 }
 
-/// What a discovery tells of a server.
+/// A change of one server in a discovery's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListChange {
+    /// It drains.
     Draining,
+    /// It takes requests, with the start time that it had.
     Ready,
+    /// It takes requests and has just started.
     Restarted,
+    /// A full list no longer names it.
     Removed,
 }
 
-/// Servers of every scene, and how many of them lists name from the start.
+/// How many servers each scene has.
 pub const SERVERS: usize = 4;
+/// How many of them each discovery lists from the start.
 pub const LISTED: usize = 3;
 
+/// What must hold in a scene. An instance comes first, then a server or a version, then times in seconds.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Expectation {
+    /// `contradiction`: the longest that is allowed, in seconds.
     MaxContradiction(f64),
+    /// `holds`.
     ActsOnVersion(usize, u64, f64),
+    /// `silent`.
     SendsNothing(usize, f64, f64),
+    /// `serves`.
     Sends(usize, f64, f64),
+    /// `uses`.
     SendsTo(usize, usize, f64, f64),
+    /// `spares`.
     SendsNothingTo(usize, usize, f64, f64),
+    /// `drains`: the longest that is allowed, in seconds.
     MaxDrainViolation(f64),
+    /// `lacks`.
     NotYetOnVersion(usize, u64, f64),
-    /// It repeats nothing of what it begins between the two times.
+    /// `once`.
     NoRepeats(usize, f64, f64),
+    /// `logs`.
     Logs(usize, String),
 }
 
+/// A scene as read from its file.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Scene {
+    /// How many instances run.
     pub sidecars: usize,
+    /// How many of them, the first ones, are lease servers.
     pub keepers: usize,
+    /// The setting `within` of the operator's file, in seconds.
     pub within: f64,
+    /// The setting `unsure` of the operator's file.
     pub unsure: String,
+    /// Further lines of the section `[accord]`.
     pub accord_settings: Vec<String>,
+    /// The instance that the stand-in replaces, and how the stand-in behaves.
     pub stand_in: Option<(usize, String)>,
+    /// Requests a second of each workload at each sidecar.
     pub rate: f64,
+    /// The workloads of each version of the settings.
     pub versions: BTreeMap<u64, Vec<(String, WorkloadKind)>>,
+    /// Actions in the order of their times, each with its instance.
     pub actions: Vec<(f64, usize, Action)>,
+    /// When the scene ends.
     pub end_s: f64,
+    /// What must hold.
     pub expectations: Vec<Expectation>,
 }
 
 impl Scene {
-    /// Reads a scene; a fault names the line.
+    /// Parses a scene; an error names the line.
     ///
     /// ```
     /// use oakhollow_lab::scene::Scene;
@@ -109,10 +187,10 @@
     /// ```
     pub fn parse(text: &str) -> Result<Scene, String> {
         let mut scene = Scene { rate: 20.0, unsure: "refuse".into(), ..Scene::default() };
-        for (at, line) in text.lines().enumerate() {
+        for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if !line.is_empty() {
-                scene.line(line).map_err(|why| format!("line {}: {why}", at + 1))?;
+                scene.parse_line(line).map_err(|why| format!("line {}: {why}", index + 1))?;
             }
         }
         scene.actions.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -124,30 +202,32 @@
         }
     }
 
-    fn line(&mut self, line: &str) -> Result<(), String> {
+    fn parse_line(&mut self, line: &str) -> Result<(), String> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let odd = || format!("not understood: {line}");
-        let number = |word: &str| word.parse::<f64>().map_err(|_| format!("no number: {word}"));
-        let whole = |word: &str| word.parse::<u64>().map_err(|_| format!("no whole number: {word}"));
+        let not_understood = || format!("not understood: {line}");
+        let parse_number = |word: &str| word.parse::<f64>().map_err(|_| format!("not a number: {word}"));
+        let parse_integer =
+            |word: &str| word.parse::<u64>().map_err(|_| format!("not a whole number: {word}"));
         let sidecars = self.sidecars;
-        let instance = |word: &str| {
-            let at = word.strip_prefix('n').and_then(|at| at.parse::<usize>().ok());
-            at.filter(|at| *at < sidecars).ok_or_else(|| format!("there is no {word}"))
+        let parse_instance = |word: &str| {
+            let index = word.strip_prefix('n').and_then(|index| index.parse::<usize>().ok());
+            index.filter(|index| *index < sidecars).ok_or_else(|| format!("there is no {word}"))
         };
-        let server = |word: &str| {
-            let at = word.strip_prefix('s').and_then(|at| at.parse::<usize>().ok());
-            at.filter(|at| *at < SERVERS).ok_or_else(|| format!("there is no {word}"))
+        let parse_server = |word: &str| {
+            let index = word.strip_prefix('s').and_then(|index| index.parse::<usize>().ok());
+            index.filter(|index| *index < SERVERS).ok_or_else(|| format!("there is no {word}"))
         };
         match words[..] {
-            ["stand-in", who, how] => self.stand_in = Some((instance(who)?, how.into())),
+            ["stand-in", instance, how] => self.stand_in = Some((parse_instance(instance)?, how.into())),
             ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
             ["sidecars", count, "keepers", keepers, "within", within, ref rest @ ..] => {
-                (self.sidecars, self.keepers) = (whole(count)? as usize, whole(keepers)? as usize);
-                self.within = number(within)?;
+                (self.sidecars, self.keepers) =
+                    (parse_integer(count)? as usize, parse_integer(keepers)? as usize);
+                self.within = parse_number(within)?;
                 match rest {
                     [] => {}
                     ["unsure", how] => self.unsure = how.to_string(),
-                    _ => return Err(odd()),
+                    _ => return Err(not_understood()),
                 }
             }
             ["version", number, ref workloads @ ..] => {
@@ -156,25 +236,25 @@
                     let (name, kind) = match workload.split_once(':') {
                         Some((name, "read")) => (name, WorkloadKind::ReadLike),
                         Some((name, "once")) => (name, WorkloadKind::NonIdempotent),
-                        _ => return Err(odd()),
+                        _ => return Err(not_understood()),
                     };
                     all.push((name.to_string(), kind));
                 }
-                self.versions.insert(whole(number)?, all);
+                self.versions.insert(parse_integer(number)?, all);
             }
-            ["load", rate] => self.rate = number(rate)?,
-            ["until", time] => self.end_s = number(time)?,
-            ["at", time, what, who, ref rest @ ..] => {
-                let fault = match (what, rest) {
-                    ("tell", [version]) if self.versions.contains_key(&whole(version)?) => {
-                        Action::WriteVersion(whole(version)?)
+            ["load", rate] => self.rate = parse_number(rate)?,
+            ["until", time] => self.end_s = parse_number(time)?,
+            ["at", time, command, instance, ref rest @ ..] => {
+                let action = match (command, rest) {
+                    ("tell", [version]) if self.versions.contains_key(&parse_integer(version)?) => {
+                        Action::WriteVersion(parse_integer(version)?)
                     }
                     ("spoil", []) => Action::TruncateFile,
                     ("cut", []) => Action::Cut,
                     ("cut-to", []) => Action::CutTo,
                     ("cut-from", []) => Action::CutFrom,
                     ("heal", []) => Action::Heal,
-                    ("delay", [length]) => Action::Delay(whole(length)?),
+                    ("delay", [length]) => Action::Delay(parse_integer(length)?),
                     ("reset", []) => Action::Reset,
                     ("refuse", []) => Action::Refuse,
                     ("half", []) => Action::TruncateMessage,
@@ -182,68 +262,85 @@
                     ("stranger", []) => Action::ForeignConnections,
                     ("replace", []) => Action::StartSecond,
                     ("part", []) => Action::TerminateFirst,
-                    ("drain", [one]) => Action::ChangeList(ListChange::Draining, server(one)?),
-                    ("back", [one]) => Action::ChangeList(ListChange::Ready, server(one)?),
-                    ("again", [one]) => Action::ChangeList(ListChange::Restarted, server(one)?),
-                    ("gone", [one]) => Action::ChangeList(ListChange::Removed, server(one)?),
+                    ("drain", [server]) => Action::ChangeList(ListChange::Draining, parse_server(server)?),
+                    ("back", [server]) => Action::ChangeList(ListChange::Ready, parse_server(server)?),
+                    ("again", [server]) => Action::ChangeList(ListChange::Restarted, parse_server(server)?),
+                    ("gone", [server]) => Action::ChangeList(ListChange::Removed, parse_server(server)?),
                     ("mute", []) => Action::DiscoveryDown,
                     ("unmute", []) => Action::DiscoveryUp,
                     ("renumber", []) => Action::RestartDiscovery,
-                    ("mark", [one]) => Action::SetMaintenance(true, server(one)?),
-                    ("unmark", [one]) => Action::SetMaintenance(false, server(one)?),
+                    ("mark", [server]) => Action::SetMaintenance(true, parse_server(server)?),
+                    ("unmark", [server]) => Action::SetMaintenance(false, parse_server(server)?),
                     ("stop", []) => Action::Stop,
                     ("continue", []) => Action::Continue,
                     ("kill", []) => Action::Kill,
                     ("start", []) => Action::Start,
-                    _ => return Err(odd()),
+                    _ => return Err(not_understood()),
                 };
-                self.actions.push((number(time)?, instance(who)?, fault));
+                self.actions.push((parse_number(time)?, parse_instance(instance)?, action));
             }
-            ["expect", "contradiction", most] => {
-                self.expectations.push(Expectation::MaxContradiction(number(most)?));
+            ["expect", "contradiction", max] => {
+                self.expectations.push(Expectation::MaxContradiction(parse_number(max)?));
             }
-            ["expect", "drains", most] => {
-                self.expectations.push(Expectation::MaxDrainViolation(number(most)?))
+            ["expect", "drains", max] => {
+                self.expectations.push(Expectation::MaxDrainViolation(parse_number(max)?))
             }
-            ["expect", who, what, one, from, to] if what == "uses" || what == "spares" => {
-                let (who, one, from, to) = (instance(who)?, server(one)?, number(from)?, number(to)?);
-                self.expectations.push(match what {
-                    "uses" => Expectation::SendsTo(who, one, from, to),
-                    _ => Expectation::SendsNothingTo(who, one, from, to),
+            ["expect", instance, verb, server, from, to] if verb == "uses" || verb == "spares" => {
+                let (instance, server, from, to) = (
+                    parse_instance(instance)?,
+                    parse_server(server)?,
+                    parse_number(from)?,
+                    parse_number(to)?,
+                );
+                self.expectations.push(match verb {
+                    "uses" => Expectation::SendsTo(instance, server, from, to),
+                    _ => Expectation::SendsNothingTo(instance, server, from, to),
                 });
             }
-            ["expect", who, "holds", version, "by", time] => {
+            ["expect", instance, "holds", version, "by", time] => {
                 self.expectations.push(Expectation::ActsOnVersion(
-                    instance(who)?,
-                    whole(version)?,
-                    number(time)?,
+                    parse_instance(instance)?,
+                    parse_integer(version)?,
+                    parse_number(time)?,
                 ));
             }
-            ["expect", who, "lacks", version, "until", time] => {
+            ["expect", instance, "lacks", version, "until", time] => {
                 self.expectations.push(Expectation::NotYetOnVersion(
-                    instance(who)?,
-                    whole(version)?,
-                    number(time)?,
+                    parse_instance(instance)?,
+                    parse_integer(version)?,
+                    parse_number(time)?,
                 ));
             }
-            ["expect", who, "logs", ref text @ ..] => {
-                self.expectations.push(Expectation::Logs(instance(who)?, text.join(" ")));
+            ["expect", instance, "logs", ref text @ ..] => {
+                self.expectations.push(Expectation::Logs(parse_instance(instance)?, text.join(" ")));
             }
-            ["expect", who, "once", from, to] => {
-                self.expectations.push(Expectation::NoRepeats(instance(who)?, number(from)?, number(to)?));
+            ["expect", instance, "once", from, to] => {
+                self.expectations.push(Expectation::NoRepeats(
+                    parse_instance(instance)?,
+                    parse_number(from)?,
+                    parse_number(to)?,
+                ));
             }
-            ["expect", who, "silent", from, to] => {
-                self.expectations.push(Expectation::SendsNothing(instance(who)?, number(from)?, number(to)?));
+            ["expect", instance, "silent", from, to] => {
+                self.expectations.push(Expectation::SendsNothing(
+                    parse_instance(instance)?,
+                    parse_number(from)?,
+                    parse_number(to)?,
+                ));
             }
-            ["expect", who, "serves", from, to] => {
-                self.expectations.push(Expectation::Sends(instance(who)?, number(from)?, number(to)?));
+            ["expect", instance, "serves", from, to] => {
+                self.expectations.push(Expectation::Sends(
+                    parse_instance(instance)?,
+                    parse_number(from)?,
+                    parse_number(to)?,
+                ));
             }
-            _ => return Err(odd()),
+            _ => return Err(not_understood()),
         }
         Ok(())
     }
 
-    /// All workloads of any version.
+    /// The names of the workloads of all versions, sorted.
     pub fn workloads(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self.versions.values().flatten().map(|(name, _)| name.as_str()).collect();
         names.sort_unstable();
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -1,4 +1,4 @@
-//! Plays one scene: starts everything, carries the script out on time, and has the judge read what was seen.
+//! Runs one scene: starts its processes and fakes, carries out its actions on time, and has the checker read the observations.
 use crate::checker::{self, Contradiction, DrainViolation, Findings};
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
@@ -16,36 +16,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long all may take until they serve.
-const STARTS: Duration = Duration::from_secs(20);
-/// By how much the script's times are moved by the seed, at most, in seconds.
-const JITTER: f64 = 0.1;
+/// How long the instances may take until all of them serve.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// By how much the seed delays an action at most, and how late an action may be carried out, in seconds.
+const MAX_JITTER_S: f64 = 0.1;
 
-/// What came of a scene.
+/// The outcome of a scene.
 pub struct Report {
+    /// The longest contradiction of settings.
     pub contradiction: Option<Contradiction>,
+    /// The longest time for which an instance sent to a draining server.
     pub drain_violation: Option<DrainViolation>,
-    /// What did not hold, a line each.
+    /// One line for each thing that did not hold.
     pub failures: Vec<String>,
+    /// How many attempts the servers received.
     pub attempts: usize,
+    /// How many requests the clients sent.
     pub responses: usize,
+    /// How many of these got no answer.
     pub unanswered: usize,
-    /// Each sidecar's log.
+    /// The name and the log of each instance.
     pub logs: Vec<(String, String)>,
 }
 
-/// Why a play has no report.
+/// Why a run has no report.
 #[derive(Debug)]
 pub enum RunError {
-    /// The rig ran late: nothing can be said of the program. What would have been broken is told, and proves nothing.
+    /// The harness ran late, so that the run says nothing about the program; nor do the expectations that failed in it.
     Inconclusive { reason: String, failed_expectations: Vec<String> },
-    /// Something could not be built, does not serve, or has ended by itself.
+    /// Something could not be set up, does not serve, or has exited by itself.
     Failed(String),
 }
 
 impl From<std::io::Error> for RunError {
-    fn from(fault: std::io::Error) -> RunError {
-        RunError::Failed(fault.to_string())
+    fn from(error: std::io::Error) -> RunError {
+        RunError::Failed(error.to_string())
     }
 }
 
@@ -53,80 +58,84 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RunError::Inconclusive { reason, failed_expectations } if failed_expectations.is_empty() => {
-                write!(out, "{reason}: no figure")
+                write!(out, "{reason}: inconclusive")
             }
             RunError::Inconclusive { reason, failed_expectations } => {
-                write!(out, "{reason}: no figure (it had: {})", failed_expectations.join("; "))
+                write!(out, "{reason}: inconclusive (failed: {})", failed_expectations.join("; "))
             }
             RunError::Failed(why) => out.write_str(why),
         }
     }
 }
 
-/// With what a scene is played.
+/// How a scene is run.
 #[derive(Clone, Copy)]
 pub struct RunOptions<'a> {
+    /// The program under test.
     pub program: &'a Path,
-    /// The rig's own program, which stands in for one.
+    /// The program `oakhollow-lab`, which has the stand-in.
     pub lab_program: &'a Path,
-    /// Whether the instances agree; each acts on its own file alone otherwise.
+    /// Whether the instances have a section `[accord]`; otherwise each acts on its own file alone.
     pub with_accord: bool,
+    /// Draws the delays of actions; 0 for none.
     pub seed: u64,
 }
 
-struct Rig {
+struct Harness {
     sidecars: Vec<Sidecar>,
-    /// From each instance to each keeper.
+    /// From each instance to each lease server.
     relays: Vec<Vec<Relay>>,
+    /// The addresses of the lease servers.
     keepers: Vec<SocketAddr>,
+    /// The discovery of each instance.
     discoveries: Vec<Discovery>,
     servers: Vec<SocketAddr>,
-    list: String,
+    /// The list that every discovery begins with.
+    initial_list: String,
     seed: u64,
     folder: PathBuf,
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.sidecars.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Rig {
+impl Harness {
     fn build(
-        scene: &Scene, options: &RunOptions, begun: Instant, notes: &Arc<Observations>,
-    ) -> std::io::Result<Rig> {
-        static PLAYS: AtomicU32 = AtomicU32::new(0);
-        let unique =
-            format!("oakhollow-lab-{}-{}", std::process::id(), PLAYS.fetch_add(1, Ordering::Relaxed));
+        scene: &Scene, options: &RunOptions, begun: Instant, observations: &Arc<Observations>,
+    ) -> std::io::Result<Harness> {
+        static RUNS: AtomicU32 = AtomicU32::new(0);
+        let unique = format!("oakhollow-lab-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
         let servers: Vec<SocketAddr> = (0..SERVERS)
-            .map(|at| fakes::start_server(at, begun, notes.clone()))
+            .map(|at| fakes::start_server(at, begun, observations.clone()))
             .collect::<std::io::Result<_>>()?;
-        let mut rig = Rig {
+        let mut harness = Harness {
             sidecars: Vec::new(),
             relays: Vec::new(),
             keepers: (0..scene.keepers).map(|_| reserve_address()).collect::<std::io::Result<_>>()?,
             discoveries: Vec::new(),
-            list: fakes::initial_list(&servers[..LISTED]),
+            initial_list: fakes::initial_list(&servers[..LISTED]),
             servers,
             seed: options.seed,
             folder,
         };
         let first = *scene.versions.keys().next().unwrap_or(&1);
         for at in 0..scene.sidecars {
-            let mut sidecar = Sidecar::new(options.program, &format!("n{at}"), &rig.folder)?;
-            if let Some((_, how)) = scene.stand_in.as_ref().filter(|(who, _)| *who == at) {
+            let mut sidecar = Sidecar::new(options.program, &format!("n{at}"), &harness.folder)?;
+            if let Some((_, how)) = scene.stand_in.as_ref().filter(|(instance, _)| *instance == at) {
                 sidecar.use_stand_in(options.lab_program, how);
             }
-            rig.discoveries.push(Discovery::start(&rig.servers[..LISTED])?);
+            harness.discoveries.push(Discovery::start(&harness.servers[..LISTED])?);
             let relays: Vec<Relay> =
-                rig.keepers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
+                harness.keepers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
             if options.with_accord {
                 let instances = (0..scene.sidecars).map(|other| {
-                    // Its own keeper is no link away; those who keep nothing are dialled by nobody.
-                    let address = match rig.keepers.get(other) {
+                    // It reaches its own lease server without a relay, and never connects to an instance that is none.
+                    let address = match harness.keepers.get(other) {
                         Some(own) if other == at => *own,
                         Some(_) => relays[other].address,
                         None => SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -144,20 +153,24 @@
                     instances.join("\n")
                 ))?;
             }
-            rig.relays.push(relays);
-            rig.sidecars.push(sidecar);
-            rig.sidecars[at].write_config(&rig.file(scene, at, first))?;
+            harness.relays.push(relays);
+            harness.sidecars.push(sidecar);
+            harness.sidecars[at].write_config(&harness.settings_file(scene, at, first))?;
         }
-        for (at, sidecar) in rig.sidecars.iter_mut().enumerate() {
-            if scene.actions.iter().any(|(_, who, fault)| *who == at && *fault == Action::StartSecond) {
+        for (at, sidecar) in harness.sidecars.iter_mut().enumerate() {
+            if scene
+                .actions
+                .iter()
+                .any(|(_, instance, action)| *instance == at && *action == Action::StartSecond)
+            {
                 sidecar.pass_listener()?;
             }
             sidecar.start()?;
         }
-        Ok(rig)
+        Ok(harness)
     }
 
-    fn file(&self, scene: &Scene, at: usize, number: u64) -> String {
+    fn settings_file(&self, scene: &Scene, at: usize, number: u64) -> String {
         let workload = |(name, kind): &(String, WorkloadKind)| {
             let semantics = match kind {
                 WorkloadKind::ReadLike => "read_like",
@@ -179,19 +192,19 @@
             sidecar.console,
             self.discoveries[at].address,
             self.seed.wrapping_mul(31).wrapping_add(at as u64),
-            self.list,
+            self.initial_list,
             scene.sidecars,
             workloads.join(",")
         )
     }
 
-    /// All answer that they serve.
-    fn serves(&mut self) -> Result<(), RunError> {
+    /// Waits until all instances report at their consoles that they serve.
+    fn wait_until_healthy(&mut self) -> Result<(), RunError> {
         let begun = Instant::now();
         for at in 0..self.sidecars.len() {
             while !is_healthy(self.sidecars[at].console) {
                 let sidecar = &mut self.sidecars[at];
-                if sidecar.has_exited() || begun.elapsed() > STARTS {
+                if sidecar.has_exited() || begun.elapsed() > START_TIMEOUT {
                     let why = format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text());
                     return Err(RunError::Failed(why));
                 }
@@ -201,61 +214,70 @@
         Ok(())
     }
 
-    /// All links of an instance that lead to others, and whether they lead from it.
-    fn links(&self, who: usize) -> impl Iterator<Item = (&Relay, bool)> {
-        let own = self.relays[who].iter().enumerate();
-        let own = own.filter(move |(keeper, _)| *keeper != who).map(|(_, relay)| (relay, true));
-        let others = self.relays.iter().enumerate().filter(move |(at, _)| *at != who);
-        own.chain(others.filter_map(move |(_, relays)| Some((relays.get(who)?, false))))
+    /// The links between an instance and others, each with whether the instance opens it.
+    fn links(&self, instance: usize) -> impl Iterator<Item = (&Relay, bool)> {
+        let outgoing = self.relays[instance].iter().enumerate();
+        let outgoing =
+            outgoing.filter(move |(keeper, _)| *keeper != instance).map(|(_, relay)| (relay, true));
+        let others = self.relays.iter().enumerate().filter(move |(at, _)| *at != instance);
+        outgoing.chain(others.filter_map(move |(_, relays)| Some((relays.get(instance)?, false))))
     }
 
-    fn strike(&mut self, scene: &Scene, who: usize, fault: &Action) -> std::io::Result<()> {
-        match fault {
+    fn carry_out(&mut self, scene: &Scene, instance: usize, action: &Action) -> std::io::Result<()> {
+        match action {
             Action::WriteVersion(number) => {
-                self.sidecars[who].write_config(&self.file(scene, who, *number))?;
-                self.sidecars[who].reload();
+                self.sidecars[instance].write_config(&self.settings_file(scene, instance, *number))?;
+                self.sidecars[instance].reload();
             }
             Action::TruncateFile => {
-                self.sidecars[who].truncate_config()?;
-                self.sidecars[who].reload();
+                self.sidecars[instance].truncate_config()?;
+                self.sidecars[instance].reload();
             }
-            Action::Cut => self.links(who).for_each(|(relay, _)| relay.cut(true, true)),
-            Action::CutTo => self.links(who).for_each(|(relay, own)| relay.cut(own, !own)),
-            Action::CutFrom => self.links(who).for_each(|(relay, own)| relay.cut(!own, own)),
-            Action::Heal => self.links(who).for_each(|(relay, _)| relay.cut(false, false)),
+            Action::Cut => self.links(instance).for_each(|(relay, _)| relay.cut(true, true)),
+            Action::CutTo => {
+                self.links(instance).for_each(|(relay, outgoing)| relay.cut(outgoing, !outgoing))
+            }
+            Action::CutFrom => {
+                self.links(instance).for_each(|(relay, outgoing)| relay.cut(!outgoing, outgoing))
+            }
+            Action::Heal => self.links(instance).for_each(|(relay, _)| relay.cut(false, false)),
             Action::Delay(length) => {
-                self.links(who).for_each(|(relay, _)| relay.delay(Duration::from_millis(*length)));
+                self.links(instance).for_each(|(relay, _)| relay.delay(Duration::from_millis(*length)));
             }
-            Action::Reset => self.links(who).for_each(|(relay, _)| relay.reset()),
-            Action::Refuse => self.links(who).for_each(|(relay, _)| relay.refuse()),
-            Action::TruncateMessage => self.links(who).for_each(|(relay, _)| relay.half()),
-            Action::Replay => self.links(who).for_each(|(relay, _)| relay.replay()),
+            Action::Reset => self.links(instance).for_each(|(relay, _)| relay.reset()),
+            Action::Refuse => self.links(instance).for_each(|(relay, _)| relay.refuse()),
+            Action::TruncateMessage => self.links(instance).for_each(|(relay, _)| relay.half()),
+            Action::Replay => self.links(instance).for_each(|(relay, _)| relay.replay()),
             Action::ForeignConnections => {
-                self.keepers.get(who).into_iter().for_each(|keeper| strangers(*keeper))
+                self.keepers.get(instance).into_iter().for_each(|keeper| open_foreign_connections(*keeper))
             }
-            Action::StartSecond => self.sidecars[who].start_second()?,
-            Action::TerminateFirst => self.sidecars[who].terminate_first(),
-            Action::ChangeList(told, server) => {
-                self.discoveries[who].tell(*told, *server, self.servers[*server])
+            Action::StartSecond => self.sidecars[instance].start_second()?,
+            Action::TerminateFirst => self.sidecars[instance].terminate_first(),
+            Action::ChangeList(change, server) => {
+                self.discoveries[instance].announce(*change, *server, self.servers[*server])
             }
-            Action::DiscoveryDown => self.discoveries[who].set_down(true),
-            Action::DiscoveryUp => self.discoveries[who].set_down(false),
-            Action::RestartDiscovery => self.discoveries[who].renumber(),
+            Action::DiscoveryDown => self.discoveries[instance].set_down(true),
+            Action::DiscoveryUp => self.discoveries[instance].set_down(false),
+            Action::RestartDiscovery => self.discoveries[instance].restart(),
             Action::SetMaintenance(out, server) => {
-                let what = if *out { "maint" } else { "ready" };
-                console_request(self.sidecars[who].console, "PUT", &format!("/endpoints/s{server}/{what}"));
+                let command = if *out { "maint" } else { "ready" };
+                console_request(
+                    self.sidecars[instance].console,
+                    "PUT",
+                    &format!("/endpoints/s{server}/{command}"),
+                );
             }
-            Action::Stop => self.sidecars[who].signal(Signal::STOP),
-            Action::Continue => self.sidecars[who].signal(Signal::CONT),
-            Action::Kill => self.sidecars[who].kill(),
-            Action::Start => self.sidecars[who].start()?,
+            Action::Stop => self.sidecars[instance].signal(Signal::STOP),
+            Action::Continue => self.sidecars[instance].signal(Signal::CONT),
+            Action::Kill => self.sidecars[instance].kill(),
+            Action::Start => self.sidecars[instance].start()?,
         }
         Ok(())
     }
 }
 
-/// Links of whoever is no instance, of one that makes no sense, and of one without an end.
-fn strangers(keeper: SocketAddr) {
+/// Connects to a lease server as an unknown instance, with a malformed message, and with a line that does not end.
+fn open_foreign_connections(keeper: SocketAddr) {
     let greeting = Greeting::new("n0", 1).to_json();
     let foreign = Greeting::new("stranger", 1).to_json();
     let endless = "x".repeat(9 * 1024 * 1024);
@@ -264,14 +286,14 @@
     {
         thread::spawn(move || {
             let mut stream = TcpStream::connect(keeper).ok()?;
-            // It may be cut short: that is for the other side to do.
+            // The lease server may close the connection before all is written.
             let _ = stream.write_all(said.as_bytes());
             fakes::read_head(&mut BufReader::new(stream))
         });
     }
 }
 
-/// Asks a console; the head of its answer.
+/// Sends a request to a console; returns the head of the answer.
 pub(crate) fn console_request(console: SocketAddr, method: &str, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
@@ -279,81 +301,89 @@
     fakes::read_head(&mut BufReader::new(stream))
 }
 
+/// Whether an instance reports at its console that it serves.
 pub(crate) fn is_healthy(console: SocketAddr) -> bool {
     console_request(console, "GET", "/healthcheck").is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
-/// Plays a scene.
+/// Runs a scene.
 pub fn run_scene(scene: &Scene, options: &RunOptions) -> Result<Report, RunError> {
-    let (building, notes) = (Instant::now(), Arc::new(Observations::default()));
-    let mut rig = Rig::build(scene, options, building, &notes)?;
-    rig.serves()?;
-    let offset = building.elapsed().as_secs_f64();
+    let (setup_begun, observations) = (Instant::now(), Arc::new(Observations::default()));
+    let mut harness = Harness::build(scene, options, setup_begun, &observations)?;
+    harness.wait_until_healthy()?;
+    let setup_s = setup_begun.elapsed().as_secs_f64();
     let begun = Instant::now();
     let mut random = WyRand::new_seed(options.seed);
-    let played = thread::scope(|scope| {
-        for (at, sidecar) in rig.sidecars.iter().enumerate() {
+    let carried_out = thread::scope(|scope| {
+        for (at, sidecar) in harness.sidecars.iter().enumerate() {
             for workload in scene.workloads() {
-                let (to, notes) = (sidecar.listen, &notes);
+                let (to, observations) = (sidecar.listen, &observations);
                 scope.spawn(move || {
-                    fakes::run_client(to, (at, workload), scene.rate, begun, || scene.end_s, notes);
+                    fakes::run_client(to, (at, workload), scene.rate, begun, || scene.end_s, observations);
                 });
             }
         }
-        let rig = &mut rig;
-        let (mut late, mut struck): (f64, Vec<_>) = (0.0, Vec::new());
-        for (time, who, fault) in &scene.actions {
-            let due = time + if options.seed == 0 { 0.0 } else { random.generate::<f64>() * JITTER };
+        let harness = &mut harness;
+        let (mut max_delay_s, mut done_actions): (f64, Vec<_>) = (0.0, Vec::new());
+        for (time, instance, action) in &scene.actions {
+            let due = time + if options.seed == 0 { 0.0 } else { random.generate::<f64>() * MAX_JITTER_S };
             let now = begun.elapsed().as_secs_f64();
-            late = late.max(now - due);
+            max_delay_s = max_delay_s.max(now - due);
             thread::sleep(Duration::from_secs_f64((due - now).max(0.0)));
-            // As it was, for the judge.
-            struck.push((begun.elapsed().as_secs_f64(), *who, fault.clone()));
-            rig.strike(scene, *who, fault)?;
+            // The checker needs the actual time.
+            done_actions.push((begun.elapsed().as_secs_f64(), *instance, action.clone()));
+            harness.carry_out(scene, *instance, action)?;
         }
-        Ok::<_, std::io::Error>((late, struck))
+        Ok::<_, std::io::Error>((max_delay_s, done_actions))
     });
-    let (script_late, struck) = played?;
-    let scene = &Scene { actions: struck, ..scene.clone() };
-    let mut faults = Vec::new();
-    let killed = |at: usize| scene.actions.iter().any(|(_, who, fault)| *who == at && *fault == Action::Kill);
-    for (at, sidecar) in rig.sidecars.iter_mut().enumerate() {
+    let (max_action_delay_s, done_actions) = carried_out?;
+    let scene = &Scene { actions: done_actions, ..scene.clone() };
+    let mut failures = Vec::new();
+    let killed = |at: usize| {
+        scene.actions.iter().any(|(_, instance, action)| *instance == at && *action == Action::Kill)
+    };
+    for (at, sidecar) in harness.sidecars.iter_mut().enumerate() {
         if sidecar.has_exited() && !killed(at) {
-            faults.push(format!("{} has ended", sidecar.name));
+            failures.push(format!("{} has exited", sidecar.name));
         }
     }
-    let hops = std::mem::take(&mut *notes.attempts.lock().unwrap_or_else(PoisonError::into_inner));
-    let hops: Vec<_> = hops.into_iter().map(|hop| checker::Attempt { at: hop.at - offset, ..hop }).collect();
-    let answers = std::mem::take(&mut *notes.responses.lock().unwrap_or_else(PoisonError::into_inner));
+    let attempts = std::mem::take(&mut *observations.attempts.lock().unwrap_or_else(PoisonError::into_inner));
+    let attempts: Vec<_> = attempts
+        .into_iter()
+        .map(|attempt| checker::Attempt { at: attempt.at - setup_s, ..attempt })
+        .collect();
+    let responses =
+        std::mem::take(&mut *observations.responses.lock().unwrap_or_else(PoisonError::into_inner));
     let logs: Vec<_> =
-        rig.sidecars.iter().map(|sidecar| (sidecar.name.clone(), sidecar.log_text())).collect();
+        harness.sidecars.iter().map(|sidecar| (sidecar.name.clone(), sidecar.log_text())).collect();
     let Findings { contradiction, drain_violation, failed_expectations } =
-        checker::check(scene, &hops, &answers, &logs);
-    let late = *notes.late_requests.lock().unwrap_or_else(PoisonError::into_inner);
-    let stops = scene.actions.iter().any(|(_, _, fault)| matches!(fault, Action::Stop | Action::Kill));
-    // Callers of a process that stands still wait for it.
-    let why = if script_late > JITTER {
-        Some(format!("the script ran {script_late:.3} s late"))
-    } else if late * 10 > answers.len() && !stops {
-        Some(format!("{late} of {} calls went out late", answers.len()))
+        checker::check(scene, &attempts, &responses, &logs);
+    let late_requests = *observations.late_requests.lock().unwrap_or_else(PoisonError::into_inner);
+    let any_stopped =
+        scene.actions.iter().any(|(_, _, action)| matches!(action, Action::Stop | Action::Kill));
+    // Clients of a stopped process wait for it, and send their next requests late.
+    let why = if max_action_delay_s > MAX_JITTER_S {
+        Some(format!("actions were up to {max_action_delay_s:.3} s late"))
+    } else if late_requests * 10 > responses.len() && !any_stopped {
+        Some(format!("{late_requests} of {} requests went out late", responses.len()))
     } else {
         None
     };
     match why {
-        None => faults.extend(failed_expectations),
-        Some(why) if faults.is_empty() => {
+        None => failures.extend(failed_expectations),
+        Some(why) if failures.is_empty() => {
             return Err(RunError::Inconclusive { reason: why, failed_expectations })
         }
-        // That a process has ended by itself is true whenever it is seen.
-        Some(why) => return Err(RunError::Failed(format!("{}; {why}", faults.join("; ")))),
+        // That a process exited by itself counts even where the harness ran late.
+        Some(why) => return Err(RunError::Failed(format!("{}; {why}", failures.join("; ")))),
     }
     Ok(Report {
         contradiction,
         drain_violation,
-        failures: faults,
-        attempts: hops.len(),
-        responses: answers.len(),
-        unanswered: answers.iter().filter(|answer| answer.status.is_none()).count(),
+        failures,
+        attempts: attempts.len(),
+        responses: responses.len(),
+        unanswered: responses.iter().filter(|response| response.status.is_none()).count(),
         logs,
     })
 }
