--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the program: started, signalled and ended by their own ids alone, and never left behind: each dies with
-//! the thread that started it, whatever ends that.
+//! Processes of the program, started, signalled and killed by their own process ids alone. None is left behind: the kernel
+//! kills each when the thread that started it ends, however that ends.
 use oakhollow_faults::{library, Faults, CONTROL_VARIABLE};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::{self, File};
@@ -10,38 +10,42 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What builds the library of faults, for a release build.
-const BUILDS_LIBRARY: &str = "cargo build --release -p oakhollow-faults --examples";
+/// The command that builds the fault injection library, for a release build.
+const LIBRARY_BUILD_COMMAND: &str = "cargo build --release -p oakhollow-faults --examples";
 
-/// One process of the program, with a folder of its own.
+/// One instance of the program, with a folder of its own. Where a second process replaces the first, both belong to it.
 pub struct Sidecar {
+    /// The instance's name.
     pub name: String,
+    /// Where it listens for requests.
     pub listen: SocketAddr,
+    /// Where its console listens.
     pub console: SocketAddr,
     program: PathBuf,
     folder: PathBuf,
     operator: bool,
-    /// Words that come first, where the program is the rig's own; it reads its file by itself.
-    stands_in: Vec<String>,
-    /// Passed on to each process, where one replaces another.
+    /// The first arguments, where the program is the lab's stand-in. The stand-in rereads its file without a signal.
+    stand_in_arguments: Vec<String>,
+    /// The listening socket that is passed to each process, where one replaces another.
     listener: Option<TcpListener>,
     child: Option<Child>,
-    /// The one that is being replaced.
+    /// The process that is being replaced.
     first: Option<Child>,
-    /// What fails in its processes, and the library that makes it fail.
+    /// The control of the faults in its processes, and the library that injects them.
     faults: Option<(Faults, PathBuf)>,
 }
 
-/// An address that stays the process's when it is started again. Of the loopback range each has a host of its own: guards
-/// against a port that somebody's outgoing connection takes meanwhile.
+/// Picks an address that a process can bind again when it is restarted. Each has a loopback host of its own, so that no
+/// outgoing connection takes the port meanwhile.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let (given, own) = (GIVEN.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let host = [127, 64 + (own >> 8) as u8 % 64, own as u8, 1 + (given % 250) as u8];
+    static RESERVED: AtomicU32 = AtomicU32::new(0);
+    let (number, own_pid) = (RESERVED.fetch_add(1, Ordering::Relaxed), std::process::id());
+    let host = [127, 64 + (own_pid >> 8) as u8 % 64, own_pid as u8, 1 + (number % 250) as u8];
     TcpListener::bind(SocketAddr::from((host, 0)))?.local_addr()
 }
 
 impl Sidecar {
+    /// Creates the instance's folder and picks its addresses; starts nothing.
     pub fn new(program: &Path, name: &str, folder: &Path) -> std::io::Result<Sidecar> {
         let folder = folder.join(name);
         fs::create_dir_all(&folder)?;
@@ -52,7 +56,7 @@
             program: program.into(),
             folder,
             operator: false,
-            stands_in: Vec::new(),
+            stand_in_arguments: Vec::new(),
             listener: None,
             child: None,
             first: None,
@@ -60,35 +64,36 @@
         })
     }
 
-    /// Has a stand-in take the program's place.
+    /// Runs the lab's stand-in, with this behaviour, instead of the program.
     pub fn use_stand_in(&mut self, program: &Path, how: &str) {
         self.program = program.into();
-        self.stands_in = vec!["stand-in".into(), how.into()];
+        self.stand_in_arguments = vec!["stand-in".into(), how.into()];
     }
 
-    /// From now on its processes are passed the listening socket, as by one that watches over them.
+    /// Passes the listening socket to processes started from now on, as a process supervisor does.
     pub fn pass_listener(&mut self) -> std::io::Result<()> {
         self.listener = Some(TcpListener::bind(self.listen)?);
         Ok(())
     }
 
-    /// From now on the library of faults is loaded into its processes.
+    /// Loads the fault injection library into processes started from now on.
     pub fn enable_faults(&mut self) -> std::io::Result<()> {
         let library = library(&self.program).ok_or_else(|| {
             let beside = self.program.display();
-            let text = format!("no library of faults beside {beside}: {BUILDS_LIBRARY} builds it");
+            let text =
+                format!("no fault injection library beside {beside}: {LIBRARY_BUILD_COMMAND} builds it");
             std::io::Error::new(std::io::ErrorKind::NotFound, text)
         })?;
         self.faults = Some((Faults::new(&self.folder)?, library));
         Ok(())
     }
 
-    /// What fails in its processes, if they were bent.
+    /// The control of the faults in its processes, if the library is loaded.
     pub fn faults(&self) -> Option<&Faults> {
         self.faults.as_ref().map(|(faults, _)| faults)
     }
 
-    /// Where its processes keep what outlives them.
+    /// The folder with its files, which its processes also use as their temporary folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -99,37 +104,39 @@
         self.start()
     }
 
-    /// Asks the first process to end.
+    /// Sends SIGTERM to the first process.
     pub fn terminate_first(&self) {
         if let Some(id) = self.first.as_ref().and_then(|first| Pid::from_raw(first.id() as i32)) {
             let _ = kill_process(id, Signal::TERM);
         }
     }
 
-    /// Has it read its file again.
+    /// Sends SIGHUP, by which it rereads its settings file.
     pub fn reload(&self) {
-        if self.stands_in.is_empty() {
+        if self.stand_in_arguments.is_empty() {
             self.signal(Signal::HUP);
         }
     }
 
-    /// Writes its file whole, or not at all.
+    /// Replaces its settings file atomically.
     pub fn write_config(&self, text: &str) -> std::io::Result<()> {
         fs::write(self.folder.join("new.json"), text)?;
         fs::rename(self.folder.join("new.json"), self.folder.join("sidecar.json"))
     }
 
-    /// Leaves half of its file.
+    /// Cuts its settings file to half of its length.
     pub fn truncate_config(&self) -> std::io::Result<()> {
         let text = fs::read_to_string(self.folder.join("sidecar.json"))?;
         fs::write(self.folder.join("sidecar.json"), &text[..text.len() / 2])
     }
 
+    /// Writes the operator's file, which processes started from now on read.
     pub fn write_operator_config(&mut self, text: &str) -> std::io::Result<()> {
         self.operator = true;
         fs::write(self.folder.join("operator.toml"), text)
     }
 
+    /// Starts a process.
     pub fn start(&mut self) -> std::io::Result<()> {
         let log = File::options().create(true).append(true).open(self.folder.join("log"))?;
         let mut command = match &self.listener {
@@ -140,7 +147,7 @@
                 shell
             }
         };
-        command.args(&self.stands_in).arg(self.folder.join("sidecar.json"));
+        command.args(&self.stand_in_arguments).arg(self.folder.join("sidecar.json"));
         if self.operator {
             command.arg("--operator").arg(self.folder.join("operator.toml"));
         }
@@ -152,7 +159,7 @@
         if let Some(listener) = &self.listener {
             command.stdin(Stdio::from(OwnedFd::from(listener.try_clone()?))).env("RELAY_PASSED_SOCKET", "5");
         }
-        // SAFETY: one system call, which allocates nothing.
+        // SAFETY: between fork and exec, this makes one system call and allocates nothing.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
@@ -160,38 +167,39 @@
         Ok(())
     }
 
+    /// Sends a signal to the process that was started last.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Sends a signal to one of its processes by id, if that has not been waited for yet.
+    /// Sends a signal to one of its processes by id, unless it has been waited for: the id may belong to another by then.
     pub fn signal_child(&self, id: u32, signal: Signal) {
-        let ours = [&self.child, &self.first].into_iter().flatten().any(|child| child.id() == id);
-        if let Some(id) = Pid::from_raw(id as i32).filter(|_| ours) {
+        let is_child = [&self.child, &self.first].into_iter().flatten().any(|child| child.id() == id);
+        if let Some(id) = Pid::from_raw(id as i32).filter(|_| is_child) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Of the process that runs; none where none does.
+    /// The id of the process that was started last; none after a kill.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Where its file stands.
+    /// Where its settings file is.
     pub fn config_path(&self) -> PathBuf {
         self.folder.join("sidecar.json")
     }
 
-    /// Killed outright; none is left.
+    /// Kills all its processes and waits for them.
     pub fn kill(&mut self) {
         for mut child in self.child.take().into_iter().chain(self.first.take()) {
             let _ = (child.kill(), child.wait());
         }
     }
 
-    /// Kills the second of two processes; the first goes on.
+    /// Kills the second of two processes; the first goes on running.
     pub fn kill_second(&mut self) {
         if let Some(first) = self.first.take() {
             let second = self.child.replace(first);
@@ -199,7 +207,7 @@
         }
     }
 
-    /// The first of two processes has ended; also where there are not two.
+    /// Whether the first of two processes has exited; true also where there are not two.
     pub fn first_has_exited(&mut self) -> bool {
         let ended = self.first.as_mut().is_none_or(|first| !matches!(first.try_wait(), Ok(None)));
         if ended {
@@ -208,17 +216,18 @@
         ended
     }
 
-    /// The code with which it ended, if it had one. None while it runs.
+    /// None while it runs; then its exit code, which a process killed by a signal does not have.
     pub fn exit_code(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         Some(status.code())
     }
 
-    /// Has ended by itself.
+    /// Whether it has exited by itself.
     pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
+    /// What its processes have written to standard error.
     pub fn log_text(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay on one link between two instances, which can be told to swallow bytes either way, hold them back or break.
+//! A relay on the links from one instance to one lease server. It can drop, delay, truncate or repeat what it forwards, and
+//! break its links or refuse new ones.
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,29 +8,33 @@
 use std::thread;
 use std::time::Duration;
 
+/// The faults on one direction of the links.
 #[derive(Default)]
-struct Way {
+struct Direction {
+    /// All data is dropped.
     cut: AtomicBool,
     delay_ms: AtomicU64,
-    /// Of what comes next one half goes on, and the link breaks.
-    half: AtomicBool,
-    /// How often what was said before is to be said again.
+    /// The next read is forwarded to one half, and its link breaks.
+    truncate_next: AtomicBool,
+    /// How often a repetition was ordered.
     replays: AtomicUsize,
 }
 
-/// Lines that are remembered to be said again.
-const REMEMBERED: usize = 32;
+/// How many of the last lines are kept for a repetition.
+const MAX_REPLAYED_LINES: usize = 32;
 
-/// From one instance to a keeper, and back.
+/// The links from one instance to one lease server.
 pub struct Relay {
+    /// Where the instance connects.
     pub address: SocketAddr,
-    there: Arc<Way>,
-    back: Arc<Way>,
+    there: Arc<Direction>,
+    back: Arc<Direction>,
     refuse: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Relay {
+    /// Starts a relay to the lease server at this address.
     pub fn start(to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let relay = Relay {
@@ -37,103 +42,111 @@
             there: Arc::default(),
             back: Arc::default(),
             refuse: Arc::default(),
-            open: Arc::default(),
+            open_streams: Arc::default(),
         };
-        let (there, back, open) = (relay.there.clone(), relay.back.clone(), relay.open.clone());
+        let (there, back, open_streams) =
+            (relay.there.clone(), relay.back.clone(), relay.open_streams.clone());
         let refuse = relay.refuse.clone();
         thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                // Nobody there: the link breaks, as it would without us.
+            for client in listener.incoming().map_while(Result::ok) {
+                // The link breaks, as it does without a relay where the lease server is down.
                 if refuse.load(Ordering::Relaxed) {
                     continue;
                 }
-                let Ok(far) = TcpStream::connect(to) else { continue };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let pairs = [(&near, &far, &there), (&far, &near, &back)];
-                for (from, to, way) in pairs {
+                let Ok(server) = TcpStream::connect(to) else { continue };
+                let _ = (client.set_nodelay(true), server.set_nodelay(true));
+                let pairs = [(&client, &server, &there), (&server, &client, &back)];
+                for (from, to, direction) in pairs {
                     if let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) {
-                        let way = way.clone();
-                        thread::spawn(move || carry(from, to, &way));
+                        let direction = direction.clone();
+                        thread::spawn(move || forward(from, to, &direction));
                     }
                 }
-                let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
-                open.extend([near, far]);
+                let mut open_streams = open_streams.lock().unwrap_or_else(PoisonError::into_inner);
+                open_streams.extend([client, server]);
             }
         });
         Ok(relay)
     }
 
+    /// Drops all data to the lease server, or back from it; with neither, ends this and a refusal.
     pub fn cut(&self, there: bool, back: bool) {
         self.there.cut.store(there, Ordering::Relaxed);
         self.back.cut.store(back, Ordering::Relaxed);
         if !there && !back {
             self.refuse.store(false, Ordering::Relaxed);
-            // What was swallowed has left the lines in pieces: both sides begin anew.
+            // Dropped data has left incomplete lines, so both sides need new links.
             self.reset();
         }
     }
 
+    /// Delays each read of either direction.
     pub fn delay(&self, length: Duration) {
-        for way in [&self.there, &self.back] {
-            way.delay_ms.store(length.as_millis() as u64, Ordering::Relaxed);
+        for direction in [&self.there, &self.back] {
+            direction.delay_ms.store(length.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
-    /// Breaks the link, and lets none come up.
+    /// Breaks all links, and refuses new ones.
     pub fn refuse(&self) {
         self.refuse.store(true, Ordering::Relaxed);
         self.reset();
     }
 
-    pub fn half(&self) {
-        [&self.there, &self.back].iter().for_each(|way| way.half.store(true, Ordering::Relaxed));
+    /// Forwards one half of the next read of each direction, then breaks its link.
+    pub fn truncate_next(&self) {
+        [&self.there, &self.back]
+            .iter()
+            .for_each(|direction| direction.truncate_next.store(true, Ordering::Relaxed));
     }
 
+    /// Repeats the last lines of each direction before its next line.
     pub fn replay(&self) {
-        for way in [&self.there, &self.back] {
-            way.replays.fetch_add(1, Ordering::Relaxed);
+        for direction in [&self.there, &self.back] {
+            direction.replays.fetch_add(1, Ordering::Relaxed);
         }
     }
 
+    /// Breaks all links.
     pub fn reset(&self) {
-        let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.drain(..).for_each(|stream| _ = stream.shutdown(Shutdown::Both));
+        let mut open_streams = self.open_streams.lock().unwrap_or_else(PoisonError::into_inner);
+        open_streams.drain(..).for_each(|stream| _ = stream.shutdown(Shutdown::Both));
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, way: &Way) {
+fn forward(mut from: TcpStream, mut to: TcpStream, direction: &Direction) {
     let mut buffer = [0; 16 * 1024];
-    let (mut said, mut line, mut replayed): (VecDeque<Vec<u8>>, Vec<u8>, usize) = Default::default();
-    // What holds for a link that comes up later is no business of this one.
-    replayed += way.replays.load(Ordering::Relaxed);
+    let (mut sent_lines, mut line, mut replayed): (VecDeque<Vec<u8>>, Vec<u8>, usize) = Default::default();
+    // A repetition that was ordered before this link opened does not apply to it.
+    replayed += direction.replays.load(Ordering::Relaxed);
     while let Ok(count @ 1..) = from.read(&mut buffer) {
-        let delay = way.delay_ms.load(Ordering::Relaxed);
+        let delay = direction.delay_ms.load(Ordering::Relaxed);
         if delay > 0 {
             thread::sleep(Duration::from_millis(delay));
         }
-        if way.half.swap(false, Ordering::Relaxed) {
+        if direction.truncate_next.swap(false, Ordering::Relaxed) {
             let _ = to.write_all(&buffer[..count / 2]);
             break;
         }
-        // Between two lines, not within one.
+        // Repeats between two lines, not within one.
         let mut sent = Vec::new();
-        if line.is_empty() && replayed < way.replays.load(Ordering::Relaxed) {
+        if line.is_empty() && replayed < direction.replays.load(Ordering::Relaxed) {
             replayed += 1;
-            said.iter().for_each(|line| sent.extend_from_slice(line));
+            sent_lines.iter().for_each(|line| sent.extend_from_slice(line));
         }
         sent.extend_from_slice(&buffer[..count]);
         for byte in &buffer[..count] {
             line.push(*byte);
             if *byte == b'\n' {
-                // The greeting says who speaks, and is said once.
-                said.push_back(std::mem::take(&mut line));
-                if said.len() > REMEMBERED {
-                    said.pop_front();
+                // The greeting names the sender and may be sent only once, so it is not repeated.
+                sent_lines.push_back(std::mem::take(&mut line));
+                if sent_lines.len() > MAX_REPLAYED_LINES {
+                    sent_lines.pop_front();
                 }
-                said.retain(|line| !line.starts_with(b"{\"accord\""));
+                sent_lines.retain(|line| !line.starts_with(b"{\"accord\""));
             }
         }
-        if !way.cut.load(Ordering::Relaxed) && to.write_all(&sent).is_err() {
+        if !direction.cut.load(Ordering::Relaxed) && to.write_all(&sent).is_err() {
             break;
         }
     }
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -246,7 +246,7 @@
             }
             Action::Reset => self.links(instance).for_each(|(relay, _)| relay.reset()),
             Action::Refuse => self.links(instance).for_each(|(relay, _)| relay.refuse()),
-            Action::TruncateMessage => self.links(instance).for_each(|(relay, _)| relay.half()),
+            Action::TruncateMessage => self.links(instance).for_each(|(relay, _)| relay.truncate_next()),
             Action::Replay => self.links(instance).for_each(|(relay, _)| relay.replay()),
             Action::ForeignConnections => {
                 self.keepers.get(instance).into_iter().for_each(|keeper| open_foreign_connections(*keeper))
