--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -1,5 +1,4 @@
-//! How many scenes play at once: as many as the machine's cores have room for, by the processor time that the parts of one
-//! were measured to take.
+//! Limits how many scenes run at once, by the processor time that each is estimated to take and that the machine has free.
 use crate::scene::Scene;
 use std::fs;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -9,40 +8,43 @@
 /// Thousandths of a core.
 pub type Millicores = u64;
 
-/// What a process of the program takes with its discovery; a relay on a link between two instances; and a call a second
-/// with its caller, its hop at a server and its share of the sidecar. Fitted, and rounded up, to what `oakhollow-lab play`
-/// said of twelve scenes in the build of the tests: `stopped` 197 (640 calls a second), `deaf` 123 (240), `behind` 110
-/// (160), `strangers` 98 (120, four links in place of twelve), `links` 143 and `cut-off` 110 (five processes, 250 and 200).
-/// Servers at rest take nothing: their work is in the calls.
+// The three costs are fitted, and rounded up, to what `oakhollow-lab play` printed for twelve scenes in the build of the tests:
+// `stopped` 197 (640 requests a second), `deaf` 123 (240), `behind` 110 (160), `strangers` 98 (120, four links instead of
+// twelve), `links` 143 and `cut-off` 110 (five processes, 250 and 200). Servers have no cost of their own beyond that of the
+// requests.
+
+/// The cost of one process of the program and its discovery.
 const PROCESS: Millicores = 20;
+/// The cost of one relay on a link between two instances.
 const LINK: Millicores = 1;
-const CALL_A_SECOND: f64 = 0.25;
+/// The cost of one request a second: its client, its attempt at a server, and its share of the sidecar.
+const REQUEST_PER_S: f64 = 0.25;
 
-/// What a scene takes of the machine while it plays, reckoned from what it starts.
+/// Estimates the processor time that a scene takes while it runs, from what it starts.
 pub fn estimated_demand(scene: &Scene) -> Millicores {
     let sidecars = scene.sidecars as u64;
-    let calls = scene.sidecars as f64 * scene.workloads().len() as f64 * scene.rate;
+    let requests = scene.sidecars as f64 * scene.workloads().len() as f64 * scene.rate;
     let links = sidecars * scene.keepers as u64;
-    sidecars * PROCESS + links * LINK + (calls * CALL_A_SECOND).ceil() as u64
+    sidecars * PROCESS + links * LINK + (requests * REQUEST_PER_S).ceil() as u64
 }
 
-/// Of the room on the machine so much is given out: over a quarter of a second a scene takes nearly twice its mean,
-/// all of them start at once, and no call may wait.
-const GIVEN: (u64, u64) = (1, 4);
+/// The share of the free processor time that scenes may take together, as a fraction. Within a quarter of a second a scene
+/// takes nearly twice its mean, all scenes start at once, and no request may wait.
+const USABLE_SHARE: (u64, u64) = (1, 4);
 
-/// The room for scenes on a machine of so many cores where others keep so much busy. Half of the cores count even so: that
-/// is what its scheduler gives to one of two.
+/// How much scenes may take together on a machine where other processes keep `others` busy. At least half of the cores count
+/// as free, since that is what the scheduler gives to one of two competing processes.
 pub fn available_capacity(cores: usize, others: Millicores) -> Millicores {
     let all = cores as u64 * 1000;
-    all.saturating_sub(others).max(all / 2) * GIVEN.0 / GIVEN.1
+    all.saturating_sub(others).max(all / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
 }
 
-/// What is busy on the machine, by a look at its clocks some time apart; nothing where it does not show them.
+/// How much of the machine is busy, from two readings of its processor times; 0 where it does not show them.
 pub fn busy_millicores(cores: usize) -> Millicores {
     let Some(before) = fs::read_to_string("/proc/stat").ok().and_then(|text| parse_cpu_times(&text)) else {
         return 0;
     };
-    thread::sleep(LOOK);
+    thread::sleep(SAMPLING_TIME);
     let Some(after) = fs::read_to_string("/proc/stat").ok().and_then(|text| parse_cpu_times(&text)) else {
         return 0;
     };
@@ -50,76 +52,79 @@
     (cores as u64 * 1000 * busy).checked_div(all).unwrap_or(0)
 }
 
-/// For how long the machine is looked at.
-const LOOK: Duration = Duration::from_millis(500);
+/// The time between the two readings.
+const SAMPLING_TIME: Duration = Duration::from_millis(500);
 
-/// The processor time, in seconds, of this process and of those that it started and that have ended.
+/// The processor time, in seconds, of this process and of the child processes that it has waited for.
 pub fn cpu_seconds_used() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
-    // After the name: the state is the third field; user's and system's time the 14th to the 17th, in hundredths.
+    // Field 3, the state, follows the process name; fields 14 to 17 are the user and system times, in hundredths of a second.
     let times = stat.rsplit(") ").next()?.split(' ').skip(11).take(4);
     Some(times.filter_map(|time| time.parse::<f64>().ok()).sum::<f64>() / 100.0)
 }
 
-/// The busy part of the time of all cores, and the whole, as `/proc/stat` counts them.
+/// The busy and the total time of all cores, in the units of `/proc/stat`.
 pub fn parse_cpu_times(stat: &str) -> Option<(u64, u64)> {
     let line = stat.lines().next()?.strip_prefix("cpu ")?;
     let times: Vec<u64> = line.split_whitespace().map_while(|time| time.parse().ok()).collect();
-    // user, nice, system, idle, iowait, irq, softirq, steal; what follows is counted in user already.
+    // user, nice, system, idle, iowait, irq, softirq, steal; the later fields are part of user and nice.
     let all: u64 = times.iter().take(8).sum();
     Some((all.checked_sub(times.get(3)? + times.get(4)?)?, all))
 }
 
 #[derive(Default)]
-struct Taken {
+struct Usage {
     millicores: Millicores,
-    /// Numbers of whoever comes next and of whoever is let in next: in the order in which they came.
-    comes: u64,
-    enters: u64,
+    /// The number of the next request for admission.
+    next_request: u64,
+    /// The number of the next request to be admitted; requests are admitted in order.
+    next_admitted: u64,
 }
 
-/// Lets scenes in while there is room, in the order in which they ask.
+/// Admits scenes while there is capacity, in the order in which they ask.
 pub struct Admission {
-    room: Millicores,
-    taken: Mutex<Taken>,
-    freed: Condvar,
+    capacity: Millicores,
+    usage: Mutex<Usage>,
+    changed: Condvar,
 }
 
 impl Admission {
-    pub fn new(room: Millicores) -> Admission {
-        Admission { room, taken: Mutex::default(), freed: Condvar::new() }
+    /// Admits scenes up to this capacity.
+    pub fn new(capacity: Millicores) -> Admission {
+        Admission { capacity, usage: Mutex::default(), changed: Condvar::new() }
     }
 
-    fn taken(&self) -> MutexGuard<'_, Taken> {
-        self.taken.lock().unwrap_or_else(PoisonError::into_inner)
+    fn usage(&self) -> MutexGuard<'_, Usage> {
+        self.usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is room. Whatever takes more than all of it plays alone.
+    /// Waits until there is capacity for this demand. A demand over the whole capacity is admitted alone.
     pub fn admit(&self, demand: Millicores) -> Permit<'_> {
-        let demand = demand.min(self.room);
-        let mut taken = self.taken();
-        let own = taken.comes;
-        taken.comes += 1;
-        let waits = |taken: &mut Taken| taken.enters != own || taken.millicores + demand > self.room;
-        taken = self.freed.wait_while(taken, waits).unwrap_or_else(PoisonError::into_inner);
-        (taken.millicores, taken.enters) = (taken.millicores + demand, taken.enters + 1);
-        // There may be room for the next as well.
-        self.freed.notify_all();
+        let demand = demand.min(self.capacity);
+        let mut usage = self.usage();
+        let number = usage.next_request;
+        usage.next_request += 1;
+        let must_wait =
+            |usage: &mut Usage| usage.next_admitted != number || usage.millicores + demand > self.capacity;
+        usage = self.changed.wait_while(usage, must_wait).unwrap_or_else(PoisonError::into_inner);
+        (usage.millicores, usage.next_admitted) = (usage.millicores + demand, usage.next_admitted + 1);
+        // There may be capacity for the next as well.
+        self.changed.notify_all();
         Permit { admission: self, demand }
     }
 
-    /// How many have asked so far.
+    /// How many requests for admission there were so far.
     pub fn admissions_requested(&self) -> u64 {
-        self.taken().comes
+        self.usage().next_request
     }
 
-    /// Waits until nothing plays, and lets nothing else in.
+    /// Waits until no other scene runs, and admits none until the permit is dropped.
     pub fn admit_exclusively(&self) -> Permit<'_> {
-        self.admit(self.room)
+        self.admit(self.capacity)
     }
 }
 
-/// The room of one that plays, which is free again when this is dropped.
+/// The capacity that a running scene holds; dropping this frees it.
 pub struct Permit<'a> {
     admission: &'a Admission,
     demand: Millicores,
@@ -127,7 +132,7 @@
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        self.admission.taken().millicores -= self.demand;
-        self.admission.freed.notify_all();
+        self.admission.usage().millicores -= self.demand;
+        self.admission.changed.notify_all();
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -328,13 +328,13 @@
         Command::Traffic { instances, within, seed } => {
             for instances in instances {
                 let report = measure(instances.max(3), within, seed);
-                let Report { calm, keeper, change, drain, .. } = &report;
+                let Report { idle_instance, idle_lease_server, change, drain, .. } = &report;
                 println!(
-                    "{instances} instances, simulated: {:.1} words and {:.0} bytes a second an instance, {:.0} and {:.0} a keeper; \
-                     a change {:.0} words and {:.0} bytes an instance, in {:.4} s, with one silent in {:.3} s; \
-                     a drain {:.0} and {:.0}, told to one in {:.4} s",
-                    calm.words, calm.bytes, keeper.words, keeper.bytes, change.words, change.bytes, report.change_s,
-                    report.silent_s, drain.words, drain.bytes, report.drain_s
+                    "{instances} instances, simulated: {:.1} messages and {:.0} bytes a second an instance, {:.0} and {:.0} a lease \
+                     server; a change {:.0} messages and {:.0} bytes an instance, in {:.4} s, with one cut off in {:.3} s; \
+                     a drain {:.0} and {:.0}, announced to one instance in {:.4} s",
+                    idle_instance.messages, idle_instance.bytes, idle_lease_server.messages, idle_lease_server.bytes, change.messages, change.bytes, report.change_s,
+                    report.change_while_cut_off_s, drain.messages, drain.bytes, report.drain_s
                 );
             }
             ExitCode::SUCCESS
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,5 +1,5 @@
-//! A sidecar of the rig's own, which agrees as all others do and forwards calls in the plainest way, honestly or with one fault
-//! of choice: whoever judges scenes must catch each of those.
+//! A minimal sidecar of the lab. It takes part in the lease protocol as the program does and forwards requests in the simplest
+//! way, correctly or with one chosen fault. The faults test the scene checker, which must find each of them.
 use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{
@@ -18,76 +18,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What it does wrong.
+/// How the stand-in behaves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, clap::ValueEnum)]
 pub enum Behaviour {
+    /// Without a fault.
     Honest,
-    /// It goes on by the old settings for three seconds after it has said that it knows the new ones.
-    Late,
-    /// It acts without a lease.
+    /// It applies new settings three seconds after it has confirmed that it knows them.
+    #[value(name = "late")]
+    AppliesLate,
+    /// It goes on sending without a lease once it has had one.
     NoLease,
-    /// It counts a lease from the answer.
-    FromAnswer,
-    /// It forgets what others say of servers that drain.
-    NoDrains,
-    /// It takes a lower number.
-    Lower,
-    /// No fault: it hears of no change, and asks for leases by what it knew.
-    Deaf,
-    /// No fault: it can't take any version but the first.
-    Refuses,
+    /// It counts a lease's duration from the answer instead of the request.
+    #[value(name = "from-answer")]
+    LeaseFromAnswer,
+    /// It ignores servers that other instances report as draining.
+    #[value(name = "no-drains")]
+    IgnoresDrains,
+    /// It applies a version of the settings with a lower number.
+    #[value(name = "lower")]
+    AppliesLowerVersion,
+    /// No fault: it receives no new settings, and asks for leases with those that it knew.
+    #[value(name = "deaf")]
+    ReceivesNoSettings,
+    /// No fault: it cannot apply any version of the settings but its first.
+    #[value(name = "refuses")]
+    RejectsNewSettings,
 }
 
-const LATE: Duration = Duration::from_secs(3);
-/// How often it looks at its file, which nobody tells it of.
-const LOOK: Duration = Duration::from_millis(20);
+/// How long [`Behaviour::AppliesLate`] waits.
+const APPLY_DELAY: Duration = Duration::from_secs(3);
+/// How often it checks its file for changes, of which it gets no signal.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Workloads that are offered, and whether they may be repeated.
-type Offered = BTreeMap<String, bool>;
+/// The workloads of the settings in force, and whether they may be repeated.
+type Workloads = BTreeMap<String, bool>;
 
-struct Inside {
-    how: Behaviour,
+struct State {
+    behaviour: Behaviour,
     begun: Instant,
-    within: Micros,
-    member: LeaseHolder,
-    own: LocalSettings,
+    lease: Micros,
+    lease_holder: LeaseHolder,
+    local_settings: LocalSettings,
     path: PathBuf,
     /// The file as it was last read.
     file: String,
-    offered: Offered,
-    /// What is to be offered from then on.
-    later: Vec<(Instant, Offered)>,
-    out: BTreeMap<String, u64>,
+    workloads: Workloads,
+    /// Workloads of settings that are applied later, with when.
+    delayed_workloads: Vec<(Instant, Workloads)>,
+    /// Servers that other instances report as draining, with their start times.
+    draining_servers: BTreeMap<String, u64>,
+    /// The last list of its discovery.
     servers: BTreeMap<String, EndpointEntry>,
-    until: Micros,
-    ways: HashMap<InstanceId, Sender<Option<Message>>>,
-    turns: usize,
+    /// When its lease expires.
+    lease_expires_at: Micros,
+    /// The links to the lease servers.
+    links: HashMap<InstanceId, Sender<Option<Message>>>,
+    /// How many attempts it has sent.
+    attempts_chosen: usize,
 }
 
-/// What is inside, and the word that somebody has changed when it is due.
-type Shared = Arc<(Mutex<Inside>, Condvar)>;
+/// The state, and the signal that its next deadline may have changed.
+type SharedState = Arc<(Mutex<State>, Condvar)>;
 
-fn lock(inside: &Shared) -> MutexGuard<'_, Inside> {
-    inside.0.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &SharedState) -> MutexGuard<'_, State> {
+    state.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn offered(own: &LocalSettings, texts: &[&str]) -> Result<Offered, String> {
-    let place = own.merge(texts)?;
-    let kinds =
-        place.balancer.workloads.iter().map(|workload| workload.idempotency == Idempotency::Idempotent);
-    Ok(place.workloads.into_iter().map(|named| named.name).zip(kinds).collect())
+fn workloads(local_settings: &LocalSettings, texts: &[&str]) -> Result<Workloads, String> {
+    let settings = local_settings.merge(texts)?;
+    let repeatable =
+        settings.balancer.workloads.iter().map(|workload| workload.idempotency == Idempotency::Idempotent);
+    Ok(settings.workloads.into_iter().map(|workload| workload.name).zip(repeatable).collect())
 }
 
-/// What a sidecar's file says, its own part of the settings, and the part that is the same for all.
+/// Reads an instance's settings file: all of it, the part that is the instance's own, and the document that all instances share.
 pub(crate) fn read_instance_file(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
-    let start = SidecarConfig::from_file(path)?;
-    let (own, common) = LocalSettings::split(&start.settings_text)?;
-    let number = start.settings_version.ok_or("version: missing")?;
-    let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
-    Ok((start, own, Document { version, text: common.text.into() }))
+    let config = SidecarConfig::from_file(path)?;
+    let (local_settings, shared) = LocalSettings::split(&config.settings_text)?;
+    let number = config.settings_version.ok_or("version: missing")?;
+    let version = Version { epoch: number.epoch, number: number.number, hash: shared.hash };
+    Ok((config, local_settings, Document { version, text: shared.text.into() }))
 }
 
-impl Inside {
+impl State {
     fn now(&self) -> Micros {
         Micros(1 + self.begun.elapsed().as_micros() as u64)
     }
@@ -95,23 +108,23 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, word) => _ = self.ways.get(&to).map(|way| way.send(Some(word))),
+                Action::Send(to, message) => _ = self.links.get(&to).map(|link| link.send(Some(message))),
                 Action::ApplyDocuments => {
                     let texts: Vec<Arc<str>> =
-                        self.member.active_documents().map(|(_, text)| text.clone()).collect();
+                        self.lease_holder.active_documents().map(|(_, text)| text.clone()).collect();
                     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
-                    let Ok(fresh) = offered(&self.own, &texts) else { continue };
-                    match self.how {
-                        Behaviour::Late if !self.offered.is_empty() => {
-                            self.later.push((Instant::now() + LATE, fresh));
+                    let Ok(new_workloads) = workloads(&self.local_settings, &texts) else { continue };
+                    match self.behaviour {
+                        Behaviour::AppliesLate if !self.workloads.is_empty() => {
+                            self.delayed_workloads.push((Instant::now() + APPLY_DELAY, new_workloads));
                         }
-                        _ => self.offered = fresh,
+                        _ => self.workloads = new_workloads,
                     }
                 }
-                Action::ApplyLists if self.how == Behaviour::NoDrains => {}
+                Action::ApplyLists if self.behaviour == Behaviour::IgnoresDrains => {}
                 Action::ApplyLists => {
-                    self.out = self
-                        .member
+                    self.draining_servers = self
+                        .lease_holder
                         .excluded_servers()
                         .into_iter()
                         .map(|(name, since)| (name.to_string(), since))
@@ -122,53 +135,61 @@
         }
     }
 
-    fn hear(&mut self, from: InstanceId, word: Message) {
-        if self.how == Behaviour::Deaf && matches!(word, Message::Documents(_)) && self.until > Micros(0) {
+    fn receive(&mut self, from: InstanceId, message: Message) {
+        if self.behaviour == Behaviour::ReceivesNoSettings
+            && matches!(message, Message::Documents(_))
+            && self.lease_expires_at > Micros(0)
+        {
             return;
         }
-        let (before, mut actions) = (self.member.lease_valid_until(), Vec::new());
-        self.member.handle_message(self.now(), from, word, &mut actions);
+        let (before, mut actions) = (self.lease_holder.lease_valid_until(), Vec::new());
+        self.lease_holder.handle_message(self.now(), from, message, &mut actions);
         self.carry_out(actions);
-        let until = self.member.lease_valid_until();
-        match self.how {
-            Behaviour::FromAnswer if until > before => self.until = self.now() + self.within,
-            Behaviour::FromAnswer => {}
-            Behaviour::NoLease if until > Micros(0) => self.until = Micros::NEVER,
-            _ => self.until = until,
+        let lease_expires_at = self.lease_holder.lease_valid_until();
+        match self.behaviour {
+            Behaviour::LeaseFromAnswer if lease_expires_at > before => {
+                self.lease_expires_at = self.now() + self.lease
+            }
+            Behaviour::LeaseFromAnswer => {}
+            Behaviour::NoLease if lease_expires_at > Micros(0) => self.lease_expires_at = Micros::NEVER,
+            _ => self.lease_expires_at = lease_expires_at,
         }
     }
 
-    fn tick(&mut self) {
+    fn run_due(&mut self) {
         let (now, mut actions) = (self.now(), Vec::new());
-        if now >= self.member.next_wakeup() {
-            self.member.handle_timer(now, &mut actions);
+        if now >= self.lease_holder.next_wakeup() {
+            self.lease_holder.handle_timer(now, &mut actions);
         }
         let file = std::fs::read_to_string(&self.path).unwrap_or_default();
         if file != self.file {
             self.file = file;
-            if let Ok((_, own, document)) = read_instance_file(&self.path) {
-                self.own = own;
+            if let Ok((_, local_settings, document)) = read_instance_file(&self.path) {
+                self.local_settings = local_settings;
                 let text = document.text.clone();
-                if !self.member.propose(now, document, &mut actions) && self.how == Behaviour::Lower {
-                    self.offered = offered(&self.own, &[&text]).unwrap_or_default();
+                if !self.lease_holder.propose(now, document, &mut actions)
+                    && self.behaviour == Behaviour::AppliesLowerVersion
+                {
+                    self.workloads = workloads(&self.local_settings, &[&text]).unwrap_or_default();
                 }
             }
         }
         self.carry_out(actions);
-        let due = self.later.iter().filter(|(at, _)| *at <= Instant::now()).count();
-        if let Some((_, fresh)) = self.later.drain(..due).next_back() {
-            self.offered = fresh;
+        let due = self.delayed_workloads.iter().filter(|(at, _)| *at <= Instant::now()).count();
+        if let Some((_, new_workloads)) = self.delayed_workloads.drain(..due).next_back() {
+            self.workloads = new_workloads;
         }
     }
 
-    /// How long until something is due.
-    fn rests(&self) -> Duration {
-        let due = Duration::from_micros((self.member.next_wakeup() - self.now()).0);
-        let later = self.later.iter().map(|(at, _)| at.saturating_duration_since(Instant::now())).min();
-        due.min(later.unwrap_or(LOOK)).min(LOOK)
+    /// How long it may wait until the next deadline.
+    fn time_to_next_deadline(&self) -> Duration {
+        let due = Duration::from_micros((self.lease_holder.next_wakeup() - self.now()).0);
+        let delayed_workloads =
+            self.delayed_workloads.iter().map(|(at, _)| at.saturating_duration_since(Instant::now())).min();
+        due.min(delayed_workloads.unwrap_or(FILE_CHECK_INTERVAL)).min(FILE_CHECK_INTERVAL)
     }
 
-    fn listed(&mut self, list: &DiscoveryList) {
+    fn apply_list(&mut self, list: &DiscoveryList) {
         if list.snapshot {
             self.servers.clear();
         }
@@ -184,92 +205,96 @@
         let entries = list.endpoints.iter();
         let entries =
             entries.map(|entry| (entry.name.as_str().into(), (!entry.has_left()).then(|| fact(entry))));
-        let listed = ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() };
+        let apply_list =
+            ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() };
         let mut actions = Vec::new();
-        self.member.handle_list_update(self.now(), listed, &mut actions);
+        self.lease_holder.handle_list_update(self.now(), apply_list, &mut actions);
         self.carry_out(actions);
     }
 
-    fn acts(&self) -> bool {
-        self.until > self.now()
+    fn has_lease(&self) -> bool {
+        self.lease_expires_at > self.now()
     }
 
-    /// Where a hop of that workload may go, the next in turn, and whether it may be repeated.
+    /// Chooses a server for an attempt of that workload, round robin, with whether the request may be repeated; else the status
+    /// of the refusal.
     fn choose(&mut self, workload: &str) -> Result<(SocketAddr, bool), u16> {
-        let repeat = *self.offered.get(workload).ok_or(404_u16)?;
-        if !self.acts() {
+        let repeat = *self.workloads.get(workload).ok_or(404_u16)?;
+        if !self.has_lease() {
             return Err(503);
         }
-        let drains =
-            |entry: &EndpointEntry| self.out.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since);
+        let drains = |entry: &EndpointEntry| {
+            self.draining_servers.get(&entry.name).is_some_and(|since| entry.since_ms() <= *since)
+        };
         let usable = self.servers.values().filter(|entry| entry.is_active() && !drains(entry));
         let usable: Vec<SocketAddr> = usable.map(|entry| entry.address).collect();
-        self.turns += 1;
-        usable.get(self.turns % usable.len().max(1)).map(|to| (*to, repeat)).ok_or(503)
+        self.attempts_chosen += 1;
+        usable.get(self.attempts_chosen % usable.len().max(1)).map(|to| (*to, repeat)).ok_or(503)
     }
 }
 
-/// Runs for as long as the process.
-pub fn run(path: &Path, operator: &Path, how: Behaviour) -> Result<(), String> {
-    let (start, own, first) = read_instance_file(path)?;
-    let agreed = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
-    let names: Vec<&String> = agreed.instances.keys().collect();
+/// Runs the stand-in until the process is killed.
+pub fn run(path: &Path, operator: &Path, behaviour: Behaviour) -> Result<(), String> {
+    let (config, local_settings, first) = read_instance_file(path)?;
+    let accord = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
+    let names: Vec<&String> = accord.instances.keys().collect();
     let id = |name: &String| names.iter().position(|other| *other == name).map(|at| InstanceId(at as u32));
-    let keepers: Vec<InstanceId> = agreed.keepers.iter().filter_map(id).collect();
-    let within = lease_duration(micros_from_seconds(agreed.max_divergence_s));
-    let judge: Validator = {
-        let (own, only) = (own.clone(), first.text.clone());
+    let lease_servers: Vec<InstanceId> = accord.keepers.iter().filter_map(id).collect();
+    let lease = lease_duration(micros_from_seconds(accord.max_divergence_s));
+    let validator: Validator = {
+        let (local_settings, only) = (local_settings.clone(), first.text.clone());
         Arc::new(move |texts: &[Arc<str>]| {
-            if how == Behaviour::Refuses && texts.iter().any(|text| *text != only) {
+            if behaviour == Behaviour::RejectsNewSettings && texts.iter().any(|text| *text != only) {
                 return Err("settings: not known to this build".into());
             }
             let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
-            offered(&own, &texts).map(|_| ())
+            workloads(&local_settings, &texts).map(|_| ())
         })
     };
-    let inside = Inside {
-        how,
+    let state = State {
+        behaviour,
         begun: Instant::now(),
-        within,
-        member: LeaseHolder::new(keepers.clone(), within, judge),
-        own,
+        lease,
+        lease_holder: LeaseHolder::new(lease_servers.clone(), lease, validator),
+        local_settings,
         path: path.into(),
-        file: std::fs::read_to_string(path).map_err(|fault| fault.to_string())?,
-        offered: Offered::new(),
-        later: Vec::new(),
-        out: BTreeMap::new(),
+        file: std::fs::read_to_string(path).map_err(|error| error.to_string())?,
+        workloads: Workloads::new(),
+        delayed_workloads: Vec::new(),
+        draining_servers: BTreeMap::new(),
         servers: BTreeMap::new(),
-        until: Micros(0),
-        ways: HashMap::new(),
-        turns: 0,
+        lease_expires_at: Micros(0),
+        links: HashMap::new(),
+        attempts_chosen: 0,
     };
-    let inside: Shared = Arc::new((Mutex::new(inside), Condvar::new()));
-    for (name, keeper) in agreed.keepers.iter().zip(&keepers) {
-        dial(&inside, *keeper, agreed.instances[name], &start.name);
+    let state: SharedState = Arc::new((Mutex::new(state), Condvar::new()));
+    for (name, lease_server) in accord.keepers.iter().zip(&lease_servers) {
+        connect_to_lease_server(&state, *lease_server, accord.instances[name], &config.name);
     }
     let mut actions = Vec::new();
-    let now = lock(&inside).now();
-    lock(&inside).member.propose(now, first, &mut actions);
-    lock(&inside).carry_out(actions);
-    watch(&inside, start.discovery);
-    let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|fault| fault.to_string());
-    let door = inside.clone();
-    serve_connections(listener(start.listen)?, move |stream| _ = serve(&door, BufReader::new(stream)));
-    if let Some(at) = start.console {
-        let door = inside.clone();
+    let now = lock(&state).now();
+    lock(&state).lease_holder.propose(now, first, &mut actions);
+    lock(&state).carry_out(actions);
+    watch(&state, config.discovery);
+    let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|error| error.to_string());
+    let shared = state.clone();
+    serve_connections(listener(config.listen)?, move |stream| _ = serve(&shared, BufReader::new(stream)));
+    if let Some(at) = config.console {
+        let shared = state.clone();
         serve_connections(listener(at)?, move |stream| {
-            let status = if lock(&door).acts() && !lock(&door).servers.is_empty() { 200 } else { 503 };
+            let status =
+                if lock(&shared).has_lease() && !lock(&shared).servers.is_empty() { 200 } else { 503 };
             let mut stream = BufReader::new(stream);
             if read_head(&mut stream).is_some() {
                 let _ = stream.get_mut().write_all(answer(status).as_bytes());
             }
         });
     }
-    let mut own = lock(&inside);
+    let mut locked = lock(&state);
     loop {
-        own.tick();
-        let rests = own.rests();
-        own = inside.1.wait_timeout(own, rests).unwrap_or_else(PoisonError::into_inner).0;
+        locked.run_due();
+        let timeout = locked.time_to_next_deadline();
+        locked = state.1.wait_timeout(locked, timeout).unwrap_or_else(PoisonError::into_inner).0;
     }
 }
 
@@ -277,31 +302,31 @@
     format!("HTTP/1.1 {status} As told\r\nContent-Length: 0\r\n\r\n")
 }
 
-fn dial(inside: &Shared, keeper: InstanceId, at: SocketAddr, name: &str) {
-    // A link that has broken says so by none.
-    let (way, words) = channel::<Option<Message>>();
-    lock(inside).ways.insert(keeper, way.clone());
-    let (inside, greeting) = (inside.clone(), Greeting::new(name, u64::from(std::process::id())).to_json());
+fn connect_to_lease_server(state: &SharedState, lease_server: InstanceId, at: SocketAddr, name: &str) {
+    // A None wakes the writer when the link has broken.
+    let (link, messages) = channel::<Option<Message>>();
+    lock(state).links.insert(lease_server, link.clone());
+    let (state, greeting) = (state.clone(), Greeting::new(name, u64::from(std::process::id())).to_json());
     thread::spawn(move || loop {
         thread::sleep(Duration::from_millis(50));
         let Ok(mut stream) = TcpStream::connect(at) else { continue };
-        while words.try_recv().is_ok() {}
+        while messages.try_recv().is_ok() {}
         let (Ok(reads), Ok(())) = (stream.try_clone(), stream.write_all(format!("{greeting}\n").as_bytes()))
         else {
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (inside, way) = (inside.clone(), way.clone());
+        let (state, link) = (state.clone(), link.clone());
         let reader = thread::spawn(move || {
             for line in BufReader::new(reads).lines().map_while(Result::ok) {
-                let Ok(word) = read_json::<Message>(line.as_bytes()) else { break };
-                lock(&inside).hear(keeper, word);
-                inside.1.notify_all();
+                let Ok(message) = read_json::<Message>(line.as_bytes()) else { break };
+                lock(&state).receive(lease_server, message);
+                state.1.notify_all();
             }
-            let _ = way.send(None);
+            let _ = link.send(None);
         });
-        while let Ok(Some(word)) = words.recv() {
-            if stream.write_all(format!("{}\n", to_json(&word)).as_bytes()).is_err() {
+        while let Ok(Some(message)) = messages.recv() {
+            if stream.write_all(format!("{}\n", to_json(&message)).as_bytes()).is_err() {
                 break;
             }
         }
@@ -309,15 +334,15 @@
     });
 }
 
-fn watch(inside: &Shared, discovery: SocketAddr) {
-    let inside = inside.clone();
+fn watch(state: &SharedState, discovery: SocketAddr) {
+    let state = state.clone();
     thread::spawn(move || loop {
         if let Ok(mut stream) = TcpStream::connect(discovery) {
             let _ = stream.write_all(b"GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: x\r\n\r\n");
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
                 if let Ok(list) = read_json::<DiscoveryList>(line.as_bytes()) {
-                    lock(&inside).listed(&list);
-                    inside.1.notify_all();
+                    lock(&state).apply_list(&list);
+                    state.1.notify_all();
                 }
             }
         }
@@ -325,18 +350,18 @@
     });
 }
 
-fn serve(inside: &Shared, mut stream: BufReader<TcpStream>) -> Option<()> {
+fn serve(state: &SharedState, mut stream: BufReader<TcpStream>) -> Option<()> {
     let _ = stream.get_ref().set_nodelay(true);
-    let mut kept = Kept::new();
+    let mut idle = IdleConnections::new();
     loop {
         let head = read_head(&mut stream)?;
         let workload = head.split(' ').nth(1)?.trim_start_matches('/').to_string();
         let id = header(&head, "Request-Id")?.to_string();
         let mut status = 503;
         for repeat in [false, true] {
-            let chosen = lock(inside).choose(&workload);
-            let (to, may_repeat) = match chosen {
-                Ok(chosen) => chosen,
+            let choice = lock(state).choose(&workload);
+            let (to, may_repeat) = match choice {
+                Ok(choice) => choice,
                 Err(_) if repeat => break,
                 Err(refused) => {
                     status = refused;
@@ -346,7 +371,7 @@
             if repeat && !may_repeat {
                 break;
             }
-            status = hop(&mut kept, to, &workload, &id).unwrap_or(502);
+            status = send_attempt(&mut idle, to, &workload, &id).unwrap_or(502);
             if status == 200 {
                 break;
             }
@@ -355,12 +380,12 @@
     }
 }
 
-/// Connections to servers that are kept: a new one costs a server two threads' turns before it notes the hop, and on a busy
-/// machine a hop that was allowed when it went out would be noted after its lease.
-type Kept = HashMap<SocketAddr, BufReader<TcpStream>>;
+/// Idle connections to servers. They are reused because a server needs two thread switches to record an attempt on a new
+/// connection: on a busy machine it would record an attempt that was allowed when it was sent after the lease has expired.
+type IdleConnections = HashMap<SocketAddr, BufReader<TcpStream>>;
 
-fn hop(kept: &mut Kept, to: SocketAddr, workload: &str, id: &str) -> Option<u16> {
-    let mut stream = match kept.remove(&to) {
+fn send_attempt(idle: &mut IdleConnections, to: SocketAddr, workload: &str, id: &str) -> Option<u16> {
+    let mut stream = match idle.remove(&to) {
         Some(stream) => stream,
         None => {
             let stream = TcpStream::connect(to).ok()?;
@@ -368,9 +393,9 @@
             BufReader::new(stream)
         }
     };
-    let ask = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\n\r\n");
-    stream.get_mut().write_all(ask.as_bytes()).ok()?;
+    let request = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\n\r\n");
+    stream.get_mut().write_all(request.as_bytes()).ok()?;
     let status = read_head(&mut stream)?.split(' ').nth(1)?.parse().ok()?;
-    kept.insert(to, stream);
+    idle.insert(to, stream);
     Some(status)
 }
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,5 +1,6 @@
-//! How much instances say to agree, and how long a change takes, simulated: members and keepers by the package's own code,
-//! all in one process, in virtual time, with links of 0.5 to 2 ms. Bytes are those of the words' lines.
+//! Simulates how much traffic the lease protocol causes and how long a change takes to reach all instances. Lease holders and
+//! lease servers run the code of the package `accord`, all in one process and in virtual time, on links with a delay of 0.5 to
+//! 2 ms. Bytes are those of the messages' lines.
 use crate::scale::catalogue::{Catalogue, EndpointState, Shape};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
@@ -12,54 +13,61 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-/// What of a length of time was said, for each instance.
+/// Messages and their bytes, in both directions, of one participant in some span of time.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Said {
-    pub words: f64,
+pub struct Traffic {
+    /// Messages.
+    pub messages: f64,
+    /// Bytes of these messages.
     pub bytes: f64,
 }
 
-/// What came of a number of instances.
+/// The outcome for a number of instances.
 #[derive(Clone, Debug)]
 pub struct Report {
+    /// How many instances there are.
     pub instances: usize,
-    /// An instance's own words and those to it, a second, while nothing changes; and a keeper's.
-    pub calm: Said,
-    pub keeper: Said,
-    /// For one change, and for one server that drains by all lists at once, beyond what is said anyway.
-    pub change: Said,
-    pub drain: Said,
-    /// From when it is written, or told to one, until it holds at all, in seconds.
+    /// The traffic of an instance, a second, while nothing changes.
+    pub idle_instance: Traffic,
+    /// The traffic of a lease server, a second, while nothing changes.
+    pub idle_lease_server: Traffic,
+    /// The traffic of an instance for one change of the settings, beyond that of an idle fleet.
+    pub change: Traffic,
+    /// The traffic of an instance for one server that drains in all lists at once, beyond that of an idle fleet.
+    pub drain: Traffic,
+    /// From when a change is written at one instance until all have it, in seconds.
     pub change_s: f64,
+    /// From when one list has a server as draining until all instances know it, in seconds.
     pub drain_s: f64,
-    /// With one that is cut off meanwhile.
-    pub silent_s: f64,
+    /// From when a change is written until all but one instance have it, that one being cut off, in seconds.
+    pub change_while_cut_off_s: f64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    ToKeeper(usize, usize, Message),
-    ToMember(usize, usize, Message),
-    LeaseHolder(usize),
-    LeaseServer(usize),
+    ToLeaseServer(usize, usize, Message),
+    ToHolder(usize, usize, Message),
+    HolderTimer(usize),
+    LeaseServerTimer(usize),
 }
 
 struct Fleet {
     now: Micros,
-    members: Vec<LeaseHolder>,
-    keepers: Vec<LeaseServer>,
+    holders: Vec<LeaseHolder>,
+    lease_servers: Vec<LeaseServer>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    number: u64,
+    sequence: u64,
     random: WyRand,
-    said: Said,
-    of_keepers: Said,
-    silent: Option<usize>,
+    traffic: Traffic,
+    lease_server_traffic: Traffic,
+    cut_off: Option<usize>,
 }
 
-/// The text of settings of an ordinary size.
-const TEXT: usize = 4_000;
-const KEEPERS: usize = 3;
-/// Servers on the list.
+/// The bytes of settings of an ordinary size.
+const SETTINGS_BYTES: usize = 4_000;
+/// How many instances are lease servers.
+const LEASE_SERVERS: usize = 3;
+/// How many servers each list has.
 const SERVERS: usize = 100;
 
 impl Fleet {
@@ -67,7 +75,7 @@
         instances: usize, within: Micros, seed: u64, scope: Scope, listed: impl Fn(usize) -> ListUpdate,
     ) -> Fleet {
         let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
-        let names: Vec<InstanceId> = (0..KEEPERS as u32).map(InstanceId).collect();
+        let names: Vec<InstanceId> = (0..LEASE_SERVERS as u32).map(InstanceId).collect();
         let all = || LeaseHolder::new(names.clone(), lease_duration(within), judge.clone());
         let member = || match scope {
             Scope::All => all(),
@@ -75,14 +83,14 @@
         };
         let mut fleet = Fleet {
             now: Micros(1),
-            members: (0..instances).map(|_| member()).collect(),
-            keepers: vec![LeaseServer::new(Micros(1), lease_duration(within)); KEEPERS],
+            holders: (0..instances).map(|_| member()).collect(),
+            lease_servers: vec![LeaseServer::new(Micros(1), lease_duration(within)); LEASE_SERVERS],
             events: BinaryHeap::new(),
-            number: 0,
+            sequence: 0,
             random: WyRand::new_seed(seed),
-            said: Said::default(),
-            of_keepers: Said::default(),
-            silent: None,
+            traffic: Traffic::default(),
+            lease_server_traffic: Traffic::default(),
+            cut_off: None,
         };
         for at in 0..instances {
             fleet.write(at, 1);
@@ -92,34 +100,36 @@
     }
 
     fn at(&mut self, after: Micros, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((self.now + after, self.number, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
     fn write(&mut self, at: usize, number: u64) {
         let version = Version { epoch: 0, number, hash: number };
-        let (mut actions, document) = (Vec::new(), Document { version, text: "x".repeat(TEXT).into() });
-        self.members[at].propose(self.now, document, &mut actions);
+        let (mut actions, document) =
+            (Vec::new(), Document { version, text: "x".repeat(SETTINGS_BYTES).into() });
+        self.holders[at].propose(self.now, document, &mut actions);
         self.act(at, actions);
     }
 
     fn list(&mut self, at: usize, listed: ListUpdate) {
         let mut actions = Vec::new();
-        self.members[at].handle_list_update(self.now, listed, &mut actions);
+        self.holders[at].handle_list_update(self.now, listed, &mut actions);
         self.act(at, actions);
     }
 
-    fn cut(&self, instance: usize, keeper: usize) -> bool {
-        self.silent == Some(instance) && instance != keeper
+    fn is_cut_off(&self, instance: usize, lease_server: usize) -> bool {
+        self.cut_off == Some(instance) && instance != lease_server
     }
 
-    /// An instance's word to its own keeper goes over no link, and counts for nothing.
-    fn count(&mut self, instance: usize, keeper: usize, word: &Message) {
-        if instance != keeper {
-            let bytes = to_json(word).len() as f64 + 1.0;
-            (self.said.words, self.said.bytes) = (self.said.words + 1.0, self.said.bytes + bytes);
-            let of = &mut self.of_keepers;
-            (of.words, of.bytes) = (of.words + 1.0, of.bytes + bytes);
+    /// Counts a message, unless an instance sends it to its own lease server, which takes no link.
+    fn count(&mut self, instance: usize, lease_server: usize, message: &Message) {
+        if instance != lease_server {
+            let bytes = to_json(message).len() as f64 + 1.0;
+            (self.traffic.messages, self.traffic.bytes) =
+                (self.traffic.messages + 1.0, self.traffic.bytes + bytes);
+            let sum = &mut self.lease_server_traffic;
+            (sum.messages, sum.bytes) = (sum.messages + 1.0, sum.bytes + bytes);
         }
     }
 
@@ -129,73 +139,78 @@
 
     fn act(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
-            if let Action::Send(keeper, word) = action {
-                let keeper = keeper.0 as usize;
-                self.count(at, keeper, &word);
+            if let Action::Send(lease_server, message) = action {
+                let lease_server = lease_server.0 as usize;
+                self.count(at, lease_server, &message);
                 let delay = self.delay();
-                if !self.cut(at, keeper) {
-                    self.at(delay, Event::ToKeeper(keeper, at, word));
+                if !self.is_cut_off(at, lease_server) {
+                    self.at(delay, Event::ToLeaseServer(lease_server, at, message));
                 }
             }
         }
-        let due = self.members[at].next_wakeup() - self.now;
-        self.at(due, Event::LeaseHolder(at));
+        let due = self.holders[at].next_wakeup() - self.now;
+        self.at(due, Event::HolderTimer(at));
     }
 
-    fn keeper_says(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
-        for (holder, word) in out {
+    fn lease_server_sends(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
+        for (holder, message) in out {
             let to = holder.instance.0 as usize;
-            self.count(to, at, &word);
+            self.count(to, at, &message);
             let delay = self.delay();
-            if !self.cut(to, at) {
-                self.at(delay, Event::ToMember(to, at, word));
+            if !self.is_cut_off(to, at) {
+                self.at(delay, Event::ToHolder(to, at, message));
             }
         }
-        if let Some(due) = self.keepers[at].next_wakeup(self.now) {
-            self.at(due - self.now, Event::LeaseServer(at));
+        if let Some(due) = self.lease_servers[at].next_wakeup(self.now) {
+            self.at(due - self.now, Event::LeaseServerTimer(at));
         }
     }
 
-    /// Until then, or until all but the silent one are as wanted: in seconds from now.
-    fn run(&mut self, most: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
-        let (begun, end) = (self.now, self.now + most);
-        let waits = |at: &usize| self.silent != Some(*at) && !done(&self.members[*at]);
-        let mut waiting: BTreeSet<usize> = (0..self.members.len()).filter(waits).collect();
+    /// Runs until the time is over, or until all instances but the one that is cut off are done; returns the seconds it took.
+    fn run(&mut self, limit: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
+        let (begun, end) = (self.now, self.now + limit);
+        let is_waiting = |at: &usize| self.cut_off != Some(*at) && !done(&self.holders[*at]);
+        let mut waiting: BTreeSet<usize> = (0..self.holders.len()).filter(is_waiting).collect();
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 self.events.push(Reverse((at, 0, event)));
                 break;
             }
             self.now = at;
-            let concerned = match &event {
-                Event::ToMember(at, ..) | Event::LeaseHolder(at) => Some(*at),
-                Event::ToKeeper(..) | Event::LeaseServer(_) => None,
+            let changed_holder = match &event {
+                Event::ToHolder(at, ..) | Event::HolderTimer(at) => Some(*at),
+                Event::ToLeaseServer(..) | Event::LeaseServerTimer(_) => None,
             };
             match event {
-                Event::ToKeeper(keeper, from, word) => {
+                Event::ToLeaseServer(lease_server, from, message) => {
                     let mut out = Vec::new();
                     let from = HolderId { instance: InstanceId(from as u32), incarnation: 1 };
-                    self.keepers[keeper].handle_message(self.now, from, word, &mut out);
-                    self.keeper_says(keeper, out);
+                    self.lease_servers[lease_server].handle_message(self.now, from, message, &mut out);
+                    self.lease_server_sends(lease_server, out);
                 }
-                Event::ToMember(to, keeper, word) => {
+                Event::ToHolder(to, lease_server, message) => {
                     let mut actions = Vec::new();
-                    self.members[to].handle_message(self.now, InstanceId(keeper as u32), word, &mut actions);
+                    self.holders[to].handle_message(
+                        self.now,
+                        InstanceId(lease_server as u32),
+                        message,
+                        &mut actions,
+                    );
                     self.act(to, actions);
                 }
-                Event::LeaseHolder(at) if self.now >= self.members[at].next_wakeup() => {
+                Event::HolderTimer(at) if self.now >= self.holders[at].next_wakeup() => {
                     let mut actions = Vec::new();
-                    self.members[at].handle_timer(self.now, &mut actions);
+                    self.holders[at].handle_timer(self.now, &mut actions);
                     self.act(at, actions);
                 }
-                Event::LeaseHolder(_) => {}
-                Event::LeaseServer(at) => {
+                Event::HolderTimer(_) => {}
+                Event::LeaseServerTimer(at) => {
                     let mut out = Vec::new();
-                    self.keepers[at].handle_timer(self.now, &mut out);
-                    self.keeper_says(at, out);
+                    self.lease_servers[at].handle_timer(self.now, &mut out);
+                    self.lease_server_sends(at, out);
                 }
             }
-            if let Some(at) = concerned.filter(|at| done(&self.members[*at])) {
+            if let Some(at) = changed_holder.filter(|at| done(&self.holders[*at])) {
                 waiting.remove(&at);
             }
             if waiting.is_empty() {
@@ -203,15 +218,18 @@
             }
         }
         self.now = end;
-        most.secs()
+        limit.secs()
     }
 
-    /// What was said since last asked, for each instance, and for each keeper.
-    fn heard(&mut self) -> (Said, Said) {
-        let (said, of) = (std::mem::take(&mut self.said), std::mem::take(&mut self.of_keepers));
-        let part =
-            |said: Said, by: usize| Said { words: said.words / by as f64, bytes: said.bytes / by as f64 };
-        (part(said, self.members.len()), part(of, KEEPERS))
+    /// The mean traffic of an instance and of a lease server since the last call.
+    fn take_traffic(&mut self) -> (Traffic, Traffic) {
+        let (traffic, sum) =
+            (std::mem::take(&mut self.traffic), std::mem::take(&mut self.lease_server_traffic));
+        let part = |traffic: Traffic, by: usize| Traffic {
+            messages: traffic.messages / by as f64,
+            bytes: traffic.bytes / by as f64,
+        };
+        (part(traffic, self.holders.len()), part(sum, LEASE_SERVERS))
     }
 }
 
@@ -219,7 +237,7 @@
     Fact { since: 7, excluded: out, first_hand: true, entry: None }
 }
 
-/// Plays a calm, a change, a server that drains, and a change while one is cut off.
+/// Simulates an idle fleet, a change of the settings, a server that drains, and a change while one instance is cut off.
 pub fn measure(instances: usize, within_s: f64, seed: u64) -> Report {
     let within = Micros((within_s * 1e6) as u64);
     let mut fleet = Fleet::new(instances, within, seed, Scope::All, |_| {
@@ -228,114 +246,144 @@
     });
     let never = |_: &LeaseHolder| false;
     fleet.run(within.times(3.0), never);
-    fleet.heard();
+    fleet.take_traffic();
     let length = within.times(5.0);
     fleet.run(length, never);
-    let (all, of_keepers) = fleet.heard();
-    let rate = |said: Said| Said { words: said.words / length.secs(), bytes: said.bytes / length.secs() };
-    let (calm, keeper) = (rate(all), rate(of_keepers));
-    let beyond = |said: Said| Said {
-        words: said.words - calm.words * within.secs(),
-        bytes: said.bytes - calm.bytes * within.secs(),
+    let (all, lease_server_traffic) = fleet.take_traffic();
+    let rate = |traffic: Traffic| Traffic {
+        messages: traffic.messages / length.secs(),
+        bytes: traffic.bytes / length.secs(),
+    };
+    let (idle_instance, idle_lease_server) = (rate(all), rate(lease_server_traffic));
+    let beyond_idle = |traffic: Traffic| Traffic {
+        messages: traffic.messages - idle_instance.messages * within.secs(),
+        bytes: traffic.bytes - idle_instance.bytes * within.secs(),
     };
-    let holds = |number: u64| {
+    let has_version = |number: u64| {
         move |member: &LeaseHolder| member.committed().is_some_and(|base| base.number == number)
     };
-    let rest = |fleet: &mut Fleet, took: f64| {
+    let run_rest = |fleet: &mut Fleet, took: f64| {
         fleet.run(within - Micros((took * 1e6) as u64), |_: &LeaseHolder| false);
     };
     let last = instances - 1;
     fleet.write(last, 2);
-    let change_s = fleet.run(within, holds(2));
-    rest(&mut fleet, change_s);
-    let change = beyond(fleet.heard().0);
+    let change_s = fleet.run(within, has_version(2));
+    run_rest(&mut fleet, change_s);
+    let change = beyond_idle(fleet.take_traffic().0);
     let drains = |index, server: &str| {
         let entries = vec![(server.into(), Some(fact(true)))];
         ListUpdate { index, snapshot: false, entries }
     };
     fleet.list(last, drains(2, "s-00000003"));
     let drain_s = fleet.run(within, |member| !member.excluded_servers().is_empty());
-    rest(&mut fleet, drain_s);
-    fleet.heard();
+    run_rest(&mut fleet, drain_s);
+    fleet.take_traffic();
     (0..instances).for_each(|at| fleet.list(at, drains(3, "s-00000004")));
     fleet.run(within, never);
-    let drain = beyond(fleet.heard().0);
-    fleet.silent = Some(last);
+    let drain = beyond_idle(fleet.take_traffic().0);
+    fleet.cut_off = Some(last);
     fleet.write(0, 3);
-    let silent_s = fleet.run(within.times(2.0), holds(3));
-    Report { instances, calm, keeper, change, drain, change_s, drain_s, silent_s }
+    let change_while_cut_off_s = fleet.run(within.times(2.0), has_version(3));
+    Report {
+        instances,
+        idle_instance,
+        idle_lease_server,
+        change,
+        drain,
+        change_s,
+        drain_s,
+        change_while_cut_off_s,
+    }
 }
 
-/// What a length of time cost, counted: an instance's words and bytes, a keeper's, and entries that a keeper looked at.
+/// The counted cost of a span of time.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    pub instance: Said,
-    pub keeper: Said,
-    /// For each word that a keeper heard or said meanwhile.
-    pub steps_a_word: f64,
+    /// The mean traffic of an instance.
+    pub instance: Traffic,
+    /// The mean traffic of a lease server.
+    pub lease_server: Traffic,
+    /// Entries that a lease server examined for each message that it sent or received.
+    pub steps_per_message: f64,
 }
 
-/// What a fleet costs in which each instance has a small list of its own.
+/// The costs of a fleet in which each instance has a small list of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Costs {
-    /// A second at rest.
-    pub rest: Cost,
-    /// For one change of the settings; for one server that drains by all lists that name it; and for those of a zone, a
-    /// seventh of all, which they tell within a second. All beyond what rest costs meanwhile.
+    /// A second of an idle fleet.
+    pub idle: Cost,
+    /// One change of the settings, beyond the cost of an idle fleet.
     pub change: Cost,
+    /// One server that drains in all lists that name it, beyond the cost of an idle fleet.
     pub drain: Cost,
+    /// All servers of a zone, a seventh of all, that drain at once, beyond the cost of an idle fleet.
     pub zone: Cost,
 }
 
+/// How many zones the servers are in.
 const ZONES: usize = 7;
-/// Services that an instance calls, and servers of each: few, so that at a hundred instances already each calls a part only.
-const CALLS: usize = 6;
-const EACH: usize = 4;
+/// How many services an instance calls: few, so that even of a hundred instances each calls only a part of the services.
+const SERVICES_CALLED: usize = 6;
+/// How many servers a service has.
+const SERVERS_PER_SERVICE: usize = 4;
 
-/// Counts, and times nothing: the same for one seed on any machine. There is an instance for each server.
+/// Counts the costs of a fleet with one instance for each server. It measures no time, so that one seed gives the same counts on
+/// any machine.
 pub fn costs(instances: usize, within_s: f64, seed: u64, scope: Scope) -> Costs {
     let within = Micros((within_s * 1e6) as u64);
-    let shape = Shape { services: instances.div_ceil(EACH), servers: EACH, zones: ZONES, calls: CALLS };
+    let shape = Shape {
+        services: instances.div_ceil(SERVERS_PER_SERVICE),
+        servers: SERVERS_PER_SERVICE,
+        zones: ZONES,
+        calls: SERVICES_CALLED,
+    };
     let (catalogue, mut random) = (Catalogue::new(shape), WyRand::new_seed(seed));
     let lists: Vec<Vec<u32>> = (0..instances).map(|_| catalogue.list_of(&mut random)).collect();
-    let told = |at: usize, index: u64, out: bool, tells: &dyn Fn(usize) -> bool| {
-        let servers = lists[at].iter().map(|server| *server as usize).filter(|server| tells(*server));
+    let update = |at: usize, index: u64, out: bool, includes: &dyn Fn(usize) -> bool| {
+        let servers = lists[at].iter().map(|server| *server as usize).filter(|server| includes(*server));
         catalogue.told(index, index == 1, servers.map(|server| (server, EndpointState { since: 7, out })))
     };
-    let mut fleet = Fleet::new(instances, within, seed, scope, |at| told(at, 1, false, &|_| true));
+    let mut fleet = Fleet::new(instances, within, seed, scope, |at| update(at, 1, false, &|_| true));
     let never = |_: &LeaseHolder| false;
     fleet.run(within.times(3.0), never);
     let mut cost_of = |length: Micros, begin: &mut dyn FnMut(&mut Fleet)| {
-        fleet.heard();
+        fleet.take_traffic();
         let steps =
-            |fleet: &Fleet| fleet.keepers.iter().map(LeaseServer::entries_examined).sum::<u64>() as f64;
+            |fleet: &Fleet| fleet.lease_servers.iter().map(LeaseServer::entries_examined).sum::<u64>() as f64;
         let before = steps(&fleet);
         begin(&mut fleet);
         fleet.run(length, never);
-        let (instance, keeper) = fleet.heard();
-        let steps_a_word = (steps(&fleet) - before) / (KEEPERS as f64 * keeper.words);
-        Cost { instance, keeper, steps_a_word }
+        let (instance, lease_server) = fleet.take_traffic();
+        let steps_per_message = (steps(&fleet) - before) / (LEASE_SERVERS as f64 * lease_server.messages);
+        Cost { instance, lease_server, steps_per_message }
     };
-    let times = |cost: Cost, by: f64| {
-        let said = |said: Said| Said { words: said.words * by, bytes: said.bytes * by };
-        Cost { instance: said(cost.instance), keeper: said(cost.keeper), ..cost }
+    let scaled = |cost: Cost, by: f64| {
+        let traffic =
+            |traffic: Traffic| Traffic { messages: traffic.messages * by, bytes: traffic.bytes * by };
+        Cost { instance: traffic(cost.instance), lease_server: traffic(cost.lease_server), ..cost }
     };
     let length = within.times(4.0);
-    let rest = times(cost_of(length, &mut |_| {}), 1.0 / length.secs());
-    let beyond = |cost: Cost| {
-        let rest = times(rest, within.secs());
-        let less =
-            |one: Said, other: Said| Said { words: one.words - other.words, bytes: one.bytes - other.bytes };
-        Cost { instance: less(cost.instance, rest.instance), keeper: less(cost.keeper, rest.keeper), ..cost }
+    let idle = scaled(cost_of(length, &mut |_| {}), 1.0 / length.secs());
+    let beyond_idle = |cost: Cost| {
+        let idle = scaled(idle, within.secs());
+        let difference = |one: Traffic, other: Traffic| Traffic {
+            messages: one.messages - other.messages,
+            bytes: one.bytes - other.bytes,
+        };
+        Cost {
+            instance: difference(cost.instance, idle.instance),
+            lease_server: difference(cost.lease_server, idle.lease_server),
+            ..cost
+        }
     };
-    let change = beyond(cost_of(within, &mut |fleet| fleet.write(instances - 1, 2)));
+    let change = beyond_idle(cost_of(within, &mut |fleet| fleet.write(instances - 1, 2)));
     let server = lists[0][0] as usize;
-    let drain = beyond(cost_of(within, &mut |fleet| {
-        (0..instances).for_each(|at| fleet.list(at, told(at, 2, true, &|other| other == server)));
+    let drain = beyond_idle(cost_of(within, &mut |fleet| {
+        (0..instances).for_each(|at| fleet.list(at, update(at, 2, true, &|other| other == server)));
     }));
     let zone_of = |server: usize| catalogue.zone_of(server);
-    let zone = beyond(cost_of(within, &mut |fleet| {
-        (0..instances).for_each(|at| fleet.list(at, told(at, 3, true, &|other| zone_of(other) == 0)));
+    let zone = beyond_idle(cost_of(within, &mut |fleet| {
+        (0..instances).for_each(|at| fleet.list(at, update(at, 3, true, &|other| zone_of(other) == 0)));
     }));
-    Costs { rest, change, drain, zone }
+    Costs { idle, change, drain, zone }
 }
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -17,15 +17,15 @@
 fn compare(scope: Scope, zone: f64) {
     let of = |instances| (1..=SEEDS).map(|seed| costs(instances, 13.0, seed, scope)).collect::<Vec<Costs>>();
     let (few, many) = (of(100), of(400));
-    let words = |cost: &Cost| cost.instance.words;
+    let messages = |cost: &Cost| cost.instance.messages;
     let bytes = |cost: &Cost| cost.instance.bytes;
-    let steps = |cost: &Cost| cost.steps_a_word;
+    let steps = |cost: &Cost| cost.steps_per_message;
     let figures: [(&str, Figure); 3] =
-        [("words an instance", words), ("bytes an instance", bytes), ("a keeper's steps a word", steps)];
+        [("words an instance", messages), ("bytes an instance", bytes), ("a keeper's steps a word", steps)];
     let mut broken = Vec::new();
     for (name, of) in figures {
         let days: [(&str, Day, f64); 4] = [
-            ("rest", |costs| &costs.rest, FLAT),
+            ("rest", |costs| &costs.idle, FLAT),
             ("change", |costs| &costs.change, FLAT),
             ("drain", |costs| &costs.drain, FLAT),
             ("zone", |costs| &costs.zone, zone),
