--- a/lab/src/discovery_recovery.rs
+++ b/lab/src/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! Part of a tier of hundreds whose discovery goes down, with all watches, and is back with less than all of them ask for at once: how
-//! long until each has heard from it again.
+//! The discovery of a tier of hundreds goes down, ending all watches, and comes back with less capacity than all of them ask for at
+//! once. Measures how long each process takes to get the list again.
 use crate::harness::{
     config_json, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome, ListedEndpoint, OutageKind,
     ProcessConfig, RunValidity, SharedDiscovery, TempDir,
@@ -9,88 +9,93 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What is played.
+/// What is run.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Case {
-    /// How it is called.
+    /// Its name in reports.
     pub name: &'static str,
     /// How many processes run.
     pub processes: usize,
-    /// How many instances each takes its tier to have; the rest are not there, and neither is their part of the capacity.
-    pub tier: usize,
-    /// How long discovery is down, and turns calls away.
-    pub down: Duration,
-    /// What it has after its return.
+    /// How many instances each process is told that its tier has. The others do not run, and `capacity` is without their share.
+    pub tier_size: usize,
+    /// How long discovery is down and rejects requests.
+    pub outage: Duration,
+    /// Its capacity after its return.
     pub capacity: Capacity,
-    /// How long after its return the play ends at the latest.
-    pub watched: Duration,
+    /// How long after its return the run ends at the latest.
+    pub time_limit: Duration,
 }
 
-/// What was seen.
+/// The outcome of a case.
 #[derive(Debug)]
 pub struct Report {
-    /// When each that heard from discovery did, in seconds from its return, in order.
-    pub heard: Vec<f64>,
-    /// Calls that were turned away after its return.
-    pub turned_away: usize,
+    /// When each process that got the list again did so, in seconds from discovery's return, sorted.
+    pub recovered_s: Vec<f64>,
+    /// How many requests were rejected after its return.
+    pub rejected: usize,
 }
 
-/// A rig that is later than this gives no figure, in seconds.
-const LATE: f64 = 0.2;
-const LOOK: Duration = Duration::from_millis(50);
+/// A harness that was later than this makes a failure inconclusive, in seconds.
+const MAX_DELAY_S: f64 = 0.2;
+/// How often the records are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn start(
     program: &Path, case: &Case, folder: &TempDir, discovery: &SharedDiscovery,
 ) -> std::io::Result<Vec<Sidecar>> {
     let start = |at: usize| {
         let mut sidecar = Sidecar::new(program, &format!("n{at}"), folder.path())?;
-        let told = ProcessConfig {
+        let config = ProcessConfig {
             at,
             me: at,
-            balancers: case.tier,
+            balancers: case.tier_size,
             console: false,
             ..ProcessConfig::alone(discovery.address)
         };
-        sidecar.write_config(&config_json(&sidecar, &told))?;
+        sidecar.write_config(&config_json(&sidecar, &config))?;
         sidecar.start()?;
         Ok(sidecar)
     };
     (0..case.processes).map(start).collect()
 }
 
-/// Plays a case once.
+/// Runs a case once.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let failed = |fault: std::io::Error| fault.to_string();
+    let to_text = |error: std::io::Error| error.to_string();
     let listed = ListedEndpoint {
         name: "s0".into(),
-        address: crate::processes::reserve_address().map_err(failed)?,
+        address: crate::processes::reserve_address().map_err(to_text)?,
         since_ms: 0,
     };
-    let discovery = SharedDiscovery::start(vec![listed]).map_err(failed)?;
+    let discovery = SharedDiscovery::start(vec![listed]).map_err(to_text)?;
     let folder = TempDir::new("crowd");
-    let mut sidecars = start(program, case, &folder, &discovery).map_err(failed)?;
+    let mut sidecars = start(program, case, &folder, &discovery).map_err(to_text)?;
     wait_until_all_ready(&mut sidecars)?;
     let delay_monitor = DelayMonitor::start();
     discovery.go_down(OutageKind::Rejected);
-    thread::sleep(case.down);
-    discovery.come_back(Some(case.capacity)).map_err(failed)?;
-    let back = Instant::now();
-    let heard = || {
-        let calls = discovery.requests();
-        let told = calls.iter().filter(|(at, met)| *at >= back && *met == DiscoveryOutcome::Served);
-        told.map(|(at, _)| (*at - back).as_secs_f64()).collect::<Vec<_>>()
+    thread::sleep(case.outage);
+    discovery.come_back(Some(case.capacity)).map_err(to_text)?;
+    let returned_at = Instant::now();
+    let recovered_s = || {
+        let requests = discovery.requests();
+        let served = requests
+            .iter()
+            .filter(|(at, outcome)| *at >= returned_at && *outcome == DiscoveryOutcome::Served);
+        served.map(|(at, _)| (*at - returned_at).as_secs_f64()).collect::<Vec<_>>()
     };
-    while heard().len() < case.processes && back.elapsed() < case.watched {
-        thread::sleep(LOOK);
+    while recovered_s().len() < case.processes && returned_at.elapsed() < case.time_limit {
+        thread::sleep(POLL_INTERVAL);
     }
-    let turned_away = discovery
+    let rejected = discovery
         .requests()
         .iter()
-        .filter(|(at, met)| *at >= back && *met == DiscoveryOutcome::Rejected)
+        .filter(|(at, outcome)| *at >= returned_at && *outcome == DiscoveryOutcome::Rejected)
         .count();
-    let ran = match delay_monitor.max_delay_s() {
-        late if late > LATE => RunValidity::HarnessLate(format!("the rig ran {late:.3} s late")),
+    let validity = match delay_monitor.max_delay_s() {
+        delay if delay > MAX_DELAY_S => {
+            RunValidity::HarnessLate(format!("the harness was {delay:.3} s late"))
+        }
         _ => RunValidity::Valid,
     };
-    Ok((Report { heard: heard(), turned_away }, ran))
+    Ok((Report { recovered_s: recovered_s(), rejected }, validity))
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,10 @@
-//! A rig for experiments with many processes of the program `oakhollow` on loopback: stand-in servers and discoveries, a
-//! relay on every link between instances, faults by script, and a judge who reads what servers and callers saw.
-//! A scene is a small text file, see [`scene`].
+//! A test bench that runs many processes of the program `oakhollow` on loopback.
+//!
+//! - Scenes ([`scene`], [`scene_runner`], [`checker`]): scripted fault injection between instances of the lease protocol
+//! - [`soak`]: random faults on dozens of processes, drawn from a seed
+//! - [`slow_start`], [`restart`], [`discovery_recovery`], [`large_list`]: single cases with many processes or large lists
+//! - [`chain`], [`scale`], [`traffic`]: what the program costs, by measurement or simulation
+//! - [`harness`], [`processes`], [`fakes`], [`relay`]: what all of these share
 pub mod admission;
 pub mod chain;
 pub mod checker;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `oakhollow-lab`: plays scenes with many processes of the program.
+//! `oakhollow-lab`: runs scenes, soak tests and measurements with many processes of the program.
 use clap::{Parser, Subcommand};
 use oakhollow_lab::admission::{cpu_seconds_used, estimated_demand};
 use oakhollow_lab::chain;
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// A rig for many processes of oakhollow, with faults between them.
+/// Tests many processes of oakhollow with injected faults.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
@@ -27,79 +27,81 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays scenes; the exit is not 0 if anything they expect does not hold.
+    /// Runs scenes; the exit code is not 0 if an expectation does not hold.
     Play {
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Moves the script's times by up to 0.1 s; 0 leaves them.
+        /// Delays each action by up to 0.1 s; 0 for no delays.
         #[arg(long, default_value_t = 0)]
         seed: u64,
-        /// The figures as JSON, an object a line.
+        /// Prints the figures as JSON, one object a line.
         #[arg(long)]
         json: bool,
-        /// Each sidecar acts on its own file alone, as without `[accord]`.
+        /// Runs the sidecars without `[accord]`, each on its own file alone.
         #[arg(long)]
         alone: bool,
-        /// The program; beside this one if it is not named.
+        /// The program under test; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
         /// Prints the sidecars' logs.
         #[arg(long)]
         logs: bool,
     },
-    /// Dozens of processes with two or three troubles at a time, drawn from a seed; the exit is not 0 if a promise is broken.
+    /// Runs dozens of processes with two or three faults at a time, drawn from a seed; the exit code is not 0 if a rule is broken.
     Soak(Soak),
-    /// What so many instances say to agree, and how long a change takes: simulated, in one process.
+    /// Simulates the traffic of the lease protocol, and how long a change takes, in one process.
     Traffic {
+        /// How many instances; each number is simulated by itself.
         #[arg(default_values_t = [10, 100, 300, 1000])]
         instances: Vec<usize>,
-        /// How long two instances may differ, in seconds.
+        /// The longest that two instances may act on different settings, in seconds.
         #[arg(long, default_value_t = 2.0)]
         within: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Thousands of hollow instances beside real keepers and sidecars: what a day costs each, and by what that grows.
-    /// The exit is not 0 if any phase gave no figure.
+    /// Measures what thousands of simulated instances cost the real lease servers and sidecars, and how the cost grows.
+    /// The exit code is not 0 if a phase gave no figure.
     Scale(Scale),
-    /// What a chain of sidecars adds to a call, and how many calls reach its last tier when that is slow.
+    /// Measures the latency that a chain of sidecars adds, and how many requests reach its last tier while that is slow.
     Chain {
-        /// Tiers, each with a sidecar before it; each number is played by itself.
+        /// How many tiers, each with a sidecar in front; each number is measured by itself.
         #[arg(long, value_delimiter = ',', default_values_t = [1, 9], value_parser = clap::value_parser!(u16).range(1..=50))]
         depth: Vec<u16>,
-        /// Calls a second, sent when they are due whatever has become of those before.
+        /// Requests a second, sent when they are due, whether or not earlier ones were answered.
         #[arg(long, default_value_t = 105.0, value_parser = positive)]
         rate: f64,
-        /// Each a round with and one without the sidecars.
+        /// How many pairs of rounds, one with and one without the sidecars.
         #[arg(long, default_value_t = 8)]
         pairs: usize,
-        /// Of each round.
+        /// How long each round takes, in seconds.
         #[arg(long, default_value_t = 2.0, value_parser = positive)]
         seconds: f64,
-        /// In each tier.
+        /// How many servers each tier has.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=100))]
         servers: u16,
-        /// A pair with a larger share of calls that go out over 5 ms late gives no figure.
+        /// A pair with a larger share of requests that go out over 5 ms late gives no figure.
         #[arg(long, default_value_t = 0.01)]
         late_share: f64,
-        /// What an answer takes in the slow round, and one in 20 ten times that; 0 plays none.
+        /// How long an answer takes in the slow round, and one in 20 ten times as long; 0 for no slow round.
         #[arg(long, default_value_t = 20)]
         slow_ms: u64,
+        /// How long the slow round takes, in seconds.
         #[arg(long, default_value_t = 6.0, value_parser = positive)]
         slow_seconds: f64,
-        /// What each tier may add, for the bound that is reckoned.
+        /// The share of requests that each tier may add by retries, for the calculated bound.
         #[arg(long, default_value_t = 0.05)]
         budget: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The figures as JSON, an object a line.
+        /// Prints the figures as JSON, one object a line.
         #[arg(long)]
         json: bool,
-        /// The program; beside this one if it is not named.
+        /// The program under test; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Stands in for a sidecar, in a scene.
+    /// Runs the stand-in for a sidecar, in a scene.
     #[command(hide = true)]
     StandIn {
         how: Behaviour,
@@ -111,83 +113,86 @@
 
 #[derive(clap::Args)]
 struct Scale {
-    /// So many hollow instances, one run after the other.
+    /// How many simulated instances; one run for each number.
     #[arg(long, value_delimiter = ',', default_values_t = [250, 500, 1_000, 2_000, 4_000])]
     steps: Vec<usize>,
+    /// What happens in a run.
     #[arg(long, default_value = "rest")]
     day: Day,
-    /// How long two instances may differ, in seconds.
+    /// The longest that two instances may act on different settings, in seconds.
     #[arg(long, default_value_t = 13.0)]
     within: f64,
-    /// Each hears of the servers on its own list alone.
+    /// Each instance subscribes to the servers of its own list alone.
     #[arg(long)]
     listed: bool,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[arg(long, default_value_t = 400)]
     services: usize,
-    /// Servers of each service.
+    /// How many servers each service has.
     #[arg(long, default_value_t = 16)]
     servers: usize,
     #[arg(long, default_value_t = 7)]
     zones: usize,
-    /// Services that an instance calls.
+    /// How many services an instance calls.
     #[arg(long, default_value_t = 6)]
     calls: usize,
-    /// Real sidecars that carry calls, and so many calls a second at each.
+    /// How many real sidecars carry requests.
     #[arg(long, default_value_t = 2)]
     sidecars: usize,
+    /// Requests a second to each of these.
     #[arg(long, default_value_t = 105.0)]
     rate: f64,
-    /// Threads that carry hollow instances.
+    /// How many threads run the simulated instances.
     #[arg(long, default_value_t = 3)]
     threads: usize,
-    /// A step is broken off once all together hold that many GB of memory.
+    /// Aborts a run once all processes together hold this many GB of memory.
     #[arg(long, default_value_t = 10.0)]
     memory: f64,
-    /// The size for which figures are reckoned.
+    /// The number of instances for which figures are extrapolated.
     #[arg(long, default_value_t = 6_500)]
     reckon: usize,
-    /// An object a line.
+    /// Prints the figures as JSON, one object a line.
     #[arg(long)]
     json: bool,
-    /// The program; beside this one if it is not named.
+    /// The program under test; by default the one in this program's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct Soak {
-    /// Draws the timetable and all else that is left to chance; the first, where there are several.
+    /// The seed of the timetable and all other random choices; the first, where there are several.
     #[arg(long)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// How many seeds are run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
+    /// How many processes run.
     #[arg(long, default_value_t = 36)]
     processes: usize,
-    /// How long troubles go on.
+    /// How long faults are injected, in seconds.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// A kind of trouble that is left out; may stand several times.
+    /// A kind of fault that is left out; may be given several times.
     #[arg(long, value_name = "KIND")]
     without: Vec<String>,
     /// Prints the timetable of each seed.
     #[arg(long)]
     timetable: bool,
-    /// Prints how often each two kinds overlapped, over all seeds.
+    /// Prints how often each two kinds of faults overlapped, over all seeds.
     #[arg(long)]
     pairs: bool,
-    /// Leaves kinds out of a seed with a finding, one after the other, for as long as something is found.
+    /// Finds a smaller set of kinds of faults with which a seed with a finding still has one.
     #[arg(long)]
     shrink: bool,
-    /// The program; beside this one if it is not named.
+    /// The program under test; by default the one in this program's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
 fn soak(args: &Soak) -> ExitCode {
-    let program = args.program.clone().unwrap_or_else(beside);
+    let program = args.program.clone().unwrap_or_else(sibling_program);
     let mut without = Vec::new();
     for name in &args.without {
         match Trouble::named(name) {
@@ -216,7 +221,7 @@
             }
             Err(why) => {
                 clean = false;
-                println!("seed {seed}: not played: {why}");
+                println!("seed {seed}: not run: {why}");
             }
         }
     }
@@ -227,7 +232,7 @@
 }
 
 fn scale(args: &Scale) -> ExitCode {
-    let program = args.program.clone().unwrap_or_else(beside);
+    let program = args.program.clone().unwrap_or_else(sibling_program);
     let plan = Plan {
         program: &program,
         day: args.day,
@@ -274,7 +279,7 @@
     ExitCode::from(u8::from(!whole))
 }
 
-fn tell(file: &str, scene: &Scene, report: &scene_runner::Report, took: f64, json: bool) {
+fn print_scene_report(file: &str, scene: &Scene, report: &scene_runner::Report, millicores: f64, json: bool) {
     let settings = report.contradiction.as_ref().map_or(0.0, |found| found.duration_s);
     let drains = report.drain_violation.as_ref().map_or(0.0, |found| found.duration_s);
     let length = settings.max(drains);
@@ -282,17 +287,17 @@
         let line = serde_json::json!({
             "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.within, "hops": report.attempts,
             "answers": report.responses, "unanswered": report.unanswered, "faults": report.failures,
-            "millicores": took.round(), "reckoned_millicores": estimated_demand(scene),
+            "millicores": millicores.round(), "reckoned_millicores": estimated_demand(scene),
         });
         return println!("{line}");
     }
     report.failures.iter().for_each(|fault| println!("{file}: {fault}"));
     println!(
-        "{file}: {} hops, {} answers, {} calls without one",
+        "{file}: {} attempts, {} requests, {} of them without an answer",
         report.attempts, report.responses, report.unanswered
     );
     println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.within);
-    println!("{file}: took {took:.0} thousandths of a core, reckoned {}", estimated_demand(scene));
+    println!("{file}: took {millicores:.0} thousandths of a core, estimated {}", estimated_demand(scene));
 }
 
 fn positive(text: &str) -> Result<f64, String> {
@@ -300,16 +305,16 @@
     number.ok_or_else(|| "must be a number from 0.001 to 100000".into())
 }
 
-/// The program that was built with this one.
-fn beside() -> PathBuf {
+/// The program in this program's folder.
+fn sibling_program() -> PathBuf {
     std::env::current_exe().unwrap_or_default().with_file_name("oakhollow")
 }
 
-/// False if it could not be played.
-fn play_chain(plan: &chain::Plan, to_play: &chain::report::RunSettings, json: bool) -> bool {
-    match chain::report::run(plan, to_play) {
-        Ok(report) if json => report.json(to_play).iter().for_each(|line| println!("{line}")),
-        Ok(report) => print!("{}", report.text(to_play)),
+/// Measures one depth and prints the report; false if the measurement failed.
+fn measure_chain(plan: &chain::Plan, settings: &chain::report::RunSettings, json: bool) -> bool {
+    match chain::report::run(plan, settings) {
+        Ok(report) if json => report.json(settings).iter().for_each(|line| println!("{line}")),
+        Ok(report) => print!("{}", report.text(settings)),
         Err(why) => {
             eprintln!("oakhollow-lab: depth {}: {why}", plan.depth);
             return false;
@@ -355,8 +360,8 @@
             json,
             program,
         } => {
-            let program = program.unwrap_or_else(beside);
-            let to_play = chain::report::RunSettings {
+            let program = program.unwrap_or_else(sibling_program);
+            let settings = chain::report::RunSettings {
                 rate,
                 pairs,
                 length: Duration::from_secs_f64(seconds),
@@ -367,7 +372,7 @@
                 budget,
             };
             let plan = |depth| chain::Plan { program: &program, depth, servers: servers.into(), seed };
-            let whole = depth.into_iter().all(|depth| play_chain(&plan(depth.into()), &to_play, json));
+            let whole = depth.into_iter().all(|depth| measure_chain(&plan(depth.into()), &settings, json));
             if whole {
                 ExitCode::SUCCESS
             } else {
@@ -376,9 +381,9 @@
         }
         Command::Play { files, seed, json, alone, program, logs } => {
             let own = std::env::current_exe().unwrap_or_default();
-            let program = program.unwrap_or_else(beside);
+            let program = program.unwrap_or_else(sibling_program);
             let options = RunOptions { program: &program, lab_program: &own, with_accord: !alone, seed };
-            match files.iter().filter(|file| !play_one(file, &options, json, logs)).count() {
+            match files.iter().filter(|file| !run_one_scene(file, &options, json, logs)).count() {
                 0 => ExitCode::SUCCESS,
                 _ => ExitCode::FAILURE,
             }
@@ -386,23 +391,30 @@
     }
 }
 
-/// False if anything that the scene expects does not hold.
-fn play_one(file: &Path, options: &RunOptions, json: bool, logs: bool) -> bool {
+/// Runs one scene and prints its report; false if an expectation does not hold.
+fn run_one_scene(file: &Path, options: &RunOptions, json: bool, logs: bool) -> bool {
     let name = file.display().to_string();
-    let (before, begun) = (cpu_seconds_used(), Instant::now());
+    let (cpu_before, begun) = (cpu_seconds_used(), Instant::now());
     let read = std::fs::read_to_string(file).map_err(|fault| fault.to_string());
-    let played = read.and_then(|text| {
+    let result = read.and_then(|text| {
         let scene = Scene::parse(&text)?;
         let report = run_scene(&scene, options).map_err(|why| why.to_string())?;
         Ok((scene, report))
     });
-    match played {
+    match result {
         Ok((scene, report)) => {
             if logs {
                 report.logs.iter().for_each(|(name, log)| println!("--- {name}\n{log}"));
             }
-            let took = before.zip(cpu_seconds_used()).map_or(0.0, |(before, after)| after - before);
-            tell(&name, &scene, &report, 1000.0 * took / begun.elapsed().as_secs_f64(), json);
+            let millicores =
+                cpu_before.zip(cpu_seconds_used()).map_or(0.0, |(cpu_before, after)| after - cpu_before);
+            print_scene_report(
+                &name,
+                &scene,
+                &report,
+                1000.0 * millicores / begun.elapsed().as_secs_f64(),
+                json,
+            );
             report.failures.is_empty()
         }
         Err(why) => {
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -1,5 +1,5 @@
-//! Dozens of processes killed at once and started again while discovery is down: how long until each is ready, and how their
-//! calls to discovery are spread once it is back.
+//! Dozens of processes are killed at once and started again while discovery is down. Measures how long each takes to be ready, and
+//! how their requests to discovery are spread once it is back.
 use crate::fakes::{connect, read_head, send_request};
 use crate::harness::{
     config_json, view_request, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome,
@@ -13,50 +13,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// What is run.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Case {
+    /// Its name in reports.
     pub name: &'static str,
+    /// How many processes run.
     pub processes: usize,
-    /// Whether the platform leaves the list in each one's file.
-    pub known: bool,
-    pub down: OutageKind,
+    /// Whether their settings files have the list in the key `known`.
+    pub with_known_list: bool,
+    /// How discovery handles requests while it is down.
+    pub outage: OutageKind,
     /// How long discovery is down, from the kill on, in seconds.
-    pub down_s: f64,
-    /// What it has after its return.
+    pub outage_s: f64,
+    /// The capacity of discovery after its return.
     pub capacity: Option<Capacity>,
 }
 
+/// The outcome of a case.
 pub struct Report {
-    /// From each one's start until it was ready, in seconds, in order; infinite where it never was.
-    pub ready: Vec<f64>,
-    /// Calls to discovery, in seconds from its return, in order.
-    pub calls: Vec<(f64, DiscoveryOutcome)>,
-    /// Processes that serve a call in the end.
-    pub serve: usize,
+    /// How long each process took from its start until it was ready, in seconds, sorted; infinite for one that never was.
+    pub ready_after_s: Vec<f64>,
+    /// The requests to discovery, in seconds from its return, sorted.
+    pub discovery_requests: Vec<(f64, DiscoveryOutcome)>,
+    /// How many processes serve a request at the end.
+    pub serving: usize,
+    /// The longest delay of the harness's own threads, in seconds.
     pub harness_delay_s: f64,
 }
 
 impl Report {
-    /// The most calls in any 100 ms of this time.
+    /// The most requests to discovery within any 100 ms of this span.
     pub fn most_at_once(&self, from: f64, to: f64) -> usize {
         let times: Vec<f64> =
-            self.calls.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at)).collect();
-        let near = |from: &f64| times.iter().filter(|at| (*from..from + 0.1).contains(*at)).count();
-        times.iter().map(near).max().unwrap_or(0)
+            self.discovery_requests.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at)).collect();
+        let within_100_ms = |from: &f64| times.iter().filter(|at| (*from..from + 0.1).contains(*at)).count();
+        times.iter().map(within_100_ms).max().unwrap_or(0)
     }
 
-    pub fn count(&self, met: DiscoveryOutcome) -> usize {
-        self.calls.iter().filter(|(_, how)| *how == met).count()
+    /// How many requests to discovery had this outcome.
+    pub fn count(&self, outcome: DiscoveryOutcome) -> usize {
+        self.discovery_requests.iter().filter(|(_, other)| *other == outcome).count()
     }
 }
 
-/// A rig whose pulse was later, in seconds, may have held processes up and brought their calls together.
-const LATE_S: f64 = 0.1;
-/// How long after its start a process is watched for.
-const WATCHED: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(50);
+/// A harness that was later than this, in seconds, may have delayed processes and bunched their requests.
+const MAX_DELAY_S: f64 = 0.1;
+/// How long a process may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How often it is asked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn server() -> std::io::Result<SocketAddr> {
+fn start_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
@@ -74,59 +82,60 @@
     Ok(address)
 }
 
-struct Rig {
+struct Harness {
     sidecars: Vec<Sidecar>,
     discovery: SharedDiscovery,
-    /// Goes last.
+    /// Last, so that it is dropped after the processes.
     folder: TempDir,
 }
 
-impl Rig {
-    fn build(program: &Path, case: &Case) -> std::io::Result<Rig> {
-        let named = |at| Ok(ListedEndpoint { name: format!("s{at}"), address: server()?, since_ms: 0 });
-        let listed: Vec<ListedEndpoint> = (0..3).map(named).collect::<std::io::Result<_>>()?;
-        let mut rig = Rig {
+impl Harness {
+    fn build(program: &Path, case: &Case) -> std::io::Result<Harness> {
+        let endpoint =
+            |at| Ok(ListedEndpoint { name: format!("s{at}"), address: start_server()?, since_ms: 0 });
+        let listed: Vec<ListedEndpoint> = (0..3).map(endpoint).collect::<std::io::Result<_>>()?;
+        let mut harness = Harness {
             sidecars: Vec::new(),
             discovery: SharedDiscovery::start(listed.clone())?,
             folder: TempDir::new("restart"),
         };
         for at in 0..case.processes {
-            let mut sidecar = Sidecar::new(program, &format!("n{at}"), rig.folder.path())?;
+            let mut sidecar = Sidecar::new(program, &format!("n{at}"), harness.folder.path())?;
             sidecar.write_config(&config_json(
                 &sidecar,
                 &ProcessConfig {
                     at,
                     me: at,
                     balancers: case.processes,
-                    discovery: rig.discovery.address,
+                    discovery: harness.discovery.address,
                     console: false,
-                    known: Some(&listed[..]).filter(|_| case.known),
+                    known: Some(&listed[..]).filter(|_| case.with_known_list),
                     cold_from: 0.3,
                     fall_s: 1.5,
                     warm_within_s: 8.0,
                 },
             ))?;
             sidecar.start()?;
-            rig.sidecars.push(sidecar);
+            harness.sidecars.push(sidecar);
         }
-        Ok(rig)
+        Ok(harness)
     }
 
-    /// Those which serve a call.
-    fn serve(&self) -> usize {
-        let asked = |sidecar: &&Sidecar| {
+    /// How many processes serve a request.
+    fn count_serving(&self) -> usize {
+        let serves = |sidecar: &&Sidecar| {
             let answer = connect(sidecar.listen)
                 .and_then(|mut stream| send_request(&mut stream, &view_request("one")));
             answer.is_some_and(|(status, _)| status == 200)
         };
-        self.sidecars.iter().filter(asked).count()
+        self.sidecars.iter().filter(serves).count()
     }
 }
 
-/// How long from its start until it is ready, in seconds.
-fn ready(to: SocketAddr, started: Instant) -> f64 {
+/// Waits until a process is ready; returns the seconds since its start.
+fn wait_until_ready(to: SocketAddr, started: Instant) -> f64 {
     let mut connection = None;
-    while started.elapsed() < WATCHED {
+    while started.elapsed() < READY_TIMEOUT {
         if connection.is_none() {
             connection = connect(to);
         }
@@ -135,53 +144,57 @@
             return started.elapsed().as_secs_f64();
         }
         connection = connection.filter(|_| answer.is_some_and(|(_, lasts)| lasts));
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     f64::INFINITY
 }
 
-/// Plays one case. An error means that the rig could not be built, or that not all served before the kill.
+/// Runs one case. The error is that the setup failed, or that not all processes served before the kill.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let faulty = |fault: std::io::Error| fault.to_string();
-    let mut rig = Rig::build(program, case).map_err(faulty)?;
-    wait_until_all_ready(&mut rig.sidecars)?;
-    let before = rig.serve();
-    if before < case.processes {
-        return Err(format!("{before} of {} serve before the kill", case.processes));
+    let to_text = |error: std::io::Error| error.to_string();
+    let mut harness = Harness::build(program, case).map_err(to_text)?;
+    wait_until_all_ready(&mut harness.sidecars)?;
+    let serving_before = harness.count_serving();
+    if serving_before < case.processes {
+        return Err(format!("{serving_before} of {} serve before the kill", case.processes));
     }
     let delay_monitor = DelayMonitor::start();
-    let killed = Instant::now();
-    rig.sidecars.iter().for_each(|sidecar| sidecar.signal(Signal::KILL));
-    rig.discovery.go_down(case.down);
-    rig.sidecars.iter_mut().for_each(Sidecar::kill);
-    let (ready, back) = thread::scope(|scope| {
-        let mut watched = Vec::new();
-        for sidecar in &mut rig.sidecars {
+    let killed_at = Instant::now();
+    harness.sidecars.iter().for_each(|sidecar| sidecar.signal(Signal::KILL));
+    harness.discovery.go_down(case.outage);
+    harness.sidecars.iter_mut().for_each(Sidecar::kill);
+    let (ready_after_s, returned_at) = thread::scope(|scope| {
+        let mut waiting = Vec::new();
+        for sidecar in &mut harness.sidecars {
             let (to, started) = (sidecar.listen, Instant::now());
-            sidecar.start().map_err(faulty)?;
-            watched.push(scope.spawn(move || ready(to, started)));
+            sidecar.start().map_err(to_text)?;
+            waiting.push(scope.spawn(move || wait_until_ready(to, started)));
         }
-        let due = killed + Duration::from_secs_f64(case.down_s);
+        let due = killed_at + Duration::from_secs_f64(case.outage_s);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        let back = Instant::now();
-        rig.discovery.come_back(case.capacity).map_err(faulty)?;
-        let ready = watched.into_iter().map(|watched| watched.join().unwrap_or(f64::INFINITY));
-        let mut ready: Vec<f64> = ready.collect();
-        ready.sort_by(f64::total_cmp);
-        Ok::<_, String>((ready, back))
+        let returned_at = Instant::now();
+        harness.discovery.come_back(case.capacity).map_err(to_text)?;
+        let ready_after_s = waiting.into_iter().map(|thread| thread.join().unwrap_or(f64::INFINITY));
+        let mut ready_after_s: Vec<f64> = ready_after_s.collect();
+        ready_after_s.sort_by(f64::total_cmp);
+        Ok::<_, String>((ready_after_s, returned_at))
     })?;
-    // With a known list all are ready before it is back.
-    let settled = back + Duration::from_secs(8);
-    thread::sleep(settled.saturating_duration_since(Instant::now()));
-    let since = |at: Instant| at.checked_duration_since(back).map(|after| after.as_secs_f64());
-    let from_back = |at: Instant| since(at).unwrap_or_else(|| -(back - at).as_secs_f64());
-    let calls = rig.discovery.requests().into_iter().filter(|(at, _)| *at >= killed);
-    let mut calls: Vec<(f64, DiscoveryOutcome)> = calls.map(|(at, met)| (from_back(at), met)).collect();
-    calls.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let worst = delay_monitor.max_delay_s();
-    let ran = match worst > LATE_S {
-        true => RunValidity::HarnessLate(format!("the rig's pulse was {worst:.3} s late")),
+    // With a known list all processes are ready before discovery is back.
+    let end = returned_at + Duration::from_secs(8);
+    thread::sleep(end.saturating_duration_since(Instant::now()));
+    let since = |at: Instant| at.checked_duration_since(returned_at).map(|after| after.as_secs_f64());
+    let since_return = |at: Instant| since(at).unwrap_or_else(|| -(returned_at - at).as_secs_f64());
+    let discovery_requests = harness.discovery.requests().into_iter().filter(|(at, _)| *at >= killed_at);
+    let mut discovery_requests: Vec<(f64, DiscoveryOutcome)> =
+        discovery_requests.map(|(at, outcome)| (since_return(at), outcome)).collect();
+    discovery_requests.sort_by(|(one, _), (other, _)| one.total_cmp(other));
+    let harness_delay_s = delay_monitor.max_delay_s();
+    let validity = match harness_delay_s > MAX_DELAY_S {
+        true => RunValidity::HarnessLate(format!("the harness was {harness_delay_s:.3} s late")),
         false => RunValidity::Valid,
     };
-    Ok((Report { ready, calls, serve: rig.serve(), harness_delay_s: worst }, ran))
+    Ok((
+        Report { ready_after_s, discovery_requests, serving: harness.count_serving(), harness_delay_s },
+        validity,
+    ))
 }
--- a/lab/src/slow_start_limit.rs
+++ b/lab/src/slow_start_limit.rs
@@ -1,58 +1,67 @@
-//! Reads what a cold server was sent, by all processes together, and says whether it bears that.
+//! Checks whether all processes together sent a cold server no more than it can take while it warms up.
 
-/// What a cold server bears, as the settings have it.
+/// The load that a cold server can take, as the settings describe it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Ramp {
-    /// Requests of mean work that it does in a second once it is warm.
+pub struct SlowStart {
+    /// Requests of mean work that it handles in a second once it is warm.
     pub capacity: f64,
+    /// The setting `cold_from`: the share of its capacity that it has at its start.
     pub cold_from: f64,
+    /// The setting `warm_within_s`: how long it warms up.
     pub warm_within_s: f64,
-    /// It falls when it is sent so many times what it can do, for so long.
+    /// It collapses under this multiple of its capacity, for as long as `fall_s`.
     pub fall_multiple: f64,
+    /// The setting `fall_s`: the length of a window, in seconds.
     pub fall_s: f64,
 }
 
-/// A request as the server saw it.
+/// A request that the server received.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Arrival {
-    /// In seconds from the server's start.
+    /// When, in seconds from the server's start.
     pub at: f64,
+    /// The process that sent it.
     pub process: usize,
 }
 
-/// A window of the ramp that ends with an arrival.
+/// A window of the warm-up that ends with an arrival.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Window {
-    pub until: f64,
+    /// When it ends, in seconds from the server's start.
+    pub end_s: f64,
+    /// How many requests arrived in it.
     pub sent: usize,
-    /// Of these, by processes that had been told of the start.
-    pub told: usize,
-    /// It falls when more are sent.
-    pub most: f64,
+    /// How many of these came from processes that had been told of the start.
+    pub sent_by_informed: usize,
+    /// The server collapses under more than this.
+    pub limit: f64,
 }
 
 impl Window {
-    pub fn falls(&self) -> bool {
-        self.sent as f64 > self.most
+    /// Whether the server collapses.
+    pub fn collapses(&self) -> bool {
+        self.sent as f64 > self.limit
     }
 
-    /// The sidecars' doing, and not that of lists which came late.
-    pub fn breaks(&self) -> bool {
-        self.falls() && 3 * self.told > 2 * self.sent
+    /// Whether it collapses and over two thirds of the requests came from processes that knew of the start. Otherwise the cause
+    /// is that lists came late.
+    pub fn is_violation(&self) -> bool {
+        self.collapses() && 3 * self.sent_by_informed > 2 * self.sent
     }
 }
 
-impl Ramp {
-    /// What a window may hold that begins so long after the start: by the capacity of that moment, the least in it.
-    pub fn most(&self, begins: f64) -> f64 {
+impl SlowStart {
+    /// How many requests a window may have that begins this long after the start. It uses the capacity at the window's beginning,
+    /// the lowest within it.
+    pub fn limit(&self, begins: f64) -> f64 {
         let share = self.cold_from + (1.0 - self.cold_from) * begins / self.warm_within_s;
         let allowed = self.fall_multiple * self.capacity * share * self.fall_s;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// Every window of the ramp that ends with an arrival; `told` is when each process was told of the start, in seconds
-    /// from it.
-    pub fn windows(&self, arrivals: &[Arrival], told: &[f64]) -> Vec<Window> {
+    /// Every window of the warm-up that ends with an arrival. `informed_at` has when each process was told of the start, in seconds
+    /// after the start.
+    pub fn windows(&self, arrivals: &[Arrival], informed_at: &[f64]) -> Vec<Window> {
         let mut arrivals = arrivals.to_vec();
         arrivals.sort_by(|one, other| one.at.total_cmp(&other.at));
         let (mut first, mut windows) = (0, Vec::new());
@@ -65,17 +74,18 @@
                 first += 1;
             }
             let inside = &arrivals[first..=last];
-            let knew = |arrival: &&Arrival| told.get(arrival.process).is_some_and(|told| *told <= arrival.at);
-            let most = self.most(begins);
-            let told = inside.iter().filter(knew).count();
-            windows.push(Window { until: arrival.at, sent: inside.len(), told, most });
+            let informed =
+                |arrival: &&Arrival| informed_at.get(arrival.process).is_some_and(|told| *told <= arrival.at);
+            let limit = self.limit(begins);
+            let sent_by_informed = inside.iter().filter(informed).count();
+            windows.push(Window { end_s: arrival.at, sent: inside.len(), sent_by_informed, limit });
         }
         windows
     }
 }
 
-/// The fullest of these windows, by what it may hold.
+/// The window that is fullest in relation to its limit.
 pub fn fullest(windows: &[Window]) -> Option<Window> {
-    let full = |window: &Window| window.sent as f64 / window.most;
+    let full = |window: &Window| window.sent as f64 / window.limit;
     windows.iter().copied().max_by(|one, other| full(one).total_cmp(&full(other)))
 }
--- a/lab/tests/crowd.rs
+++ b/lab/tests/crowd.rs
@@ -21,21 +21,21 @@
     let case = Case {
         name: "crowd",
         processes: PROCESSES,
-        tier: 300,
-        down: Duration::from_secs(6),
+        tier_size: 300,
+        outage: Duration::from_secs(6),
         capacity,
-        watched: Duration::from_secs(16),
+        time_limit: Duration::from_secs(16),
     };
     let judge = |report: &Report| {
-        let last = report.heard.last().copied().unwrap_or(f64::INFINITY);
+        let last = report.recovered_s.last().copied().unwrap_or(f64::INFINITY);
         println!(
-            "{} of {PROCESSES} have heard, the last after {last:.1} s, {} calls turned away",
-            report.heard.len(),
-            report.turned_away
+            "{} of {PROCESSES} have recovered, the last after {last:.1} s, {} requests rejected",
+            report.recovered_s.len(),
+            report.rejected
         );
-        match report.heard.len() {
+        match report.recovered_s.len() {
             PROCESSES.. => Ok(()),
-            heard => Err(format!("{heard} of {PROCESSES} have heard 16 s after its return")),
+            recovered => Err(format!("{recovered} of {PROCESSES} have recovered 16 s after its return")),
         }
     };
     if let Err(fault) = run_until_conclusive(case.name, || run(&program(), &case), judge) {
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -10,17 +10,19 @@
 const CASE: Case = Case {
     name: "known list",
     processes: 30,
-    known: true,
-    down: OutageKind::Refused,
-    down_s: 4.0,
+    with_known_list: true,
+    outage: OutageKind::Refused,
+    outage_s: 4.0,
     capacity: None,
 };
 
 fn told(case: &Case, report: &Report) {
-    let at = |part: f64| report.ready[((report.ready.len() as f64 * part).ceil() as usize).max(1) - 1];
+    let at = |part: f64| {
+        report.ready_after_s[((report.ready_after_s.len() as f64 * part).ceil() as usize).max(1) - 1]
+    };
     println!(
-        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); calls to discovery: {} while down, \
-         {} told, {} turned away, at most {} in 100 ms after its return; pulse {:.3} s late",
+        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); requests to discovery: {} while down, \
+         {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
         case.name,
         at(0.0),
         at(0.5),
@@ -35,10 +37,15 @@
     for second in 0..8 {
         let bin = |tenth: usize| {
             let from = f64::from(second) + 0.1 * tenth as f64;
-            report.calls.iter().filter(|(at, _)| (from..from + 0.1).contains(at)).count().to_string()
+            report
+                .discovery_requests
+                .iter()
+                .filter(|(at, _)| (from..from + 0.1).contains(at))
+                .count()
+                .to_string()
         };
         let bins: Vec<String> = (0..10).map(bin).collect();
-        println!("  calls in each 100 ms from {second} s after its return: {}", bins.join(" "));
+        println!("  requests in each 100 ms from {second} s after its return: {}", bins.join(" "));
     }
 }
 
@@ -49,12 +56,12 @@
     let judge = |report: &Report| {
         told(&case, report);
         let (nine_in_ten, last) =
-            (report.ready[case.processes * 9 / 10 - 1], report.ready[case.processes - 1]);
+            (report.ready_after_s[case.processes * 9 / 10 - 1], report.ready_after_s[case.processes - 1]);
         let most = report.most_at_once(0.0, f64::INFINITY);
         match () {
             _ if nine_in_ten > 10.0 => Err(format!("nine in ten are ready after {nine_in_ten:.2} s")),
             _ if last > 14.0 => Err(format!("the last is ready after {last:.2} s")),
-            _ if report.serve < case.processes => Err(format!("{} serve in the end", report.serve)),
+            _ if report.serving < case.processes => Err(format!("{} serve in the end", report.serving)),
             _ if most > case.processes / 2 => Err(format!("{most} call discovery in 100 ms")),
             _ => Ok(()),
         }
@@ -71,7 +78,7 @@
 
 #[test]
 fn without_a_list_they_are_ready_soon_after_its_return() {
-    holds(Case { name: "no list", known: false, ..CASE });
+    holds(Case { name: "no list", with_known_list: false, ..CASE });
 }
 
 /// It works through one call of each process in five seconds, and whoever would wait for longer than 0.3 s is turned away.
@@ -81,8 +88,8 @@
         Some(Capacity { requests_per_s: 6.0, max_wait_s: 0.3, rejection: RejectionTiming::Immediate });
     holds(Case {
         name: "no list, too many callers",
-        known: false,
-        down: OutageKind::Closed,
+        with_known_list: false,
+        outage: OutageKind::Closed,
         capacity,
         ..CASE
     });
@@ -91,5 +98,5 @@
 /// All are held unanswered, and closed in the moment of its return.
 #[test]
 fn without_a_list_and_with_calls_that_are_closed_at_its_return() {
-    holds(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
+    holds(Case { name: "no list, held", with_known_list: false, outage: OutageKind::Held, ..CASE });
 }
