--- a/lab/src/large_list/catalogue.rs
+++ b/lab/src/large_list/catalogue.rs
@@ -1,37 +1,37 @@
-//! What a discovery has: the endpoints that are listed, version by version.
+//! The list of a discovery, version by version.
 use super::endpoints::EndpointNo;
 use crate::fakes::endpoint_json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The versions of a list, which only grow.
+/// A list of endpoints and all changes since its first version.
 pub struct Catalogue {
     listed: BTreeMap<EndpointNo, SocketAddr>,
     versions: Vec<Version>,
 }
 
-/// What one version has changed.
+/// What one version changed.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// When discovery had it.
-    pub made: Instant,
-    /// Endpoints that are not listed any more.
+    /// When it was made.
+    pub created_at: Instant,
+    /// Endpoints that it removed.
     pub removed: Vec<(EndpointNo, SocketAddr)>,
-    /// Endpoints that are new.
+    /// Endpoints that it added.
     pub added: Vec<(EndpointNo, SocketAddr)>,
 }
 
-fn worded((endpoint, address): &(EndpointNo, SocketAddr), status: &str) -> String {
+fn entry_json((endpoint, address): &(EndpointNo, SocketAddr), status: &str) -> String {
     endpoint_json(&format!("s-{:08x}", endpoint.0), *address, status, 0)
 }
 
-fn line(index: usize, snapshot: bool, entries: &[String]) -> String {
+fn list_json(index: usize, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
 impl Catalogue {
-    /// The first version.
+    /// A list in its first version.
     pub fn new(listed: impl Iterator<Item = (EndpointNo, SocketAddr)>) -> Catalogue {
         Catalogue { listed: listed.collect(), versions: Vec::new() }
     }
@@ -41,35 +41,37 @@
         1 + self.versions.len()
     }
 
-    /// Makes a version.
+    /// Makes a new version that removes and adds endpoints.
     pub fn replace(
         &mut self, removed: impl Iterator<Item = EndpointNo>, added: Vec<(EndpointNo, SocketAddr)>,
     ) {
-        let removed: Vec<_> = removed.filter_map(|one| self.listed.remove_entry(&one)).collect();
+        let removed: Vec<_> = removed.filter_map(|endpoint| self.listed.remove_entry(&endpoint)).collect();
         self.listed.extend(added.iter().copied());
-        self.versions.push(Version { made: Instant::now(), removed, added });
+        self.versions.push(Version { created_at: Instant::now(), removed, added });
     }
 
-    /// All that is listed, as a line without its end.
-    pub fn whole(&self) -> String {
-        let entries: Vec<String> = self.listed.iter().map(|(no, at)| worded(&(*no, *at), "active")).collect();
-        line(self.index(), true, &entries)
+    /// The full list as a line of JSON, without the line's end.
+    pub fn snapshot_json(&self) -> String {
+        let entries: Vec<String> =
+            self.listed.iter().map(|(no, at)| entry_json(&(*no, *at), "active")).collect();
+        list_json(self.index(), true, &entries)
     }
 
-    /// All that has changed after a version, as a line without its end; none if nothing has.
+    /// All changes after a version as a line of JSON, without the line's end; none if there are none.
     pub fn changes_after(&self, index: usize) -> Option<String> {
-        let fresh = self.versions.get(index.saturating_sub(1)..).filter(|fresh| !fresh.is_empty())?;
-        let entries: Vec<String> = fresh
+        let new_versions =
+            self.versions.get(index.saturating_sub(1)..).filter(|new_versions| !new_versions.is_empty())?;
+        let entries: Vec<String> = new_versions
             .iter()
             .flat_map(|version| {
-                let removed = version.removed.iter().map(|one| worded(one, "left"));
-                removed.chain(version.added.iter().map(|one| worded(one, "active")))
+                let removed = version.removed.iter().map(|endpoint| entry_json(endpoint, "left"));
+                removed.chain(version.added.iter().map(|endpoint| entry_json(endpoint, "active")))
             })
             .collect();
-        Some(line(self.index(), false, &entries))
+        Some(list_json(self.index(), false, &entries))
     }
 
-    /// The versions made so far, the first of which has number 2.
+    /// The changes so far; the first made version 2.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
--- a/lab/src/large_list/discovery.rs
+++ b/lab/src/large_list/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that answers with large lists and has trouble in answering: it is slow, late, silent, cut off, down or has too many callers.
+//! A discovery with a large list and injected faults: it can be slow, late, silent, cut off, down or overloaded.
 use super::catalogue::Catalogue;
 use super::endpoints::EndpointNo;
 use crate::fakes::{read_head, reject, serve_connections};
@@ -13,79 +13,80 @@
 /// How an answer is written.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Pace {
-    /// How long after the call its first byte is written.
-    pub first_byte: Duration,
-    /// How many bytes are written at a time; 0 for all.
-    pub piece: usize,
-    /// How long it pauses after each piece.
-    pub pause: Duration,
-    /// How many calls from the beginning of the trouble on end half way.
-    pub halves: usize,
+    /// How long after the request its first byte is written.
+    pub first_byte_delay: Duration,
+    /// How many bytes are written at a time; 0 for all at once.
+    pub write_bytes: usize,
+    /// How long the pause between two writes is.
+    pub write_pause: Duration,
+    /// How many answers, the first ones with this pace, are cut off after one half.
+    pub truncated_answers: usize,
 }
 
-/// How calls are met.
+/// How requests are answered.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Conduct {
-    /// They are answered.
-    Answers(Pace),
-    /// They wait for so long and get a 503: it is down, or has too many callers.
-    TurnsAway(Duration),
+pub enum ResponseMode {
+    /// With the list, at this pace.
+    Serve(Pace),
+    /// With a 503 after this time, as a discovery that is down or overloaded.
+    Reject(Duration),
 }
 
-/// A line that was written whole.
+/// A line that was written completely.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Written {
-    /// When its last byte was.
+pub struct WrittenLine {
+    /// When its last byte was written.
     pub at: Instant,
-    /// The version that it told.
+    /// The version of the list that it has.
     pub index: usize,
 }
 
-/// A call.
+/// A request for the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Call {
-    /// When it came.
+pub struct ListRequest {
+    /// When it arrived.
     pub at: Instant,
-    /// The version that it asked from.
+    /// The version in its `index`, after which it asks for changes.
     pub from: usize,
 }
 
 struct State {
     catalogue: Catalogue,
-    conduct: Conduct,
-    /// Watches of an earlier life are reset.
-    life: u64,
-    /// Watches of before say nothing any more.
+    response_mode: ResponseMode,
+    /// How often the watches were reset or silenced; a watch of an earlier epoch is reset.
+    epoch: u64,
+    /// Watches of an epoch before this one are not reset but stay silent.
     silent_before: u64,
-    calls: Vec<Call>,
-    written: Vec<Written>,
-    halves: usize,
+    requests: Vec<ListRequest>,
+    written_lines: Vec<WrittenLine>,
+    /// How many of the next answers are cut off.
+    truncated_answers: usize,
 }
 
-/// One discovery.
+/// The discovery, which all its threads share.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it is called.
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// An empty line comes that often where nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+/// After how long without a change a watch gets an empty line.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Discovery {
-    /// Starts one that answers at once.
+    /// Starts a discovery that answers at once.
     pub fn start(catalogue: Catalogue) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
             catalogue,
-            conduct: Conduct::Answers(Pace::default()),
-            life: 0,
+            response_mode: ResponseMode::Serve(Pace::default()),
+            epoch: 0,
             silent_before: 0,
-            calls: Vec::new(),
-            written: Vec::new(),
-            halves: 0,
+            requests: Vec::new(),
+            written_lines: Vec::new(),
+            truncated_answers: 0,
         };
         let discovery = Discovery { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
         let serving = discovery.clone();
@@ -98,38 +99,38 @@
         self.shared.1.notify_all();
     }
 
-    /// Meets calls so from now on.
-    pub fn set_conduct(&self, conduct: Conduct) {
+    /// Answers requests this way from now on.
+    pub fn set_conduct(&self, response_mode: ResponseMode) {
         self.change(|state| {
-            state.conduct = conduct;
-            if let Conduct::Answers(pace) = conduct {
-                state.halves = pace.halves;
+            state.response_mode = response_mode;
+            if let ResponseMode::Serve(pace) = response_mode {
+                state.truncated_answers = pace.truncated_answers;
             }
         });
     }
 
-    /// Resets all watches.
+    /// Resets the connections of all open watches.
     pub fn reset_watches(&self) {
-        self.change(|state| state.life += 1);
+        self.change(|state| state.epoch += 1);
     }
 
-    /// Has all watches that are open say nothing any more.
+    /// Sends nothing more on the watches that are open.
     pub fn silence_watches(&self) {
         self.change(|state| {
-            state.life += 1;
-            state.silent_before = state.life;
+            state.epoch += 1;
+            state.silent_before = state.epoch;
         });
     }
 
-    /// Makes a version.
+    /// Makes a new version of the list.
     pub fn replace(&self, removed: impl Iterator<Item = EndpointNo>, added: Vec<(EndpointNo, SocketAddr)>) {
         self.change(|state| state.catalogue.replace(removed, added));
     }
 
-    /// What it has, what it was asked and what it wrote.
-    pub fn look<T>(&self, look: impl FnOnce(&Catalogue, &[Call], &[Written]) -> T) -> T {
+    /// Reads the list, the requests and the lines that were written.
+    pub fn inspect<T>(&self, inspect: impl FnOnce(&Catalogue, &[ListRequest], &[WrittenLine]) -> T) -> T {
         let state = lock(&self.shared.0);
-        look(&state.catalogue, &state.calls, &state.written)
+        inspect(&state.catalogue, &state.requests, &state.written_lines)
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
@@ -137,73 +138,73 @@
         let mut stream = BufReader::new(stream);
         let head = read_head(&mut stream)?;
         let from = head.split("index=").nth(1)?.split(' ').next()?.parse().ok()?;
-        let (conduct, life) = {
+        let (response_mode, epoch) = {
             let mut state = lock(&self.shared.0);
-            state.calls.push(Call { at: Instant::now(), from });
-            (state.conduct, state.life)
+            state.requests.push(ListRequest { at: Instant::now(), from });
+            (state.response_mode, state.epoch)
         };
         let mut stream = stream.into_inner();
-        match conduct {
-            Conduct::TurnsAway(after) => {
+        match response_mode {
+            ResponseMode::Reject(after) => {
                 thread::sleep(after);
                 reject(&mut stream)
             }
-            Conduct::Answers(pace) => self.watch(&mut stream, pace, life),
+            ResponseMode::Serve(pace) => self.watch(&mut stream, pace, epoch),
         }
     }
 
-    fn watch(&self, stream: &mut TcpStream, pace: Pace, life: u64) -> Option<()> {
-        thread::sleep(pace.first_byte);
-        let (state, news) = &*self.shared;
-        let (mut told, first, halves) = {
+    fn watch(&self, stream: &mut TcpStream, pace: Pace, epoch: u64) -> Option<()> {
+        thread::sleep(pace.first_byte_delay);
+        let (state, changed) = &*self.shared;
+        let (mut sent, first, truncates) = {
             let mut state = lock(state);
-            let halves = state.halves > 0;
-            state.halves = state.halves.saturating_sub(1);
-            (state.catalogue.index(), state.catalogue.whole(), halves)
+            let truncates = state.truncated_answers > 0;
+            state.truncated_answers = state.truncated_answers.saturating_sub(1);
+            (state.catalogue.index(), state.catalogue.snapshot_json(), truncates)
         };
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         let text = chunk(&first);
-        let whole = if halves { text.len() / 2 } else { text.len() };
-        write_paced(stream, &text.as_bytes()[..whole], pace)?;
-        if halves {
+        let length = if truncates { text.len() / 2 } else { text.len() };
+        write_paced(stream, &text.as_bytes()[..length], pace)?;
+        if truncates {
             return None;
         }
-        self.note_written(told);
+        self.note_written(sent);
         loop {
-            let nothing = |state: &mut State| state.life == life && state.catalogue.index() == told;
-            let waited = news.wait_timeout_while(lock(state), BEAT, nothing);
-            let (mut now, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            if now.life != life {
-                while now.silent_before > life {
-                    now = news.wait(now).unwrap_or_else(PoisonError::into_inner);
+            let unchanged = |state: &mut State| state.epoch == epoch && state.catalogue.index() == sent;
+            let waited = changed.wait_timeout_while(lock(state), HEARTBEAT_INTERVAL, unchanged);
+            let (mut locked, _) = waited.unwrap_or_else(PoisonError::into_inner);
+            if locked.epoch != epoch {
+                while locked.silent_before > epoch {
+                    locked = changed.wait(locked).unwrap_or_else(PoisonError::into_inner);
                 }
-                drop(now);
+                drop(locked);
                 let _ = sockopt::set_socket_linger(&*stream, Some(Duration::ZERO));
                 return None;
             }
-            let said = now.catalogue.changes_after(told).unwrap_or_default();
-            told = now.catalogue.index();
-            drop(now);
-            stream.write_all(chunk(&said).as_bytes()).ok()?;
-            self.note_written(told);
+            let changes = locked.catalogue.changes_after(sent).unwrap_or_default();
+            sent = locked.catalogue.index();
+            drop(locked);
+            stream.write_all(chunk(&changes).as_bytes()).ok()?;
+            self.note_written(sent);
         }
     }
 
     fn note_written(&self, index: usize) {
-        self.change(|state| state.written.push(Written { at: Instant::now(), index }));
+        self.change(|state| state.written_lines.push(WrittenLine { at: Instant::now(), index }));
     }
 }
 
-/// A line in a chunk of its own.
+/// A line as one HTTP chunk.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
 fn write_paced(stream: &mut TcpStream, bytes: &[u8], pace: Pace) -> Option<()> {
-    let piece = if pace.piece == 0 { bytes.len() } else { pace.piece };
-    for (at, part) in bytes.chunks(piece).enumerate() {
+    let write_bytes = if pace.write_bytes == 0 { bytes.len() } else { pace.write_bytes };
+    for (at, part) in bytes.chunks(write_bytes).enumerate() {
         if at > 0 {
-            thread::sleep(pace.pause);
+            thread::sleep(pace.write_pause);
         }
         stream.write_all(part).ok()?;
     }
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the program before thousands of endpoints, while it can hardly hear which of them are there: no request may go to an
-//! endpoint later than the grace after its removal counts as notified.
+//! One process of the program with thousands of endpoints, while the list reaches it slowly, late or not at all. No request may go to
+//! a removed endpoint once the grace time after the notification of its removal is over.
 pub mod catalogue;
 pub mod discovery;
 pub mod endpoints;
@@ -8,7 +8,7 @@
 use crate::harness::{config_json, wait_until_all_ready, DelayMonitor, ProcessConfig, RunValidity, TempDir};
 use crate::processes::Sidecar;
 use catalogue::Catalogue;
-use discovery::{Conduct, Discovery};
+use discovery::{Discovery, ResponseMode};
 use endpoints::{EndpointNo, Endpoints};
 use rustix::process::Signal;
 use std::collections::HashMap;
@@ -17,112 +17,116 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What counts as notified at the latest so long after discovery had it and could be reached.
+/// A change counts as notified at the latest this long after discovery had it and could be reached.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
-/// What the settings allow after that, and what processes and this rig may be held up for.
+/// How long after the notification the settings still allow requests to a removed endpoint.
 const GRACE: Duration = Duration::from_millis(1_500);
+/// How long processes and this harness may be delayed on top of that.
 const SLACK: Duration = Duration::from_millis(200);
-/// A part of the endpoints is replaced that often.
-const CHANGES_EVERY: Duration = Duration::from_millis(600);
-const CHANGED_PART: f64 = 0.02;
-/// All is quiet for so long at first.
-const QUIET: Duration = Duration::from_secs(1);
+/// How often endpoints are replaced.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(600);
+/// The share of the endpoints that each change replaces.
+const CHANGED_SHARE: f64 = 0.02;
+/// How long the clients run before the fault begins.
+const LEAD: Duration = Duration::from_secs(1);
 const CLIENTS: usize = 4;
-const REQUESTS_A_SECOND: f64 = 100.0;
-/// A rig that is later than this gives no figure.
-const LATE: f64 = 0.15;
+const REQUESTS_PER_S: f64 = 100.0;
+/// A harness that was later than this makes a failure inconclusive, in seconds.
+const MAX_DELAY_S: f64 = 0.15;
 
-/// How watches end where the trouble begins.
+/// What happens to the open watch when the fault begins.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Cut {
-    /// They are reset.
+pub enum WatchFault {
+    /// Its connection is reset.
     Reset,
-    /// They say nothing any more.
+    /// Discovery sends nothing more on it.
     Silence,
-    /// They go on.
+    /// Nothing.
     None,
 }
 
-/// What is played. Times are counted from the beginning of the trouble.
+/// What is run. Times are counted from the beginning of the fault.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// How it is called.
+    /// Its name in reports.
     pub name: &'static str,
     /// How many endpoints are listed.
     pub endpoints: usize,
-    /// What becomes of the watch that is open.
-    pub cut: Cut,
-    /// How discovery meets calls.
-    pub conduct: Conduct,
-    /// Until when it cannot be reached.
-    pub down: Duration,
-    /// SIGHUP comes at these times, the file being the same.
+    /// What happens to the open watch.
+    pub watch_fault: WatchFault,
+    /// How discovery answers requests.
+    pub response_mode: ResponseMode,
+    /// Until when discovery cannot be reached.
+    pub unreachable_until: Duration,
+    /// When the process gets a SIGHUP, with an unchanged settings file.
     pub reloads: Vec<Duration>,
-    /// When endpoints begin to be replaced, and when that ends.
-    pub changes: (Duration, Duration),
-    /// When the play ends.
+    /// From when to when endpoints are replaced.
+    pub replacing: (Duration, Duration),
+    /// When the run ends.
     pub length: Duration,
 }
 
-/// A request to an endpoint that was gone.
+/// A request to a removed endpoint after its grace time.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Break {
-    /// When, in seconds of the trouble.
+pub struct Violation {
+    /// When, in seconds from the beginning of the fault.
     pub at: f64,
-    /// How much later than allowed.
-    pub late: f64,
+    /// How much later than allowed, in seconds.
+    pub late_s: f64,
 }
 
-/// What was seen.
+/// The outcome of a case.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests to endpoints that were gone, in the order of time.
-    pub breaks: Vec<Break>,
-    /// Requests that endpoints received since the trouble began.
+    /// Requests to removed endpoints, sorted by time.
+    pub violations: Vec<Violation>,
+    /// How many requests endpoints received since the fault began.
     pub received: usize,
-    /// Answers that clients got, and those of them that were no refusal, by second of the trouble.
+    /// How many requests of clients ended, and how many of them with status 200, for each second of the fault.
     pub answers: Vec<(usize, usize)>,
-    /// Calls to discovery, in seconds of the trouble, with the version each asked from.
-    pub calls: Vec<(f64, usize)>,
-    /// Lines that discovery wrote whole since then.
+    /// Requests to discovery, in seconds from the beginning of the fault, each with the version after which it asked for changes.
+    pub discovery_requests: Vec<(f64, usize)>,
+    /// How many lines discovery wrote completely since the fault began.
     pub lines: usize,
     /// The process's log.
     pub log: String,
 }
 
-/// Plays a case once.
+/// Runs a case once.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let failed = |fault: std::io::Error| fault.to_string();
-    let endpoints = Endpoints::start().map_err(failed)?;
-    let listed = (0..case.endpoints).map(EndpointNo).map(|one| (one, endpoints.address(one)));
-    let discovery = Discovery::start(Catalogue::new(listed)).map_err(failed)?;
+    let to_text = |error: std::io::Error| error.to_string();
+    let endpoints = Endpoints::start().map_err(to_text)?;
+    let listed = (0..case.endpoints).map(EndpointNo).map(|endpoint| (endpoint, endpoints.address(endpoint)));
+    let discovery = Discovery::start(Catalogue::new(listed)).map_err(to_text)?;
     let folder = TempDir::new("large-list");
-    let mut sidecar = Sidecar::new(program, "n0", folder.path()).map_err(failed)?;
-    sidecar.write_config(&settings(&sidecar, &discovery)).map_err(failed)?;
-    sidecar.start().map_err(failed)?;
+    let mut sidecar = Sidecar::new(program, "n0", folder.path()).map_err(to_text)?;
+    sidecar.write_config(&settings(&sidecar, &discovery)).map_err(to_text)?;
+    sidecar.start().map_err(to_text)?;
     wait_until_all_ready(std::slice::from_mut(&mut sidecar))?;
     let (delay_monitor, begun) = (DelayMonitor::start(), Instant::now());
-    let notes = Arc::<Observations>::default();
-    let trouble = begun + QUIET;
-    let length = (QUIET + case.length).as_secs_f64();
+    let observations = Arc::<Observations>::default();
+    let fault_begin = begun + LEAD;
+    let length = (LEAD + case.length).as_secs_f64();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (notes, to) = (notes.clone(), sidecar.listen);
-            let rate = REQUESTS_A_SECOND / CLIENTS as f64;
-            scope.spawn(move || run_client(to, (client, "view"), rate, begun, || length, &notes));
+            let (observations, to) = (observations.clone(), sidecar.listen);
+            let rate = REQUESTS_PER_S / CLIENTS as f64;
+            scope.spawn(move || run_client(to, (client, "view"), rate, begun, || length, &observations));
         }
-        scope.spawn(|| begin_trouble(case, &discovery, trouble));
-        scope.spawn(|| replace_endpoints(case, &discovery, &endpoints, trouble));
+        scope.spawn(|| begin_fault(case, &discovery, fault_begin));
+        scope.spawn(|| replace_endpoints(case, &discovery, &endpoints, fault_begin));
         scope.spawn(|| {
             for reload in &case.reloads {
-                sleep_until(trouble + *reload);
+                sleep_until(fault_begin + *reload);
                 sidecar.signal(Signal::HUP);
             }
         });
     });
-    let report = report(case, &discovery, &endpoints, &notes, trouble, sidecar.log_text());
+    let report = report(case, &discovery, &endpoints, &observations, fault_begin, sidecar.log_text());
     let ran = match delay_monitor.max_delay_s() {
-        late if late > LATE => RunValidity::HarnessLate(format!("the rig ran {late:.3} s late")),
+        delay if delay > MAX_DELAY_S => {
+            RunValidity::HarnessLate(format!("the harness was {delay:.3} s late"))
+        }
         _ => RunValidity::Valid,
     };
     Ok((report, ran))
@@ -138,38 +142,40 @@
     thread::sleep(moment.saturating_duration_since(Instant::now()));
 }
 
-fn begin_trouble(case: &Case, discovery: &Discovery, at: Instant) {
+fn begin_fault(case: &Case, discovery: &Discovery, at: Instant) {
     sleep_until(at);
-    discovery.set_conduct(case.conduct);
-    match case.cut {
-        Cut::Reset => discovery.reset_watches(),
-        Cut::Silence => discovery.silence_watches(),
-        Cut::None => {}
+    discovery.set_conduct(case.response_mode);
+    match case.watch_fault {
+        WatchFault::Reset => discovery.reset_watches(),
+        WatchFault::Silence => discovery.silence_watches(),
+        WatchFault::None => {}
     }
 }
 
-fn replace_endpoints(case: &Case, discovery: &Discovery, endpoints: &Endpoints, trouble: Instant) {
-    let each = (case.endpoints as f64 * CHANGED_PART).ceil() as usize;
-    let mut at = case.changes.0;
+fn replace_endpoints(case: &Case, discovery: &Discovery, endpoints: &Endpoints, fault_begin: Instant) {
+    let each = (case.endpoints as f64 * CHANGED_SHARE).ceil() as usize;
+    let mut at = case.replacing.0;
     let mut step = 0;
-    while at < case.changes.1 {
-        sleep_until(trouble + at);
+    while at < case.replacing.1 {
+        sleep_until(fault_begin + at);
         let removed = (step * each..(step + 1) * each).map(EndpointNo);
         let first = case.endpoints + step * each;
-        let added = (first..first + each).map(EndpointNo).map(|one| (one, endpoints.address(one)));
+        let added =
+            (first..first + each).map(EndpointNo).map(|endpoint| (endpoint, endpoints.address(endpoint)));
         discovery.replace(removed, added.collect());
-        (at, step) = (at + CHANGES_EVERY, step + 1);
+        (at, step) = (at + CHANGE_INTERVAL, step + 1);
     }
 }
 
-/// When each removed endpoint may be sent to no more.
-fn forbidden_from(case: &Case, discovery: &Discovery, trouble: Instant) -> HashMap<EndpointNo, Instant> {
-    discovery.look(|catalogue, _, written| {
+/// From when on each removed endpoint must get no more requests.
+fn forbidden_from(case: &Case, discovery: &Discovery, fault_begin: Instant) -> HashMap<EndpointNo, Instant> {
+    discovery.inspect(|catalogue, _, written_lines| {
         let mut from = HashMap::new();
         for (version, index) in catalogue.versions().iter().zip(2..) {
-            let reachable = version.made.max(trouble + case.down);
-            let told = written.iter().filter(|line| line.index >= index).map(|line| line.at).min();
-            let notified = told.unwrap_or(reachable + NOTIFIED_WITHIN).min(reachable + NOTIFIED_WITHIN);
+            let reachable = version.created_at.max(fault_begin + case.unreachable_until);
+            let first_sent =
+                written_lines.iter().filter(|line| line.index >= index).map(|line| line.at).min();
+            let notified = first_sent.unwrap_or(reachable + NOTIFIED_WITHIN).min(reachable + NOTIFIED_WITHIN);
             for (endpoint, _) in &version.removed {
                 from.insert(*endpoint, notified + GRACE + SLACK);
             }
@@ -179,52 +185,55 @@
 }
 
 fn report(
-    case: &Case, discovery: &Discovery, endpoints: &Endpoints, notes: &Observations, trouble: Instant,
-    log: String,
+    case: &Case, discovery: &Discovery, endpoints: &Endpoints, observations: &Observations,
+    fault_begin: Instant, log: String,
 ) -> Report {
-    let forbidden = forbidden_from(case, discovery, trouble);
+    let forbidden = forbidden_from(case, discovery, fault_begin);
     let received = endpoints.received();
-    let mut breaks: Vec<Break> = received
+    let mut violations: Vec<Violation> = received
         .iter()
         .filter_map(|request| {
-            let late = request.at.checked_duration_since(*forbidden.get(&request.endpoint)?)?;
-            let at = request.at.saturating_duration_since(trouble).as_secs_f64();
-            Some(Break { at, late: late.as_secs_f64() })
+            let late_by = request.at.checked_duration_since(*forbidden.get(&request.endpoint)?)?;
+            let at = request.at.saturating_duration_since(fault_begin).as_secs_f64();
+            Some(Violation { at, late_s: late_by.as_secs_f64() })
         })
         .collect();
-    breaks.sort_by(|one, other| one.at.total_cmp(&other.at));
+    violations.sort_by(|one, other| one.at.total_cmp(&other.at));
     let mut answers = vec![(0, 0); case.length.as_secs() as usize + 1];
-    for answered in crate::harness::lock(&notes.responses).iter() {
-        let second = answered.at - QUIET.as_secs_f64();
+    for answered in crate::harness::lock(&observations.responses).iter() {
+        let second = answered.at - LEAD.as_secs_f64();
         if let Some((all, served)) = answers.get_mut(second as usize).filter(|_| second >= 0.0) {
             *all += 1;
             *served += usize::from(answered.status == Some(200));
         }
     }
-    let (calls, lines) = discovery.look(|_, calls, written| {
-        let calls = calls.iter().filter(|call| call.at >= trouble);
-        let calls = calls.map(|call| ((call.at - trouble).as_secs_f64(), call.from)).collect();
-        (calls, written.iter().filter(|line| line.at >= trouble).count())
+    let (discovery_requests, lines) = discovery.inspect(|_, discovery_requests, written_lines| {
+        let discovery_requests = discovery_requests.iter().filter(|call| call.at >= fault_begin);
+        let discovery_requests =
+            discovery_requests.map(|call| ((call.at - fault_begin).as_secs_f64(), call.from)).collect();
+        (discovery_requests, written_lines.iter().filter(|line| line.at >= fault_begin).count())
     });
-    let received = received.iter().filter(|request| request.at >= trouble).count();
-    Report { breaks, received, answers, calls, lines, log }
+    let received = received.iter().filter(|request| request.at >= fault_begin).count();
+    Report { violations, received, answers, discovery_requests, lines, log }
 }
 
 impl Report {
-    /// What was seen, in a few lines.
+    /// The outcome in one line.
     pub fn summary(&self) -> String {
-        let latest = self.breaks.iter().map(|one| one.late).fold(0.0, f64::max);
-        let first =
-            self.breaks.first().map_or(String::new(), |one| format!(", the first at {:.1} s", one.at));
-        let calls: Vec<String> =
-            self.calls.iter().map(|(at, from)| format!("{at:.1} (from {from})")).collect();
+        let max_late_s = self.violations.iter().map(|violation| violation.late_s).fold(0.0, f64::max);
+        let first = self
+            .violations
+            .first()
+            .map_or(String::new(), |violation| format!(", the first at {:.1} s", violation.at));
+        let discovery_requests: Vec<String> =
+            self.discovery_requests.iter().map(|(at, from)| format!("{at:.1} (from {from})")).collect();
         let served: Vec<String> =
             self.answers.iter().map(|(all, served)| format!("{served}/{all}")).collect();
         format!(
-            "{} of {} requests went to endpoints that were gone, up to {latest:.1} s late{first}; calls at {}; {} lines; served by second {}",
-            self.breaks.len(),
+            "{} of {} requests went to removed endpoints, up to {max_late_s:.1} s late{first}; discovery requests at {}; {} lines; served by second {}",
+            self.violations.len(),
             self.received,
-            calls.join(", "),
+            discovery_requests.join(", "),
             self.lines,
             served.join(" "),
         )
--- a/lab/tests/large_lists.rs
+++ b/lab/tests/large_lists.rs
@@ -3,8 +3,8 @@
 
 use beside::program;
 use oakhollow_lab::harness::run_until_conclusive;
-use oakhollow_lab::large_list::discovery::{Conduct, Pace};
-use oakhollow_lab::large_list::{run, Case, Cut, Report};
+use oakhollow_lab::large_list::discovery::{Pace, ResponseMode};
+use oakhollow_lab::large_list::{run, Case, Report, WatchFault};
 use std::thread;
 use std::time::Duration;
 
@@ -21,28 +21,28 @@
     Case {
         name,
         endpoints: ENDPOINTS,
-        cut: Cut::Reset,
-        conduct: Conduct::Answers(pace),
-        down: Duration::ZERO,
+        watch_fault: WatchFault::Reset,
+        response_mode: ResponseMode::Serve(pace),
+        unreachable_until: Duration::ZERO,
         reloads: Vec::new(),
-        changes: (seconds(0.1), seconds(6.0)),
+        replacing: (seconds(0.1), seconds(6.0)),
         length: seconds(14.0),
     }
 }
 
 /// So many bytes a second.
 fn at_pace(bytes_a_second: f64) -> Pace {
-    let piece = 4 * 1024;
-    Pace { piece, pause: seconds(piece as f64 / bytes_a_second), ..Pace::default() }
+    let write_bytes = 4 * 1024;
+    Pace { write_bytes, write_pause: seconds(write_bytes as f64 / bytes_a_second), ..Pace::default() }
 }
 
-fn with_pauses(pause: f64) -> Pace {
-    Pace { piece: PIECE, pause: seconds(pause), ..Pace::default() }
+fn with_pauses(write_pause: f64) -> Pace {
+    Pace { write_bytes: PIECE, write_pause: seconds(write_pause), ..Pace::default() }
 }
 
-fn no_breaks(report: &Report) -> Result<(), String> {
+fn no_violations(report: &Report) -> Result<(), String> {
     println!("{}", report.summary());
-    match report.breaks.len() {
+    match report.violations.len() {
         0 => Ok(()),
         _ => Err(report.summary()),
     }
@@ -54,7 +54,7 @@
     let faults: Vec<String> = thread::scope(|scope| {
         let plays = cases.iter().map(|case| {
             let program = &program;
-            scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_breaks))
+            scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_violations))
         });
         let plays: Vec<_> = plays.collect();
         plays.into_iter().filter_map(|play| play.join().expect("played").err()).collect()
@@ -64,14 +64,17 @@
 
 #[test]
 fn a_list_that_comes_slowly_or_late_is_heard() {
-    let late = Pace { first_byte: seconds(5.2), ..Pace::default() };
-    let halves = Pace { halves: 2, ..at_pace(150_000.0) };
+    let late = Pace { first_byte_delay: seconds(5.2), ..Pace::default() };
+    let truncated_answers = Pace { truncated_answers: 2, ..at_pace(150_000.0) };
     hold(&[
         case("pauses of 0.75 s in the line", with_pauses(0.75)),
         case("pauses of 0.9 s in the line", with_pauses(0.9)),
         case("first byte after 5.2 s", late),
-        case("two answers end half way", halves),
-        Case { cut: Cut::Silence, ..case("silence, then 150 kB a second", at_pace(150_000.0)) },
+        case("two answers end half way", truncated_answers),
+        Case {
+            watch_fault: WatchFault::Silence,
+            ..case("silence, then 150 kB a second", at_pace(150_000.0))
+        },
     ]);
 }
 
@@ -85,9 +88,9 @@
 #[test]
 fn a_list_that_is_never_heard_is_not_used_for_ever() {
     hold(&[Case {
-        conduct: Conduct::TurnsAway(seconds(2.0)),
-        down: seconds(8.0),
-        changes: (seconds(8.2), seconds(13.0)),
+        response_mode: ResponseMode::Reject(seconds(2.0)),
+        unreachable_until: seconds(8.0),
+        replacing: (seconds(8.2), seconds(13.0)),
         length: seconds(22.0),
         ..case("down for 8 s, then crowded", Pace::default())
     }]);
