--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -258,7 +258,7 @@
                     true => report::objects(&report).iter().for_each(|object| println!("{object}")),
                     false => report::text(&report).iter().for_each(|line| println!("{line}")),
                 }
-                whole &= report.phases.iter().all(|phase| phase.sound());
+                whole &= report.phases.iter().all(|phase| phase.is_conclusive());
                 steps.push(report);
             }
             Err(why) => {
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! The real processes of a step: keepers, and sidecars that carry calls, each with a stand-in discovery.
+//! The real processes of a step: lease servers and sidecars that forward requests, each with a fake discovery.
 use super::usage::{self, Usage};
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
@@ -13,25 +13,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub const KEEPERS: usize = 3;
-/// How long a process may take until it answers anything, beyond the leases that it waits for.
-const STARTS: Duration = Duration::from_secs(60);
-/// Workloads of the settings: the first is called, the others make the text as long as one of an ordinary size.
+/// How many lease servers there are.
+pub const LEASE_SERVERS: usize = 3;
+/// How long a process may take to start, beyond the leases that it waits for.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// How many workloads the settings have. The first is used; the others give the settings an ordinary size.
 const WORKLOADS: usize = 20;
-pub const CALLED: &str = "w0";
+/// The workload of the clients' requests.
+pub const CALLED_WORKLOAD: &str = "w0";
 
+/// The real processes, their servers and discoveries.
 pub struct Fleet {
-    /// The keepers first.
+    /// The processes, the lease servers first.
     pub processes: Vec<Sidecar>,
-    pub keepers: Vec<SocketAddr>,
+    /// The addresses of the lease servers.
+    pub lease_servers: Vec<SocketAddr>,
     discoveries: Vec<Discovery>,
     servers: Vec<SocketAddr>,
+    /// The settings that all instances share.
     pub document: Document,
-    /// Bytes of the operator's file, which names every instance.
+    /// The size of the operator's file, which names every instance.
     pub operator_bytes: usize,
-    /// From the start of a process until it answers at its console at all, and until all serve: the longest of them.
-    pub answers_s: f64,
-    pub serves_s: f64,
+    /// The time from the start until all processes answer at their consoles, in seconds.
+    pub answering_after_s: f64,
+    /// The time from the start until all processes serve, in seconds.
+    pub serving_after_s: f64,
     begun: Instant,
     folder: PathBuf,
 }
@@ -43,42 +49,50 @@
     }
 }
 
-/// What is wanted of it.
-pub struct Wanted<'a> {
+/// What a fleet consists of.
+pub struct FleetSpec<'a> {
+    /// The program under test.
     pub program: &'a Path,
-    /// Sidecars beside the keepers.
+    /// How many sidecars run besides the lease servers.
     pub sidecars: usize,
+    /// The setting `within`, in seconds.
     pub within: f64,
+    /// The setting `scope`.
     pub scope: Scope,
-    pub hollow: &'a [String],
-    /// Servers on every real one's list: those of the first service.
+    /// The names of the simulated instances.
+    pub simulated: &'a [String],
+    /// How many servers the lists of real processes have: those of the first service.
     pub servers: usize,
+    /// The seed of the processes.
     pub seed: u64,
 }
 
 impl Fleet {
-    pub fn start(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> Result<Fleet, String> {
-        Fleet::build(wanted, begun, notes).map_err(|fault| fault.to_string())
+    /// Starts the processes, servers and discoveries.
+    pub fn start(
+        wanted: &FleetSpec, begun: Instant, observations: &Arc<Observations>,
+    ) -> Result<Fleet, String> {
+        Fleet::build(wanted, begun, observations).map_err(|fault| fault.to_string())
     }
 
-    fn build(wanted: &Wanted, begun: Instant, notes: &Arc<Observations>) -> std::io::Result<Fleet> {
+    fn build(wanted: &FleetSpec, begun: Instant, observations: &Arc<Observations>) -> std::io::Result<Fleet> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let unique =
             format!("oakhollow-scale-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
         let servers: Vec<SocketAddr> = (0..wanted.servers)
-            .map(|at| fakes::start_server(at, begun, notes.clone()))
+            .map(|at| fakes::start_server(at, begun, observations.clone()))
             .collect::<std::io::Result<_>>()?;
-        let keepers: Vec<SocketAddr> =
-            (0..KEEPERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
-        let names: Vec<String> = (0..KEEPERS)
+        let lease_servers: Vec<SocketAddr> =
+            (0..LEASE_SERVERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
+        let names: Vec<String> = (0..LEASE_SERVERS)
             .map(|at| format!("n{at}"))
             .chain((0..wanted.sidecars).map(|at| format!("r{at}")))
             .collect();
-        let operator = operator(wanted, &names, &keepers);
+        let operator = operator(wanted, &names, &lease_servers);
         let mut fleet = Fleet {
             processes: Vec::new(),
-            keepers,
+            lease_servers,
             discoveries: Vec::new(),
             servers,
             document: Document {
@@ -86,8 +100,8 @@
                 text: "".into(),
             },
             operator_bytes: operator.len(),
-            answers_s: 0.0,
-            serves_s: 0.0,
+            answering_after_s: 0.0,
+            serving_after_s: 0.0,
             begun: Instant::now(),
             folder,
         };
@@ -106,17 +120,19 @@
         Ok(fleet)
     }
 
-    /// Waits until all answer at their consoles, which needs no lease.
-    pub fn answers(&mut self) -> Result<(), String> {
-        self.wait(STARTS, |process| console_request(process.console, "GET", "/healthcheck").is_some())?;
-        self.answers_s = self.begun.elapsed().as_secs_f64();
+    /// Waits until all processes answer at their consoles, for which they need no lease.
+    pub fn wait_until_answering(&mut self) -> Result<(), String> {
+        self.wait(START_TIMEOUT, |process| {
+            console_request(process.console, "GET", "/healthcheck").is_some()
+        })?;
+        self.answering_after_s = self.begun.elapsed().as_secs_f64();
         Ok(())
     }
 
-    /// Waits until all serve.
-    pub fn serves(&mut self, lease: Duration) -> Result<(), String> {
-        self.wait(STARTS + 4 * lease, |process| is_healthy(process.console))?;
-        self.serves_s = self.begun.elapsed().as_secs_f64();
+    /// Waits until all processes serve.
+    pub fn wait_until_serving(&mut self, lease: Duration) -> Result<(), String> {
+        self.wait(START_TIMEOUT + 4 * lease, |process| is_healthy(process.console))?;
+        self.serving_after_s = self.begun.elapsed().as_secs_f64();
         Ok(())
     }
 
@@ -132,35 +148,36 @@
         Ok(())
     }
 
-    /// Whether the list of the real ones names that server, and all their discoveries tell that of it.
-    pub fn lists_tell(&self, server: usize, told: ListChange) {
+    /// Changes a server in the lists of all real processes, if they have it.
+    pub fn change_lists(&self, server: usize, told: ListChange) {
         if let Some(address) = self.servers.get(server) {
             self.discoveries.iter().for_each(|discovery| discovery.announce(told, server, *address));
         }
     }
 
+    /// What each process uses.
     pub fn usage(&self) -> Vec<Usage> {
         let of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
         self.processes.iter().map(of).collect()
     }
 
-    /// Resident bytes of all together.
+    /// The resident memory of all processes together, in bytes.
     pub fn resident(&self) -> u64 {
         self.processes.iter().filter_map(Sidecar::pid).filter_map(usage::resident).sum()
     }
 
-    /// One that has ended by itself.
-    pub fn ended(&mut self) -> Option<String> {
-        let ended =
+    /// Describes a process that has exited by itself, if there is one.
+    pub fn exited_process(&mut self) -> Option<String> {
+        let exited_process =
             self.processes.iter_mut().find_map(|process| process.has_exited().then_some(&*process))?;
-        let log = ended.log_text();
+        let log = exited_process.log_text();
         let last: Vec<&str> = log.lines().rev().take(3).collect();
-        Some(format!("{} has ended: {}", ended.name, last.join(" | ")))
+        Some(format!("{} has exited: {}", exited_process.name, last.join(" | ")))
     }
 }
 
-/// The operator's file, the same for all: it names every instance, hollow ones too.
-fn operator(wanted: &Wanted, names: &[String], keepers: &[SocketAddr]) -> String {
+/// The operator's file, the same for all processes. It names every instance, also the simulated ones.
+fn operator(wanted: &FleetSpec, names: &[String], lease_servers: &[SocketAddr]) -> String {
     let mut text = format!(
         "[accord]\nwithin = {:?}\nscope = \"{}\"\nkeepers = [{}]\n\n[accord.instances]\n",
         wanted.within,
@@ -168,19 +185,19 @@
             Scope::All => "all",
             Scope::Listed => "listed",
         },
-        names[..KEEPERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
+        names[..LEASE_SERVERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
     );
-    // Those who keep nothing are dialled by nobody; their addresses are as long as a machine's all the same.
+    // No instance connects to one that is no lease server; its address is only as long as a real one.
     let nobody = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
-    for (at, name) in names.iter().chain(wanted.hollow).enumerate() {
-        let address = keepers.get(at).copied().unwrap_or_else(|| nobody(at));
+    for (at, name) in names.iter().chain(wanted.simulated).enumerate() {
+        let address = lease_servers.get(at).copied().unwrap_or_else(|| nobody(at));
         text += &format!("{name} = \"{address}\"\n");
     }
     text
 }
 
 fn file(
-    wanted: &Wanted, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
+    wanted: &FleetSpec, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
 ) -> String {
     let workload = |at: usize| {
         format!(
@@ -198,10 +215,10 @@
         process.console,
         discovery.address,
         wanted.seed.wrapping_mul(31).wrapping_add(at as u64),
-        // A keeper keeps two links back for each instance; beside them what a file has that says nothing.
-        1_024 + 2 * (wanted.hollow.len() + KEEPERS + wanted.sidecars),
+        // A lease server reserves two links for each instance; the default limit of 1024 is left for all else.
+        1_024 + 2 * (wanted.simulated.len() + LEASE_SERVERS + wanted.sidecars),
         fakes::initial_list(servers),
-        KEEPERS + wanted.sidecars,
+        LEASE_SERVERS + wanted.sidecars,
         workloads.join(",")
     )
 }
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -1,197 +1,214 @@
-//! One hollow instance: a member as a sidecar has it, its links to the keepers and its own small list.
+//! One simulated instance: a lease holder as in a sidecar, its links to the lease servers, and its own list.
 use super::catalogue::{Catalogue, EndpointState};
-use super::count::{Counts, Running};
+use super::count::{Counts, CurrentSecond};
 use super::link::Link;
 use oakhollow::types::Micros;
 use oakhollow_accord::{Action, Document, InstanceId, LeaseHolder, ListUpdate, Validator, Version};
 use oakhollow_terms::{Greeting, Scope};
 use std::sync::Arc;
 
-/// What an instance is from its start on.
+/// What stays the same for an instance during a run.
 #[derive(Clone)]
 pub struct InstanceSpec {
+    /// Its name.
     pub name: String,
+    /// The zone that it runs in.
     pub zone: usize,
     /// The servers on its list.
     pub list: Vec<u32>,
-    /// When it starts first.
+    /// When it starts for the first time.
     pub at: Micros,
 }
 
-/// What all instances of a run begin with.
+/// What all instances of a run start with.
 #[derive(Clone)]
-pub struct Common {
-    pub keepers: usize,
-    /// The length of a lease, as a member counts it.
+pub struct SharedConfig {
+    /// How many lease servers there are.
+    pub lease_servers: usize,
+    /// The lease duration of a lease holder.
     pub lease: Micros,
+    /// The settings.
     pub document: Document,
+    /// Whether instances learn about all servers or subscribe to those on their lists.
     pub scope: Scope,
 }
 
-impl Common {
-    fn member(&self) -> LeaseHolder {
-        let keepers = (0..self.keepers).map(|at| InstanceId(at as u32)).collect();
-        // It can take whatever it is told: it carries no calls by it.
-        let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
-        let member = LeaseHolder::new(keepers, self.lease, judge);
+impl SharedConfig {
+    fn holder(&self) -> LeaseHolder {
+        let lease_servers = (0..self.lease_servers).map(|at| InstanceId(at as u32)).collect();
+        // It accepts any settings, since it forwards no requests.
+        let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
+        let holder = LeaseHolder::new(lease_servers, self.lease, validator);
         match self.scope {
-            Scope::All => member,
-            Scope::Listed => member.with_subscription(),
+            Scope::All => holder,
+            Scope::Listed => holder.with_subscription(),
         }
     }
 }
 
-/// What an instance is to hear, on servers that it calls.
+/// What an instance is expected to learn.
 #[derive(Clone, Debug)]
 pub enum Awaited {
-    /// By others' lists nothing new may go to these; or they may be sent to again.
+    /// That the marked servers on its list are excluded by other instances' lists (true), or no longer are (false).
     Servers(Arc<Vec<bool>>, bool),
-    /// That version holds.
+    /// That this version of the settings is committed.
     Version(Version),
 }
 
+/// A simulated instance.
 pub struct SimulatedInstance {
-    pub born: InstanceSpec,
-    pub member: LeaseHolder,
+    /// What stays the same for it.
+    pub spec: InstanceSpec,
+    /// Its lease holder.
+    pub holder: LeaseHolder,
+    /// Its links, one to each lease server.
     pub links: Vec<Link>,
+    /// The first line on each link.
     pub greeting: String,
+    /// Whether it runs.
     pub alive: bool,
-    /// The turn that was last asked of each keeper, and when.
-    pub asked: Vec<(u64, Micros)>,
-    pub running: Running,
-    /// Until when it acts, and since when it does not after it did.
+    /// The sequence number and the time of the last lease request to each lease server.
+    pub last_requests: Vec<(u64, Micros)>,
+    /// Its bytes in the current second.
+    pub current_second: CurrentSecond,
+    /// When its leases expire.
     until: Micros,
-    pub acts: bool,
-    /// It has acted in this life.
-    pub acted: bool,
-    unsure_since: Option<Micros>,
+    /// Whether it holds leases from a majority.
+    pub has_leases: bool,
+    /// Whether it has held them since its last start.
+    pub held_leases: bool,
+    /// Since when it has been without leases after it held them; what is counted already moves this on.
+    without_lease_since: Option<Micros>,
+    /// The version of its list.
     index: u64,
-    /// What it has not heard yet of what is awaited.
+    /// The servers about which it has not yet learned what is awaited.
     missing: Vec<u32>,
     awaited: Option<Awaited>,
-    /// When it looks next whether it is to ask.
-    pub armed: Micros,
-    /// When its list says next that it is there.
-    pub quiet_at: Micros,
+    /// When its lease holder's timer is set for.
+    pub timer_set_for: Micros,
+    /// When its list sends the next empty line.
+    pub next_heartbeat: Micros,
 }
 
 impl SimulatedInstance {
-    pub fn new(born: InstanceSpec, common: &Common) -> SimulatedInstance {
+    /// An instance that has not started.
+    pub fn new(spec: InstanceSpec, common: &SharedConfig) -> SimulatedInstance {
         SimulatedInstance {
-            member: common.member(),
-            links: (0..common.keepers).map(|_| Link::default()).collect(),
+            holder: common.holder(),
+            links: (0..common.lease_servers).map(|_| Link::default()).collect(),
             greeting: String::new(),
             alive: false,
-            asked: vec![(0, Micros(0)); common.keepers],
-            running: Running::default(),
+            last_requests: vec![(0, Micros(0)); common.lease_servers],
+            current_second: CurrentSecond::default(),
             until: Micros(0),
-            acts: false,
-            acted: false,
-            unsure_since: None,
+            has_leases: false,
+            held_leases: false,
+            without_lease_since: None,
             index: 0,
             missing: Vec::new(),
             awaited: None,
-            armed: Micros::NEVER,
-            quiet_at: Micros::NEVER,
-            born,
+            timer_set_for: Micros::NEVER,
+            next_heartbeat: Micros::NEVER,
+            spec,
         }
     }
 
-    /// Begins a life: it knows its file and its list, and nothing else.
+    /// Starts it as a new incarnation that knows nothing but its settings and its list.
     pub fn start(
-        &mut self, now: Micros, common: &Common, catalogue: &Catalogue, told: &[EndpointState],
+        &mut self, now: Micros, common: &SharedConfig, catalogue: &Catalogue, state: &[EndpointState],
     ) -> Vec<Action> {
         self.links.iter_mut().for_each(Link::close);
-        self.greeting = Greeting::new(&self.born.name, now.0).to_json();
-        self.member = common.member();
-        (self.alive, self.acts, self.until, self.unsure_since) = (true, false, Micros(0), None);
-        (self.acted, self.index, self.armed, self.awaited) = (false, 1, Micros::NEVER, None);
+        self.greeting = Greeting::new(&self.spec.name, now.0).to_json();
+        self.holder = common.holder();
+        (self.alive, self.has_leases, self.until, self.without_lease_since) = (true, false, Micros(0), None);
+        (self.held_leases, self.index, self.timer_set_for, self.awaited) = (false, 1, Micros::NEVER, None);
         let mut actions = Vec::new();
-        self.member.propose(now, common.document.clone(), &mut actions);
-        let servers = self.born.list.iter().map(|server| (*server as usize, told[*server as usize]));
-        self.member.handle_list_update(now, catalogue.told(self.index, true, servers), &mut actions);
+        self.holder.propose(now, common.document.clone(), &mut actions);
+        let servers = self.spec.list.iter().map(|server| (*server as usize, state[*server as usize]));
+        self.holder.handle_list_update(now, catalogue.list_update(self.index, true, servers), &mut actions);
         actions
     }
 
-    /// Its list tells something of those servers on it that are marked.
-    pub fn list_tells(
-        &mut self, now: Micros, catalogue: &Catalogue, marked: &[bool], told: EndpointState,
+    /// Changes the state of the marked servers in its list.
+    pub fn change_list(
+        &mut self, now: Micros, catalogue: &Catalogue, marked: &[bool], state: EndpointState,
         actions: &mut Vec<Action>,
     ) {
         self.index += 1;
-        let servers = self.born.list.iter().map(|server| *server as usize);
-        let servers = servers.filter(|server| marked[*server]).map(|server| (server, told));
-        let listed = catalogue.told(self.index, false, servers);
+        let servers = self.spec.list.iter().map(|server| *server as usize);
+        let servers = servers.filter(|server| marked[*server]).map(|server| (server, state));
+        let listed = catalogue.list_update(self.index, false, servers);
         if !listed.entries.is_empty() {
-            self.member.handle_list_update(now, listed, actions);
+            self.holder.handle_list_update(now, listed, actions);
         }
     }
 
-    /// Its list is there, and has nothing new.
-    pub fn list_is_quiet(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Handles an empty line of its list.
+    pub fn list_heartbeat(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let listed = ListUpdate { index: self.index, snapshot: false, entries: Vec::new() };
-        self.member.handle_list_update(now, listed, actions);
+        self.holder.handle_list_update(now, listed, actions);
     }
 
-    /// From now on it is seen whether it has heard that; false if there is nothing for it to hear.
-    pub fn awaits(&mut self, awaited: &Awaited, catalogue: &Catalogue) -> bool {
+    /// Begins to await something; false if it knows it already or does not have to learn it.
+    pub fn start_awaiting(&mut self, awaited: &Awaited, catalogue: &Catalogue) -> bool {
         self.missing = match awaited {
             Awaited::Servers(marked, _) => {
-                self.born.list.iter().copied().filter(|server| marked[*server as usize]).collect()
+                self.spec.list.iter().copied().filter(|server| marked[*server as usize]).collect()
             }
             Awaited::Version(_) => Vec::new(),
         };
         self.awaited = Some(awaited.clone());
-        !self.has_heard(catalogue)
+        !self.has_learned(catalogue)
     }
 
-    /// Whether it has heard all that it awaits. To be asked whenever it has heard something.
-    pub fn has_heard(&mut self, catalogue: &Catalogue) -> bool {
-        let heard = match &self.awaited {
+    /// Whether it has learned all that is awaited. Must be called after each change.
+    pub fn has_learned(&mut self, catalogue: &Catalogue) -> bool {
+        let propagation = match &self.awaited {
             None => return true,
             Some(Awaited::Servers(_, out)) => {
-                let known = self.member.excluded_servers();
+                let known = self.holder.excluded_servers();
                 self.missing.retain(|server| known.contains_key(catalogue.name(*server as usize)) != *out);
                 self.missing.is_empty()
             }
-            Some(Awaited::Version(version)) => self.member.committed() >= Some(*version),
+            Some(Awaited::Version(version)) => self.holder.committed() >= Some(*version),
         };
-        if heard {
+        if propagation {
             self.awaited = None;
         }
-        heard
+        propagation
     }
 
-    pub fn waits(&self) -> bool {
+    /// Whether something is awaited.
+    pub fn is_waiting(&self) -> bool {
         self.awaited.is_some()
     }
 
-    /// Sees whether it acts, and counts for how long it did not.
-    pub fn look(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.until, self.member.lease_valid_until());
-        if self.acts && before <= now {
-            self.acts = false;
-            self.unsure_since = Some(before);
-            counts.lapses += 1;
+    /// Updates whether it holds leases, and counts for how long it did not.
+    pub fn update_leases(&mut self, now: Micros, counts: &mut Counts) {
+        let before = std::mem::replace(&mut self.until, self.holder.lease_valid_until());
+        if self.has_leases && before <= now {
+            self.has_leases = false;
+            self.without_lease_since = Some(before);
+            counts.lease_expiries += 1;
         }
-        if !self.acts && self.until > now {
-            self.acts = true;
-            self.unsure_until(now, counts);
-            self.unsure_since = None;
+        if !self.has_leases && self.until > now {
+            self.has_leases = true;
+            self.count_without_lease(now, counts);
+            self.without_lease_since = None;
         }
     }
 
-    /// Counts what it stood unsure until now.
-    pub fn unsure_until(&mut self, now: Micros, counts: &mut Counts) {
-        if let Some(since) = &mut self.unsure_since {
-            counts.unsure_us += (now - std::mem::replace(since, now)).0;
+    /// Counts the time without leases until now.
+    pub fn count_without_lease(&mut self, now: Micros, counts: &mut Counts) {
+        if let Some(since) = &mut self.without_lease_since {
+            counts.without_lease_us += (now - std::mem::replace(since, now)).0;
         }
     }
 
-    /// From now on nobody hears of it.
-    pub fn fall_silent(&mut self, now: Micros, epoll: &std::os::fd::OwnedFd, counts: &mut Counts) {
-        self.unsure_until(now, counts);
-        (self.alive, self.acts, self.unsure_since, self.awaited) = (false, false, None, None);
-        self.links.iter_mut().for_each(|link| link.fall_silent(epoll));
+    /// Stops it without closing its links, as in a network partition.
+    pub fn go_silent(&mut self, now: Micros, epoll: &std::os::fd::OwnedFd, counts: &mut Counts) {
+        self.count_without_lease(now, counts);
+        (self.alive, self.has_leases, self.without_lease_since, self.awaited) = (false, false, None, None);
+        self.links.iter_mut().for_each(|link| link.go_silent(epoll));
     }
 }
