--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -1,4 +1,5 @@
-//! Limits how many scenes run at once, by the processor time that each is estimated to take and that the machine has free.
+//! Limits how many scenes run at once, by the processor time that each is estimated to take and that the machine has
+//! free.
 use crate::scene::Scene;
 use std::fs;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -8,10 +9,10 @@
 /// Thousandths of a core.
 pub type Millicores = u64;
 
-// The three costs are fitted, and rounded up, to what `oakhollow-lab play` printed for twelve scenes in the build of the tests:
-// `stopped` 197 (640 requests a second), `deaf` 123 (240), `behind` 110 (160), `strangers` 98 (120, four links instead of
-// twelve), `links` 143 and `cut-off` 110 (five processes, 250 and 200). Servers have no cost of their own beyond that of the
-// requests.
+// The three costs are fitted, and rounded up, to what `oakhollow-lab play` printed for twelve scenes in the build of
+// the tests: `stopped` 197 (640 requests a second), `deaf` 123 (240), `behind` 110 (160), `strangers` 98 (120, four
+// links instead of twelve), `links` 143 and `cut-off` 110 (five processes, 250 and 200). Servers have no cost of
+// their own beyond that of the requests.
 
 /// The cost of one process of the program and its discovery.
 const PROCESS: Millicores = 20;
@@ -24,16 +25,16 @@
 pub fn estimated_demand(scene: &Scene) -> Millicores {
     let sidecars = scene.sidecars as u64;
     let requests = scene.sidecars as f64 * scene.workloads().len() as f64 * scene.rate;
-    let links = sidecars * scene.keepers as u64;
+    let links = sidecars * scene.lease_servers as u64;
     sidecars * PROCESS + links * LINK + (requests * REQUEST_PER_S).ceil() as u64
 }
 
-/// The share of the free processor time that scenes may take together, as a fraction. Within a quarter of a second a scene
-/// takes nearly twice its mean, all scenes start at once, and no request may wait.
+/// The share of the free processor time that scenes may take together, as a fraction. Within a quarter of a second a
+/// scene takes nearly twice its mean, all scenes start at once, and no request may wait.
 const USABLE_SHARE: (u64, u64) = (1, 4);
 
-/// How much scenes may take together on a machine where other processes keep `others` busy. At least half of the cores count
-/// as free, since that is what the scheduler gives to one of two competing processes.
+/// How much scenes may take together on a machine where other processes keep `others` busy. At least half of the
+/// cores count as free, since that is what the scheduler gives to one of two competing processes.
 pub fn available_capacity(cores: usize, others: Millicores) -> Millicores {
     let all = cores as u64 * 1000;
     all.saturating_sub(others).max(all / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
@@ -58,7 +59,8 @@
 /// The processor time, in seconds, of this process and of the child processes that it has waited for.
 pub fn cpu_seconds_used() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
-    // Field 3, the state, follows the process name; fields 14 to 17 are the user and system times, in hundredths of a second.
+    // Field 3, the state, follows the process name; fields 14 to 17 are the user and system times, in hundredths of a
+    // second.
     let times = stat.rsplit(") ").next()?.split(' ').skip(11).take(4);
     Some(times.filter_map(|time| time.parse::<f64>().ok()).sum::<f64>() / 100.0)
 }
--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -64,8 +64,8 @@
     let mut attempts: Vec<&Attempt> = attempts.iter().collect();
     attempts.sort_by(|one, other| one.at.total_cmp(&other.at));
     let mut seen: HashSet<&str> = HashSet::new();
-    // When each instance first acted on a version. Kept by instance, since the instance that acted on a version first may
-    // also be the one that goes back to an earlier one.
+    // When each instance first acted on a version. Kept by instance, since the instance that acted on a version first
+    // may also be the one that goes back to an earlier one.
     let mut since: BTreeMap<(u64, usize), f64> = BTreeMap::new();
     let mut longest: Option<Contradiction> = None;
     for attempt in attempts {
@@ -107,13 +107,15 @@
     pub sender: usize,
 }
 
-/// An instance serves at a moment if it sent an attempt within this time before and within this time after it, in seconds.
+/// An instance serves at a moment if it sent an attempt within this time before and within this time after it, in
+/// seconds.
 const MAX_ATTEMPT_GAP_S: f64 = 0.3;
 /// How long an instance takes to ask its discovery again after the discovery is back, in seconds.
 const RECONNECT_S: f64 = 2.0;
 
-/// The longest time for which an instance went on sending to a server after another instance, which serves, was told that
-/// the server drains. Where the other instance stopped serving meanwhile, the time counts from when it served again.
+/// The longest time for which an instance went on sending to a server after another instance, which serves, was told
+/// that the server drains. Where the other instance stopped serving meanwhile, the time counts from when it served
+/// again.
 pub fn longest_drain_violation(scene: &Scene, attempts: &[Attempt]) -> Option<DrainViolation> {
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); scene.sidecars];
     for attempt in attempts {
--- a/lab/src/discovery_recovery.rs
+++ b/lab/src/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! The discovery of a tier of hundreds goes down, ending all watches, and comes back with less capacity than all of them ask for at
-//! once. Measures how long each process takes to get the list again.
+//! The discovery of a tier of hundreds goes down, ending all watches, and comes back with less capacity than all of
+//! them ask for at once. Measures how long each process takes to get the list again.
 use crate::harness::{
     config_json, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome, ListedEndpoint, OutageKind,
     ProcessConfig, RunValidity, SharedDiscovery, TempDir,
@@ -16,7 +16,8 @@
     pub name: &'static str,
     /// How many processes run.
     pub processes: usize,
-    /// How many instances each process is told that its tier has. The others do not run, and `capacity` is without their share.
+    /// How many instances each process is told that its tier has. The others do not run, and `capacity` is without
+    /// their share.
     pub tier_size: usize,
     /// How long discovery is down and rejects requests.
     pub outage: Duration,
--- a/lab/src/fakes.rs
+++ b/lab/src/fakes.rs
@@ -1,5 +1,5 @@
-//! Fakes for scenes: servers that record each attempt, discoveries that serve a list, and clients with a constant load.
-//! Also plain HTTP/1.1 helpers that the other tests use.
+//! Fakes for scenes: servers that record each attempt, discoveries that serve a list, and clients with a constant
+//! load. Also plain HTTP/1.1 helpers that the other tests use.
 use crate::checker::{Attempt, ResponseSeen};
 use crate::scene::ListChange;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -188,7 +188,8 @@
     ServerList::first(servers).snapshot_json()
 }
 
-/// The discovery of one instance. It sends the changes that a scene orders, and an empty line after every second of silence.
+/// The discovery of one instance. It sends the changes that a scene orders, and an empty line after every second of
+/// silence.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -268,8 +269,8 @@
     }
 }
 
-/// Sends requests of one workload to one sidecar at a constant rate until the end, which may change meanwhile. Lateness is
-/// counted from when a request was due.
+/// Sends requests of one workload to one sidecar at a constant rate until the end, which may change meanwhile.
+/// Lateness is counted from when a request was due.
 pub fn run_client(
     to: SocketAddr, (sidecar, workload): (usize, &str), rate: f64, begun: Instant, end: impl Fn() -> f64,
     observations: &Observations,
--- a/lab/src/harness.rs
+++ b/lab/src/harness.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests with dozens of processes: one discovery for all of them that may be down or overloaded, their settings
-//! files, and a monitor of how late the harness itself runs.
+//! Helpers for tests with dozens of processes: one discovery for all of them that may be down or overloaded, their
+//! settings files, and a monitor of how late the harness itself runs.
 use crate::fakes::{connect, endpoint_json, read_head, reject, send_request};
 use crate::processes::{reserve_address, Sidecar};
 use std::io::{BufReader, Write};
@@ -380,8 +380,8 @@
     }
 }
 
-/// Measures how late the harness's own threads run, by a thread that sleeps for 10 ms at a time and records by how much it
-/// overslept.
+/// Measures how late the harness's own threads run, by a thread that sleeps for 10 ms at a time and records by how
+/// much it overslept.
 pub struct DelayMonitor {
     worst_us: Arc<AtomicU64>,
     stopped: Arc<AtomicBool>,
@@ -426,8 +426,8 @@
     Invalid(String),
 }
 
-/// Runs a test until a run counts, at most three times, and prints each run that does not. A run whose harness was late counts
-/// only if the check passes. The error is that of the check, or that no run counted.
+/// Runs a test until a run counts, at most three times, and prints each run that does not. A run whose harness was
+/// late counts only if the check passes. The error is that of the check, or that no run counted.
 pub fn run_until_conclusive<R>(
     name: &str, run: impl Fn() -> Result<(R, RunValidity), String>, check: impl Fn(&R) -> Result<(), String>,
 ) -> Result<R, String> {
--- a/lab/src/large_list/endpoints.rs
+++ b/lab/src/large_list/endpoints.rs
@@ -1,5 +1,5 @@
-//! Thousands of fake endpoints on one listener. Each has an address of its own in the loopback range, so that the local address of
-//! a connection says which endpoint it goes to.
+//! Thousands of fake endpoints on one listener. Each has an address of its own in the loopback range, so that the
+//! local address of a connection says which endpoint it goes to.
 use crate::fakes::{read_head, serve_connections};
 use crate::harness::lock;
 use std::io::{BufReader, Write};
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the program with thousands of endpoints, while the list reaches it slowly, late or not at all. No request may go to
-//! a removed endpoint once the grace time after the notification of its removal is over.
+//! One process of the program with thousands of endpoints, while the list reaches it slowly, late or not at all. No
+//! request may go to a removed endpoint once the grace time after the notification of its removal is over.
 pub mod catalogue;
 pub mod discovery;
 pub mod endpoints;
@@ -84,7 +84,8 @@
     pub received: usize,
     /// How many requests of clients ended, and how many of them with status 200, for each second of the fault.
     pub answers: Vec<(usize, usize)>,
-    /// Requests to discovery, in seconds from the beginning of the fault, each with the version after which it asked for changes.
+    /// Requests to discovery, in seconds from the beginning of the fault, each with the version after which it asked
+    /// for changes.
     pub discovery_requests: Vec<(f64, usize)>,
     /// How many lines discovery wrote completely since the fault began.
     pub lines: usize,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,8 +1,10 @@
 //! A test bench that runs many processes of the program `oakhollow` on loopback.
 //!
-//! - Scenes ([`scene`], [`scene_runner`], [`checker`]): scripted fault injection between instances of the lease protocol
+//! - Scenes ([`scene`], [`scene_runner`], [`checker`]): scripted fault injection between instances of the lease
+//!   protocol
 //! - [`soak`]: random faults on dozens of processes, drawn from a seed
-//! - [`slow_start`], [`restart`], [`discovery_recovery`], [`large_list`]: single cases with many processes or large lists
+//! - [`slow_start`], [`restart`], [`discovery_recovery`], [`large_list`]: single cases with many processes or large
+//!   lists
 //! - [`chain`], [`scale`], [`traffic`]: what the program costs, by measurement or simulation
 //! - [`harness`], [`processes`], [`fakes`], [`relay`]: what all of these share
 pub mod admission;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -47,7 +47,8 @@
         #[arg(long)]
         logs: bool,
     },
-    /// Runs dozens of processes with two or three faults at a time, drawn from a seed; the exit code is not 0 if a rule is broken.
+    /// Runs dozens of processes with two or three faults at a time, drawn from a seed; the exit code is not 0 if a
+    /// rule is broken.
     Soak(Soak),
     /// Simulates the traffic of the lease protocol, and how long a change takes, in one process.
     Traffic {
@@ -60,10 +61,11 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measures what thousands of simulated instances cost the real lease servers and sidecars, and how the cost grows.
-    /// The exit code is not 0 if a phase gave no figure.
+    /// Measures what thousands of simulated instances cost the real lease servers and sidecars, and how the cost
+    /// grows. The exit code is not 0 if a phase gave no figure.
     Scale(Scale),
-    /// Measures the latency that a chain of sidecars adds, and how many requests reach its last tier while that is slow.
+    /// Measures the latency that a chain of sidecars adds, and how many requests reach its last tier while that is
+    /// slow.
     Chain {
         /// How many tiers, each with a sidecar in front; each number is measured by itself.
         #[arg(long, value_delimiter = ',', default_values_t = [1, 9], value_parser = clap::value_parser!(u16).range(1..=50))]
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the program, started, signalled and killed by their own process ids alone. None is left behind: the kernel
-//! kills each when the thread that started it ends, however that ends.
+//! Processes of the program, started, signalled and killed by their own process ids alone. None is left behind: the
+//! kernel kills each when the thread that started it ends, however that ends.
 use oakhollow_faults::{library, Faults, CONTROL_VARIABLE};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::{self, File};
@@ -13,7 +13,8 @@
 /// The command that builds the fault injection library, for a release build.
 const LIBRARY_BUILD_COMMAND: &str = "cargo build --release -p oakhollow-faults --examples";
 
-/// One instance of the program, with a folder of its own. Where a second process replaces the first, both belong to it.
+/// One instance of the program, with a folder of its own. Where a second process replaces the first, both belong to
+/// it.
 pub struct Sidecar {
     /// The instance's name.
     pub name: String,
@@ -35,8 +36,8 @@
     faults: Option<(Faults, PathBuf)>,
 }
 
-/// Picks an address that a process can bind again when it is restarted. Each has a loopback host of its own, so that no
-/// outgoing connection takes the port meanwhile.
+/// Picks an address that a process can bind again when it is restarted. Each has a loopback host of its own, so that
+/// no outgoing connection takes the port meanwhile.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static RESERVED: AtomicU32 = AtomicU32::new(0);
     let (number, own_pid) = (RESERVED.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Sends a signal to one of its processes by id, unless it has been waited for: the id may belong to another by then.
+    /// Sends a signal to one of its processes by id, unless it has been waited for: the id may belong to another by
+    /// then.
     pub fn signal_child(&self, id: u32, signal: Signal) {
         let is_child = [&self.child, &self.first].into_iter().flatten().any(|child| child.id() == id);
         if let Some(id) = Pid::from_raw(id as i32).filter(|_| is_child) {
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay on the links from one instance to one lease server. It can drop, delay, truncate or repeat what it forwards, and
-//! break its links or refuse new ones.
+//! A relay on the links from one instance to one lease server. It can drop, delay, truncate or repeat what it
+//! forwards, and break its links or refuse new ones.
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/lab/src/reruns.rs
+++ b/lab/src/reruns.rs
@@ -6,19 +6,19 @@
 /// How often a scene is run again.
 pub const MAX_RERUNS: usize = 3;
 
-/// Runs a scene as soon as it is admitted, and again alone while its run is inconclusive. Reports each inconclusive run on
-/// standard error, past a test's capture of it.
+/// Runs a scene as soon as it is admitted, and again alone while its run is inconclusive. Reports each inconclusive
+/// run on standard error, past a test's capture of it.
 pub fn run_admitted<T>(
     admission: &Admission, demand: Millicores, name: &str, mut run: impl FnMut() -> Result<T, RunError>,
 ) -> Result<T, RunError> {
     let mut result = {
-        let _admitted = admission.admit(demand);
+        let _permit = admission.admit(demand);
         run()
     };
     for number in 1..=MAX_RERUNS {
         let Err(RunError::Inconclusive { .. }) = &result else { break };
         report(name, &result, &format!("run again alone, {number} of {MAX_RERUNS}"));
-        let _admitted = admission.admit_exclusively();
+        let _permit = admission.admit_exclusively();
         result = run();
     }
     if let Err(RunError::Inconclusive { .. }) = &result {
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -1,5 +1,5 @@
-//! Dozens of processes are killed at once and started again while discovery is down. Measures how long each takes to be ready, and
-//! how their requests to discovery are spread once it is back.
+//! Dozens of processes are killed at once and started again while discovery is down. Measures how long each takes to
+//! be ready, and how their requests to discovery are spread once it is back.
 use crate::fakes::{connect, read_head, send_request};
 use crate::harness::{
     config_json, view_request, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome,
@@ -32,7 +32,8 @@
 
 /// The outcome of a case.
 pub struct Report {
-    /// How long each process took from its start until it was ready, in seconds, sorted; infinite for one that never was.
+    /// How long each process took from its start until it was ready, in seconds, sorted; infinite for one that never
+    /// was.
     pub ready_after_s: Vec<f64>,
     /// The requests to discovery, in seconds from its return, sorted.
     pub discovery_requests: Vec<(f64, DiscoveryOutcome)>,
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -1,5 +1,5 @@
-//! Which services there are, which servers and zones they have, and which services each instance calls. The seed determines the
-//! choices of the instances.
+//! Which services there are, which servers and zones they have, and which services each instance calls. The seed
+//! determines the choices of the instances.
 use nanorand::{Rng, WyRand};
 use oakhollow_accord::{Fact, ListUpdate};
 use std::sync::Arc;
@@ -46,8 +46,8 @@
         service * self.shape.servers..(service + 1) * self.shape.servers
     }
 
-    /// The zone of a server. The servers of each service, and those of all services together, are spread over all zones as evenly as
-    /// possible.
+    /// The zone of a server. The servers of each service, and those of all services together, are spread over all
+    /// zones as evenly as possible.
     pub fn zone_of(&self, server: usize) -> usize {
         server % self.shape.zones
     }
--- a/lab/src/scale/fit.rs
+++ b/lab/src/scale/fit.rs
@@ -55,8 +55,8 @@
         Some(Fit { points: points.len(), slope, intercept, slope_error, spread, mean_x, off_mean })
     }
 
-    /// Fits a line through the logarithms of both coordinates: its slope is the exponent of the growth. None also if a coordinate is
-    /// not over 0.
+    /// Fits a line through the logarithms of both coordinates: its slope is the exponent of the growth. None also if
+    /// a coordinate is not over 0.
     pub fn power(points: &[(f64, f64)]) -> Option<Fit> {
         let over = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
         let logs: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -188,9 +188,9 @@
         names[..LEASE_SERVERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
     );
     // No instance connects to one that is no lease server; its address is only as long as a real one.
-    let nobody = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
+    let unused_address = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
     for (at, name) in names.iter().chain(wanted.simulated).enumerate() {
-        let address = lease_servers.get(at).copied().unwrap_or_else(|| nobody(at));
+        let address = lease_servers.get(at).copied().unwrap_or_else(|| unused_address(at));
         text += &format!("{name} = \"{address}\"\n");
     }
     text
--- a/lab/src/scale/link.rs
+++ b/lab/src/scale/link.rs
@@ -1,4 +1,5 @@
-//! The link from a simulated instance to one lease server: lines of JSON on a non-blocking socket, with a bounded queue.
+//! The link from a simulated instance to one lease server: lines of JSON on a non-blocking socket, with a bounded
+//! queue.
 use super::count::MessageCounts;
 use oakhollow_accord::Message;
 use oakhollow_terms::to_json;
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -91,7 +91,8 @@
     pub listeners: usize,
     /// How many of these have not learned it.
     pub missing: usize,
-    /// For each announcement that reached all before the next one came, the time until the last instance had it, in seconds, sorted.
+    /// For each announcement that reached all before the next one came, the time until the last instance had it, in
+    /// seconds, sorted.
     pub after_s: Vec<f64>,
 }
 
@@ -202,7 +203,8 @@
 
 /// Runs one step. The error is that the setup failed, or that not all instances came to hold leases.
 pub fn step(plan: &Plan, instances: usize, progress: &mut dyn FnMut(&str)) -> Result<StepReport, String> {
-    // Each instance has a link to each lease server. Without this check the run would fail half way for want of sockets.
+    // Each instance has a link to each lease server. Without this check the run would fail half way for want of
+    // sockets.
     let (needs, has) = (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
     if has.is_some_and(|has| needs as u64 > has) {
         return Err(format!("{needs} descriptors are needed, and the machine gives {}", has.unwrap_or(0)));
@@ -481,7 +483,8 @@
         }
     }
 
-    /// Carries out the action of a phase for the `time`th time. Returns when, and how many instances have to learn of it.
+    /// Carries out the action of a phase for the `time`th time. Returns when, and how many instances have to learn of
+    /// it.
     fn carry_out(&mut self, action: PhaseAction, time: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
         let all = self.plan.shape.services * self.plan.shape.servers;
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -1,5 +1,5 @@
-//! One thread that runs a share of the simulated instances, in a loop over epoll events, timers and commands. Only commands visit all
-//! instances.
+//! One thread that runs a share of the simulated instances, in a loop over epoll events, timers and commands. Only
+//! commands visit all instances.
 use super::catalogue::{Catalogue, EndpointState};
 use super::count::{Counts, MessageCounts};
 use super::link::LinkChange;
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -1,12 +1,14 @@
-//! Scenes: scripted fault-injection tests, each written in a small text file. `#` begins a comment; times are in seconds from
-//! the start of the load. Instances are n0, n1 and so on. Servers are s0, s1, s2, and s3, which no discovery lists at first.
+//! Scenes: scripted fault-injection tests, each written in a small text file. `#` begins a comment; times are in
+//! seconds from the start of the load. Instances are n0, n1 and so on. Servers are s0, s1, s2, and s3, which no
+//! discovery lists at first.
 //!
 //! Setup:
 //!
-//! - `sidecars N keepers K within S [unsure HOW]`: starts N instances; the first K are lease servers (`keepers` in the
-//!   operator's file). S is the longest time for which two instances may act on different settings, HOW the `unsure` policy
-//! - `version N NAME:KIND ...`: the workloads in version N of the settings, KIND one of read, once; all instances start with
-//!   the first version. Servers answer requests of a workload whose name begins with `fails` with an error
+//! - `sidecars N keepers K within S [unsure HOW]`: starts N instances; the first K are lease servers (`keepers` in
+//!   the operator's file). S is the longest time for which two instances may act on different settings, HOW the
+//!   `unsure` policy
+//! - `version N NAME:KIND ...`: the workloads in version N of the settings, KIND one of read, once; all instances
+//!   start with the first version. Servers answer requests of a workload whose name begins with `fails` with an error
 //! - `load RATE`: requests a second of each workload at each sidecar
 //! - `stand-in A HOW`: replaces the program of A by the stand-in of [`crate::stand_in`], HOW its behaviour
 //! - `with KEY = VALUE`: one more line in the section `[accord]` of the operator's file
@@ -16,27 +18,30 @@
 //!
 //! - `tell A N`: writes version N into its settings file and sends SIGHUP
 //! - `spoil A`: cuts its settings file to half of its length and sends SIGHUP
-//! - `cut A`: its links to other instances drop all data; `cut-to A`: only data from it; `cut-from A`: only data to it
+//! - `cut A`: its links to other instances drop all data; `cut-to A`: only data from it; `cut-from A`: only data to
+//!   it
 //! - `heal A`: ends `cut`, `cut-to`, `cut-from` and `refuse`
 //! - `delay A MS`: delays all data on its links
 //! - `reset A`: breaks its links once
 //! - `refuse A`: breaks its links and refuses new ones until `heal`
 //! - `half A`: forwards only the first half of the next read on each link, then breaks the link
 //! - `replay A`: repeats the last messages on each link
-//! - `stranger A`: connects to its lease server as an unknown instance, with a malformed message and with an endless line
+//! - `stranger A`: connects to its lease server as an unknown instance, with a malformed message and with an endless
+//!   line
 //! - `stop A`, `continue A`: SIGSTOP, SIGCONT; `kill A`: SIGKILL; `start A`: starts it again
 //! - `replace A`: starts a second process beside the first; `part A`: sends SIGTERM to the first
-//! - `drain A sN`, `back A sN`, `again A sN`, `gone A sN`: the discovery of A alone announces that the server drains, is ready,
-//!   has restarted, or (by a full list) is removed
-//! - `mute A`, `unmute A`: the discovery of A goes down, comes back; `renumber A`: it restarts, counts its versions from 1
-//!   and sends a full list
+//! - `drain A sN`, `back A sN`, `again A sN`, `gone A sN`: the discovery of A alone announces that the server drains,
+//!   is ready, has restarted, or (by a full list) is removed
+//! - `mute A`, `unmute A`: the discovery of A goes down, comes back; `renumber A`: it restarts, counts its versions
+//!   from 1 and sends a full list
 //! - `mark A sN`, `unmark A sN`: puts the server in maintenance, or takes it out, at the console of A
 //!
 //! Expectations:
 //!
-//! - `expect contradiction S`: no instance acts on old settings for longer than S after another has acted on newer ones
-//! - `expect drains S`: no instance sends to a server for longer than S after another instance, which serves, was told that
-//!   the server drains
+//! - `expect contradiction S`: no instance acts on old settings for longer than S after another has acted on newer
+//!   ones
+//! - `expect drains S`: no instance sends to a server for longer than S after another instance, which serves, was
+//!   told that the server drains
 //! - `expect A holds N by T`: by T it does what only version N or later allows
 //! - `expect A lacks N until T`: it does nothing before T that only version N or later allows
 //! - `expect A serves T1 T2`, `expect A silent T1 T2`: it sends at least one attempt, or none, in that time
@@ -54,7 +59,8 @@
     NonIdempotent,
 }
 
-/// What a scene does to an instance, its links or its discovery. The module's documentation has the words of the file.
+/// What a scene does to an instance, its links or its discovery. The module's documentation has the words of the
+/// file.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// `tell`, with the version.
@@ -154,7 +160,7 @@
     /// How many instances run.
     pub sidecars: usize,
     /// How many of them, the first ones, are lease servers.
-    pub keepers: usize,
+    pub lease_servers: usize,
     /// The setting `within` of the operator's file, in seconds.
     pub within: f64,
     /// The setting `unsure` of the operator's file.
@@ -220,9 +226,9 @@
         match words[..] {
             ["stand-in", instance, how] => self.stand_in = Some((parse_instance(instance)?, how.into())),
             ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
-            ["sidecars", count, "keepers", keepers, "within", within, ref rest @ ..] => {
-                (self.sidecars, self.keepers) =
-                    (parse_integer(count)? as usize, parse_integer(keepers)? as usize);
+            ["sidecars", count, "keepers", lease_servers, "within", within, ref rest @ ..] => {
+                (self.sidecars, self.lease_servers) =
+                    (parse_integer(count)? as usize, parse_integer(lease_servers)? as usize);
                 self.within = parse_number(within)?;
                 match rest {
                     [] => {}
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -1,4 +1,5 @@
-//! Runs one scene: starts its processes and fakes, carries out its actions on time, and has the checker read the observations.
+//! Runs one scene: starts its processes and fakes, carries out its actions on time, and has the checker read the
+//! observations.
 use crate::checker::{self, Contradiction, DrainViolation, Findings};
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
@@ -42,7 +43,8 @@
 /// Why a run has no report.
 #[derive(Debug)]
 pub enum RunError {
-    /// The harness ran late, so that the run says nothing about the program; nor do the expectations that failed in it.
+    /// The harness ran late, so that the run says nothing about the program; nor do the expectations that failed in
+    /// it.
     Inconclusive { reason: String, failed_expectations: Vec<String> },
     /// Something could not be set up, does not serve, or has exited by itself.
     Failed(String),
@@ -86,7 +88,7 @@
     /// From each instance to each lease server.
     relays: Vec<Vec<Relay>>,
     /// The addresses of the lease servers.
-    keepers: Vec<SocketAddr>,
+    lease_servers: Vec<SocketAddr>,
     /// The discovery of each instance.
     discoveries: Vec<Discovery>,
     servers: Vec<SocketAddr>,
@@ -116,7 +118,9 @@
         let mut harness = Harness {
             sidecars: Vec::new(),
             relays: Vec::new(),
-            keepers: (0..scene.keepers).map(|_| reserve_address()).collect::<std::io::Result<_>>()?,
+            lease_servers: (0..scene.lease_servers)
+                .map(|_| reserve_address())
+                .collect::<std::io::Result<_>>()?,
             discoveries: Vec::new(),
             initial_list: fakes::initial_list(&servers[..LISTED]),
             servers,
@@ -131,11 +135,12 @@
             }
             harness.discoveries.push(Discovery::start(&harness.servers[..LISTED])?);
             let relays: Vec<Relay> =
-                harness.keepers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
+                harness.lease_servers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
             if options.with_accord {
                 let instances = (0..scene.sidecars).map(|other| {
-                    // It reaches its own lease server without a relay, and never connects to an instance that is none.
-                    let address = match harness.keepers.get(other) {
+                    // It reaches its own lease server without a relay, and never connects to an instance that is
+                    // none.
+                    let address = match harness.lease_servers.get(other) {
                         Some(own) if other == at => *own,
                         Some(_) => relays[other].address,
                         None => SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -143,7 +148,8 @@
                     format!("n{other} = \"{address}\"")
                 });
                 let instances: Vec<String> = instances.collect();
-                let names: Vec<String> = (0..scene.keepers).map(|keeper| format!("\"n{keeper}\"")).collect();
+                let names: Vec<String> =
+                    (0..scene.lease_servers).map(|lease_server| format!("\"n{lease_server}\"")).collect();
                 sidecar.write_operator_config(&format!(
                     "[accord]\nwithin = {:?}\nunsure = \"{}\"\nkeepers = [{}]\n{}\n[accord.instances]\n{}\n",
                     scene.within,
@@ -217,8 +223,9 @@
     /// The links between an instance and others, each with whether the instance opens it.
     fn links(&self, instance: usize) -> impl Iterator<Item = (&Relay, bool)> {
         let outgoing = self.relays[instance].iter().enumerate();
-        let outgoing =
-            outgoing.filter(move |(keeper, _)| *keeper != instance).map(|(_, relay)| (relay, true));
+        let outgoing = outgoing
+            .filter(move |(lease_server, _)| *lease_server != instance)
+            .map(|(_, relay)| (relay, true));
         let others = self.relays.iter().enumerate().filter(move |(at, _)| *at != instance);
         outgoing.chain(others.filter_map(move |(_, relays)| Some((relays.get(instance)?, false))))
     }
@@ -248,9 +255,11 @@
             Action::Refuse => self.links(instance).for_each(|(relay, _)| relay.refuse()),
             Action::TruncateMessage => self.links(instance).for_each(|(relay, _)| relay.truncate_next()),
             Action::Replay => self.links(instance).for_each(|(relay, _)| relay.replay()),
-            Action::ForeignConnections => {
-                self.keepers.get(instance).into_iter().for_each(|keeper| open_foreign_connections(*keeper))
-            }
+            Action::ForeignConnections => self
+                .lease_servers
+                .get(instance)
+                .into_iter()
+                .for_each(|lease_server| open_foreign_connections(*lease_server)),
             Action::StartSecond => self.sidecars[instance].start_second()?,
             Action::TerminateFirst => self.sidecars[instance].terminate_first(),
             Action::ChangeList(change, server) => {
@@ -277,7 +286,7 @@
 }
 
 /// Connects to a lease server as an unknown instance, with a malformed message, and with a line that does not end.
-fn open_foreign_connections(keeper: SocketAddr) {
+fn open_foreign_connections(lease_server: SocketAddr) {
     let greeting = Greeting::new("n0", 1).to_json();
     let foreign = Greeting::new("stranger", 1).to_json();
     let endless = "x".repeat(9 * 1024 * 1024);
@@ -285,7 +294,7 @@
         [format!("{foreign}\n"), format!("{greeting}\n{{\"ask\":7}}\n"), format!("{greeting}\n{endless}")]
     {
         thread::spawn(move || {
-            let mut stream = TcpStream::connect(keeper).ok()?;
+            let mut stream = TcpStream::connect(lease_server).ok()?;
             // The lease server may close the connection before all is written.
             let _ = stream.write_all(said.as_bytes());
             fakes::read_head(&mut BufReader::new(stream))
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -1,5 +1,5 @@
-//! Many processes send requests while one of their servers is cold. [`crate::slow_start_limit`] checks the sum of what they send to
-//! that server.
+//! Many processes send requests while one of their servers is cold. [`crate::slow_start_limit`] checks the sum of
+//! what they send to that server.
 use crate::fakes::{connect, read_head, send_request};
 use crate::harness::{
     config_json, lock, unix_ms, view_request, wait_until_all_ready, DelayMonitor, ListedEndpoint,
@@ -84,16 +84,17 @@
 const RATE: f64 = 5.0;
 /// How long the processes run before the server starts, so that they know their own request rate by then.
 const LEAD_S: f64 = 3.0;
-/// A harness that was later than this, in seconds, may have bunched arrivals. Requests that went out later count as late.
+/// A harness that was later than this, in seconds, may have bunched arrivals. Requests that went out later count as
+/// late.
 const MAX_DELAY_S: f64 = 0.1;
 /// At most one request in this many may be late.
 const LATE_REQUESTS_ONE_IN: usize = 10;
 /// How long a server works on a request.
 const WORK: Duration = Duration::from_millis(5);
 
-/// The slow start settings. The times are as short as possible while several of the program's rate updates and several windows
-/// still fit into a warm-up. The warm servers run at full capacity, and `cold_from` and `fall_multiple` are the lowest of any
-/// deployment, so that no limit is smaller.
+/// The slow start settings. The times are as short as possible while several of the program's rate updates and
+/// several windows still fit into a warm-up. The warm servers run at full capacity, and `cold_from` and
+/// `fall_multiple` are the lowest of any deployment, so that no limit is smaller.
 fn slow_start(case: &Case) -> SlowStart {
     let capacity = case.processes as f64 * RATE / WARM_SERVERS as f64;
     SlowStart { capacity, cold_from: 0.12, warm_within_s: 6.0, fall_multiple: 2.0, fall_s: 1.0 }
@@ -163,8 +164,8 @@
     }
 }
 
-/// Sends requests to one process until the end, with exponentially distributed pauses: an open loop, as far as one connection
-/// allows.
+/// Sends requests to one process until the end, with exponentially distributed pauses: an open loop, as far as one
+/// connection allows.
 fn run_client(to: SocketAddr, (process, stream): (usize, usize), rate: f64, until: Instant, tally: &Tally) {
     let mut random = WyRand::new_seed((process * 1000 + stream) as u64);
     let mut due = Instant::now();
@@ -259,7 +260,8 @@
         Ok(harness)
     }
 
-    /// Starts the cold server and announces it to the processes that hear in time. Returns the time and its entry in the list.
+    /// Starts the cold server and announces it to the processes that hear in time. Returns the time and its entry in
+    /// the list.
     fn start_cold_server(&self) -> (Instant, ListedEndpoint) {
         let server = &self.servers[WARM_SERVERS];
         let entry = list_entry(WARM_SERVERS, server, unix_ms());
--- a/lab/src/slow_start_limit.rs
+++ b/lab/src/slow_start_limit.rs
@@ -43,24 +43,24 @@
         self.sent as f64 > self.limit
     }
 
-    /// Whether it collapses and over two thirds of the requests came from processes that knew of the start. Otherwise the cause
-    /// is that lists came late.
+    /// Whether it collapses and over two thirds of the requests came from processes that knew of the start. Otherwise
+    /// the cause is that lists came late.
     pub fn is_violation(&self) -> bool {
         self.collapses() && 3 * self.sent_by_informed > 2 * self.sent
     }
 }
 
 impl SlowStart {
-    /// How many requests a window may have that begins this long after the start. It uses the capacity at the window's beginning,
-    /// the lowest within it.
+    /// How many requests a window may have that begins this long after the start. It uses the capacity at the
+    /// window's beginning, the lowest within it.
     pub fn limit(&self, begins: f64) -> f64 {
         let share = self.cold_from + (1.0 - self.cold_from) * begins / self.warm_within_s;
         let allowed = self.fall_multiple * self.capacity * share * self.fall_s;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// Every window of the warm-up that ends with an arrival. `informed_at` has when each process was told of the start, in seconds
-    /// after the start.
+    /// Every window of the warm-up that ends with an arrival. `informed_at` has when each process was told of the
+    /// start, in seconds after the start.
     pub fn windows(&self, arrivals: &[Arrival], informed_at: &[f64]) -> Vec<Window> {
         let mut arrivals = arrivals.to_vec();
         arrivals.sort_by(|one, other| one.at.total_cmp(&other.at));
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,5 +1,5 @@
-//! A minimal sidecar of the lab. It takes part in the lease protocol as the program does and forwards requests in the simplest
-//! way, correctly or with one chosen fault. The faults test the scene checker, which must find each of them.
+//! A minimal sidecar of the lab. It takes part in the lease protocol as the program does and forwards requests in the
+//! simplest way, correctly or with one chosen fault. The faults test the scene checker, which must find each of them.
 use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
 use oakhollow_accord::{
@@ -91,7 +91,8 @@
     Ok(settings.workloads.into_iter().map(|workload| workload.name).zip(repeatable).collect())
 }
 
-/// Reads an instance's settings file: all of it, the part that is the instance's own, and the document that all instances share.
+/// Reads an instance's settings file: all of it, the part that is the instance's own, and the document that all
+/// instances share.
 pub(crate) fn read_instance_file(path: &Path) -> Result<(SidecarConfig, LocalSettings, Document), String> {
     let config = SidecarConfig::from_file(path)?;
     let (local_settings, shared) = LocalSettings::split(&config.settings_text)?;
@@ -216,8 +217,8 @@
         self.lease_expires_at > self.now()
     }
 
-    /// Chooses a server for an attempt of that workload, round robin, with whether the request may be repeated; else the status
-    /// of the refusal.
+    /// Chooses a server for an attempt of that workload, round robin, with whether the request may be repeated; else
+    /// the status of the refusal.
     fn choose(&mut self, workload: &str) -> Result<(SocketAddr, bool), u16> {
         let repeat = *self.workloads.get(workload).ok_or(404_u16)?;
         if !self.has_lease() {
@@ -380,8 +381,9 @@
     }
 }
 
-/// Idle connections to servers. They are reused because a server needs two thread switches to record an attempt on a new
-/// connection: on a busy machine it would record an attempt that was allowed when it was sent after the lease has expired.
+/// Idle connections to servers. They are reused because a server needs two thread switches to record an attempt on a
+/// new connection: on a busy machine it would record an attempt that was allowed when it was sent after the lease has
+/// expired.
 type IdleConnections = HashMap<SocketAddr, BufReader<TcpStream>>;
 
 fn send_attempt(idle: &mut IdleConnections, to: SocketAddr, workload: &str, id: &str) -> Option<u16> {
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,6 +1,6 @@
-//! Simulates how much traffic the lease protocol causes and how long a change takes to reach all instances. Lease holders and
-//! lease servers run the code of the package `accord`, all in one process and in virtual time, on links with a delay of 0.5 to
-//! 2 ms. Bytes are those of the messages' lines.
+//! Simulates how much traffic the lease protocol causes and how long a change takes to reach all instances. Lease
+//! holders and lease servers run the code of the package `accord`, all in one process and in virtual time, on links
+//! with a delay of 0.5 to 2 ms. Bytes are those of the messages' lines.
 use crate::scale::catalogue::{Catalogue, EndpointState, Shape};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
@@ -74,9 +74,9 @@
     fn new(
         instances: usize, within: Micros, seed: u64, scope: Scope, listed: impl Fn(usize) -> ListUpdate,
     ) -> Fleet {
-        let judge: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
+        let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let names: Vec<InstanceId> = (0..LEASE_SERVERS as u32).map(InstanceId).collect();
-        let all = || LeaseHolder::new(names.clone(), lease_duration(within), judge.clone());
+        let all = || LeaseHolder::new(names.clone(), lease_duration(within), validator.clone());
         let member = || match scope {
             Scope::All => all(),
             Scope::Listed => all().with_subscription(),
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Runs until the time is over, or until all instances but the one that is cut off are done; returns the seconds it took.
+    /// Runs until the time is over, or until all instances but the one that is cut off are done; returns the seconds
+    /// it took.
     fn run(&mut self, limit: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
         let (begun, end) = (self.now, self.now + limit);
         let is_waiting = |at: &usize| self.cut_off != Some(*at) && !done(&self.holders[*at]);
@@ -237,7 +238,8 @@
     Fact { since: 7, excluded: out, first_hand: true, entry: None }
 }
 
-/// Simulates an idle fleet, a change of the settings, a server that drains, and a change while one instance is cut off.
+/// Simulates an idle fleet, a change of the settings, a server that drains, and a change while one instance is cut
+/// off.
 pub fn measure(instances: usize, within_s: f64, seed: u64) -> Report {
     let within = Micros((within_s * 1e6) as u64);
     let mut fleet = Fleet::new(instances, within, seed, Scope::All, |_| {
@@ -322,13 +324,14 @@
 
 /// How many zones the servers are in.
 const ZONES: usize = 7;
-/// How many services an instance calls: few, so that even of a hundred instances each calls only a part of the services.
+/// How many services an instance calls: few, so that even of a hundred instances each calls only a part of the
+/// services.
 const SERVICES_CALLED: usize = 6;
 /// How many servers a service has.
 const SERVERS_PER_SERVICE: usize = 4;
 
-/// Counts the costs of a fleet with one instance for each server. It measures no time, so that one seed gives the same counts on
-/// any machine.
+/// Counts the costs of a fleet with one instance for each server. It measures no time, so that one seed gives the
+/// same counts on any machine.
 pub fn costs(instances: usize, within_s: f64, seed: u64, scope: Scope) -> Costs {
     let within = Micros((within_s * 1e6) as u64);
     let shape = Shape {
