--- a/lab/src/harness.rs
+++ b/lab/src/harness.rs
@@ -383,21 +383,21 @@
 /// Measures how late the harness's own threads run, by a thread that sleeps for 10 ms at a time and records by how
 /// much it overslept.
 pub struct DelayMonitor {
-    worst_us: Arc<AtomicU64>,
+    max_delay_us: Arc<AtomicU64>,
     stopped: Arc<AtomicBool>,
 }
 
 impl DelayMonitor {
     /// Starts the thread.
     pub fn start() -> DelayMonitor {
-        let delay_monitor = DelayMonitor { worst_us: Arc::default(), stopped: Arc::default() };
-        let (worst, stopped) = (delay_monitor.worst_us.clone(), delay_monitor.stopped.clone());
-        let length = Duration::from_millis(10);
+        let delay_monitor = DelayMonitor { max_delay_us: Arc::default(), stopped: Arc::default() };
+        let (max_delay_us, stopped) = (delay_monitor.max_delay_us.clone(), delay_monitor.stopped.clone());
+        let interval = Duration::from_millis(10);
         thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
                 let begun = Instant::now();
-                thread::sleep(length);
-                worst.fetch_max((begun.elapsed() - length).as_micros() as u64, Ordering::Relaxed);
+                thread::sleep(interval);
+                max_delay_us.fetch_max((begun.elapsed() - interval).as_micros() as u64, Ordering::Relaxed);
             }
         });
         delay_monitor
@@ -405,7 +405,7 @@
 
     /// The longest oversleep, in seconds.
     pub fn max_delay_s(&self) -> f64 {
-        self.worst_us.load(Ordering::Relaxed) as f64 / 1e6
+        self.max_delay_us.load(Ordering::Relaxed) as f64 / 1e6
     }
 }
 
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -209,9 +209,10 @@
         }
     }
     let (discovery_requests, lines) = discovery.inspect(|_, discovery_requests, written_lines| {
-        let discovery_requests = discovery_requests.iter().filter(|call| call.at >= fault_begin);
-        let discovery_requests =
-            discovery_requests.map(|call| ((call.at - fault_begin).as_secs_f64(), call.from)).collect();
+        let discovery_requests = discovery_requests.iter().filter(|request| request.at >= fault_begin);
+        let discovery_requests = discovery_requests
+            .map(|request| ((request.at - fault_begin).as_secs_f64(), request.from))
+            .collect();
         (discovery_requests, written_lines.iter().filter(|line| line.at >= fault_begin).count())
     });
     let received = received.iter().filter(|request| request.at >= fault_begin).count();
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -397,7 +397,7 @@
 fn run_one_scene(file: &Path, options: &RunOptions, json: bool, logs: bool) -> bool {
     let name = file.display().to_string();
     let (cpu_before, begun) = (cpu_seconds_used(), Instant::now());
-    let read = std::fs::read_to_string(file).map_err(|fault| fault.to_string());
+    let read = std::fs::read_to_string(file).map_err(|error| error.to_string());
     let result = read.and_then(|text| {
         let scene = Scene::parse(&text)?;
         let report = run_scene(&scene, options).map_err(|why| why.to_string())?;
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -144,7 +144,7 @@
         if answer.is_some_and(|(status, _)| status == 200) {
             return started.elapsed().as_secs_f64();
         }
-        connection = connection.filter(|_| answer.is_some_and(|(_, lasts)| lasts));
+        connection = connection.filter(|_| answer.is_some_and(|(_, stays_open)| stays_open));
         thread::sleep(POLL_INTERVAL);
     }
     f64::INFINITY
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -70,26 +70,26 @@
 impl Fleet {
     /// Starts the processes, servers and discoveries.
     pub fn start(
-        wanted: &FleetSpec, begun: Instant, observations: &Arc<Observations>,
+        spec: &FleetSpec, begun: Instant, observations: &Arc<Observations>,
     ) -> Result<Fleet, String> {
-        Fleet::build(wanted, begun, observations).map_err(|fault| fault.to_string())
+        Fleet::build(spec, begun, observations).map_err(|error| error.to_string())
     }
 
-    fn build(wanted: &FleetSpec, begun: Instant, observations: &Arc<Observations>) -> std::io::Result<Fleet> {
+    fn build(spec: &FleetSpec, begun: Instant, observations: &Arc<Observations>) -> std::io::Result<Fleet> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let unique =
             format!("oakhollow-scale-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
-        let servers: Vec<SocketAddr> = (0..wanted.servers)
+        let servers: Vec<SocketAddr> = (0..spec.servers)
             .map(|at| fakes::start_server(at, begun, observations.clone()))
             .collect::<std::io::Result<_>>()?;
         let lease_servers: Vec<SocketAddr> =
             (0..LEASE_SERVERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
         let names: Vec<String> = (0..LEASE_SERVERS)
             .map(|at| format!("n{at}"))
-            .chain((0..wanted.sidecars).map(|at| format!("r{at}")))
+            .chain((0..spec.sidecars).map(|at| format!("r{at}")))
             .collect();
-        let operator = operator(wanted, &names, &lease_servers);
+        let operator = operator_file(spec, &names, &lease_servers);
         let mut fleet = Fleet {
             processes: Vec::new(),
             lease_servers,
@@ -106,10 +106,10 @@
             folder,
         };
         for (at, name) in names.iter().enumerate() {
-            let mut process = Sidecar::new(wanted.program, name, &fleet.folder)?;
+            let mut process = Sidecar::new(spec.program, name, &fleet.folder)?;
             let discovery = Discovery::start(&fleet.servers)?;
             process.write_operator_config(&operator)?;
-            process.write_config(&file(wanted, at, &process, &discovery, &fleet.servers))?;
+            process.write_config(&settings_file(spec, at, &process, &discovery, &fleet.servers))?;
             fleet.discoveries.push(discovery);
             fleet.processes.push(process);
         }
@@ -136,10 +136,10 @@
         Ok(())
     }
 
-    fn wait(&mut self, most: Duration, done: impl Fn(&Sidecar) -> bool) -> Result<(), String> {
+    fn wait(&mut self, timeout: Duration, done: impl Fn(&Sidecar) -> bool) -> Result<(), String> {
         for process in &mut self.processes {
             while !done(process) {
-                if process.has_exited() || self.begun.elapsed() > most {
+                if process.has_exited() || self.begun.elapsed() > timeout {
                     return Err(format!("{} does not serve:\n{}", process.name, process.log_text()));
                 }
                 std::thread::sleep(Duration::from_millis(10));
@@ -149,16 +149,16 @@
     }
 
     /// Changes a server in the lists of all real processes, if they have it.
-    pub fn change_lists(&self, server: usize, told: ListChange) {
+    pub fn change_lists(&self, server: usize, change: ListChange) {
         if let Some(address) = self.servers.get(server) {
-            self.discoveries.iter().for_each(|discovery| discovery.announce(told, server, *address));
+            self.discoveries.iter().for_each(|discovery| discovery.announce(change, server, *address));
         }
     }
 
     /// What each process uses.
     pub fn usage(&self) -> Vec<Usage> {
-        let of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
-        self.processes.iter().map(of).collect()
+        let usage_of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
+        self.processes.iter().map(usage_of).collect()
     }
 
     /// The resident memory of all processes together, in bytes.
@@ -167,21 +167,21 @@
     }
 
     /// Describes a process that has exited by itself, if there is one.
-    pub fn exited_process(&mut self) -> Option<String> {
-        let exited_process =
+    pub fn describe_exited(&mut self) -> Option<String> {
+        let exited =
             self.processes.iter_mut().find_map(|process| process.has_exited().then_some(&*process))?;
-        let log = exited_process.log_text();
+        let log = exited.log_text();
         let last: Vec<&str> = log.lines().rev().take(3).collect();
-        Some(format!("{} has exited: {}", exited_process.name, last.join(" | ")))
+        Some(format!("{} has exited: {}", exited.name, last.join(" | ")))
     }
 }
 
 /// The operator's file, the same for all processes. It names every instance, also the simulated ones.
-fn operator(wanted: &FleetSpec, names: &[String], lease_servers: &[SocketAddr]) -> String {
+fn operator_file(spec: &FleetSpec, names: &[String], lease_servers: &[SocketAddr]) -> String {
     let mut text = format!(
         "[accord]\nwithin = {:?}\nscope = \"{}\"\nkeepers = [{}]\n\n[accord.instances]\n",
-        wanted.within,
-        match wanted.scope {
+        spec.within,
+        match spec.scope {
             Scope::All => "all",
             Scope::Listed => "listed",
         },
@@ -189,15 +189,15 @@
     );
     // No instance connects to one that is no lease server; its address is only as long as a real one.
     let unused_address = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
-    for (at, name) in names.iter().chain(wanted.simulated).enumerate() {
+    for (at, name) in names.iter().chain(spec.simulated).enumerate() {
         let address = lease_servers.get(at).copied().unwrap_or_else(|| unused_address(at));
         text += &format!("{name} = \"{address}\"\n");
     }
     text
 }
 
-fn file(
-    wanted: &FleetSpec, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
+fn settings_file(
+    spec: &FleetSpec, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
 ) -> String {
     let workload = |at: usize| {
         format!(
@@ -214,11 +214,11 @@
         process.listen,
         process.console,
         discovery.address,
-        wanted.seed.wrapping_mul(31).wrapping_add(at as u64),
+        spec.seed.wrapping_mul(31).wrapping_add(at as u64),
         // A lease server reserves two links for each instance; the default limit of 1024 is left for all else.
-        1_024 + 2 * (wanted.simulated.len() + LEASE_SERVERS + wanted.sidecars),
+        1_024 + 2 * (spec.simulated.len() + LEASE_SERVERS + spec.sidecars),
         fakes::initial_list(servers),
-        LEASE_SERVERS + wanted.sidecars,
+        LEASE_SERVERS + spec.sidecars,
         workloads.join(",")
     )
 }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -114,7 +114,7 @@
             role.descriptors
         )
     };
-    let (counts, carried) = (&phase.counts, &phase.carried);
+    let (counts, served_requests) = (&phase.counts, &phase.served_requests);
     let mut lines = vec![
         format!(
             "{}; {} messages and {} bytes a second, {} bytes in its busiest; {} us of work a message; all real processes {:.0} MB at most",
@@ -150,9 +150,9 @@
         format!(
             "{}; {} of {} requests answered 200, {:.1} s with requests that were not",
             role("sidecar", &phase.sidecar),
-            carried.succeeded,
-            carried.calls,
-            carried.dismissed_s
+            served_requests.succeeded,
+            served_requests.requests,
+            served_requests.unserved_s
         ),
         format!(
             "{}; {} of {} timers late, {:.3} s at most",
@@ -163,15 +163,15 @@
         ),
     ];
     if let Some(propagation) = &phase.propagation {
-        let (told, whole) = (propagation.announcements, propagation.whole());
+        let (told, completed) = (propagation.announcements, propagation.completed());
         let at = |part: usize| {
             propagation.after_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"))
         };
         let how = format!(
-            "{told} announcements, {whole} of them reached all instances before the next one: in {} at the median, {} at most; \
+            "{told} announcements, {completed} of them reached all instances before the next one: in {} at the median, {} at most; \
              {} of {} instances had not learned the last one",
-            at(whole / 2),
-            at(whole.saturating_sub(1)),
+            at(completed / 2),
+            at(completed.saturating_sub(1)),
             propagation.missing,
             propagation.listeners
         );
@@ -216,9 +216,9 @@
             object["words_lost"] = json!(counts.dropped_messages);
             object["links_broken"] = json!(counts.broken);
             object["answer_ms_most"] = json!(counts.lease_latency.max() as f64 / 1e3);
-            object["calls"] = json!(phase.carried.calls);
-            object["calls_200"] = json!(phase.carried.succeeded);
-            object["dismissed_s"] = json!(phase.carried.dismissed_s);
+            object["calls"] = json!(phase.served_requests.requests);
+            object["calls_200"] = json!(phase.served_requests.succeeded);
+            object["dismissed_s"] = json!(phase.served_requests.unserved_s);
             if let Some(propagation) = &phase.propagation {
                 object["told"] = json!(propagation.announcements);
                 object["listeners"] = json!(propagation.listeners);
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -75,11 +75,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedRequests {
     /// How many requests there were.
-    pub calls: usize,
+    pub requests: usize,
     /// How many got a 200.
     pub succeeded: usize,
     /// The time in which a sidecar did not serve a request, summed up over the sidecars, in seconds.
-    pub dismissed_s: f64,
+    pub unserved_s: f64,
 }
 
 /// How announcements reached the instances that they concern.
@@ -98,7 +98,7 @@
 
 impl Propagation {
     /// How many announcements reached all instances before the next one.
-    pub fn whole(&self) -> usize {
+    pub fn completed(&self) -> usize {
         self.after_s.len()
     }
 }
@@ -127,7 +127,7 @@
     /// How its announcements reached the instances, if it has any.
     pub propagation: Option<Propagation>,
     /// How clients were served.
-    pub carried: ServedRequests,
+    pub served_requests: ServedRequests,
     /// How many timers of the harness fired.
     pub timers_fired: u64,
     /// How many of these fired late.
@@ -205,9 +205,13 @@
 pub fn step(plan: &Plan, instances: usize, progress: &mut dyn FnMut(&str)) -> Result<StepReport, String> {
     // Each instance has a link to each lease server. Without this check the run would fail half way for want of
     // sockets.
-    let (needs, has) = (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
-    if has.is_some_and(|has| needs as u64 > has) {
-        return Err(format!("{needs} descriptors are needed, and the machine gives {}", has.unwrap_or(0)));
+    let (needed, available) =
+        (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
+    if available.is_some_and(|available| needed as u64 > available) {
+        return Err(format!(
+            "{needed} descriptors are needed, and the machine gives {}",
+            available.unwrap_or(0)
+        ));
     }
     let clock = Clock(Instant::now());
     let catalogue = Arc::new(Catalogue::new(plan.shape));
@@ -240,10 +244,10 @@
         document: fleet.document.clone(),
         scope: plan.scope,
     };
-    let begun = clock.now();
+    let started_at = clock.now();
     let mut shares: Vec<Vec<InstanceSpec>> = vec![Vec::new(); plan.threads.max(1)];
     for (index, spec) in specs.iter().enumerate() {
-        let later = InstanceSpec { at: spec.at + begun, ..spec.clone() };
+        let later = InstanceSpec { at: spec.at + started_at, ..spec.clone() };
         shares[index % plan.threads.max(1)].push(later);
     }
     let shards = shares.into_iter().enumerate().map(|(index, share)| {
@@ -264,7 +268,7 @@
     let lease = Duration::from_micros(lease.0);
     harness.fleet.wait_until_serving(lease)?;
     harness.wait_until_all_had_leases(lease)?;
-    let all_leases_s = (clock.now() - begun).secs();
+    let all_leases_s = (clock.now() - started_at).secs();
     progress(&format!("{instances} instances hold leases after {all_leases_s:.1} s"));
     let phases = harness.run(lease, progress);
     Ok(StepReport {
@@ -299,10 +303,10 @@
     }
 
     fn wait_until_all_had_leases(&mut self, lease: Duration) -> Result<(), String> {
-        let (begun, timeout) = (Instant::now(), START_TIMEOUT + 4 * lease);
+        let (started_at, timeout) = (Instant::now(), START_TIMEOUT + 4 * lease);
         while self.held_leases() < self.specs.len() {
-            let abort_reason = self.fleet.exited_process().or_else(|| self.too_large());
-            let late_timers = (begun.elapsed() > timeout).then(|| "too late".to_string());
+            let abort_reason = self.fleet.describe_exited().or_else(|| self.memory_over_limit());
+            let late_timers = (started_at.elapsed() > timeout).then(|| "too late".to_string());
             if let Some(why) = abort_reason.or(late_timers) {
                 return Err(format!(
                     "{why}: {} of {} have held leases",
@@ -316,7 +320,7 @@
     }
 
     /// Describes the memory use if it is over the limit, to protect the machine.
-    fn too_large(&mut self) -> Option<String> {
+    fn memory_over_limit(&mut self) -> Option<String> {
         let all = self.fleet.resident() + usage::resident(std::process::id()).unwrap_or(0);
         self.resident_peak = self.resident_peak.max(self.fleet.resident());
         let ended = all > self.plan.most_resident;
@@ -326,7 +330,7 @@
     /// Runs the phases of the day, while clients send requests.
     fn run(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
         let (ended, clients_begun) = (AtomicBool::new(false), Instant::now());
-        let begun = self.clock.0;
+        let started_at = self.clock.0;
         std::thread::scope(|scope| {
             for (index, process) in self.fleet.processes.iter().enumerate().skip(LEASE_SERVERS) {
                 let (to, observations, rate, ended) =
@@ -339,7 +343,7 @@
             let mut reports = Vec::new();
             for phase in self.plan.day.phases() {
                 progress(phase.name);
-                let report = self.phase(phase, lease, clients_begun.duration_since(begun), progress);
+                let report = self.phase(phase, lease, clients_begun.duration_since(started_at), progress);
                 let abort_reason = report.aborted.is_some();
                 if phase.measured || abort_reason {
                     reports.push(report);
@@ -367,7 +371,7 @@
     /// Waits for that second of the run; returns the reason if the run must be aborted before.
     fn wait_until_second(&mut self, second: f64) -> Option<String> {
         loop {
-            if let Some(why) = self.fleet.exited_process().or_else(|| self.too_large()) {
+            if let Some(why) = self.fleet.describe_exited().or_else(|| self.memory_over_limit()) {
                 return Some(why);
             }
             let left = Micros((second * 1e6) as u64) - self.clock.now();
@@ -452,7 +456,7 @@
             propagation
         });
         let mut report = self.report(phase, &before, length_s);
-        report.carried = self.served_requests(from as f64 - clients_begun.as_secs_f64(), length_s);
+        report.served_requests = self.served_requests(from as f64 - clients_begun.as_secs_f64(), length_s);
         (report.propagation, report.aborted) = (propagation, abort_reason);
         report
     }
@@ -475,7 +479,7 @@
             alive: self.sum(|shard| shard.status.alive.load(Ordering::Relaxed)),
             counts: self.collect(next, before.second),
             propagation: None,
-            carried: ServedRequests::default(),
+            served_requests: ServedRequests::default(),
             timers_fired: after.timers_fired.0 - before.timers_fired.0,
             late_timers: after.timers_fired.1 - before.timers_fired.1,
             max_timer_delay_s: Micros(max_timer_delay_us.unwrap_or(0)).secs(),
@@ -575,16 +579,16 @@
     fn served_requests(&self, from: f64, length: f64) -> ServedRequests {
         let responses = self.observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
         let within = responses.iter().filter(|response| (from..from + length).contains(&response.at));
-        let (mut carried, mut slots) = (ServedRequests::default(), BTreeSet::new());
+        let (mut served_requests, mut slots) = (ServedRequests::default(), BTreeSet::new());
         for response in within {
-            carried.calls += 1;
+            served_requests.requests += 1;
             match response.status {
-                Some(200) => carried.succeeded += 1,
+                Some(200) => served_requests.succeeded += 1,
                 _ => _ = slots.insert((response.sidecar, (response.at / SLOT_S) as u64)),
             }
         }
-        carried.dismissed_s = slots.len() as f64 * SLOT_S;
-        carried
+        served_requests.unserved_s = slots.len() as f64 * SLOT_S;
+        served_requests
     }
 }
 
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -72,7 +72,7 @@
     /// Its bytes in the current second.
     pub current_second: CurrentSecond,
     /// When its leases expire.
-    until: Micros,
+    leases_valid_until: Micros,
     /// Whether it holds leases from a majority.
     pub has_leases: bool,
     /// Whether it has held them since its last start.
@@ -92,15 +92,15 @@
 
 impl SimulatedInstance {
     /// An instance that has not started.
-    pub fn new(spec: InstanceSpec, common: &SharedConfig) -> SimulatedInstance {
+    pub fn new(spec: InstanceSpec, config: &SharedConfig) -> SimulatedInstance {
         SimulatedInstance {
-            holder: common.holder(),
-            links: (0..common.lease_servers).map(|_| Link::default()).collect(),
+            holder: config.holder(),
+            links: (0..config.lease_servers).map(|_| Link::default()).collect(),
             greeting: String::new(),
             alive: false,
-            last_requests: vec![(0, Micros(0)); common.lease_servers],
+            last_requests: vec![(0, Micros(0)); config.lease_servers],
             current_second: CurrentSecond::default(),
-            until: Micros(0),
+            leases_valid_until: Micros(0),
             has_leases: false,
             held_leases: false,
             without_lease_since: None,
@@ -115,16 +115,17 @@
 
     /// Starts it as a new incarnation that knows nothing but its settings and its list.
     pub fn start(
-        &mut self, now: Micros, common: &SharedConfig, catalogue: &Catalogue, state: &[EndpointState],
+        &mut self, now: Micros, config: &SharedConfig, catalogue: &Catalogue, states: &[EndpointState],
     ) -> Vec<Action> {
         self.links.iter_mut().for_each(Link::close);
         self.greeting = Greeting::new(&self.spec.name, now.0).to_json();
-        self.holder = common.holder();
-        (self.alive, self.has_leases, self.until, self.without_lease_since) = (true, false, Micros(0), None);
+        self.holder = config.holder();
+        (self.alive, self.has_leases, self.leases_valid_until, self.without_lease_since) =
+            (true, false, Micros(0), None);
         (self.held_leases, self.index, self.timer_set_for, self.awaited) = (false, 1, Micros::NEVER, None);
         let mut actions = Vec::new();
-        self.holder.propose(now, common.document.clone(), &mut actions);
-        let servers = self.spec.list.iter().map(|server| (*server as usize, state[*server as usize]));
+        self.holder.propose(now, config.document.clone(), &mut actions);
+        let servers = self.spec.list.iter().map(|server| (*server as usize, states[*server as usize]));
         self.holder.handle_list_update(now, catalogue.list_update(self.index, true, servers), &mut actions);
         actions
     }
@@ -185,13 +186,13 @@
 
     /// Updates whether it holds leases, and counts for how long it did not.
     pub fn update_leases(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.until, self.holder.lease_valid_until());
+        let before = std::mem::replace(&mut self.leases_valid_until, self.holder.lease_valid_until());
         if self.has_leases && before <= now {
             self.has_leases = false;
             self.without_lease_since = Some(before);
             counts.lease_expiries += 1;
         }
-        if !self.has_leases && self.until > now {
+        if !self.has_leases && self.leases_valid_until > now {
             self.has_leases = true;
             self.count_without_lease(now, counts);
             self.without_lease_since = None;
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -166,13 +166,13 @@
 
 /// Sends requests to one process until the end, with exponentially distributed pauses: an open loop, as far as one
 /// connection allows.
-fn run_client(to: SocketAddr, (process, stream): (usize, usize), rate: f64, until: Instant, tally: &Tally) {
+fn run_client(to: SocketAddr, (process, stream): (usize, usize), rate: f64, end: Instant, tally: &Tally) {
     let mut random = WyRand::new_seed((process * 1000 + stream) as u64);
     let mut due = Instant::now();
     let mut connection = None;
     for number in 0.. {
         due += Duration::from_secs_f64(-(1.0 - random.generate::<f64>()).ln() / rate);
-        if due >= until {
+        if due >= end {
             return;
         }
         thread::sleep(due.saturating_duration_since(Instant::now()));
@@ -196,7 +196,7 @@
         if answer.is_some_and(|(status, _)| status == 200) {
             tally.served.fetch_add(1, Ordering::Relaxed);
         }
-        connection = connection.filter(|_| answer.is_some_and(|(_, lasts)| lasts));
+        connection = connection.filter(|_| answer.is_some_and(|(_, stays_open)| stays_open));
     }
 }
 
@@ -283,7 +283,7 @@
 
 /// Runs one case. The error is that the setup failed or that a process has exited.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let mut harness = Harness::build(program, case).map_err(|fault| fault.to_string())?;
+    let mut harness = Harness::build(program, case).map_err(|error| error.to_string())?;
     wait_until_all_ready(&mut harness.sidecars)?;
     let (slow_start, tally, delay_monitor) = (slow_start(case), Tally::default(), DelayMonitor::start());
     let begun = Instant::now();
@@ -293,8 +293,8 @@
     }
     steps.extend(case.process_restarts_s.iter().zip(0..).map(|(at, round)| (*at, Step::Restart(round))));
     steps.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let until = LEAD_S + case.second_start_s.unwrap_or(0.0) + slow_start.warm_within_s + slow_start.fall_s;
-    let until = begun + Duration::from_secs_f64(until);
+    let end = LEAD_S + case.second_start_s.unwrap_or(0.0) + slow_start.warm_within_s + slow_start.fall_s;
+    let end = begun + Duration::from_secs_f64(end);
     // For each incarnation of the server its start, and when each process was told of it, in seconds after the start.
     let mut informed_at: Vec<(Instant, Vec<f64>)> = Vec::new();
     let mut entry = None;
@@ -310,7 +310,7 @@
             let clients = (rate / RATE).ceil() as usize;
             for stream in 0..clients {
                 let (to, tally) = (sidecar.listen, &tally);
-                scope.spawn(move || run_client(to, (process, stream), rate / clients as f64, until, tally));
+                scope.spawn(move || run_client(to, (process, stream), rate / clients as f64, end, tally));
             }
         }
         for (at, step) in &steps {
@@ -334,7 +334,7 @@
                     let sidecars = harness.sidecars.iter_mut().enumerate();
                     for (_, sidecar) in sidecars.filter(|(process, _)| is_restarted(*process, *round)) {
                         sidecar.kill();
-                        sidecar.start().map_err(|fault| fault.to_string())?;
+                        sidecar.start().map_err(|error| error.to_string())?;
                     }
                 }
             }
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -69,7 +69,9 @@
     let said = rest.total_messages();
     assert!(said.messages_in > 0 && said.messages_out > 0 && said.bytes_in > said.messages_in, "{said:?}");
     assert!(
-        rest.carried.calls > 0 && rest.lease_server.resident > 0 && rest.lease_server.descriptors > INSTANCES
+        rest.served_requests.requests > 0
+            && rest.lease_server.resident > 0
+            && rest.lease_server.descriptors > INSTANCES
     );
     assert!(report.operator_bytes > INSTANCES * 10);
 }
