--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -260,7 +260,7 @@
                     true => report::objects(&report).iter().for_each(|object| println!("{object}")),
                     false => report::text(&report).iter().for_each(|line| println!("{line}")),
                 }
-                whole &= report.phases.iter().all(|phase| phase.is_conclusive());
+                whole &= report.phases.iter().all(|phase| phase.sound());
                 steps.push(report);
             }
             Err(why) => {
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! The scale run: thousands of simulated instances together with real processes of the program. A simulated instance
-//! runs the real lease holder and exchanges its real messages over TCP, but forwards no requests.
+//! The scale run: thousands of hollow instances, each with the real state machine and the real words over TCP, beside real
+//! processes of the program. A hollow one carries no calls.
 pub mod catalogue;
 pub mod count;
 pub mod day;
--- a/lab/src/scale/usage.rs
+++ b/lab/src/scale/usage.rs
@@ -1,18 +1,15 @@
-//! What a process uses, as the kernel reports it.
+//! What a process has used, as the machine tells it.
 use std::fs;
 
-/// What a process uses.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Usage {
-    /// Processor time since its start, in seconds.
+    /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// Resident memory, in bytes.
     pub resident: u64,
-    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-/// The resident memory of a process in bytes; none if there is no such process.
+/// Resident bytes; none if there is no such process.
 pub fn resident(process: u32) -> Option<u64> {
     let text = fs::read_to_string(format!("/proc/{process}/statm")).ok()?;
     let pages: u64 = text.split(' ').nth(1)?.parse().ok()?;
@@ -20,7 +17,6 @@
 }
 
 impl Usage {
-    /// What a process uses; none if there is no such process.
     pub fn of(process: u32) -> Option<Usage> {
         let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
         let descriptors = fs::read_dir(format!("/proc/{process}/fd")).ok()?.count();
@@ -28,7 +24,7 @@
     }
 }
 
-/// The user and system time of a process, in seconds, from a line of `/proc/PID/stat`.
+/// Of a line of `/proc/PID/stat`: time in the process itself and in the machine for it, in seconds.
 ///
 /// ```
 /// let line = "7 (odd ) name) S 1 7 7 0 -1 4194560 100 0 0 0 250 50 0 0 20 0 1 0 100 1000 100";
@@ -36,7 +32,7 @@
 /// assert_eq!(oakhollow_lab::scale::usage::cpu_s(line), Some(300.0 / ticks));
 /// ```
 pub fn cpu_s(stat: &str) -> Option<f64> {
-    // The process name may contain any character; it ends with the last bracket.
+    // The name may hold anything, and ends with the last bracket.
     let mut fields = stat.rsplit_once(')')?.1.split_ascii_whitespace();
     let user: u64 = fields.nth(11)?.parse().ok()?;
     let system: u64 = fields.next()?.parse().ok()?;
