--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,7 +1,7 @@
 //! Simulates how much traffic the lease protocol causes and how long a change takes to reach all instances. Lease
 //! holders and lease servers run the code of the package `accord`, all in one process and in virtual time, on links
 //! with a delay of 0.5 to 2 ms. Bytes are those of the messages' lines.
-use crate::scale::catalogue::{Catalogue, EndpointState, Shape};
+use crate::scale::catalogue::{Catalogue, FleetShape, ServerState};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
 use oakhollow_accord::{
@@ -334,7 +334,7 @@
 /// same counts on any machine.
 pub fn costs(instances: usize, within_s: f64, seed: u64, scope: Scope) -> Costs {
     let within = Micros((within_s * 1e6) as u64);
-    let shape = Shape {
+    let shape = FleetShape {
         services: instances.div_ceil(SERVERS_PER_SERVICE),
         servers: SERVERS_PER_SERVICE,
         zones: ZONES,
@@ -344,7 +344,11 @@
     let lists: Vec<Vec<u32>> = (0..instances).map(|_| catalogue.list_of(&mut random)).collect();
     let update = |at: usize, index: u64, out: bool, includes: &dyn Fn(usize) -> bool| {
         let servers = lists[at].iter().map(|server| *server as usize).filter(|server| includes(*server));
-        catalogue.told(index, index == 1, servers.map(|server| (server, EndpointState { since: 7, out })))
+        catalogue.list_update(
+            index,
+            index == 1,
+            servers.map(|server| (server, ServerState { started_at_ms: 7, excluded: out })),
+        )
     };
     let mut fleet = Fleet::new(instances, within, seed, scope, |at| update(at, 1, false, &|_| true));
     let never = |_: &LeaseHolder| false;
