--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -142,7 +142,7 @@
     /// Announces the change at all discoveries, if the server is on the list of the real processes.
     pub fn announce(&self, server: usize, change: ListChange) {
         if let Some(address) = self.servers.get(server) {
-            self.discoveries.iter().for_each(|discovery| discovery.tell(change, server, *address));
+            self.discoveries.iter().for_each(|discovery| discovery.announce(change, server, *address));
         }
     }
 
