--- a/lab/faults/tests/arrivals.rs
+++ b/lab/faults/tests/arrivals.rs
@@ -122,7 +122,7 @@
         (FaultKind::FailedRename, "rename", "5"),
         (FaultKind::FailedRead, "read", "5"),
     ];
-    for (kind, call, child_output) in cases {
+    for (kind, call, expected) in cases {
         let control = Control::new(call);
         assert_eq!(
             control.run_child(call).as_deref(),
@@ -131,7 +131,7 @@
         );
         assert_eq!(control.faults.injected_count(kind), 0, "{kind:?}");
         control.set(kind);
-        assert_eq!(control.run_child(call).as_deref(), Ok(child_output), "{kind:?}");
+        assert_eq!(control.run_child(call).as_deref(), Ok(expected), "{kind:?}");
         assert!(control.faults.injected_count(kind) >= 1, "{kind:?}");
     }
 }
--- a/lab/src/chain/report.rs
+++ b/lab/src/chain/report.rs
@@ -53,7 +53,7 @@
     let failed = !round.all_answered_once() || client.served() < client.sent;
     failed.then(|| {
         let responses = &client.responses;
-        format!("{name} sidecars {} of {} requests were served: {responses:?}", client.served(), client.sent)
+        format!("{name} sidecars {} of {} calls were served: {responses:?}", client.served(), client.sent)
     })
 }
 
@@ -61,7 +61,7 @@
     let Round { client, .. } = round;
     let (late, measured, bound) = (client.late, client.measured, LATE_THRESHOLD.as_millis());
     (client.late_fraction() > share).then(|| {
-        format!("{name} sidecars the client sent {late} of {measured} requests more than {bound} ms late")
+        format!("{name} sidecars the caller sent {late} of {measured} calls more than {bound} ms late")
     })
 }
 
--- a/lab/src/soak/records.rs
+++ b/lab/src/soak/records.rs
@@ -1,5 +1,6 @@
 //! The records of clients, servers, discovery and the harness, with times from one clock.
 use crate::harness::lock;
+use std::fmt::{Debug, Formatter, Result};
 use std::sync::Mutex;
 use std::time::Instant;
 
@@ -42,7 +43,7 @@
 }
 
 /// How a request ended for its client.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// An answer came.
     Answered {
@@ -81,7 +82,7 @@
 }
 
 /// What a server did with an attempt.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The connection broke before the request was complete, so it was not executed.
     Incomplete,
@@ -92,7 +93,7 @@
 }
 
 /// An attempt as its server saw it.
-#[derive(Clone, PartialEq, Debug)]
+#[derive(Clone, PartialEq)]
 pub struct Attempt {
     /// The process that sent it.
     pub process: ProcessId,
@@ -185,3 +186,44 @@
         Records::new()
     }
 }
+
+// The words in which the report lines of findings print outcomes and attempts.
+
+impl Debug for RequestOutcome {
+    fn fmt(&self, out: &mut Formatter) -> Result {
+        match self {
+            RequestOutcome::Answered { status, own_body } => {
+                out.debug_struct("Answered").field("status", status).field("own", own_body).finish()
+            }
+            RequestOutcome::Closed => out.write_str("Closed"),
+            RequestOutcome::NoResponse => out.write_str("Nothing"),
+            RequestOutcome::ClientLeft => out.write_str("Left"),
+        }
+    }
+}
+
+impl Debug for AttemptOutcome {
+    fn fmt(&self, out: &mut Formatter) -> Result {
+        out.write_str(match self {
+            AttemptOutcome::Incomplete => "Incomplete",
+            AttemptOutcome::Rejected => "TurnedAway",
+            AttemptOutcome::Executed => "Ran",
+        })
+    }
+}
+
+impl Debug for Attempt {
+    fn fmt(&self, out: &mut Formatter) -> Result {
+        out.debug_struct("Attempt")
+            .field("process", &self.process)
+            .field("server", &self.server)
+            .field("cell", &self.cell)
+            .field("id", &self.id)
+            .field("first_byte", &self.first_byte_at)
+            .field("last_byte", &self.last_byte_at)
+            .field("over", &self.ended_at)
+            .field("told", &self.announced_timeout_s)
+            .field("deed", &self.outcome)
+            .finish()
+    }
+}
--- a/lab/src/soak/report.rs
+++ b/lab/src/soak/report.rs
@@ -87,7 +87,7 @@
         let Verdict { findings, requests, served, refused, excused } = &self.verdict;
         let verdict = match (self.is_clean(), self.is_late()) {
             (true, _) => "clean",
-            (false, true) => "no figure: the harness ran late",
+            (false, true) => "no figure: the rig ran late",
             (false, false) => "FOUND",
         };
         writeln!(
--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -152,7 +152,7 @@
     assert!(report
         .pairs
         .iter()
-        .all(|pair| pair.late_reason.as_ref().is_some_and(|why| why.contains("the client sent"))));
+        .all(|pair| pair.late_reason.as_ref().is_some_and(|why| why.contains("the caller sent"))));
     assert!(
         report.cost_per_attempt().iter().all(|(_, interval)| interval.is_some()),
         "{:?}",
