--- a/sidecar/benches/loopback/main.rs
+++ b/sidecar/benches/loopback/main.rs
@@ -1,15 +1,15 @@
-//! Calls a second through the program against calls straight to a stand-in, in one run, by the number of servers and
-//! of workers:
+//! Compares requests per second through the program with requests sent straight to a test server, in one run, by the
+//! number of servers and of workers:
 //!
 //!     cargo bench --bench loopback -- --build now=target/release/oakhollow --servers 4,1000,10000
 //!
-//! `--build NAME=PATH` may stand several times: builds are played in turn, in an order that is reversed each round, so
-//! that a drift of the machine meets all alike. Figures are medians over the rounds.
-mod callers;
-mod stand;
+//! `--build NAME=PATH` may be given several times: builds run in turn, in an order that is reversed each round, so
+//! that a drift of the machine's speed affects all alike. Figures are medians over the rounds.
+mod clients;
+mod test_servers;
 
-use callers::{await_ready, call, Seen};
 use clap::Parser;
+use clients::{run_clients, wait_until_ready, Measurements};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -25,7 +25,7 @@
     /// Servers in the list.
     #[arg(long, value_delimiter = ',', default_values_t = [4, 1000])]
     servers: Vec<usize>,
-    /// Workers of each sidecar; 1 is not written into its file, so that builds that know no workers can be paired.
+    /// Workers of each sidecar. 1 is not written into its file, so that builds without that setting can be compared.
     #[arg(long, value_delimiter = ',', default_values_t = [1])]
     workers: Vec<usize>,
     #[arg(long, default_value_t = 64)]
@@ -36,25 +36,26 @@
     server_threads: usize,
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Seconds that count in each run.
+    /// Measured seconds of each run.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Seconds before these.
+    /// Seconds before the measured ones.
     #[arg(long, default_value_t = 2.0)]
     warm: f64,
-    /// Changes of the list a second while calls flow.
+    /// Changes of the list per second during the measurement.
     #[arg(long, default_value_t = 0)]
     changes: u64,
-    /// Bounds the sidecar to these processors, as `taskset` words them.
+    /// Restricts the sidecar to these processors, in the notation of `taskset`.
     #[arg(long)]
     cpus: Option<String>,
-    /// Plays each build once more as one of three instances that agree, all keepers; the two others carry no calls.
+    /// Runs each build once more as one of three instances that agree on settings, all keepers. The other two get
+    /// no requests.
     #[arg(long)]
     accord: bool,
     /// Keeps the program's log lines on standard error.
     #[arg(long)]
     logs: bool,
-    /// Cargo adds it.
+    /// Added by cargo.
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -62,24 +63,24 @@
 fn build(text: &str) -> Result<(String, PathBuf), String> {
     let (name, path) = text.split_once('=').ok_or("NAME=PATH is wanted")?;
     let path = PathBuf::from(path);
-    // Cargo runs a bench in its package's folder.
+    // Cargo runs a benchmark in its package's folder.
     let path = if path.is_relative() { PathBuf::from("..").join(path) } else { path };
     path.is_file().then_some((name.to_string(), path.clone())).ok_or(format!("{} is no file", path.display()))
 }
 
-/// A running sidecar, ended with this.
+/// A running sidecar, which is killed when this is dropped.
 struct Running {
     child: Child,
     listen: SocketAddr,
     folder: PathBuf,
-    /// Those it agrees with.
+    /// The instances it agrees with.
     _others: Vec<Running>,
 }
 
-/// Which of three it is, and where the keepers listen.
-type Agreed = (usize, Vec<SocketAddr>);
+/// The index of an instance among those that agree, and the addresses of the keepers.
+type AccordPosition = (usize, Vec<SocketAddr>);
 
-fn free() -> std::io::Result<SocketAddr> {
+fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
@@ -93,16 +94,17 @@
 
 impl Running {
     fn start(
-        args: &Args, path: &PathBuf, discovery: SocketAddr, workers: usize, agreed: Option<Agreed>,
+        args: &Args, path: &PathBuf, discovery: SocketAddr, workers: usize,
+        accord_position: Option<AccordPosition>,
     ) -> std::io::Result<Running> {
-        let listen = free()?;
+        let listen = free_address()?;
         let mut others = Vec::new();
-        if let Some((0, keepers)) = &agreed {
+        if let Some((0, keepers)) = &accord_position {
             for other in 1..keepers.len() {
                 others.push(Running::start(args, path, discovery, 1, Some((other, keepers.clone())))?);
             }
         }
-        let me = agreed.as_ref().map_or(0, |(me, _)| *me);
+        let me = accord_position.as_ref().map_or(0, |(me, _)| *me);
         let folder =
             std::env::temp_dir().join(format!("oakhollow-loopback-{}-{}", std::process::id(), listen.port()));
         std::fs::create_dir_all(&folder)?;
@@ -126,10 +128,10 @@
         if !args.logs {
             command.stderr(Stdio::null());
         }
-        if workers > 1 || agreed.is_some() {
+        if workers > 1 || accord_position.is_some() {
             let operator = folder.join("oakhollow.toml");
             let mut text = format!("workers = {workers}\n");
-            if let Some((_, keepers)) = &agreed {
+            if let Some((_, keepers)) = &accord_position {
                 text += "[accord]\nwithin = 2.0\nkeepers = [\"n0\", \"n1\", \"n2\"]\n[accord.instances]\n";
                 for (at, keeper) in keepers.iter().enumerate() {
                     text += &format!("n{at} = \"{keeper}\"\n");
@@ -139,15 +141,15 @@
             command.arg("--operator").arg(operator);
         }
         let running = Running { child: command.spawn()?, listen, folder, _others: others };
-        // The others are ready once this one is there as well.
-        match me > 0 || await_ready(listen) {
+        // The other instances are ready only once this one runs as well.
+        match me > 0 || wait_until_ready(listen) {
             true => Ok(running),
             false => Err(std::io::Error::other("the sidecar is not ready within 10 s")),
         }
     }
 
-    /// Processor seconds so far, and resident MB.
-    fn spent(&self) -> (f64, f64) {
+    /// Processor seconds used so far, and resident memory in MB.
+    fn usage(&self) -> (f64, f64) {
         let read = |name: &str| {
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
         };
@@ -162,22 +164,32 @@
     }
 }
 
+/// One row of the report.
 struct Row {
-    what: String,
-    a_second: f64,
+    label: String,
+    requests_per_s: f64,
     p50: f64,
     p99: f64,
-    most: f64,
+    max: f64,
     not_served: u64,
     cpu_us: f64,
     mb: f64,
 }
 
 impl Row {
-    fn of(what: String, seen: &Seen, cpu_us: f64, mb: f64) -> Row {
-        let at = |quantile| seen.latency.value_at_quantile(quantile) as f64;
-        let (p50, p99, most) = (at(0.5), at(0.99), seen.latency.max() as f64);
-        Row { what, a_second: seen.a_second(), p50, p99, most, not_served: seen.not_served, cpu_us, mb }
+    fn of(label: String, measurements: &Measurements, cpu_us: f64, mb: f64) -> Row {
+        let at = |quantile| measurements.latency.value_at_quantile(quantile) as f64;
+        let (p50, p99, max) = (at(0.5), at(0.99), measurements.latency.max() as f64);
+        Row {
+            label,
+            requests_per_s: measurements.requests_per_s(),
+            p50,
+            p99,
+            max,
+            not_served: measurements.not_served,
+            cpu_us,
+            mb,
+        }
     }
 }
 
@@ -189,47 +201,55 @@
 fn main() -> std::io::Result<()> {
     let args = Args::parse();
     let (warm, length) = (Duration::from_secs_f64(args.warm), Duration::from_secs_f64(args.seconds));
-    let most = args.servers.iter().copied().max().unwrap_or(1);
-    let servers = stand::servers(most, args.server_threads)?;
+    let max = args.servers.iter().copied().max().unwrap_or(1);
+    let servers = test_servers::servers(max, args.server_threads)?;
     let mut rows: Vec<Row> = Vec::new();
     for round in 0..args.rounds {
-        let direct = call(servers[0], args.callers, args.caller_threads, Duration::from_millis(300), length)?;
+        let direct =
+            run_clients(servers[0], args.callers, args.caller_threads, Duration::from_millis(300), length)?;
         rows.push(Row::of("direct".into(), &direct, 0.0, 0.0));
-        let mut arms = Vec::new();
+        let mut runs = Vec::new();
         for &count in &args.servers {
             for &workers in &args.workers {
                 for (name, path) in &args.build {
-                    arms.push((count, workers, name.clone(), path, false));
+                    runs.push((count, workers, name.clone(), path, false));
                     if args.accord {
-                        arms.push((count, workers, format!("{name} agreed"), path, true));
+                        runs.push((count, workers, format!("{name} agreed"), path, true));
                     }
                 }
             }
         }
         if round % 2 == 1 {
-            arms.reverse();
+            runs.reverse();
         }
-        for (count, workers, name, path, agreed) in arms {
-            let churn = Arc::new(stand::Churn::default());
+        for (count, workers, name, path, with_accord) in runs {
+            let churn = Arc::new(test_servers::Churn::default());
             churn.on.store(args.changes > 0, Ordering::Relaxed);
-            let discovery = stand::discovery(servers[..count].to_vec(), churn.clone(), args.changes.max(1))?;
-            let agreed = match agreed {
-                true => Some((0, vec![free()?, free()?, free()?])),
+            let discovery =
+                test_servers::discovery(servers[..count].to_vec(), churn.clone(), args.changes.max(1))?;
+            let accord_position = match with_accord {
+                true => Some((0, vec![free_address()?, free_address()?, free_address()?])),
                 false => None,
             };
-            let running = Running::start(&args, path, discovery, workers, agreed)?;
-            call(running.listen, args.callers, args.caller_threads, Duration::ZERO, warm)?;
-            let (before, _) = running.spent();
-            let seen = call(running.listen, args.callers, args.caller_threads, Duration::ZERO, length)?;
-            let (after, mb) = running.spent();
-            let cpu_us = (after - before) * 1e6 / seen.calls.max(1) as f64;
-            rows.push(Row::of(format!("{name}, {count} servers, {workers} workers"), &seen, cpu_us, mb));
+            let running = Running::start(&args, path, discovery, workers, accord_position)?;
+            run_clients(running.listen, args.callers, args.caller_threads, Duration::ZERO, warm)?;
+            let (before, _) = running.usage();
+            let measurements =
+                run_clients(running.listen, args.callers, args.caller_threads, Duration::ZERO, length)?;
+            let (after, mb) = running.usage();
+            let cpu_us = (after - before) * 1e6 / measurements.requests.max(1) as f64;
+            rows.push(Row::of(
+                format!("{name}, {count} servers, {workers} workers"),
+                &measurements,
+                cpu_us,
+                mb,
+            ));
         }
     }
     let mut names: Vec<&str> = Vec::new();
     for row in &rows {
-        if !names.contains(&row.what.as_str()) {
-            names.push(&row.what);
+        if !names.contains(&row.label.as_str()) {
+            names.push(&row.label);
         }
     }
     println!(
@@ -241,17 +261,17 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     let pick = |name: &str, figure: fn(&Row) -> f64| {
-        median(rows.iter().filter(|row| row.what == name).map(figure).collect())
+        median(rows.iter().filter(|row| row.label == name).map(figure).collect())
     };
-    let direct = pick("direct", |row| row.a_second);
+    let direct = pick("direct", |row| row.requests_per_s);
     for name in names {
         println!(
             "| {name} | {:.0} | {:.4} | {:.0} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} |",
-            pick(name, |row| row.a_second),
-            pick(name, |row| row.a_second) / direct,
+            pick(name, |row| row.requests_per_s),
+            pick(name, |row| row.requests_per_s) / direct,
             pick(name, |row| row.p50),
             pick(name, |row| row.p99),
-            pick(name, |row| row.most),
+            pick(name, |row| row.max),
             pick(name, |row| row.not_served as f64),
             pick(name, |row| row.cpu_us),
             pick(name, |row| row.mb),
--- a/sidecar/benches/loopback/stand.rs
+++ b/sidecar/benches/loopback/test_servers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins: servers that answer at once, and a discovery that lists them and, if asked, keeps changing the list.
+//! Test servers that answer at once, and a test discovery that lists them and optionally keeps changing the list.
 use polling::{Event, Events, PollMode, Poller};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,6 +7,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
+/// The answer to every request.
 pub const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// Opens `count` listeners and serves them on `threads` threads until the process ends.
@@ -20,7 +21,7 @@
         shares[number % threads].push(listener);
     }
     for share in shares {
-        spawn(move || serve(share).expect("the stand-in's poller works"));
+        spawn(move || serve(share).expect("the server's poller works"));
     }
     Ok(addresses)
 }
@@ -28,11 +29,11 @@
 fn serve(listeners: Vec<TcpListener>) -> std::io::Result<()> {
     let (poller, mut events) = (Poller::new()?, Events::new());
     for (key, listener) in listeners.iter().enumerate() {
-        // Safety: the listeners live as long as the poller.
+        // SAFETY: the listeners live as long as the poller.
         unsafe { poller.add_with_mode(listener, Event::readable(key), PollMode::Level)? };
     }
-    let mut links: Vec<Option<TcpStream>> = Vec::new();
-    let mut free = Vec::new();
+    let mut connections: Vec<Option<TcpStream>> = Vec::new();
+    let mut free_slots = Vec::new();
     let mut buffer = [0; 64 * 1024];
     loop {
         events.clear();
@@ -42,40 +43,41 @@
                 while let Ok((stream, _)) = listener.accept() {
                     stream.set_nonblocking(true)?;
                     stream.set_nodelay(true)?;
-                    let at = free.pop().unwrap_or_else(|| {
-                        links.push(None);
-                        links.len() - 1
+                    let at = free_slots.pop().unwrap_or_else(|| {
+                        connections.push(None);
+                        connections.len() - 1
                     });
                     let readable = Event::readable(listeners.len() + at);
-                    // Safety: a link is deleted from the poller before it is closed.
+                    // SAFETY: a connection is deleted from the poller before it is closed.
                     unsafe { poller.add_with_mode(&stream, readable, PollMode::Level)? };
-                    links[at] = Some(stream);
+                    connections[at] = Some(stream);
                 }
                 continue;
             }
             let at = event.key - listeners.len();
-            let Some(stream) = &mut links[at] else { continue };
+            let Some(stream) = &mut connections[at] else { continue };
             let open = match stream.read(&mut buffer) {
                 Ok(0) => false,
-                // One call at a time on a connection, no bodies: a blank line ends a request.
+                // One request at a time on a connection, without a body: a blank line ends it.
                 Ok(count) if buffer[..count].ends_with(b"\r\n\r\n") => stream.write_all(ANSWER).is_ok(),
                 Ok(_) => true,
-                Err(fault) => fault.kind() == ErrorKind::WouldBlock,
+                Err(error) => error.kind() == ErrorKind::WouldBlock,
             };
             if !open {
                 poller.delete(&*stream)?;
-                links[at] = None;
-                free.push(at);
+                connections[at] = None;
+                free_slots.push(at);
             }
         }
     }
 }
 
-/// Changes of the list a second, while `on`; every change drains or takes back one of the servers.
+/// Whether the list keeps changing, and how many changes were sent. Each change drains a server or makes it active
+/// again.
 #[derive(Default)]
 pub struct Churn {
     pub on: AtomicBool,
-    pub told: AtomicU64,
+    pub changes_sent: AtomicU64,
 }
 
 fn entry(number: usize, address: SocketAddr, status: &str) -> String {
@@ -85,50 +87,54 @@
     )
 }
 
-/// Lists the servers to whoever watches.
-pub fn discovery(servers: Vec<SocketAddr>, churn: Arc<Churn>, a_second: u64) -> std::io::Result<SocketAddr> {
+/// Starts a discovery that lists these servers.
+pub fn discovery(
+    servers: Vec<SocketAddr>, churn: Arc<Churn>, changes_per_s: u64,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let (servers, churn) = (servers.clone(), churn.clone());
-            spawn(move || watch(stream, &servers, &churn, a_second));
+            spawn(move || watch(stream, &servers, &churn, changes_per_s));
         }
     });
     Ok(address)
 }
 
-fn watch(mut stream: TcpStream, servers: &[SocketAddr], churn: &Churn, a_second: u64) -> std::io::Result<()> {
+fn watch(
+    mut stream: TcpStream, servers: &[SocketAddr], churn: &Churn, changes_per_s: u64,
+) -> std::io::Result<()> {
     let mut buffer = [0; 4096];
-    let mut asked = Vec::new();
-    while !asked.ends_with(b"\r\n\r\n") {
+    let mut request = Vec::new();
+    while !request.ends_with(b"\r\n\r\n") {
         let count = stream.read(&mut buffer)?;
         if count == 0 {
             return Ok(());
         }
-        asked.extend_from_slice(&buffer[..count]);
+        request.extend_from_slice(&buffer[..count]);
     }
     let list: Vec<String> = servers.iter().enumerate().map(|(at, to)| entry(at, *to, "active")).collect();
     let line = format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}\n", list.join(","));
     let chunk = |line: &str| format!("{:x}\r\n{line}\r\n", line.len());
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     stream.write_all(chunk(&line).as_bytes())?;
-    let (mut index, mut spoke) = (1, Instant::now());
+    let (mut index, mut last_sent) = (1, Instant::now());
     loop {
         if churn.on.load(Ordering::Relaxed) && servers.len() > 4 {
             index += 1;
-            // Every other change takes back what the one before drained.
+            // Every other change makes the server active again that the previous one drained.
             let (number, status) = (index / 2 * 7 % servers.len(), ["leaving", "active"][index % 2]);
             let changed = entry(number, servers[number], status);
             let line = format!("{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{changed}]}}\n");
             stream.write_all(chunk(&line).as_bytes())?;
-            churn.told.fetch_add(1, Ordering::Relaxed);
-            spoke = Instant::now();
-            sleep(Duration::from_micros(1_000_000 / a_second));
+            churn.changes_sent.fetch_add(1, Ordering::Relaxed);
+            last_sent = Instant::now();
+            sleep(Duration::from_micros(1_000_000 / changes_per_s));
         } else {
-            if spoke.elapsed() > Duration::from_secs(2) {
+            if last_sent.elapsed() > Duration::from_secs(2) {
                 stream.write_all(chunk("\n").as_bytes())?;
-                spoke = Instant::now();
+                last_sent = Instant::now();
             }
             sleep(Duration::from_millis(20));
         }
