--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -97,6 +97,9 @@
     }
 }
 
+/// Access to the dispatcher of HTTP/1.1 requests.
 pub type DispatcherHandle = crate::dispatcher::DispatcherHandle<Http1>;
+/// A message to it.
 pub type DispatcherMessage = crate::dispatcher::DispatcherMessage<Http1>;
+/// The dispatcher itself.
 pub type Dispatcher = crate::dispatcher::Dispatcher<Http1>;
--- a/sidecar/tests/client_departures/test_bed.rs
+++ b/sidecar/tests/client_departures/test_bed.rs
@@ -184,7 +184,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
+        assert!(begun.elapsed() < PATIENCE, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -86,7 +86,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < PATIENCE, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -200,7 +200,7 @@
         let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler };
         let shared = server.state.clone();
         thread::spawn(move || {
-            wait_until("it is admitted", || shared.lock().expect("seen").mode == "answers");
+            wait_until("it is admitted", || shared.lock().expect("server state").mode == "answers");
             drop(listener.accept());
             accept_all(&listener, &shared);
         });
@@ -211,7 +211,7 @@
 fn accept_all(listener: &TcpListener, shared: &Arc<Mutex<ServerState>>) {
     for stream in listener.incoming().map_while(Result::ok) {
         let shared = shared.clone();
-        shared.lock().expect("seen").connections += 1;
+        shared.lock().expect("server state").connections += 1;
         thread::spawn(move || serve(stream, &shared));
     }
 }
@@ -219,7 +219,7 @@
 /// Waits until the server's mode is no longer `holds`.
 fn mode_after_hold(shared: &Mutex<ServerState>) -> String {
     loop {
-        let mode = shared.lock().expect("seen").mode.clone();
+        let mode = shared.lock().expect("server state").mode.clone();
         if mode != "holds" {
             return mode;
         }
@@ -230,7 +230,7 @@
 fn serve(mut stream: TcpStream, shared: &Mutex<ServerState>) {
     while let Some((head, body)) = read_message(&mut stream) {
         let (mode, text) = {
-            let mut state = shared.lock().expect("seen");
+            let mut state = shared.lock().expect("server state");
             state.requests += 1;
             state.last_request = head + &body;
             (state.mode.clone(), state.body.clone())
@@ -275,7 +275,7 @@
             "stalls" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
             "twice" => format!("{whole}{whole}"),
             "echoes" | "echoes-twice" | "echoes-late" => {
-                let id = shared.lock().expect("seen").last_request.clone();
+                let id = shared.lock().expect("server state").last_request.clone();
                 let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("an id").to_string();
                 let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
                 if mode == "echoes-late" {
@@ -287,7 +287,7 @@
             "breaks" => return,
             "silent" => {
                 let cancelled = stream.read(&mut [0]).is_ok_and(|count| count == 0);
-                shared.lock().expect("seen").cancelled += usize::from(cancelled);
+                shared.lock().expect("server state").cancelled += usize::from(cancelled);
                 return;
             }
             _ => whole,
@@ -311,7 +311,7 @@
             return;
         }
     }
-    shared.lock().expect("seen").closed_idle += 1;
+    shared.lock().expect("server state").closed_idle += 1;
 }
 
 /// The test discovery: sends one whole list, then what the scenario says.
@@ -726,7 +726,7 @@
             }
             self.servers.push(server);
         }
-        let mut state = self.find(name).state.lock().expect("seen");
+        let mut state = self.find(name).state.lock().expect("server state");
         (state.mode, state.body) = (mode.to_string(), body.to_string());
     }
 
@@ -736,14 +736,16 @@
 
     fn expect_count(&self, name: &str, wanted: &str, count: impl Fn(&ServerState) -> usize) {
         let (server, wanted) = (self.find(name), wanted.parse::<usize>().expect("a count"));
-        wait_until("the count", || count(&server.state.lock().expect("seen")) >= wanted);
-        assert_eq!(count(&server.state.lock().expect("seen")), wanted);
+        wait_until("the count is reached", || count(&server.state.lock().expect("server state")) >= wanted);
+        assert_eq!(count(&server.state.lock().expect("server state")), wanted);
     }
 
     /// Waits for a count and requires it within a second: at the end of a request's time it would hold anyway.
     fn expect_soon(&self, name: &str, least: &str, count: impl Fn(&ServerState) -> usize) {
         let (start, least) = (Instant::now(), least.parse::<usize>().expect("a count"));
-        wait_until("so many", || count(&self.find(name).state.lock().expect("seen")) >= least);
+        wait_until("the count is reached", || {
+            count(&self.find(name).state.lock().expect("server state")) >= least
+        });
         assert!(start.elapsed() < Duration::from_secs(1), "late");
     }
 
@@ -842,38 +844,41 @@
             }
             ["least", name, least] => {
                 let least: usize = least.parse().expect("a count");
-                let requests = self.find(name).state.lock().expect("seen").requests;
+                let requests = self.find(name).state.lock().expect("server state").requests;
                 assert!(requests >= least, "{requests}");
             }
-            ["forget", name] => self.find(name).state.lock().expect("seen").requests = 0,
+            ["forget", name] => self.find(name).state.lock().expect("server state").requests = 0,
             ["opens", count] => self.open_silent(count, ""),
             ["opens", count, bytes] => self.open_silent(count, bytes),
             ["drops"] => self.idle.clear(),
             ["seen", name, count] => self.expect_count(name, count, |state| state.requests),
             ["seen-all", count] => {
-                let requests = |server: &Server| server.state.lock().expect("seen").requests;
+                let requests = |server: &Server| server.state.lock().expect("server state").requests;
                 assert_eq!(self.servers.iter().map(requests).sum::<usize>().to_string(), count);
             }
             ["links", name, count] => self.expect_count(name, count, |state| state.connections),
             ["gone", name, least] => self.expect_soon(name, least, |state| state.cancelled),
             ["shut", name, least] => self.expect_soon(name, least, |state| state.closed_idle),
             ["got", name, ..] => {
-                let last = self.find(name).state.lock().expect("seen").last_request.clone();
+                let last = self.find(name).state.lock().expect("server state").last_request.clone();
                 assert!(last.contains(&decode_bytes(words[2])), "{last}");
             }
             ["admits", name] => {
                 let server = self.servers.iter_mut().find(|server| server.name == name).expect("a server");
                 self.admitted_at = Some(Instant::now());
-                server.state.lock().expect("seen").mode = "answers".into();
+                server.state.lock().expect("server state").mode = "answers".into();
                 server.backlog_filler = None;
             }
             ["told", name, left] => {
-                let last = self.find(name).state.lock().expect("seen").last_request.clone();
-                let told = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
-                let told = Duration::from_millis(told.expect("a time").parse().expect("a number"));
+                let last = self.find(name).state.lock().expect("server state").last_request.clone();
+                let announced = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
+                let announced = Duration::from_millis(announced.expect("a time").parse().expect("a number"));
                 let passed = self.admitted_at.expect("admitted") - self.marked_at.expect("a mark");
                 let left = Duration::from_micros(runner::parse_duration_us(left));
-                assert!(told + passed <= left, "told {told:?}, {passed:?} after which {left:?} were left");
+                assert!(
+                    announced + passed <= left,
+                    "announced {announced:?}, {passed:?} after {left:?} were left"
+                );
             }
             ["freezes"] => self.signal("STOP"),
             ["thaws"] => self.signal("CONT"),
@@ -920,7 +925,7 @@
                 let to = self.find(name).address;
                 wait_until("it connects", || is_connecting(to));
             }
-            ["ready", status] => wait_until("ready or not", || {
+            ["ready", status] => wait_until("/ready has this status", || {
                 let mut stream = self.connect();
                 stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
                 read_message(&mut stream)
@@ -966,7 +971,7 @@
                 self.send_long_request(id, (workload, left), bytes, mode)
             }
             ["took", name, bytes] => {
-                let last = self.find(name).state.lock().expect("seen").last_request.clone();
+                let last = self.find(name).state.lock().expect("server state").last_request.clone();
                 let (head, body) = last.split_once("\r\n\r\n").expect("a request");
                 assert_eq!(body.len().to_string(), bytes, "{head}");
             }
@@ -1010,7 +1015,7 @@
             }
             ["says", ..] => {
                 let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
-                wait_until("it says so", || log.lock().expect("log").contains(&words));
+                wait_until("its log says so", || log.lock().expect("log").contains(&words));
             }
             ["unreachable"] => assert!(TcpStream::connect(self.port.expect("a sidecar")).is_err()),
             ["calm"] => {
