--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -53,7 +53,7 @@
     answer_timeout: Micros,
 }
 
-/// The end of a [`BodyStream`] that the client's task writes to.
+/// The end of a `BodyStream` that the client's task writes to.
 pub struct BodyStreamWriter {
     parts: Option<Sender<Vec<u8>>>,
     last_byte_at: LastByteAt,
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -186,8 +186,8 @@
         self.max_idle_time.set(max_idle_time(server_idle_timeout));
     }
 
-    /// Takes an idle connection to this address, if there is one. Waits for the rest of its [`REUSE_DELAY`], unless
-    /// [`MAX_WAITERS`] requests wait for that already.
+    /// Takes an idle connection to this address, if there is one. Waits for the rest of its reuse delay, unless
+    /// too many requests wait for that already.
     pub async fn take_idle(&self, to: SocketAddr) -> Option<Rc<EndpointConnection>> {
         loop {
             let (connection, left) = match self.candidate(to, Instant::now())? {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes out the idle connection that is best reused at `now`: the newest whose [`REUSE_DELAY`] is over, else the
+    /// Takes out the idle connection that is best reused at `now`: the newest whose reuse delay is over, else the
     /// oldest, but none before its delay is over once an endpoint has sent more than an answer.
     fn candidate(&self, to: SocketAddr, now: Instant) -> Option<Candidate> {
         loop {
@@ -240,7 +240,7 @@
     }
 
     /// Records that an endpoint has sent more than an answer. From now on no connection is reused before its
-    /// [`REUSE_DELAY`] is over, since another such answer may come late.
+    /// reuse delay is over, since another such answer may come late.
     pub fn note_unsolicited_bytes(&self) {
         if !self.saw_unsolicited_bytes.replace(true) {
             info!(
