--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -247,21 +247,15 @@
             closes: counters_by_label(
                 &registry,
                 "connections_closed_total",
-                "Client connections closed",
+                "Connections of clients closed",
                 "reason",
                 &close_reasons,
             )?,
-            violations: counters_by_label(
-                &registry,
-                "violations_total",
-                "Broken rules of the guard",
-                "rule",
-                &rules,
-            )?,
+            violations: counters_by_label(&registry, "violations_total", "Broken rules", "rule", &rules)?,
             list_requests: counters_by_label(
                 &registry,
                 "list_calls_total",
-                "List requests to discovery that received a line or ended without one",
+                "Calls to discovery for the list that told a line or ended with none",
                 "outcome",
                 &list_request_outcomes,
             )?,
@@ -269,7 +263,7 @@
                 &registry,
                 IntCounter::with_opts(opts(
                     "list_stale_total",
-                    "Times that the list became too old to be used",
+                    "Times that the list was not heard for too long to be used",
                 ))?,
             )?,
             system_errors: counter_vec(
@@ -283,7 +277,7 @@
                 Histogram::with_opts(
                     HistogramOpts::new(
                         "oakhollow_request_seconds",
-                        "Time from a request's last byte to its answer's first",
+                        "From a request's last byte to its answer's first",
                     )
                     .buckets(LATENCY_BOUNDS.to_vec()),
                 )?,
@@ -293,21 +287,21 @@
                 "retry_budget_used",
                 "Attempts beyond requests' first in the last window",
             )?,
-            open_requests: gauge(&registry, "open_requests", "Requests not yet answered")?,
-            connections: gauge(&registry, "client_connections", "Client connections")?,
+            open_requests: gauge(&registry, "open_requests", "Requests taken and not yet answered")?,
+            connections: gauge(&registry, "client_connections", "Connections of clients")?,
             servers: register(
                 &registry,
-                IntGaugeVec::new(Opts::new("oakhollow_servers", "Endpoints by state"), &["state"])?,
+                IntGaugeVec::new(Opts::new("oakhollow_servers", "Servers by state"), &["state"])?,
             )?,
             list_age_ms: gauge(
                 &registry,
                 "list_age_milliseconds",
-                "Time since the list was last received; -1 if never",
+                "Since the list was last told; -1 if never",
             )?,
             watch_open: gauge(
                 &registry,
                 "watch_open",
-                "1 while the watch of the list is open and has received something",
+                "1 while the watch of the list is open and has told something",
             )?,
             registry,
         })
