--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -81,7 +81,7 @@
 
     /// Injects faults of this kind at the given rate from now on.
     fn set(&self, kind: FaultKind, rate: u64) {
-        self.faults().set(kind, rate).expect("set");
+        self.faults().set_rate(kind, rate).expect("set");
     }
 
     fn wait_until_ready(&mut self) {
@@ -182,7 +182,7 @@
     let took = request_durations(setup.sidecar.listen, 6, 150);
     let lost = took.iter().filter(|took| took.is_none()).count();
     let slow = took.iter().flatten().filter(|took| **took > Duration::from_millis(500)).count();
-    let short = setup.faults().arrived(FaultKind::ShortReceive);
+    let short = setup.faults().injected_count(FaultKind::ShortReceive);
     assert!(short > 20, "{short} reads were short");
     assert_eq!(
         (lost, slow),
@@ -207,8 +207,8 @@
         assert_eq!(answered.map(|(status, _)| status), Some(200));
         worst = worst.max(begun.elapsed());
     }
-    let arrived = setup.faults().arrived(FaultKind::FailedAccept);
-    assert!(arrived > 10, "{arrived} accepts failed");
+    let injected = setup.faults().injected_count(FaultKind::FailedAccept);
+    assert!(injected > 10, "{injected} accepts failed");
     assert_eq!(
         send_request(&mut idle, &view_request("last")).map(|(status, _)| status),
         Some(200),
@@ -224,7 +224,7 @@
         setup.set(kind, ALWAYS);
         let status = setup.console_put("/endpoints/s0/maint");
         assert_ne!(status, 200, "{kind:?}: success was reported but not stored");
-        assert!(setup.faults().arrived(kind) > 0, "{kind:?} was never injected");
+        assert!(setup.faults().injected_count(kind) > 0, "{kind:?} was never injected");
         // Maintenance takes effect immediately all the same, and is stored as soon as the disk works.
         assert_eq!(setup.traffic_share(0, Duration::from_secs(1)), 0.0, "{kind:?}");
         setup.set(kind, 0);
@@ -261,7 +261,7 @@
             setup.sidecar.log_text()
         );
     }
-    assert!(setup.faults().arrived(FaultKind::FailedRead) > 0);
+    assert!(setup.faults().injected_count(FaultKind::FailedRead) > 0);
 }
 
 #[test]
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -6,15 +6,18 @@
 use beside::program;
 use oakhollow_lab::harness::run_until_conclusive;
 use oakhollow_lab::slow_start::{run, Case, Report};
-use oakhollow_lab::slow_start_limit::{fullest, Arrival, Ramp, Window};
+use oakhollow_lab::slow_start_limit::{fullest, Arrival, SlowStart, Window};
 use turn::exclusive;
 
 fn print_report(case: &Case, report: &Report) {
-    let Report { lives, calls, late, served, harness_delay_s } = report;
+    let Report { incarnations, requests, late_requests, served, harness_delay_s } = report;
     let Case { name, processes, .. } = case;
-    println!("{name}, {processes} processes: {served} of {calls} calls served, {late} late, the harness was {harness_delay_s:.3} s late");
-    for life in lives {
-        println!("  {} arrivals, {} falls, fullest {:?}", life.arrivals, life.falls, life.fullest);
+    println!("{name}, {processes} processes: {served} of {requests} requests served, {late_requests} late, the harness was {harness_delay_s:.3} s late");
+    for incarnation in incarnations {
+        println!(
+            "  {} arrivals, {} collapses, fullest {:?}",
+            incarnation.arrivals, incarnation.collapses, incarnation.fullest
+        );
     }
 }
 
@@ -32,13 +35,17 @@
 
 /// The sum stays within the limit, and the server is used meanwhile.
 fn check_limit(case: Case) {
-    run_case(case, |Report { lives, calls, served, .. }| {
-        let broken = lives.iter().find_map(|life| life.broken);
+    run_case(case, |Report { incarnations, requests, served, .. }| {
+        let broken = incarnations.iter().find_map(|incarnation| incarnation.violation);
         match () {
-            _ if lives.len() != 1 + usize::from(case.again_s.is_some()) => Err("a life is missing".into()),
+            _ if incarnations.len() != 1 + usize::from(case.second_start_s.is_some()) => {
+                Err("an incarnation is missing".into())
+            }
             _ if broken.is_some() => Err(format!("over the budget: {broken:?}")),
-            _ if lives.iter().any(|life| life.arrivals < 5) => Err("the cold server is hardly used".into()),
-            _ if served * 10 <= calls * 9 => Err(format!("{served} of {calls} served")),
+            _ if incarnations.iter().any(|incarnation| incarnation.arrivals < 5) => {
+                Err("the cold server is hardly used".into())
+            }
+            _ if served * 10 <= requests * 9 => Err(format!("{served} of {requests} served")),
             _ => Ok(()),
         }
     });
@@ -56,43 +63,51 @@
 
 #[test]
 fn the_sum_stays_within_the_slow_start_if_a_third_of_the_processes_gets_the_list_late() {
-    check_limit(Case { name: "late", returns: true, late_s: 1.5, ..Case::EVEN });
+    check_limit(Case { name: "late", server_was_warm: true, announcement_delay_s: 1.5, ..Case::EVEN });
 }
 
 #[test]
 fn the_sum_stays_within_the_slow_start_while_processes_restart() {
-    check_limit(Case { name: "restarts", returns: true, restarts: &[0.5, 1.5, 3.0], ..Case::EVEN });
+    check_limit(Case {
+        name: "restarts",
+        server_was_warm: true,
+        process_restarts_s: &[0.5, 1.5, 3.0],
+        ..Case::EVEN
+    });
 }
 
 #[test]
 fn the_sum_stays_within_the_slow_start_if_the_server_restarts() {
-    check_limit(Case { name: "again", processes: 20, again_s: Some(3.0), ..Case::EVEN });
+    check_limit(Case { name: "again", processes: 20, second_start_s: Some(3.0), ..Case::EVEN });
 }
 
 /// Processes that are each configured as the only one stay within their own limits, but their sum does not.
 #[test]
 fn a_sum_over_the_limit_is_found() {
-    run_case(Case { name: "each alone", alone: true, ..Case::EVEN }, |report| {
-        report.lives[0].broken.map(|_| ()).ok_or_else(|| "the sum is not caught".into())
+    run_case(Case { name: "each alone", told_alone: true, ..Case::EVEN }, |report| {
+        report.incarnations[0]
+            .violation
+            .map(|_| ())
+            .ok_or_else(|| "the excess of the sum is not found".into())
     });
 }
 
 /// At the start N is 20 and 30.9 requests are allowed; half way 30 and 42.9; at the end 40 and 54.6.
-const RAMP: Ramp =
-    Ramp { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
+const SLOW_START: SlowStart =
+    SlowStart { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
 
 fn burst(at: f64, count: usize, process: usize) -> Vec<Arrival> {
     (0..count).map(|one| Arrival { at: at + 0.001 * one as f64, process }).collect()
 }
 
 fn broken(arrivals: &[Arrival], told: &[f64]) -> Option<Window> {
-    RAMP.windows(arrivals, told).into_iter().find(Window::breaks)
+    SLOW_START.windows(arrivals, told).into_iter().find(Window::is_violation)
 }
 
 #[test]
 fn the_limit_is_the_allowed_mean_plus_a_margin_for_its_scatter() {
-    assert_eq!(RAMP.most(0.0), 20.0 + 2.0 * 20.0_f64.sqrt() + 2.0);
-    let later = RAMP.most(5.0) - (30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
+    assert_eq!(SLOW_START.limit(0.0), 20.0 + 2.0 * 20.0_f64.sqrt() + 2.0);
+    let later = SLOW_START.limit(5.0) - (30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
     assert!(later.abs() < 1e-9);
 }
 
@@ -100,7 +115,7 @@
 fn an_overshoot_is_found_in_any_window() {
     assert_eq!(broken(&burst(0.0, 30, 0), &[0.0]), None);
     let found = broken(&burst(0.0, 31, 0), &[0.0]).expect("over the budget");
-    assert_eq!((found.sent, found.told), (31, 31));
+    assert_eq!((found.sent, found.sent_by_informed), (31, 31));
     // Across the border between whole seconds, by many processes that sent one request each, and recorded out of order.
     let mut spread: Vec<Arrival> =
         (0..33).map(|process| Arrival { at: 0.7 + 0.02 * process as f64, process }).collect();
@@ -120,7 +135,7 @@
     let both: Vec<Arrival> = [burst(0.0, 20, 0), burst(0.0, 12, 1)].concat();
     // 20 of 32 requests come from a process that knew, which is under two thirds; all do once the other one knows too.
     assert_eq!(broken(&both, &[0.0, 5.0]), None);
-    assert!(RAMP.windows(&both, &[0.0, 5.0]).iter().any(Window::falls));
+    assert!(SLOW_START.windows(&both, &[0.0, 5.0]).iter().any(Window::collapses));
     assert!(broken(&both, &[0.0, 0.0]).is_some());
     // A process without an entry in `told` knows nothing.
     assert_eq!(broken(&burst(0.0, 40, 7), &[0.0]), None);
@@ -129,7 +144,7 @@
 #[test]
 fn the_fullest_window_is_the_one_closest_to_its_limit() {
     let arrivals: Vec<Arrival> = [burst(0.0, 20, 0), burst(6.0, 21, 0)].concat();
-    let found = fullest(&RAMP.windows(&arrivals, &[0.0])).expect("some");
+    let found = fullest(&SLOW_START.windows(&arrivals, &[0.0])).expect("some");
     assert_eq!(found.sent, 20);
     assert_eq!(fullest(&[]), None);
 }
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -10,17 +10,19 @@
 const CASE: Case = Case {
     name: "known list",
     processes: 30,
-    known: true,
-    down: OutageKind::Refused,
-    down_s: 4.0,
+    with_known_list: true,
+    outage: OutageKind::Refused,
+    outage_s: 4.0,
     capacity: None,
 };
 
 fn print_report(case: &Case, report: &Report) {
-    let at = |part: f64| report.ready[((report.ready.len() as f64 * part).ceil() as usize).max(1) - 1];
+    let at = |part: f64| {
+        report.ready_after_s[((report.ready_after_s.len() as f64 * part).ceil() as usize).max(1) - 1]
+    };
     println!(
         "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); requests to discovery: {} while down, \
-        {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
+         {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
         case.name,
         at(0.0),
         at(0.5),
@@ -35,7 +37,12 @@
     for second in 0..8 {
         let bin = |tenth: usize| {
             let from = f64::from(second) + 0.1 * tenth as f64;
-            report.calls.iter().filter(|(at, _)| (from..from + 0.1).contains(at)).count().to_string()
+            report
+                .discovery_requests
+                .iter()
+                .filter(|(at, _)| (from..from + 0.1).contains(at))
+                .count()
+                .to_string()
         };
         let bins: Vec<String> = (0..10).map(bin).collect();
         println!("  requests in each 100 ms from {second} s after its return: {}", bins.join(" "));
@@ -49,12 +56,12 @@
     let check = |report: &Report| {
         print_report(&case, report);
         let (nine_in_ten, last) =
-            (report.ready[case.processes * 9 / 10 - 1], report.ready[case.processes - 1]);
+            (report.ready_after_s[case.processes * 9 / 10 - 1], report.ready_after_s[case.processes - 1]);
         let most = report.most_at_once(0.0, f64::INFINITY);
         match () {
             _ if nine_in_ten > 10.0 => Err(format!("nine in ten are ready after {nine_in_ten:.2} s")),
             _ if last > 14.0 => Err(format!("the last is ready after {last:.2} s")),
-            _ if report.serve < case.processes => Err(format!("{} serve in the end", report.serve)),
+            _ if report.serving < case.processes => Err(format!("{} serve in the end", report.serving)),
             _ if most > case.processes / 2 => Err(format!("{most} call discovery in 100 ms")),
             _ => Ok(()),
         }
@@ -71,7 +78,7 @@
 
 #[test]
 fn processes_without_a_list_are_ready_soon_after_discovery_returns() {
-    check_case(Case { name: "no list", known: false, ..CASE });
+    check_case(Case { name: "no list", with_known_list: false, ..CASE });
 }
 
 /// Discovery takes five seconds for one request of each process, and rejects those that would wait longer than 0.3 s.
@@ -81,8 +88,8 @@
         Some(Capacity { requests_per_s: 6.0, max_wait_s: 0.3, rejection: RejectionTiming::Immediate });
     check_case(Case {
         name: "no list, too many callers",
-        known: false,
-        down: OutageKind::Closed,
+        with_known_list: false,
+        outage: OutageKind::Closed,
         capacity,
         ..CASE
     });
@@ -91,5 +98,5 @@
 /// While it is down, discovery holds all requests unanswered, and it closes them when it returns.
 #[test]
 fn processes_without_a_list_are_ready_soon_after_discovery_closes_their_requests() {
-    check_case(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
+    check_case(Case { name: "no list, held", with_known_list: false, outage: OutageKind::Held, ..CASE });
 }
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -17,9 +17,9 @@
 fn compare(scope: Scope, zone: f64) {
     let of = |instances| (1..=SEEDS).map(|seed| costs(instances, 13.0, seed, scope)).collect::<Vec<Costs>>();
     let (few, many) = (of(100), of(400));
-    let messages = |cost: &Cost| cost.instance.words;
+    let messages = |cost: &Cost| cost.instance.messages;
     let bytes = |cost: &Cost| cost.instance.bytes;
-    let steps = |cost: &Cost| cost.steps_a_word;
+    let steps = |cost: &Cost| cost.steps_per_message;
     let figures: [(&str, Figure); 3] = [
         ("messages per instance", messages),
         ("bytes per instance", bytes),
@@ -28,7 +28,7 @@
     let mut exceeded = Vec::new();
     for (name, of) in figures {
         let phases: [(&str, Phase, f64); 4] = [
-            ("rest", |costs| &costs.rest, CONSTANT),
+            ("rest", |costs| &costs.idle, CONSTANT),
             ("change", |costs| &costs.change, CONSTANT),
             ("drain", |costs| &costs.drain, CONSTANT),
             ("zone", |costs| &costs.zone, zone),
