--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -155,7 +155,7 @@
 
     /// Whether the awaited change is known. To be called whenever the instance may have learned something.
     pub fn check_awaited(&mut self, catalogue: &Catalogue) -> bool {
-        let heard = match &self.awaited {
+        let learned = match &self.awaited {
             None => return true,
             Some(AwaitedChange::Servers(_, excluded)) => {
                 let known = self.lease_holder.excluded_servers();
@@ -165,10 +165,10 @@
             }
             Some(AwaitedChange::Version(version)) => self.lease_holder.committed() >= Some(*version),
         };
-        if heard {
+        if learned {
             self.awaited = None;
         }
-        heard
+        learned
     }
 
     pub fn is_awaiting(&self) -> bool {
--- a/lab/tests/admission.rs
+++ b/lab/tests/admission.rs
@@ -73,7 +73,7 @@
             let (admission, order) = (&admission, order.clone());
             scope.spawn(move || {
                 let _admitted = admission.admit(demand);
-                order.send(at).expect("heard");
+                order.send(at).expect("sent");
             });
             wait_until_requested(admission, at as u64 + 2);
         }
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -36,12 +36,12 @@
 /// The sum stays within the limit, and the server is used meanwhile.
 fn check_limit(case: Case) {
     run_case(case, |Report { incarnations, requests, served, .. }| {
-        let broken = incarnations.iter().find_map(|incarnation| incarnation.violation);
+        let violation = incarnations.iter().find_map(|incarnation| incarnation.violation);
         match () {
             _ if incarnations.len() != 1 + usize::from(case.second_start_s.is_some()) => {
                 Err("an incarnation is missing".into())
             }
-            _ if broken.is_some() => Err(format!("over the budget: {broken:?}")),
+            _ if violation.is_some() => Err(format!("over the limit: {violation:?}")),
             _ if incarnations.iter().any(|incarnation| incarnation.arrivals < 5) => {
                 Err("the cold server is hardly used".into())
             }
@@ -100,8 +100,8 @@
     (0..count).map(|one| Arrival { at: at + 0.001 * one as f64, process }).collect()
 }
 
-fn broken(arrivals: &[Arrival], told: &[f64]) -> Option<Window> {
-    SLOW_START.windows(arrivals, told).into_iter().find(Window::is_violation)
+fn first_violation(arrivals: &[Arrival], informed_at: &[f64]) -> Option<Window> {
+    SLOW_START.windows(arrivals, informed_at).into_iter().find(Window::is_violation)
 }
 
 #[test]
@@ -113,32 +113,32 @@
 
 #[test]
 fn an_overshoot_is_found_in_any_window() {
-    assert_eq!(broken(&burst(0.0, 30, 0), &[0.0]), None);
-    let found = broken(&burst(0.0, 31, 0), &[0.0]).expect("over the budget");
+    assert_eq!(first_violation(&burst(0.0, 30, 0), &[0.0]), None);
+    let found = first_violation(&burst(0.0, 31, 0), &[0.0]).expect("over the limit");
     assert_eq!((found.sent, found.sent_by_informed), (31, 31));
     // Across the border between whole seconds, by many processes that sent one request each, and recorded out of order.
     let mut spread: Vec<Arrival> =
         (0..33).map(|process| Arrival { at: 0.7 + 0.02 * process as f64, process }).collect();
     spread.reverse();
-    assert!(broken(&spread, &[0.0; 33]).is_some());
+    assert!(first_violation(&spread, &[0.0; 33]).is_some());
     // As many requests are allowed if spread over slightly more than the window, or later in the slow start.
     let thin: Vec<Arrival> = (0..31).map(|one| Arrival { at: 0.034 * one as f64, process: 0 }).collect();
-    assert_eq!(broken(&thin, &[0.0]), None);
-    assert_eq!(broken(&burst(6.0, 42, 0), &[0.0]), None);
-    assert!(broken(&burst(6.0, 45, 0), &[0.0]).is_some());
+    assert_eq!(first_violation(&thin, &[0.0]), None);
+    assert_eq!(first_violation(&burst(6.0, 42, 0), &[0.0]), None);
+    assert!(first_violation(&burst(6.0, 45, 0), &[0.0]).is_some());
     // A warm server has no limit.
-    assert_eq!(broken(&burst(11.5, 500, 0), &[0.0]), None);
+    assert_eq!(first_violation(&burst(11.5, 500, 0), &[0.0]), None);
 }
 
 #[test]
 fn processes_that_do_not_know_of_the_restart_are_not_blamed() {
     let both: Vec<Arrival> = [burst(0.0, 20, 0), burst(0.0, 12, 1)].concat();
     // 20 of 32 requests come from a process that knew, which is under two thirds; all do once the other one knows too.
-    assert_eq!(broken(&both, &[0.0, 5.0]), None);
+    assert_eq!(first_violation(&both, &[0.0, 5.0]), None);
     assert!(SLOW_START.windows(&both, &[0.0, 5.0]).iter().any(Window::collapses));
-    assert!(broken(&both, &[0.0, 0.0]).is_some());
-    // A process without an entry in `told` knows nothing.
-    assert_eq!(broken(&burst(0.0, 40, 7), &[0.0]), None);
+    assert!(first_violation(&both, &[0.0, 0.0]).is_some());
+    // A process without an entry in `informed_at` knows nothing.
+    assert_eq!(first_violation(&burst(0.0, 40, 7), &[0.0]), None);
 }
 
 #[test]
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -139,8 +139,8 @@
 }
 
 /// Computed by hand: the points (1, 1), (2, 3), (3, 2), (4, 4) have the slope 0.8 and the intercept 0.5; the squared
-/// residuals sum up to 1.8, so the standard error is the root of 0.9, and the slope's error is 4.303 times that over the
-/// root of 5.
+/// residuals sum up to 1.8, so the standard error is the root of 0.9, and the slope's error is 4.303 times that over
+/// the root of 5.
 #[test]
 fn intervals_match_a_calculation_by_hand() {
     let fit = Fit::linear(&[(1.0, 1.0), (2.0, 3.0), (3.0, 2.0), (4.0, 4.0)]).expect("a line");
