--- a/lab/src/discovery_recovery.rs
+++ b/lab/src/discovery_recovery.rs
@@ -47,7 +47,7 @@
     let start = |at: usize| {
         let mut sidecar = Sidecar::new(program, &format!("n{at}"), folder.path())?;
         let config = ProcessConfig {
-            at,
+            process: at,
             me: at,
             balancers: case.tier_size,
             console: false,
--- a/lab/src/harness.rs
+++ b/lab/src/harness.rs
@@ -277,8 +277,8 @@
 
 /// The part of a process's settings file that differs between tests.
 pub struct ProcessConfig<'a> {
-    /// Which of the harness's processes it is; draws its seed.
-    pub at: usize,
+    /// Its number among the harness's processes, from which its seed is derived.
+    pub process: usize,
     /// The setting `me`: which instance it is told to be.
     pub me: usize,
     /// The setting `balancers`: how many instances it is told there are.
@@ -301,7 +301,7 @@
     /// The settings of a single instance: it has a console, and servers warm up within 3 s.
     pub fn alone(discovery: SocketAddr) -> ProcessConfig<'static> {
         ProcessConfig {
-            at: 0,
+            process: 0,
             me: 0,
             balancers: 1,
             discovery,
@@ -316,11 +316,11 @@
 
 /// The text of a process's settings file, with one workload, `view`, that may be repeated.
 pub fn config_json(sidecar: &Sidecar, config: &ProcessConfig) -> String {
-    let ProcessConfig { at, me, balancers, discovery, console, known, cold_from, fall_s, warm_within_s } =
+    let ProcessConfig { process, me, balancers, discovery, console, known, cold_from, fall_s, warm_within_s } =
         config;
     let console = if *console { format!(r#""console":"{}","#, sidecar.console) } else { String::new() };
     let known = known.map_or(String::new(), |listed| format!(r#""known":{},"#, list_json(1, true, listed)));
-    let seed = 0x9E37_79B9_7F4A_7C15_u64.wrapping_mul(1 + *at as u64);
+    let seed = 0x9E37_79B9_7F4A_7C15_u64.wrapping_mul(1 + *process as u64);
     format!(
         r#"{{"name":"{}","listen":"{}","discovery":"{discovery}","seed":"{seed:x}",{console}{known}
         "settings":{{"me":{me},"balancers":{balancers},"zones":["a"],"discovery":"on_request",
@@ -361,7 +361,7 @@
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    /// Names a folder; the first process in it creates it.
+    /// Chooses a path in the system's temporary folder; [`Sidecar::new`] creates the folder.
     pub fn new(purpose: &str) -> TempDir {
         static FOLDERS: AtomicU64 = AtomicU64::new(0);
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -27,8 +27,8 @@
 pub struct Relay {
     /// Where the instance connects.
     pub address: SocketAddr,
-    there: Arc<Direction>,
-    back: Arc<Direction>,
+    to_lease_server: Arc<Direction>,
+    from_lease_server: Arc<Direction>,
     refuse: Arc<AtomicBool>,
     open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
@@ -39,13 +39,13 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let relay = Relay {
             address: listener.local_addr()?,
-            there: Arc::default(),
-            back: Arc::default(),
+            to_lease_server: Arc::default(),
+            from_lease_server: Arc::default(),
             refuse: Arc::default(),
             open_streams: Arc::default(),
         };
-        let (there, back, open_streams) =
-            (relay.there.clone(), relay.back.clone(), relay.open_streams.clone());
+        let (to_lease_server, from_lease_server, open_streams) =
+            (relay.to_lease_server.clone(), relay.from_lease_server.clone(), relay.open_streams.clone());
         let refuse = relay.refuse.clone();
         thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
@@ -55,7 +55,7 @@
                 }
                 let Ok(server) = TcpStream::connect(to) else { continue };
                 let _ = (client.set_nodelay(true), server.set_nodelay(true));
-                let pairs = [(&client, &server, &there), (&server, &client, &back)];
+                let pairs = [(&client, &server, &to_lease_server), (&server, &client, &from_lease_server)];
                 for (from, to, direction) in pairs {
                     if let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) {
                         let direction = direction.clone();
@@ -70,10 +70,10 @@
     }
 
     /// Drops all data to the lease server, or back from it; with neither, ends this and a refusal.
-    pub fn cut(&self, there: bool, back: bool) {
-        self.there.cut.store(there, Ordering::Relaxed);
-        self.back.cut.store(back, Ordering::Relaxed);
-        if !there && !back {
+    pub fn cut(&self, to_lease_server: bool, from_lease_server: bool) {
+        self.to_lease_server.cut.store(to_lease_server, Ordering::Relaxed);
+        self.from_lease_server.cut.store(from_lease_server, Ordering::Relaxed);
+        if !to_lease_server && !from_lease_server {
             self.refuse.store(false, Ordering::Relaxed);
             // Dropped data has left incomplete lines, so both sides need new links.
             self.reset();
@@ -82,7 +82,7 @@
 
     /// Delays each read of either direction.
     pub fn delay(&self, length: Duration) {
-        for direction in [&self.there, &self.back] {
+        for direction in [&self.to_lease_server, &self.from_lease_server] {
             direction.delay_ms.store(length.as_millis() as u64, Ordering::Relaxed);
         }
     }
@@ -95,14 +95,14 @@
 
     /// Forwards one half of the next read of each direction, then breaks its link.
     pub fn truncate_next(&self) {
-        [&self.there, &self.back]
+        [&self.to_lease_server, &self.from_lease_server]
             .iter()
             .for_each(|direction| direction.truncate_next.store(true, Ordering::Relaxed));
     }
 
     /// Repeats the last lines of each direction before its next line.
     pub fn replay(&self) {
-        for direction in [&self.there, &self.back] {
+        for direction in [&self.to_lease_server, &self.from_lease_server] {
             direction.replays.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -105,7 +105,7 @@
             sidecar.write_config(&config_json(
                 &sidecar,
                 &ProcessConfig {
-                    at,
+                    process: at,
                     me: at,
                     balancers: case.processes,
                     discovery: harness.discovery.address,
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -45,7 +45,12 @@
 pub enum RunError {
     /// The harness ran late, so that the run says nothing about the program; nor do the expectations that failed in
     /// it.
-    Inconclusive { reason: String, failed_expectations: Vec<String> },
+    Inconclusive {
+        /// How the harness was late.
+        reason: String,
+        /// The expectations that failed.
+        failed_expectations: Vec<String>,
+    },
     /// Something could not be set up, does not serve, or has exited by itself.
     Failed(String),
 }
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -243,7 +243,7 @@
             sidecar.write_config(&config_json(
                 &sidecar,
                 &ProcessConfig {
-                    at,
+                    process: at,
                     me: at % balancers,
                     balancers,
                     discovery: harness.discoveries[usize::from(hears_late(at))].address,
