--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -197,18 +197,19 @@
     let program = args.program.clone().unwrap_or_else(sibling_program);
     let mut without = Vec::new();
     for name in &args.without {
-        match Trouble::named(name) {
+        match Trouble::from_name(name) {
             Some(trouble) => without.push(trouble),
             None => {
-                eprintln!("--without: no kind {name:?}; there are {}", soak::report::kinds());
+                eprintln!("--without: no kind {name:?}; there are {}", soak::report::trouble_names());
                 return ExitCode::FAILURE;
             }
         }
     }
     let length = Duration::from_secs_f64(args.seconds);
-    let (mut pairs, mut clean) = (soak::report::Pairs::default(), true);
+    let (mut pairs, mut clean) = (soak::report::PairCounts::default(), true);
     for seed in args.seed..args.seed + args.seeds {
-        let plan = soak::Plan { seed, processes: args.processes, length, without: without.clone() };
+        let plan =
+            soak::Plan { seed, processes: args.processes, duration: length, excluded: without.clone() };
         match soak::run(&program, &plan) {
             Ok(report) => {
                 print!("{report}");
@@ -313,12 +314,12 @@
 }
 
 /// Measures one depth and prints the report; false if the measurement failed.
-fn measure_chain(plan: &chain::Plan, settings: &chain::report::RunSettings, json: bool) -> bool {
-    match chain::report::run(plan, settings) {
+fn measure_chain(config: &chain::ChainConfig, settings: &chain::report::RunSettings, json: bool) -> bool {
+    match chain::report::run(config, settings) {
         Ok(report) if json => report.json(settings).iter().for_each(|line| println!("{line}")),
         Ok(report) => print!("{}", report.text(settings)),
         Err(why) => {
-            eprintln!("oakhollow-lab: depth {}: {why}", plan.depth);
+            eprintln!("oakhollow-lab: depth {}: {why}", config.depth);
             return false;
         }
     }
@@ -366,15 +367,16 @@
             let settings = chain::report::RunSettings {
                 rate,
                 pairs,
-                length: Duration::from_secs_f64(seconds),
-                lead: Duration::from_millis(500),
-                late_share,
-                slow: Duration::from_millis(slow_ms),
-                slow_length: Duration::from_secs_f64(slow_seconds),
-                budget,
+                duration: Duration::from_secs_f64(seconds),
+                warm_up: Duration::from_millis(500),
+                max_late_fraction: late_share,
+                slow_latency: Duration::from_millis(slow_ms),
+                slow_duration: Duration::from_secs_f64(slow_seconds),
+                max_extra_share: budget,
             };
-            let plan = |depth| chain::Plan { program: &program, depth, servers: servers.into(), seed };
-            let whole = depth.into_iter().all(|depth| measure_chain(&plan(depth.into()), &settings, json));
+            let config =
+                |depth| chain::ChainConfig { program: &program, depth, servers: servers.into(), seed };
+            let whole = depth.into_iter().all(|depth| measure_chain(&config(depth.into()), &settings, json));
             if whole {
                 ExitCode::SUCCESS
             } else {
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,6 +1,6 @@
 //! Processes of the program, started, signalled and killed by their own process ids alone. None is left behind: the
 //! kernel kills each when the thread that started it ends, however that ends.
-use oakhollow_faults::{library, Faults, CONTROL_VARIABLE};
+use oakhollow_faults::{library_path, Faults, CONTROL_VARIABLE};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::{self, File};
 use std::net::{SocketAddr, TcpListener};
@@ -79,7 +79,7 @@
 
     /// Loads the fault injection library into processes started from now on.
     pub fn enable_faults(&mut self) -> std::io::Result<()> {
-        let library = library(&self.program).ok_or_else(|| {
+        let library = library_path(&self.program).ok_or_else(|| {
             let beside = self.program.display();
             let text =
                 format!("no fault injection library beside {beside}: {LIBRARY_BUILD_COMMAND} builds it");
