--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -71,7 +71,7 @@
     for attempt in attempts {
         let repeat = !seen.insert(&attempt.id);
         let Some((earliest, latest)) = allowing_versions(scene, attempt, repeat) else {
-            let what = if repeat { "a repeat" } else { "an attempt" };
+            let what = if repeat { "a repeat" } else { "a hop" };
             return Err(format!(
                 "{what} of {} by n{} at {:.3} s that no version allows",
                 attempt.workload, attempt.sidecar, attempt.at
@@ -240,24 +240,24 @@
                 let mut begun: HashSet<&str> = HashSet::new();
                 let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.at));
                 { own }.find(|attempt| !begun.insert(&attempt.id)).map(|attempt| {
-                    format!("n{instance} repeats {} at {:.3} s, no repeats were expected", attempt.workload, attempt.at)
+                    format!("n{instance} repeats {} at {:.3} s, first hops alone were expected", attempt.workload, attempt.at)
                 })
             }
             Expectation::Logs(instance, ref text) => {
                 let logged = logs.get(instance).is_some_and(|(_, log)| log.contains(text));
-                (!logged).then(|| format!("n{instance} does not log: {text}"))
+                (!logged).then(|| format!("n{instance} does not say: {text}"))
             }
             Expectation::SendsNothing(instance, from, to) => match sent(instance, from, to) {
                 0 => None,
                 count => {
-                    Some(format!("n{instance} sends {count} attempts from {from} s to {to} s, none were expected"))
+                    Some(format!("n{instance} sends {count} hops from {from} s to {to} s, none were expected"))
                 }
             },
             Expectation::SendsTo(instance, server, from, to) => (sent_to(instance, server, from, to) == 0)
                 .then(|| format!("n{instance} sends nothing to s{server} from {from} s to {to} s")),
             Expectation::SendsNothingTo(instance, server, from, to) => match sent_to(instance, server, from, to) {
                 0 => None,
-                count => Some(format!("n{instance} sends {count} attempts to s{server} from {from} s to {to} s, none were expected")),
+                count => Some(format!("n{instance} sends {count} hops to s{server} from {from} s to {to} s, none were expected")),
             },
             Expectation::MaxDrainViolation(max) => drain_violation.as_ref().filter(|found| found.duration_s > max).map(|found| {
                 let DrainViolation { duration_s, server, informed, sender } = found;
@@ -285,7 +285,7 @@
     };
     let lost = missing.iter().filter(|response| !excused(response)).count();
     if lost > 0 {
-        failures.push(format!("{lost} requests without an answer"));
+        failures.push(format!("{lost} calls without an answer"));
     }
     Findings { contradiction, drain_violation, failed_expectations: failures }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -224,7 +224,7 @@
             }
             Err(why) => {
                 clean = false;
-                println!("seed {seed}: not run: {why}");
+                println!("seed {seed}: not played: {why}");
             }
         }
     }
@@ -296,11 +296,11 @@
     }
     report.failures.iter().for_each(|fault| println!("{file}: {fault}"));
     println!(
-        "{file}: {} attempts, {} requests, {} of them without an answer",
+        "{file}: {} hops, {} answers, {} calls without one",
         report.attempts, report.responses, report.unanswered
     );
     println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.within);
-    println!("{file}: took {millicores:.0} thousandths of a core, estimated {}", estimated_demand(scene));
+    println!("{file}: took {millicores:.0} thousandths of a core, reckoned {}", estimated_demand(scene));
 }
 
 fn positive(text: &str) -> Result<f64, String> {
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -65,10 +65,10 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RunError::Inconclusive { reason, failed_expectations } if failed_expectations.is_empty() => {
-                write!(out, "{reason}: inconclusive")
+                write!(out, "{reason}: no figure")
             }
             RunError::Inconclusive { reason, failed_expectations } => {
-                write!(out, "{reason}: inconclusive (failed: {})", failed_expectations.join("; "))
+                write!(out, "{reason}: no figure (it had: {})", failed_expectations.join("; "))
             }
             RunError::Failed(why) => out.write_str(why),
         }
@@ -358,7 +358,7 @@
     };
     for (at, sidecar) in harness.sidecars.iter_mut().enumerate() {
         if sidecar.has_exited() && !killed(at) {
-            failures.push(format!("{} has exited", sidecar.name));
+            failures.push(format!("{} has ended", sidecar.name));
         }
     }
     let attempts = std::mem::take(&mut *observations.attempts.lock().unwrap_or_else(PoisonError::into_inner));
@@ -377,9 +377,9 @@
         scene.actions.iter().any(|(_, _, action)| matches!(action, Action::Stop | Action::Kill));
     // Clients of a stopped process wait for it, and send their next requests late.
     let why = if max_action_delay_s > MAX_JITTER_S {
-        Some(format!("actions were up to {max_action_delay_s:.3} s late"))
+        Some(format!("the script ran {max_action_delay_s:.3} s late"))
     } else if late_requests * 10 > responses.len() && !any_stopped {
-        Some(format!("{late_requests} of {} requests went out late", responses.len()))
+        Some(format!("{late_requests} of {} calls went out late", responses.len()))
     } else {
         None
     };
--- a/lab/src/soak/report.rs
+++ b/lab/src/soak/report.rs
@@ -93,7 +93,7 @@
         writeln!(
             out,
             "seed {}: {verdict}: {} processes, {} troubles, {} pairs of kinds, {requests} requests ({served} served, {refused} refused, \
-             {excused} excused), {} attempts, the harness was {:.3} s late",
+             {excused} excused), {} attempts, pulse {:.3} s late",
             self.seed,
             self.processes,
             self.timetable.entries.len(),
--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -68,16 +68,16 @@
     assert!(broken(&scene, &goes_on(1.05, 3.0), &[], &[]).is_empty());
     assert!(broken(&scene, &goes_on(2.95, 4.0), &[], &[]).is_empty());
     // It ignores that its lease has run out.
-    assert_eq!(judged("4.5 2 view a").1, ["n2 sends 1 attempts from 4 s to 5 s, none were expected"]);
+    assert_eq!(judged("4.5 2 view a").1, ["n2 sends 1 hops from 4 s to 5 s, none were expected"]);
     // It does what no version allows.
-    assert!(judged("1 0 odd a").1[0].starts_with("an attempt of odd by n0 at 1.000 s that no version allows"));
+    assert!(judged("1 0 odd a").1[0].starts_with("a hop of odd by n0 at 1.000 s that no version allows"));
 }
 
 #[test]
 fn a_call_without_an_answer_is_a_fault_where_nothing_was_killed() {
     let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 6 kill n1")).expect("a scene");
     let missing = |sidecar, at| vec![ResponseSeen { at, sidecar, status: None }];
-    assert_eq!(broken(&scene, &[], &missing(0, 6.5), &[]), ["1 requests without an answer"]);
+    assert_eq!(broken(&scene, &[], &missing(0, 6.5), &[]), ["1 calls without an answer"]);
     assert!(broken(&scene, &[], &missing(1, 6.5), &[]).is_empty());
     assert_eq!(broken(&scene, &[], &missing(1, 1.0), &[]).len(), 1);
 }
