--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -70,17 +70,18 @@
     assert!(failed_expectations(&scene, &goes_on(1.05, 3.0), &[], &[]).is_empty());
     assert!(failed_expectations(&scene, &goes_on(2.95, 4.0), &[], &[]).is_empty());
     // Ignores that its lease has expired.
-    assert_eq!(check_attempts("4.5 2 view a").1, ["n2 sends 1 attempts from 4 s to 5 s, none were expected"]);
+    assert_eq!(check_attempts("4.5 2 view a").1, ["n2 sends 1 hops from 4 s to 5 s, none were expected"]);
     // Sends what no version allows.
-    assert!(check_attempts("1 0 odd a").1[0]
-        .starts_with("an attempt of odd by n0 at 1.000 s that no version allows"));
+    assert!(
+        check_attempts("1 0 odd a").1[0].starts_with("a hop of odd by n0 at 1.000 s that no version allows")
+    );
 }
 
 #[test]
 fn a_request_without_an_answer_is_a_failure_unless_its_sidecar_was_killed() {
     let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 6 kill n1")).expect("a scene");
     let missing = |sidecar, at| vec![ResponseSeen { at, sidecar, status: None }];
-    assert_eq!(failed_expectations(&scene, &[], &missing(0, 6.5), &[]), ["1 requests without an answer"]);
+    assert_eq!(failed_expectations(&scene, &[], &missing(0, 6.5), &[]), ["1 calls without an answer"]);
     assert!(failed_expectations(&scene, &[], &missing(1, 6.5), &[]).is_empty());
     assert_eq!(failed_expectations(&scene, &[], &missing(1, 1.0), &[]).len(), 1);
 }
