--- a/lab/faults/examples/faulty_calls.rs
+++ b/lab/faults/examples/faulty_calls.rs
@@ -1,7 +1,7 @@
-//! This library, loaded into a process by `LD_PRELOAD`, makes its system calls fail at the rates in the control block, and counts
-//! each fault there. It interposes the C library's `recv`, `send`, `accept4`, `read`, `write`, `fsync`, `fdatasync`, `rename`
-//! and the wall clock of `clock_gettime`. System calls that bypass the C library (`epoll_wait`, `connect` and `socket`
-//! through `rustix`) are not affected.
+//! This library, loaded into a process by `LD_PRELOAD`, makes its system calls fail at the rates in the
+//! control block, and counts each fault there. It interposes the C library's `recv`, `send`, `accept4`,
+//! `read`, `write`, `fsync`, `fdatasync`, `rename` and the wall clock of `clock_gettime`. System calls that
+//! bypass the C library (`epoll_wait`, `connect` and `socket` through `rustix`) are not affected.
 use libc::{c_char, c_int, c_long, c_void, clockid_t, size_t, ssize_t, timespec};
 use oakhollow_faults::{
     FaultKind, ALWAYS, CLOCK_OFFSET_WORD, CLOCK_READ_COUNT_WORD, CONTROL_VARIABLE, WORD_COUNT,
@@ -95,8 +95,8 @@
     }
 }
 
-/// Whether `BrokenConnection` is on and applies to this socket. Local socket pairs, by which a process wakes itself or
-/// receives signals, must not break.
+/// Whether `BrokenConnection` is on and applies to this socket. Local socket pairs, by which a process wakes
+/// itself or receives signals, must not break.
 fn may_break(socket: c_int) -> bool {
     if word(FaultKind::BrokenConnection.rate_word()).is_none_or(|rate| rate.load(Ordering::Relaxed) == 0) {
         return false;
--- a/lab/faults/src/layout.rs
+++ b/lab/faults/src/layout.rs
@@ -1,5 +1,5 @@
-//! The control block that the harness shares with a process under test: a file of 64-bit words. The preloaded library maps the
-//! file, and the harness reads and writes it.
+//! The control block that the harness shares with a process under test: a file of 64-bit words. The preloaded
+//! library maps the file, and the harness reads and writes it.
 
 /// The environment variable that names the control file to the process under test.
 pub const CONTROL_VARIABLE: &str = "OAKHOLLOW_FAULTS";
--- a/lab/src/chain/client.rs
+++ b/lab/src/chain/client.rs
@@ -1,4 +1,5 @@
-//! The client of a chain: an open-loop load generator that measures latency from when each request was due to be sent.
+//! The client of a chain: an open-loop load generator that measures latency from when each request was due to
+//! be sent.
 use super::tiers::{histogram, IDLE_LIMIT_NS};
 use super::wire::{encode_request, Clock, Connection, Message};
 use hdrhistogram::Histogram;
@@ -18,47 +19,56 @@
 /// The requests of one round.
 #[derive(Clone, Copy)]
 pub struct LoadPlan {
+    /// Requests per second, sent whether or not earlier ones were answered.
     pub rate: f64,
     /// Requests that are due during the warm-up are not measured.
     pub warm_up: Duration,
+    /// How long requests are sent after the warm-up.
     pub duration: Duration,
     /// Request numbers count from here; no other round uses the same ones.
     pub first_id: u64,
 }
 
 impl LoadPlan {
+    /// The number of requests, the warm-up included.
     pub fn request_count(&self) -> u64 {
         ((self.warm_up + self.duration).as_secs_f64() * self.rate) as u64
     }
 
     /// When a request is due after the round's start, in nanoseconds.
-    fn due_ns(&self, call: u64) -> u64 {
-        (call as f64 / self.rate * 1e9) as u64
+    fn due_ns(&self, number: u64) -> u64 {
+        (number as f64 / self.rate * 1e9) as u64
     }
 }
 
 /// The results of a round as the client saw them.
 pub struct ClientResults {
+    /// Requests that were sent.
     pub sent: u64,
     /// Responses by status; 0 counts connections that broke before the response.
     pub responses: HashMap<u16, u64>,
     /// Responses on connections without an open request.
     pub unsolicited: u64,
+    /// Requests without a response at the end of the round.
     pub unanswered: u64,
     /// Requests after the warm-up.
     pub measured: u64,
     /// Requests after the warm-up that were sent late.
     pub late: u64,
-    /// From when a request was due to its response's last byte, in nanoseconds, of served requests after the warm-up.
+    /// From when a request was due to its response's last byte, in nanoseconds, of served requests after the
+    /// warm-up.
     pub latency: Histogram<u64>,
+    /// Transit times of these requests' responses, from the first tier's write to the first byte here.
     pub response_transit: Histogram<u64>,
 }
 
 impl ClientResults {
+    /// The share of measured requests that were sent late.
     pub fn late_fraction(&self) -> f64 {
         self.late as f64 / self.measured.max(1) as f64
     }
 
+    /// Responses with status 200.
     pub fn served(&self) -> u64 {
         self.responses.get(&200).copied().unwrap_or(0)
     }
@@ -68,6 +78,7 @@
     address: SocketAddr,
     clock: Clock,
     poller: Poller,
+    /// By key; with when the open request was due, if one is open.
     connections: HashMap<usize, (Connection, Option<u64>)>,
     /// Idle connections, with when each was last used.
     idle: Vec<(usize, u64)>,
@@ -75,7 +86,8 @@
     results: ClientResults,
 }
 
-/// Sends the requests of a round to `address`, beginning at `begin_ns` of the clock, and waits for their responses.
+/// Sends the requests of a round to `address`, beginning at `begin_ns` of the clock, and waits for their
+/// responses.
 pub fn run_load(address: SocketAddr, load: &LoadPlan, begin: u64, clock: Clock) -> Result<ClientResults> {
     let results = ClientResults {
         sent: 0,
--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -1,7 +1,7 @@
-//! Measures what a chain of sidecars adds to a request's latency, and how many attempts reach each tier for one request. The
-//! chain is: client, sidecar 1, application 1, sidecar 2 and so on to the last tier's servers. A second chain has no sidecars.
-//! The two chains run alternately in short rounds, so that other load on the machine affects both alike, and each pair of
-//! rounds gives one difference.
+//! Measures what a chain of sidecars adds to a request's latency, and how many attempts reach each tier for
+//! one request. The chain is: client, sidecar 1, application 1, sidecar 2 and so on to the last tier's
+//! servers. A second chain has no sidecars. The two chains run alternately in short rounds, so that other
+//! load on the machine affects both alike, and each pair of rounds gives one difference.
 pub mod client;
 pub mod report;
 pub mod statistics;
@@ -74,11 +74,12 @@
     pub client: ClientResults,
     /// From the first tier to the last.
     pub tiers: Vec<TierResults>,
-    /// Transit times of requests and of responses over all connections between tiers, from the sender's write to the receiver's
-    /// first byte, in nanoseconds.
+    /// Transit times of requests and of responses over all connections between tiers, from the sender's write
+    /// to the receiver's first byte, in nanoseconds.
     pub request_transit: Histogram<u64>,
     pub response_transit: Histogram<u64>,
-    /// The resource usage of all sidecars since the warm-up, the attempts that passed through them, and the seconds measured.
+    /// The resource usage of all sidecars since the warm-up, the attempts that passed through them, and the
+    /// seconds measured.
     pub usage: Option<Usage>,
     pub usage_attempts: u64,
     pub usage_s: f64,
@@ -115,7 +116,8 @@
 }
 
 impl Chain {
-    /// Starts a chain; with `sidecars`, one before each tier. Tiers start from the last, so that each knows the next one's address.
+    /// Starts a chain; with `sidecars`, one before each tier. Tiers start from the last, so that each knows
+    /// the next one's address.
     pub fn start(config: &ChainConfig, sidecars: bool) -> Result<Chain, String> {
         static CHAINS: AtomicU32 = AtomicU32::new(0);
         let number = CHAINS.fetch_add(1, Ordering::Relaxed);
--- a/lab/src/chain/report.rs
+++ b/lab/src/chain/report.rs
@@ -10,8 +10,11 @@
 /// The settings of a run at each depth.
 #[derive(Clone, Copy)]
 pub struct RunSettings {
+    /// Requests per second.
     pub rate: f64,
+    /// Pairs of rounds.
     pub pairs: usize,
+    /// Duration of a round after its warm-up.
     pub duration: Duration,
     /// Requests that are due in this time from a round's start are not measured.
     pub warm_up: Duration,
@@ -19,6 +22,7 @@
     pub max_late_fraction: f64,
     /// How long a response of the last tier takes in the slow round; zero skips that round.
     pub slow_latency: Duration,
+    /// Duration of the slow round after its warm-up.
     pub slow_duration: Duration,
     /// The share of attempts that each tier may add, for the computed bound.
     pub max_extra_share: f64,
@@ -30,7 +34,8 @@
     pub with: Round,
     /// Set if not all requests were served; the pair then gives no figures.
     pub incomplete_reason: Option<String>,
-    /// Set if the client ran late; the pair then gives no figures that are measured from when a request was due.
+    /// Set if the client ran late; the pair then gives no figures that are measured from when a request was
+    /// due.
     pub late_reason: Option<String>,
 }
 
@@ -38,6 +43,7 @@
 pub struct Report {
     pub depth: usize,
     pub pairs: Vec<Pair>,
+    /// The round in which the last tier responds slowly, if it was run.
     pub slow_round: Option<Round>,
     /// The usage of the sidecars without requests, and the seconds measured.
     pub idle_usage: Option<(super::Usage, f64)>,
--- a/lab/src/chain/statistics.rs
+++ b/lab/src/chain/statistics.rs
@@ -3,8 +3,8 @@
 /// Two-sided 95 % quantiles of Student's t-distribution, for 1 to 10 degrees of freedom.
 const T_95: [f64; 10] = [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
 
-/// The two-sided 95 % quantile of Student's t-distribution. Beyond the table it is computed from the first terms of the
-/// expansion in the degrees of freedom, which are exact to about a thousandth there.
+/// The two-sided 95 % quantile of Student's t-distribution. Beyond the table it is computed from the first
+/// terms of the expansion in the degrees of freedom, which are exact to about a thousandth there.
 pub fn t_quantile(degrees_of_freedom: usize) -> f64 {
     match degrees_of_freedom.checked_sub(1).and_then(|at| T_95.get(at)) {
         Some(quantile) => *quantile,
@@ -43,7 +43,8 @@
     }
 }
 
-/// The most attempts that can reach the last of so many tiers per request, if each tier adds at most this share of attempts.
+/// The most attempts that can reach the last of so many tiers per request, if each tier adds at most this
+/// share of attempts.
 pub fn amplification_bound(share: f64, tiers: usize) -> f64 {
     (1.0 + share).powi(tiers as i32)
 }
--- a/lab/src/chain/tiers.rs
+++ b/lab/src/chain/tiers.rs
@@ -1,5 +1,5 @@
-//! The tiers of a chain: applications that forward each request to the next tier, and the last tier's servers, which answer it.
-//! Each tier runs an event loop on a thread of its own.
+//! The tiers of a chain: applications that forward each request to the next tier, and the last tier's
+//! servers, which answer it. Each tier runs an event loop on a thread of its own.
 use super::wire::{encode_request, encode_response, Clock, Connection, Message};
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
@@ -12,8 +12,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A connection that was idle for this long, in nanoseconds, is not used again. The listener closes idle connections later than
-/// that.
+/// A connection that was idle for this long, in nanoseconds, is not used again. The listener closes idle
+/// connections later than that.
 pub const IDLE_LIMIT_NS: u64 = 5_000_000_000;
 /// The share of slow responses that take [`TAIL_FACTOR`] times as long.
 const TAIL_SHARE: f64 = 0.05;
@@ -35,7 +35,8 @@
     pub cancelled: u64,
     /// Connections to the next tier that failed or broke with a request open.
     pub broken_connections: u64,
-    /// Transit times of requests to this tier, from the sender's write to the first byte here, without repeats.
+    /// Transit times of requests to this tier, from the sender's write to the first byte here, without
+    /// repeats.
     pub request_transit: Histogram<u64>,
     /// Transit times of responses from the next tier.
     pub response_transit: Histogram<u64>,
@@ -71,7 +72,8 @@
 }
 
 impl Tier {
-    /// Starts a tier that listens at `servers` addresses, and forwards requests to `next` or answers them itself if there is none.
+    /// Starts a tier that listens at `servers` addresses, and forwards requests to `next` or answers them
+    /// itself if there is none.
     pub fn start(
         number: usize, servers: usize, next: Option<SocketAddr>, clock: Clock, seed: u64,
     ) -> Result<Tier> {
@@ -133,10 +135,11 @@
 
 /// The direction of a connection, and the connection that its open request is paired with.
 enum ConnectionRole {
-    /// From the previous tier. `waiting_on` is the key of the connection to the next tier that carries the open request, or the
-    /// connection's own key while the response is delayed here.
+    /// From the previous tier. `waiting_on` is the key of the connection to the next tier that carries the
+    /// open request, or the connection's own key while the response is delayed here.
     Incoming { waiting_on: Option<usize> },
-    /// To the next tier. `request_key` is the key of the incoming connection that waits for the response, none while it is idle.
+    /// To the next tier. `request_key` is the key of the incoming connection that waits for the response,
+    /// none while it is idle.
     Outgoing { request_key: Option<usize>, idle_since: u64 },
 }
 
@@ -218,7 +221,8 @@
         Some(role)
     }
 
-    /// Handles the end of a connection: an open incoming request is cancelled, and one that waits on the next tier fails with 502.
+    /// Handles the end of a connection: an open incoming request is cancelled, and one that waits on the next
+    /// tier fails with 502.
     fn handle_closed(&mut self, key: usize) {
         match self.close(key) {
             Some(ConnectionRole::Incoming { waiting_on: Some(waiting_on) }) => {
@@ -270,7 +274,8 @@
             .and_then(|time_left_ms| time_left_ms.parse().ok())
             .unwrap_or(1);
         let elapsed_ms = (self.clock.now() - message.first_byte_at) / 1_000_000;
-        // A repeat gets an id of its own here, so that the next tier's sidecar does not take it for the same request.
+        // A repeat gets an id of its own here, so that the next tier's sidecar does not take it for the same
+        // request.
         let onward_key = self.next_key();
         let request = encode_request(
             &format!("{request_number}-{}-{onward_key}", self.number),
@@ -288,7 +293,8 @@
         }
     }
 
-    /// Sends a request on an idle connection that is still usable, or on a new one under `new_key`. Returns the connection's key.
+    /// Sends a request on an idle connection that is still usable, or on a new one under `new_key`. Returns
+    /// the connection's key.
     fn send_request(
         &mut self, next: SocketAddr, new_key: usize, request_key: usize, request: &str,
     ) -> Option<usize> {
--- a/lab/src/chain/usage.rs
+++ b/lab/src/chain/usage.rs
@@ -1,5 +1,5 @@
-//! Resource usage of a process from `/proc`. Wake-ups, CPU time and I/O calls depend little on other load of the machine; the
-//! time spent waiting for a CPU shows how much such load there was.
+//! Resource usage of a process from `/proc`. Wake-ups, CPU time and I/O calls depend little on other load of
+//! the machine; the time spent waiting for a CPU shows how much such load there was.
 use std::fs;
 use std::ops::Sub;
 
@@ -11,8 +11,8 @@
     pub cpu_ns: u64,
     /// Time that threads were ready to run without a CPU.
     pub run_queue_wait_ns: u64,
-    /// `syscr` and `syscw`: system calls of the `read` and `write` families. They don't include `recv` and `send` on sockets, waits
-    /// and clock reads.
+    /// `syscr` and `syscw`: system calls of the `read` and `write` families. They don't include `recv` and
+    /// `send` on sockets, waits and clock reads.
     pub reads_and_writes: u64,
 }
 
--- a/lab/src/chain/wire.rs
+++ b/lab/src/chain/wire.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The header with the time at which the sender wrote a message, in nanoseconds of the harness's clock. A sidecar forwards it
-/// unchanged.
+/// The header with the time at which the sender wrote a message, in nanoseconds of the harness's clock. A
+/// sidecar forwards it unchanged.
 pub const SENT_AT: &str = "Sent-At";
 
 /// The clock that all parts of the harness share, in nanoseconds since its start.
@@ -47,7 +47,8 @@
     pub fn accepted(stream: TcpStream, poller: &Poller, key: usize) -> Result<Connection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        // SAFETY: `close` removes the stream from the poller before it is closed; otherwise the poller is dropped before or with it.
+        // SAFETY: `close` removes the stream from the poller before it is closed; otherwise the poller is
+        // dropped before or with it.
         unsafe { poller.add_with_mode(&stream, Event::readable(key), PollMode::Level)? };
         Ok(Connection { stream, bytes: Vec::new(), first_byte_at: 0 })
     }
@@ -131,7 +132,8 @@
     )
 }
 
-/// Encodes a response. `Not-Started` and `Retry-After` are copied from the forwarded response, if there is one; `Sent-At` is new.
+/// Encodes a response. `Not-Started` and `Retry-After` are copied from the forwarded response, if there is
+/// one; `Sent-At` is new.
 pub fn encode_response(status: u16, forwarded: Option<&Message>, body: &str, clock: Clock) -> String {
     let header = |name: &str| {
         let value = forwarded.and_then(|message| message.header(name));
--- a/lab/src/soak/checker.rs
+++ b/lab/src/soak/checker.rs
@@ -1,5 +1,6 @@
-//! Checks the records of clients and servers against the rules that the program has to keep. It is independent of the program's
-//! own guard; the violations that the guard logged are reported as findings of the rule `guard`.
+//! Checks the records of clients and servers against the rules that the program has to keep. It is
+//! independent of the program's own guard; the violations that the guard logged are reported as findings of
+//! the rule `guard`.
 use super::fleet::ShutdownReport;
 use super::records::{
     Attempt, AttemptOutcome, Event, ProcessId, Records, Request, RequestClass, RequestOutcome,
@@ -46,8 +47,8 @@
     pub served: usize,
     /// Checked requests that were refused.
     pub refused: usize,
-    /// Failures that are not findings, since the harness killed or stopped the process, broke its connections, or the connection
-    /// closed as the request was sent.
+    /// Failures that are not findings, since the harness killed or stopped the process, broke its
+    /// connections, or the connection closed as the request was sent.
     pub excused: usize,
 }
 
@@ -231,8 +232,9 @@
     verdict
 }
 
-/// The request that a log line of the guard reports as answered too late, if it is such a line. The guard does not know when
-/// its process was stopped, so such a line is excused if the process was stopped meanwhile.
+/// The request that a log line of the guard reports as answered too late, if it is such a line. The guard
+/// does not know when its process was stopped, so such a line is excused if the process was stopped
+/// meanwhile.
 fn late_request_id(line: &str) -> Option<&str> {
     line.split_once("answer_in_time: request ")?.1.split(' ').next()
 }
@@ -242,7 +244,8 @@
     verdict.requests += 1;
     let deadline = sent_at + request.timeout_s;
     let was_paused = paused_for(&history.paused, sent_at - 0.05, request.ended_at) > SIGNIFICANT_PAUSE_S;
-    // A request that is open when the grace period ends counts as lost, unless the process was stopped meanwhile.
+    // A request that is open when the grace period ends counts as lost, unless the process was stopped
+    // meanwhile.
     let overdue =
         history.grace_kills.iter().any(|exit| (sent_at..request.ended_at).contains(exit)) && !was_paused;
     let was_down = overlaps(&history.down, sent_at, request.ended_at) && !overdue;
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -90,10 +90,12 @@
     Some(BufReader::new(stream))
 }
 
-/// Reads one answer: its status, its body, and whether the connection may be reused. None if the connection was closed.
+/// Reads one answer: its status, its body, and whether the connection may be reused. None if the connection
+/// was closed.
 fn read_response(connection: &mut Connection) -> std::io::Result<Option<(u16, String, bool)>> {
     let mut first = [0];
-    // An error before the first byte is returned, so that a timeout without any answer differs from a broken-off answer.
+    // An error before the first byte is returned, so that a timeout without any answer differs from a
+    // broken-off answer.
     match connection.read(&mut first) {
         Ok(0) => return Ok(None),
         Ok(_) => {}
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! The fake discovery of a group, with faults. Each process gets an address of its own, so that the records show which process
-//! was told what.
+//! The fake discovery of a group, with faults. Each process gets an address of its own, so that the records
+//! show which process was told what.
 use super::records::{Event, ProcessId, Records};
 use crate::fakes::{endpoint_json, read_head, reject, serve_connections};
 use crate::harness::{lock, unix_ms};
@@ -104,7 +104,8 @@
         self.shared.1.notify_all();
     }
 
-    /// Changes how requests are treated from now on. Watches end in the modes `Down` and `Crowded`, and stay open in the others.
+    /// Changes how requests are treated from now on. Watches end in the modes `Down` and `Crowded`, and stay
+    /// open in the others.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.update(|state| {
             state.mode = mode;
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -1,4 +1,5 @@
-//! The processes under test, in four groups with different setups, and the servers, discovery and clients of each group.
+//! The processes under test, in four groups with different setups, and the servers, discovery and clients of
+//! each group.
 use super::clients::{Client, ClientBehaviour, ClientPool};
 use super::discovery::Discovery;
 use super::records::{Event, ProcessId, Records};
@@ -136,8 +137,9 @@
         lock(&self.sidecar).log_text().matches(TERMINATION_LOG_TEXT).count()
     }
 
-    /// Sends SIGTERM, and kills the process if it still runs after [`TERMINATION_GRACE`]. A process that did not even log the
-    /// signal by then is recorded as a failure, with its last log lines and the state of its threads printed.
+    /// Sends SIGTERM, and kills the process if it still runs after [`TERMINATION_GRACE`]. A process that did
+    /// not even log the signal by then is recorded as a failure, with its last log lines and the state of its
+    /// threads printed.
     pub fn terminate(&self) {
         let logged_before = self.termination_log_count();
         self.records.record_event(self.id, Event::TerminationRequested);
@@ -235,7 +237,8 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Runs `work` on a thread that lives as long as the harness: a child process gets killed when the thread that started it ends.
+/// Runs `work` on a thread that lives as long as the harness: a child process gets killed when the thread
+/// that started it ends.
 fn run_on_spawner_thread<T: Send + 'static>(
     work: impl FnOnce() -> std::io::Result<T> + Send + 'static,
 ) -> std::io::Result<T> {
--- a/lab/src/soak/injector.rs
+++ b/lab/src/soak/injector.rs
@@ -228,8 +228,8 @@
     }
 }
 
-/// Steps the wall clock of a running process by an hour. A process that starts meanwhile reads the stepped clock from its
-/// beginning.
+/// Steps the wall clock of a running process by an hour. A process that starts meanwhile reads the stepped
+/// clock from its beginning.
 fn step_clock(process: &Process, entry: &Entry) {
     process.step_clock(if entry.random & 1 == 0 { HOUR_S } else { -HOUR_S });
     thread::sleep(entry.duration);
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! A soak test: dozens of real processes of the program on loopback, with up to three faults injected at a time and checked
-//! against the records of clients and servers. The seed determines the timetable of faults.
+//! A soak test: dozens of real processes of the program on loopback, with up to three faults injected at a
+//! time and checked against the records of clients and servers. The seed determines the timetable of faults.
 //!
-//! [`trouble`] lists the kinds of faults ("troubles"), [`timetable`] draws when and where each one happens, [`fleet`] starts the
-//! processes, [`servers`], [`clients`] and [`discovery`] are the fake peers that keep records, [`injector`] runs the
-//! timetable, and [`checker`] checks the records.
+//! [`trouble`] lists the kinds of faults ("troubles"), [`timetable`] draws when and where each one happens,
+//! [`fleet`] starts the processes, [`servers`], [`clients`] and [`discovery`] are the fake peers that keep
+//! records, [`injector`] runs the timetable, and [`checker`] checks the records.
 pub mod checker;
 pub mod clients;
 pub mod discovery;
@@ -31,8 +31,8 @@
 /// How long open requests get to finish once the timetable is over.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// Seeds divisible by this run with a crowd: for the whole run, [`CROWD_CONNECTIONS`] idle clients, more than a process
-/// accepts, connect to the first process of each group.
+/// Seeds divisible by this run with a crowd: for the whole run, [`CROWD_CONNECTIONS`] idle clients, more than
+/// a process accepts, connect to the first process of each group.
 const CROWD_SEED_DIVISOR: u64 = 3;
 const CROWD_CONNECTIONS: usize = 520;
 
@@ -80,8 +80,8 @@
     first_of_each.filter(|_| crowded).map(spawn_holder).collect()
 }
 
-/// Reduces a failing plan: excludes each kind of trouble without which the run still has findings, and returns the command
-/// that runs what is left.
+/// Reduces a failing plan: excludes each kind of trouble without which the run still has findings, and
+/// returns the command that runs what is left.
 pub fn shrink(program: &Path, plan: &Plan) -> String {
     let mut reduced = plan.clone();
     for kind in Trouble::ALL.iter().filter(|kind| !plan.excluded.contains(kind)) {
--- a/lab/src/soak/records.rs
+++ b/lab/src/soak/records.rs
@@ -126,7 +126,8 @@
     TerminationRequested,
     /// The harness killed it.
     Killed,
-    /// The harness killed it when the grace period after SIGTERM was over, by when it has to have answered all that it had read.
+    /// The harness killed it when the grace period after SIGTERM was over, by when it has to have answered
+    /// all that it had read.
     KilledAfterGrace,
     /// It exited, with this code if it had one.
     Exited(Option<i32>),
--- a/lab/src/soak/servers.rs
+++ b/lab/src/soak/servers.rs
@@ -28,7 +28,8 @@
     ClosesIdle,
 }
 
-/// How often a waiting connection checks whether its server's behaviour has changed or the server has restarted.
+/// How often a waiting connection checks whether its server's behaviour has changed or the server has
+/// restarted.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// How soon a server that closes idle connections does so.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(4);
--- a/lab/src/soak/timetable.rs
+++ b/lab/src/soak/timetable.rs
@@ -1,5 +1,5 @@
-//! Draws from the seed when each trouble happens and to which target. Three lanes run in parallel; each lane has one trouble
-//! after another.
+//! Draws from the seed when each trouble happens and to which target. Three lanes run in parallel; each lane
+//! has one trouble after another.
 use super::trouble::Trouble;
 use super::Plan;
 use nanorand::{Rng, WyRand};
@@ -88,7 +88,8 @@
         for lane in 0..LANES {
             let mut at = 50 * lane as u64;
             while at < end && !kinds.is_empty() {
-                // All values are drawn even for an excluded kind, so that excluding it does not change the other entries.
+                // All values are drawn even for an excluded kind, so that excluding it does not change the
+                // other entries.
                 let duration = rng.generate_range(DURATION_MS).min(end - at);
                 let trouble = Trouble::ALL[rng.generate_range(0..Trouble::ALL.len())];
                 let own_target = target(&mut rng);
--- a/lab/tests/soak_judge.rs
+++ b/lab/tests/soak_judge.rs
@@ -1,4 +1,5 @@
-//! The soak's checker finds each kind of violation in records written by hand, and has no findings where all rules are kept.
+//! The soak's checker finds each kind of violation in records written by hand, and has no findings where all
+//! rules are kept.
 use oakhollow_lab::harness::lock;
 use oakhollow_lab::soak::checker::check;
 use oakhollow_lab::soak::fleet::ShutdownReport;
