--- a/lab/faults/examples/faulty_calls.rs
+++ b/lab/faults/examples/faulty_calls.rs
@@ -55,7 +55,7 @@
     (!block.is_null()).then(|| unsafe { &*block.add(at) })
 }
 
-/// The next random number (splitmix64).
+/// The next random 64-bit number (splitmix64).
 fn next_random() -> u64 {
     let state = RNG_STATE.fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
     let mixed = (state ^ (state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
