--- a/lab/faults/examples/faulty_calls.rs
+++ b/lab/faults/examples/faulty_calls.rs
@@ -1,7 +1,7 @@
-//! This library, loaded into a process by `LD_PRELOAD`, makes its system calls fail at the rates in the control block, and counts
-//! each fault there. It interposes the C library's `recv`, `send`, `accept4`, `read`, `write`, `fsync`, `fdatasync`, `rename`
-//! and the wall clock of `clock_gettime`. System calls that bypass the C library (`epoll_wait`, `connect` and `socket`
-//! through `rustix`) are not affected.
+//! This library, loaded into a process by `LD_PRELOAD`, makes its system calls fail at the rates in the
+//! control block, and counts each fault there. It interposes the C library's `recv`, `send`, `accept4`,
+//! `read`, `write`, `fsync`, `fdatasync`, `rename` and the wall clock of `clock_gettime`. System calls that
+//! bypass the C library (`epoll_wait`, `connect` and `socket` through `rustix`) are not affected.
 use libc::{c_char, c_int, c_long, c_void, clockid_t, size_t, ssize_t, timespec};
 use oakhollow_faults::{
     FaultKind, ALWAYS, CLOCK_OFFSET_WORD, CLOCK_READ_COUNT_WORD, CONTROL_VARIABLE, WORD_COUNT,
@@ -55,7 +55,7 @@
     (!block.is_null()).then(|| unsafe { &*block.add(at) })
 }
 
-/// The next random number (splitmix64).
+/// The next random 64-bit number (splitmix64).
 fn next_random() -> u64 {
     let state = RNG_STATE.fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
     let mixed = (state ^ (state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -95,8 +95,8 @@
     }
 }
 
-/// Whether `BrokenConnection` is on and applies to this socket. Local socket pairs, by which a process wakes itself or
-/// receives signals, must not break.
+/// Whether `BrokenConnection` is on and applies to this socket. Local socket pairs, by which a process wakes
+/// itself or receives signals, must not break.
 fn may_break(socket: c_int) -> bool {
     if word(FaultKind::BrokenConnection.rate_word()).is_none_or(|rate| rate.load(Ordering::Relaxed) == 0) {
         return false;
