--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -5,22 +5,24 @@
 use beside::program;
 use oakhollow_lab::harness::{run_until_conclusive, Capacity, DiscoveryOutcome, OutageKind, RejectionTiming};
 use oakhollow_lab::restart::{run, Case, Report};
-use turn::turn;
+use turn::exclusive;
 
 const CASE: Case = Case {
     name: "known list",
     processes: 30,
-    known: true,
-    down: OutageKind::Refused,
-    down_s: 4.0,
+    with_known_list: true,
+    outage: OutageKind::Refused,
+    outage_s: 4.0,
     capacity: None,
 };
 
-fn told(case: &Case, report: &Report) {
-    let at = |part: f64| report.ready[((report.ready.len() as f64 * part).ceil() as usize).max(1) - 1];
+fn print_report(case: &Case, report: &Report) {
+    let at = |part: f64| {
+        report.ready_after_s[((report.ready_after_s.len() as f64 * part).ceil() as usize).max(1) - 1]
+    };
     println!(
-        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); calls to discovery: {} while down, \
-         {} told, {} turned away, at most {} in 100 ms after its return; pulse {:.3} s late",
+        "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); requests to discovery: {} while down, \
+         {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
         case.name,
         at(0.0),
         at(0.5),
@@ -35,61 +37,66 @@
     for second in 0..8 {
         let bin = |tenth: usize| {
             let from = f64::from(second) + 0.1 * tenth as f64;
-            report.calls.iter().filter(|(at, _)| (from..from + 0.1).contains(at)).count().to_string()
+            report
+                .discovery_requests
+                .iter()
+                .filter(|(at, _)| (from..from + 0.1).contains(at))
+                .count()
+                .to_string()
         };
         let bins: Vec<String> = (0..10).map(bin).collect();
-        println!("  calls in each 100 ms from {second} s after its return: {}", bins.join(" "));
+        println!("  requests in each 100 ms from {second} s after its return: {}", bins.join(" "));
     }
 }
 
-/// Nine in ten within 10 s, the last soon after, and no moment at which half of them call discovery.
-fn holds(case: Case) {
-    let _turn = turn();
+/// Nine in ten are ready within 10 s and the last soon after, and never do half of them call discovery at once.
+fn check_case(case: Case) {
+    let _guard = exclusive();
     let program = program();
-    let judge = |report: &Report| {
-        told(&case, report);
+    let check = |report: &Report| {
+        print_report(&case, report);
         let (nine_in_ten, last) =
-            (report.ready[case.processes * 9 / 10 - 1], report.ready[case.processes - 1]);
+            (report.ready_after_s[case.processes * 9 / 10 - 1], report.ready_after_s[case.processes - 1]);
         let most = report.most_at_once(0.0, f64::INFINITY);
         match () {
             _ if nine_in_ten > 10.0 => Err(format!("nine in ten are ready after {nine_in_ten:.2} s")),
             _ if last > 14.0 => Err(format!("the last is ready after {last:.2} s")),
-            _ if report.serve < case.processes => Err(format!("{} serve in the end", report.serve)),
+            _ if report.serving < case.processes => Err(format!("{} serve in the end", report.serving)),
             _ if most > case.processes / 2 => Err(format!("{most} call discovery in 100 ms")),
             _ => Ok(()),
         }
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), judge) {
+    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), check) {
         panic!("{fault}");
     }
 }
 
 #[test]
-fn with_a_known_list_they_are_ready_while_discovery_is_down() {
-    holds(CASE);
+fn processes_with_a_known_list_are_ready_while_discovery_is_down() {
+    check_case(CASE);
 }
 
 #[test]
-fn without_a_list_they_are_ready_soon_after_its_return() {
-    holds(Case { name: "no list", known: false, ..CASE });
+fn processes_without_a_list_are_ready_soon_after_discovery_returns() {
+    check_case(Case { name: "no list", with_known_list: false, ..CASE });
 }
 
-/// It works through one call of each process in five seconds, and whoever would wait for longer than 0.3 s is turned away.
+/// Discovery takes five seconds for one request of each process, and rejects those that would wait longer than 0.3 s.
 #[test]
-fn without_a_list_and_with_too_many_callers_at_its_return() {
+fn processes_without_a_list_are_ready_soon_after_an_overloaded_discovery_returns() {
     let capacity =
         Some(Capacity { requests_per_s: 6.0, max_wait_s: 0.3, rejection: RejectionTiming::Immediate });
-    holds(Case {
+    check_case(Case {
         name: "no list, too many callers",
-        known: false,
-        down: OutageKind::Closed,
+        with_known_list: false,
+        outage: OutageKind::Closed,
         capacity,
         ..CASE
     });
 }
 
-/// All are held unanswered, and closed in the moment of its return.
+/// While it is down, discovery holds all requests unanswered, and it closes them when it returns.
 #[test]
-fn without_a_list_and_with_calls_that_are_closed_at_its_return() {
-    holds(Case { name: "no list, held", known: false, down: OutageKind::Held, ..CASE });
+fn processes_without_a_list_are_ready_soon_after_discovery_closes_their_requests() {
+    check_case(Case { name: "no list, held", with_known_list: false, outage: OutageKind::Held, ..CASE });
 }
