--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,6 +1,7 @@
 //! Processes of the program, started, signalled and killed by their own process ids alone. None is left behind: the
 //! kernel kills each when the thread that started it ends, however that ends.
 use oakhollow_faults::{library_path, Faults, CONTROL_VARIABLE};
+use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::{self, File};
 use std::net::{SocketAddr, TcpListener};
@@ -38,11 +39,18 @@
 
 /// Picks an address that a process can bind again when it is restarted. Each has a loopback host of its own, so that
 /// no outgoing connection takes the port meanwhile.
+///
+/// The socket that finds the port never listens: a child process that was forked meanwhile holds it until its exec,
+/// and only a listening socket would keep others from binding the address.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static RESERVED: AtomicU32 = AtomicU32::new(0);
     let (number, own_pid) = (RESERVED.fetch_add(1, Ordering::Relaxed), std::process::id());
     let host = [127, 64 + (own_pid >> 8) as u8 % 64, own_pid as u8, 1 + (number % 250) as u8];
-    TcpListener::bind(SocketAddr::from((host, 0)))?.local_addr()
+    let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
+    sockopt::set_socket_reuseaddr(&socket, true)?;
+    net::bind(&socket, &SocketAddr::from((host, 0)))?;
+    // The type of the standard library only serves to read the address.
+    TcpListener::from(socket).local_addr()
 }
 
 impl Sidecar {
