--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,28 +1,34 @@
-//! Runs every file in `tests/scenarios` on the module. The notation:
+//! Runs every file in `tests/scenarios` on the decision module. A file is a list of commands:
 //!
-//! - `place KEY=VALUE ...`, the first command, sets the configuration: sidecars (number of balancers), number (this
-//!   balancer's index), hops (most per call), race (hedging allowed), cancel, cool (longest retry-after), ask (time
-//!   to renew the list subscription), cold (capacity at the start), warm (warm-up time), fall (collapse window),
-//!   customer (tenant quotas), near (local zone), loads (load reports), tell (peer messages), keys (key affinity)
-//!   and beyond=BASE:RATIO:WINDOW (retry budget)
-//! - `workload NAME KIND QUOTED_TIME PAYOFF`; KIND is repeatable, once-only or tagged:SCOPE:WINDOW
+//! - `config KEY=VALUE ...`, the first command, sets the balancer's configuration. The keys are fields of
+//!   [`BalancerConfig`]: instances, instance_index, local_zone, tenant_quotas, max_hops, max_retry_after,
+//!   load_reports, peer_messages, key_affinity, resubscribe_within (sets must_subscribe too), cold_capacity,
+//!   warm_up_time, collapse_window and retry_budget=BASE:RATIO:WINDOW; `hedging` and `cancelling` set may_hedge
+//!   and may_cancel
+//! - `workload NAME IDEMPOTENCY QUOTED_TIME PAYOFF`; IDEMPOTENCY is idempotent, non_idempotent or
+//!   keyed:SCOPE:WINDOW, where SCOPE is all, zone or cell
 //! - `list whole|changes|cached|failed SERVER ...` delivers a server list; SERVER is
-//!   NAME[:cell=N][:place=N][:size=X][:draining|:gone][:new], where place is the zone and size the weight
-//! - `call ID WORKLOAD TIME_LEFT [customer=N] [key=N] [repeat]`: a call arrives; `calls FIRST..LAST ...`: several
-//! - `ends ID.HOP OUTCOME ELAPSED [load=OPEN:QUEUED]`: a hop ends; `streams ID.HOP`: its answer begins
-//! - `leaves ID`: the client withdraws the call
-//! - `heard SERVER SLOWDOWN`: another balancer reports a server's slowdown
-//! - `wait DURATION`: time passes and timers fire in order
-//! - `ends-in DURATION`: the balancer shuts down, and open calls are answered by then
-//! - `traffic COUNT WORKLOAD INTERVAL LATENCY`: calls numbered from 1000, each hop answered LATENCY after it is sent.
-//!   WORKLOAD*N:LATENCY+WORKLOAD*N:LATENCY with `mixed` for LATENCY sends several workloads in turn
-//! - `expect ACTION`: there is such an action, and it is taken out; `never ACTION`: there is none
-//! - `quiet`: no action is left but log lines, which are dropped
-//! - `count`: resets the counts of `sent SERVER LEAST..MOST` (hops sent to a server) and `dismissed LEAST..MOST`
-//!   (calls refused)
+//!   NAME[:cell=N][:zone=N][:weight=X][:draining|:gone][:just_started]
+//! - `call ID WORKLOAD TIME_LEFT [tenant=N] [key=N] [client_retry]`: a call arrives; `calls FIRST..LAST ...`:
+//!   several calls with these ids
+//! - `hop_ended ID.HOP OUTCOME ELAPSED [load=OPEN:QUEUED]`; `answer_started ID.HOP`: the first bytes of a
+//!   streamed answer came
+//! - `call_withdrawn ID`: the client stopped waiting
+//! - `peer_reported SERVER SLOWDOWN`: another balancer reported a server's slowdown
+//! - `wait DURATION`: time passes, and timers fire when they are due
+//! - `shutdown DURATION`: the balancer shuts down, and open calls must have their answers by then
+//! - `traffic COUNT WORKLOAD INTERVAL LATENCY`: COUNT calls with ids from 1000, one per INTERVAL; each of their
+//!   hops succeeds LATENCY after it is sent. With `mixed` for LATENCY, WORKLOAD is NAME*N:LATENCY+NAME*N:LATENCY:
+//!   in turn N calls of the first workload and N of the second. The actions for these calls are not kept for
+//!   `expect`
+//! - `expect ACTION`: the balancer took such an action since the start; removes it, so that each action matches
+//!   once. `never ACTION`: no such action is left
+//! - `no_other_actions`: every action but log lines was expected; drops the log lines
+//! - `sent SERVER LEAST..MOST`: the number of hops sent to a server; `refused LEAST..MOST`: the number of calls
+//!   refused. Both count since the start or the last `reset_counts`
 //!
-//! ACTION: send ID.HOP [SERVER], cancel ID.HOP, dismiss ID soon|late (refused with a retry-after time under
-//! half a second or not), fail ID, subscribe, tell SERVER, log TEXT. It is matched as a prefix.
+//! ACTION is a prefix of: send ID.HOP SERVER, cancel ID.HOP, refuse ID retry_soon|retry_later (retry_soon if the
+//! retry-after time is under half a second), fail ID, subscribe, tell_peers SERVER, log TEXT.
 mod runner;
 
 use oakhollow::rules::Balancer;
@@ -38,11 +44,11 @@
     servers: Vec<String>,
     balancer: Option<Balancer>,
     timers: Vec<(Micros, usize, TimerToken)>,
-    /// The actions that no command has taken out yet, in the notation.
+    /// The actions that no command has removed yet, in the notation.
     actions: Vec<String>,
     /// Hops sent for each call.
     hop_counts: BTreeMap<u32, u32>,
-    /// Hops sent to each server, and calls refused, since `count`.
+    /// Hops sent to each server, and calls refused, since `reset_counts`.
     sent_counts: BTreeMap<String, u32>,
     refused: u32,
     next_call: u32,
@@ -56,8 +62,8 @@
 fn server_load(text: &str) -> ServerLoad {
     let (open_calls, queued_calls) =
         text.strip_prefix("load=").and_then(|load| load.split_once(':')).expect("load=OPEN:QUEUED");
-    let figure = |text: &str| text.parse().ok().and_then(ServerLoad::plausible);
-    ServerLoad { open_calls: figure(open_calls), queued_calls: figure(queued_calls), cpu_utilization: None }
+    let parse = |text: &str| text.parse().ok().and_then(ServerLoad::plausible);
+    ServerLoad { open_calls: parse(open_calls), queued_calls: parse(queued_calls), cpu_utilization: None }
 }
 
 /// Parses `BASE:RATIO:WINDOW`, or `no`.
@@ -81,65 +87,65 @@
 }
 
 impl Runner {
-    fn configure(&mut self, words: &[&str]) {
-        let get = |key: &str, other: &str| {
-            let found = words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='));
-            found.unwrap_or(other).to_string()
+    fn configure(&mut self, settings: &[&str]) {
+        let get = |key: &str, default: &str| {
+            let found = settings.iter().find_map(|setting| setting.strip_prefix(key)?.strip_prefix('='));
+            found.unwrap_or(default).to_string()
         };
-        let number = |key: &str, other: &str| get(key, other).parse::<f64>().expect("a number");
+        let number = |key: &str, default: &str| get(key, default).parse::<f64>().expect("a number");
         self.config = Some(BalancerConfig {
-            instances: number("sidecars", "2") as u32,
-            instance_index: number("number", "0") as u32,
-            local_zone: get("near", "no").parse().ok().map(ZoneId),
+            instances: number("instances", "2") as u32,
+            instance_index: number("instance_index", "0") as u32,
+            local_zone: get("local_zone", "no").parse().ok().map(ZoneId),
             workloads: Vec::new(),
-            tenant_quotas: get("customer", "1000")
+            tenant_quotas: get("tenant_quotas", "1000")
                 .split(',')
                 .map(|rate| rate.parse().expect("a rate"))
                 .collect(),
             overage_payoff: 0.1,
             worst_workload_weight: 0.0,
-            max_hops: number("hops", "4") as u32,
-            retry_budget: retry_budget(&get("beyond", "no")),
-            may_cancel: get("cancel", "yes") == "yes",
-            may_hedge: get("race", "yes") == "yes",
-            max_retry_after: duration(&get("cool", "2s")),
-            load_reports: get("loads", "no") == "yes",
-            peer_messages: get("tell", "no") == "yes",
-            key_affinity: get("keys", "no") == "yes",
-            must_subscribe: get("ask", "none") != "none",
-            resubscribe_within: duration(&get("ask", "0s").replace("none", "0s")),
-            cold_capacity: number("cold", "0.3"),
-            warm_up_time: duration(&get("warm", "10s")),
-            collapse_window: duration(&get("fall", "1s")),
+            max_hops: number("max_hops", "4") as u32,
+            retry_budget: retry_budget(&get("retry_budget", "no")),
+            may_cancel: get("cancelling", "yes") == "yes",
+            may_hedge: get("hedging", "yes") == "yes",
+            max_retry_after: duration(&get("max_retry_after", "2s")),
+            load_reports: get("load_reports", "no") == "yes",
+            peer_messages: get("peer_messages", "no") == "yes",
+            key_affinity: get("key_affinity", "no") == "yes",
+            must_subscribe: get("resubscribe_within", "none") != "none",
+            resubscribe_within: duration(&get("resubscribe_within", "0s").replace("none", "0s")),
+            cold_capacity: number("cold_capacity", "0.3"),
+            warm_up_time: duration(&get("warm_up_time", "10s")),
+            collapse_window: duration(&get("collapse_window", "1s")),
         });
         self.now = Micros::millis(100_000);
         self.next_call = 1000;
     }
 
-    fn workload(&mut self, words: &[&str]) {
-        let idempotency: Vec<&str> = words[1].split(':').collect();
+    fn workload(&mut self, args: &[&str]) {
+        let parts: Vec<&str> = args[1].split(':').collect();
         let scope = |name| match name {
             "all" => DedupScope::All,
-            "place" => DedupScope::Zone,
+            "zone" => DedupScope::Zone,
             "cell" => DedupScope::Cell,
-            other => panic!("no scope {other}"),
+            other => panic!("unknown scope {other}"),
         };
-        let idempotency = match idempotency[..] {
-            ["repeatable"] => Idempotency::Idempotent,
-            ["once-only"] => Idempotency::NonIdempotent,
-            ["tagged", name, window] => Idempotency::ByKey { scope: scope(name), window: duration(window) },
-            _ => panic!("no kind {}", words[1]),
+        let idempotency = match parts[..] {
+            ["idempotent"] => Idempotency::Idempotent,
+            ["non_idempotent"] => Idempotency::NonIdempotent,
+            ["keyed", name, window] => Idempotency::ByKey { scope: scope(name), window: duration(window) },
+            _ => panic!("unknown idempotency {}", args[1]),
         };
-        self.workloads.push(words[0].to_string());
-        let payoff = words[3].parse().expect("payoff");
-        let workload = Workload { idempotency, quoted_time: duration(words[2]), payoff };
-        self.config.as_mut().expect("place first").workloads.push(workload);
+        self.workloads.push(args[0].to_string());
+        let payoff = args[3].parse().expect("payoff");
+        let workload = Workload { idempotency, quoted_time: duration(args[2]), payoff };
+        self.config.as_mut().expect("config first").workloads.push(workload);
     }
 
     fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         if self.balancer.is_none() {
-            let config = self.config.as_ref().expect("place first");
+            let config = self.config.as_ref().expect("config first");
             self.balancer = Some(Balancer::new(config, 7, self.now, &mut actions));
         }
         self.balancer.as_mut().expect("started").on(self.now, event, &mut actions);
@@ -160,33 +166,33 @@
                 Action::Refuse { call, retry_after } => {
                     self.refused += 1;
                     format!(
-                        "dismiss {} {}",
+                        "refuse {} {}",
                         call.0,
-                        if retry_after < duration("0.5s") { "soon" } else { "late" }
+                        if retry_after < duration("0.5s") { "retry_soon" } else { "retry_later" }
                     )
                 }
                 Action::Fail { call } => format!("fail {}", call.0),
                 Action::Subscribe => "subscribe".to_string(),
-                Action::TellPeers { server, .. } => format!("tell {}", self.servers[server.0 as usize]),
+                Action::TellPeers { server, .. } => format!("tell_peers {}", self.servers[server.0 as usize]),
                 Action::Log { text, .. } => format!("log {text}"),
             };
             self.actions.push(action);
         }
     }
 
-    fn list(&mut self, words: &[&str]) {
-        let kind = match words[0] {
+    fn list(&mut self, args: &[&str]) {
+        let kind = match args[0] {
             "whole" => ListKind::Whole,
             "changes" => ListKind::Changes,
             "cached" => ListKind::Cached,
             _ => ListKind::Failed,
         };
-        let entries: Vec<ListedServer> = words[1..].iter().map(|word| self.listing(word)).collect();
+        let entries: Vec<ListedServer> = args[1..].iter().map(|arg| self.listing(arg)).collect();
         self.deliver(Event::ListReceived { kind, entries: &entries });
     }
 
-    fn listing(&mut self, word: &str) -> ListedServer {
-        let parts: Vec<&str> = word.split(':').collect();
+    fn listing(&mut self, text: &str) -> ListedServer {
+        let parts: Vec<&str> = text.split(':').collect();
         let number =
             |key: &str| parts.iter().find_map(|part| part.strip_prefix(key)?.strip_prefix('=')?.parse().ok());
         let known = self.servers.iter().position(|name| name == parts[0]);
@@ -201,46 +207,47 @@
         };
         ListedServer {
             server: ServerId(known as u32),
-            zone: ZoneId(number("place").unwrap_or(0.0) as u32),
+            zone: ZoneId(number("zone").unwrap_or(0.0) as u32),
             cell: CellId(number("cell").unwrap_or(0.0) as u32),
             status,
-            weight: number("size").unwrap_or(1.0),
+            weight: number("weight").unwrap_or(1.0),
             name_hash: known as u64,
-            started: if parts.contains(&"new") { self.now } else { Micros(0) },
+            started: if parts.contains(&"just_started") { self.now } else { Micros(0) },
         }
     }
 
-    fn call(&mut self, id: u32, words: &[&str]) {
-        let workload = self.workloads.iter().position(|name| name == words[0]).expect("a workload");
-        let tenant = words.iter().find_map(|word| word.strip_prefix("customer=")?.parse().ok()).unwrap_or(0);
+    fn call(&mut self, id: u32, args: &[&str]) {
+        let workload = self.workloads.iter().position(|name| name == args[0]).expect("a workload");
+        let tenant = args.iter().find_map(|arg| arg.strip_prefix("tenant=")?.parse().ok()).unwrap_or(0);
         self.deliver(Event::CallArrived(Arrival {
             call: CallId(id),
             workload: WorkloadId(workload),
-            time_left: duration(words[1]),
+            time_left: duration(args[1]),
             tenant: TenantId(tenant),
-            client_retry: words.contains(&"repeat"),
-            affinity_key: words.iter().find_map(|word| word.strip_prefix("key=")?.parse().ok()),
+            client_retry: args.contains(&"client_retry"),
+            affinity_key: args.iter().find_map(|arg| arg.strip_prefix("key=")?.parse().ok()),
         }));
     }
 
-    fn end_hop(&mut self, which: &str, outcome: &str, elapsed: Micros, load: Option<ServerLoad>) {
-        let (call, hop) = hop(which);
+    fn end_hop(&mut self, hop_id: &str, outcome: &str, elapsed: Micros, load: Option<ServerLoad>) {
+        let (call, hop) = hop(hop_id);
         let outcome = match outcome {
             "succeeded" => Outcome::Succeeded,
             "errored" => Outcome::Errored,
             "full" => Outcome::Full,
-            "timed-out" => Outcome::TimedOut,
-            "unreached" => Outcome::NoConnection,
+            "timed_out" => Outcome::TimedOut,
+            "no_connection" => Outcome::NoConnection,
             "broken" => Outcome::Broken,
             "cancelled" => Outcome::Cancelled,
-            other => panic!("no outcome {other}"),
+            other => panic!("unknown outcome {other}"),
         };
         let call_over = matches!(outcome, Outcome::Succeeded | Outcome::Cancelled);
         self.deliver(Event::HopEnded(HopResult { call, hop, outcome, elapsed, call_over, load }));
     }
 
     fn advance_to(&mut self, until: Micros) {
-        while let Some(next) = (0..self.timers.len()).min_by_key(|&at| (self.timers[at].0, self.timers[at].1))
+        while let Some(next) =
+            (0..self.timers.len()).min_by_key(|&index| (self.timers[index].0, self.timers[index].1))
         {
             if self.timers[next].0 > until {
                 break;
@@ -252,7 +259,7 @@
         self.now = until;
     }
 
-    /// The workloads of `traffic` in their order, each with its latency.
+    /// The workloads that `traffic` sends in turn, each with its latency.
     fn mix(&self, workload: &str, latency: &str) -> Vec<(String, Micros)> {
         if latency != "mixed" {
             return vec![(workload.to_string(), duration(latency))];
@@ -265,31 +272,36 @@
         workload.split('+').flat_map(part).collect()
     }
 
+    /// Sends the calls and ends their hops. Their actions are removed afterwards, so that no later command
+    /// matches them; log lines stay.
     fn run_traffic(&mut self, count: u32, interval: Micros, mix: &[(String, Micros)]) {
         let mut in_flight: Vec<(Micros, String, Micros)> = Vec::new();
         let (mut seen, first) = (self.actions.len(), self.next_call);
-        for turn in 0..=count {
+        for index in 0..=count {
             let start = self.now;
-            if turn < count {
-                self.call(self.next_call, &[&mix[turn as usize % mix.len()].0, "60s"]);
+            if index < count {
+                self.call(self.next_call, &[&mix[index as usize % mix.len()].0, "60s"]);
                 self.next_call += 1;
             }
-            let end = if turn < count { start + interval } else { Micros::NEVER };
+            let end = if index < count { start + interval } else { Micros::NEVER };
             loop {
                 for action in self.actions[seen..].iter().filter_map(|action| action.strip_prefix("send ")) {
-                    let which = action.split(' ').next().expect("hop");
-                    let latency = mix[(hop(which).0 .0.saturating_sub(first)) as usize % mix.len()].1;
-                    in_flight.push((self.now + latency, which.to_string(), latency));
+                    let hop_id = action.split(' ').next().expect("ID.HOP");
+                    let latency = mix[(hop(hop_id).0 .0.saturating_sub(first)) as usize % mix.len()].1;
+                    in_flight.push((self.now + latency, hop_id.to_string(), latency));
                 }
                 seen = self.actions.len();
-                let due =
-                    in_flight.iter().enumerate().min_by_key(|(_, (at, ..))| *at).map(|(index, _)| index);
-                let Some(due) = due.filter(|&due| in_flight[due].0 <= end) else { break };
-                let (at, which, latency) = in_flight.remove(due);
-                self.advance_to(at);
-                self.end_hop(&which, "succeeded", latency, None);
+                let next = in_flight
+                    .iter()
+                    .enumerate()
+                    .min_by_key(|(_, (due, ..))| *due)
+                    .map(|(position, _)| position);
+                let Some(next) = next.filter(|&next| in_flight[next].0 <= end) else { break };
+                let (due, hop_id, latency) = in_flight.remove(next);
+                self.advance_to(due);
+                self.end_hop(&hop_id, "succeeded", latency, None);
             }
-            if turn < count {
+            if index < count {
                 self.advance_to(end);
             }
         }
@@ -301,7 +313,7 @@
     fn execute(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["place", ..] => self.configure(&words[1..]),
+            ["config", ..] => self.configure(&words[1..]),
             ["workload", ..] => self.workload(&words[1..]),
             ["list", ..] => self.list(&words[1..]),
             ["calls", range, ..] => {
@@ -310,30 +322,32 @@
                 range.for_each(|id| self.call(id, &words[2..]));
             }
             ["call", id, ..] => self.call(id.parse().expect("an id"), &words[2..]),
-            ["ends", which, outcome, elapsed] => self.end_hop(which, outcome, duration(elapsed), None),
-            ["ends", which, outcome, elapsed, load] => {
-                self.end_hop(which, outcome, duration(elapsed), Some(server_load(load)))
+            ["hop_ended", hop_id, outcome, elapsed] => self.end_hop(hop_id, outcome, duration(elapsed), None),
+            ["hop_ended", hop_id, outcome, elapsed, load] => {
+                self.end_hop(hop_id, outcome, duration(elapsed), Some(server_load(load)))
             }
-            ["heard", server, slowdown] => {
+            ["peer_reported", server, slowdown] => {
                 let known = self.servers.iter().position(|name| name == server).expect("a server");
                 let server = ServerId(known as u32);
                 self.deliver(Event::PeerReported { server, slowdown: slowdown.parse().expect("a slowdown") });
             }
-            ["streams", which] => {
-                self.deliver(Event::AnswerStarted { call: hop(which).0, hop: hop(which).1 })
+            ["answer_started", hop_id] => {
+                self.deliver(Event::AnswerStarted { call: hop(hop_id).0, hop: hop(hop_id).1 })
+            }
+            ["call_withdrawn", id] => {
+                self.deliver(Event::CallWithdrawn { call: CallId(id.parse().expect("an id")) })
             }
-            ["leaves", id] => self.deliver(Event::CallWithdrawn { call: CallId(id.parse().expect("an id")) }),
             ["wait", time] => self.advance_to(self.now + duration(time)),
-            ["ends-in", time] => self.deliver(Event::ShutdownBegun(self.now + duration(time))),
+            ["shutdown", time] => self.deliver(Event::ShutdownBegun(self.now + duration(time))),
             ["traffic", count, workload, interval, latency] => {
                 let mix = self.mix(workload, latency);
                 self.run_traffic(count.parse().expect("a count"), duration(interval), &mix)
             }
-            ["count"] => {
+            ["reset_counts"] => {
                 self.sent_counts.clear();
                 self.refused = 0;
             }
-            ["dismissed", range] => assert_in_range(range, self.refused, "refused"),
+            ["refused", range] => assert_in_range(range, self.refused, "refused"),
             ["sent", server, range] => assert_in_range(
                 range,
                 self.sent_counts.get(server).copied().unwrap_or(0),
@@ -342,21 +356,21 @@
             ["expect", ..] => {
                 let expected = words[1..].join(" ");
                 let found = self.actions.iter().position(|action| action.starts_with(&expected));
-                self.actions.remove(found.unwrap_or_else(|| panic!("not among {:?}", self.actions)));
+                self.actions.remove(found.unwrap_or_else(|| panic!("not in {:?}", self.actions)));
             }
             ["never", ..] => {
                 let expected = words[1..].join(" ");
                 assert!(
                     !self.actions.iter().any(|action| action.starts_with(&expected)),
-                    "among {:?}",
+                    "found in {:?}",
                     self.actions
                 );
             }
-            ["quiet"] => {
+            ["no_other_actions"] => {
                 self.actions.retain(|action| !action.starts_with("log "));
-                assert!(self.actions.is_empty(), "left: {:?}", self.actions);
+                assert!(self.actions.is_empty(), "unexpected actions: {:?}", self.actions);
             }
-            _ => panic!("not a command"),
+            _ => panic!("unknown command"),
         }
     }
 }
