--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -29,20 +29,20 @@
 /// Weights are summed as whole numbers of millionths, so that the sums do not drift.
 const UNITS_PER_WEIGHT: f64 = 1e6;
 
-/// A position on the ring: the same order at every balancer.
+/// A server's position on the ring, and its id, which decides between equal positions.
 type RingPosition = ((u64, u64), ServerId);
 
 struct Entry {
     server: Server,
     position: RingPosition,
     in_subset: bool,
-    /// What it adds to the capacity of the subset.
+    /// What the server adds to the capacity of the subset.
     capacity: f64,
     /// Its class and its index in [`Fleet::classes`].
     class: Option<(ServerClass, usize)>,
     /// Its time in [`Fleet::blocked`], if it is there.
     blocked_until: Option<Micros>,
-    /// The subset generation in which it was added last.
+    /// The value of [`Fleet::generation`] when the server was last added to the subset.
     generation: u64,
 }
 
@@ -55,7 +55,7 @@
     /// The bits of the weight factor: the order of positive floats is that of their bits.
     weight_factor: u64,
     unhealthy_in_flight: u32,
-    /// Its open hops, if it has answered before.
+    /// The server's open hops, if it has answered before.
     answered_in_flight: Option<u32>,
     outcomes: OutcomeCounts,
 }
@@ -74,6 +74,7 @@
     /// The index on the ring at which the subset begins.
     subset_start: usize,
     subset_capacity: f64,
+    /// Counts the rebuilds and adjustments of the subset.
     generation: u64,
     /// The slots of each class.
     classes: [Vec<usize>; 5],
@@ -168,17 +169,17 @@
         f64::from(self.answered_in_flight) / self.answered_count.max(1) as f64
     }
 
-    /// The first suitable servers of the subset, at most `most` of them, in an order that depends on the key
-    /// and is the same at every balancer.
+    /// The first suitable servers of the subset, at most `max_count` of them, in an order that depends on
+    /// the key and is the same at every balancer.
     pub fn preferred_for_key(
-        &self, key: u64, most: usize, suitable: &impl Fn(&Server) -> bool,
+        &self, key: u64, max_count: usize, suitable: &impl Fn(&Server) -> bool,
     ) -> Vec<&Server> {
         let servers = self.subset().filter(|server| suitable(server));
         let mut order: Vec<_> =
             servers.map(|server| (mix64(key ^ server.listing.name_hash), server)).collect();
-        if order.len() > most {
-            order.select_nth_unstable_by_key(most, |(hash, _)| *hash);
-            order.truncate(most);
+        if order.len() > max_count {
+            order.select_nth_unstable_by_key(max_count, |(hash, _)| *hash);
+            order.truncate(max_count);
         }
         order.sort_unstable_by_key(|(hash, _)| *hash);
         order.into_iter().map(|(_, server)| server).collect()
@@ -191,9 +192,9 @@
         OutcomeCounts { good: self.outcomes.good - own.good, bad: self.outcomes.bad - own.bad }
     }
 
-    /// Picks a suitable server of the given classes, uniformly at random, only from `cell` if that is given.
-    /// Probes at random first, since mostly nearly all servers are suitable, and searches all of them if that
-    /// fails.
+    /// Picks a suitable server of the given classes, uniformly at random; if `cell` is given, only from that
+    /// cell. Probes at random first, since mostly nearly all servers are suitable, and searches all of them if
+    /// that fails.
     pub fn pick_random(
         &self, classes: &[ServerClass], cell: Option<CellId>, rng: &mut SeededRng,
         suitable: &impl Fn(&Server) -> bool,
@@ -211,14 +212,14 @@
         let all: usize = sets().map(Vec::len).sum();
         if all > RANDOM_PROBES {
             for _ in 0..RANDOM_PROBES {
-                let mut at = rng.below(all);
+                let mut index = rng.below(all);
                 let set = sets().find(|set| {
-                    let here = at < set.len();
-                    at -= if here { 0 } else { set.len() };
-                    here
+                    let found = index < set.len();
+                    index -= if found { 0 } else { set.len() };
+                    found
                 })?;
-                if suits(&set[at]) {
-                    return Some(&self.slots[set[at]].server);
+                if suits(&set[index]) {
+                    return Some(&self.slots[set[index]].server);
                 }
             }
         }
@@ -236,12 +237,12 @@
         Some(result)
     }
 
-    /// Advances the time; returns the next server that has become unblocked, if any. To be called until none
-    /// is left.
+    /// Advances the time; returns the next server that has become unblocked, if any. Must be called until it
+    /// returns none.
     pub fn next_unblocked(&mut self, now: Micros) -> Option<ServerId> {
         self.now = now;
-        let &(at, slot) = self.blocked.first()?;
-        (at <= now).then(|| {
+        let &(until, slot) = self.blocked.first()?;
+        (until <= now).then(|| {
             self.reclassify(slot);
             self.slots[slot].server.listing.server
         })
@@ -320,7 +321,7 @@
     }
 
     /// Rebuilds the subset: from the ring index `start` on, as many servers as are needed for a total
-    /// capacity of `wanted`, where `capacity` tells that of each server.
+    /// capacity of `wanted`, where `capacity` returns that of each server.
     pub fn rebuild_subset(&mut self, start: usize, wanted: f64, capacity: impl Fn(&Server) -> f64) {
         self.generation += 1;
         let before = std::mem::take(&mut self.subset);
@@ -335,7 +336,7 @@
                 .get(slot)
                 .is_some_and(|entry| entry.in_subset && entry.generation != self.generation)
             {
-                self.unmark(slot);
+                self.clear_subset_flag(slot);
             }
         }
         // Floating-point sums are computed again, so that they do not drift over days.
@@ -416,10 +417,10 @@
     /// Stops counting a server that was taken out of the subset.
     fn leave_subset(&mut self, slot: usize) {
         self.subset_capacity -= self.slots[slot].capacity;
-        self.unmark(slot);
+        self.clear_subset_flag(slot);
     }
 
-    fn unmark(&mut self, slot: usize) {
+    fn clear_subset_flag(&mut self, slot: usize) {
         let before = self.contribution(slot);
         self.slots[slot].in_subset = false;
         self.update_totals(before, slot);
@@ -444,20 +445,20 @@
     /// Takes a server off the ring and out of the subset.
     fn remove_from_ring(&mut self, slot: usize) {
         let entry = &self.slots[slot];
-        let Some(at) =
+        let Some(index) =
             entry.is_ready().then(|| self.ring.binary_search(&(entry.position, slot)).ok()).flatten()
         else {
             return;
         };
         let all = self.ring.len();
-        let offset = (at + all - self.subset_start) % all;
-        self.ring.remove(at);
+        let offset = (index + all - self.subset_start) % all;
+        self.ring.remove(index);
         if offset < self.subset.len() {
             self.subset.remove(offset);
             self.subset_capacity -= self.slots[slot].capacity;
             self.slots[slot].in_subset = false;
         }
-        self.subset_start -= usize::from(at < self.subset_start);
+        self.subset_start -= usize::from(index < self.subset_start);
         self.subset_start = if self.subset_start >= all - 1 { 0 } else { self.subset_start };
     }
 
@@ -468,10 +469,10 @@
             return;
         }
         let key = (entry.position, slot);
-        let at = self.ring.partition_point(|one| *one < key);
-        self.ring.insert(at, key);
-        self.subset_start += usize::from(at <= self.subset_start && self.ring.len() > 1);
-        let offset = (at + self.ring.len() - self.subset_start) % self.ring.len();
+        let index = self.ring.partition_point(|one| *one < key);
+        self.ring.insert(index, key);
+        self.subset_start += usize::from(index <= self.subset_start && self.ring.len() > 1);
+        let offset = (index + self.ring.len() - self.subset_start) % self.ring.len();
         if offset < self.subset.len() {
             self.subset.insert(offset, slot);
             self.subset_capacity += self.slots[slot].capacity;
@@ -572,11 +573,11 @@
         self.outcomes.bad += part.outcomes.bad;
     }
 
-    /// Moves a server to where it belongs now: a class, the blocked servers, or neither.
+    /// Updates the index entry of a server: in its class, among the blocked servers, or in neither.
     fn reclassify(&mut self, slot: usize) {
         let Entry { server, in_subset, class, blocked_until, .. } = &self.slots[slot];
-        let barred = server.health != Health::Healthy && server.in_flight > 0;
-        let eligible = *in_subset && server.listing.status == ServerStatus::Ready && !barred;
+        let unavailable = server.health != Health::Healthy && server.in_flight > 0;
+        let eligible = *in_subset && server.listing.status == ServerStatus::Ready && !unavailable;
         let local = self.local_zone.is_none_or(|local| local == server.listing.zone);
         let blocked = eligible && server.blocked_until > self.now;
         let wanted = (eligible && !blocked).then_some(match (server.in_flight, server.has_answered, local) {
@@ -586,20 +587,20 @@
             (0, false, true) => ServerClass::NewLocal,
             (0, false, false) => ServerClass::NewRemote,
         });
-        let (until, class, known) = (blocked.then_some(server.blocked_until), *class, *blocked_until);
-        if known != until {
-            known.map(|at| self.blocked.remove(&(at, slot)));
-            until.map(|at| self.blocked.insert((at, slot)));
+        let (until, class, indexed_until) = (blocked.then_some(server.blocked_until), *class, *blocked_until);
+        if indexed_until != until {
+            indexed_until.map(|time| self.blocked.remove(&(time, slot)));
+            until.map(|time| self.blocked.insert((time, slot)));
             self.slots[slot].blocked_until = until;
         }
         if class.map(|(class, _)| class) == wanted {
             return;
         }
-        if let Some((class, at)) = class {
+        if let Some((class, index)) = class {
             let set = &mut self.classes[class as usize];
-            set.swap_remove(at);
-            if let Some(&moved) = set.get(at) {
-                self.slots[moved].class = Some((class, at));
+            set.swap_remove(index);
+            if let Some(&moved) = set.get(index) {
+                self.slots[moved].class = Some((class, index));
             }
         }
         self.slots[slot].class = wanted.map(|class| {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -278,21 +278,21 @@
         }
     }
 
-    /// Applies a changed setting: a new budget, or none. The hops already counted stay. Without that a budget
-    /// that is set again would grant at once what earlier calls have spent.
+    /// Applies a changed setting: a new budget, or none. The hops already counted stay. Otherwise a budget
+    /// that is removed and set again would grant once more what earlier calls have spent.
     pub fn reconfigured(
-        known: Option<RetryBudgetWindow>, budget: Option<RetryBudget>, now: Micros,
+        previous: Option<RetryBudgetWindow>, budget: Option<RetryBudget>, now: Micros,
     ) -> Option<RetryBudgetWindow> {
         budget.map(|budget| {
             let nothing = RetryBudget { base: 0.0, ratio: 0.0, ..budget };
-            let mut window = known.unwrap_or_else(|| RetryBudgetWindow::new(nothing));
+            let mut window = previous.unwrap_or_else(|| RetryBudgetWindow::new(nothing));
             window.set_budget(budget, now);
             window
         })
     }
 
     /// Changes the budget. A decrease applies at once, an increase one window later. Otherwise one window
-    /// could hold what two budgets, or two processes that follow each other, grant together.
+    /// could contain what two budgets, or two processes that follow each other, grant together.
     pub fn set_budget(&mut self, budget: RetryBudget, now: Micros) {
         if self.pending.map_or(self.budget, |(_, budget)| budget) == budget {
             return;
--- a/src/records.rs
+++ b/src/records.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// One try of a call at a server.
+/// One attempt of a call at a server.
 pub struct Hop {
     pub server: ServerId,
     pub zone: ZoneId,
@@ -203,10 +203,10 @@
 impl DerivedConfig {
     /// The share of its full capacity that a cold server has now at least; none if the server is warm.
     pub fn cold_share(&self, server: &Server, now: Micros) -> Option<f64> {
-        let (started, from) = (server.listing.started, self.cold_capacity);
+        let (started, initial) = (server.listing.started, self.cold_capacity);
         let age = now - started;
         let cold = started.0 > 0 && age < self.warm_up_time;
-        cold.then(|| from + (1.0 - from) * age.secs() / self.warm_up_time.secs())
+        cold.then(|| initial + (1.0 - initial) * age.secs() / self.warm_up_time.secs())
     }
 }
 
@@ -251,7 +251,7 @@
 #[derive(Default)]
 pub struct WorkloadStats {
     latency: LatencyBaseline,
-    /// Its open hops.
+    /// Open hops of the workload.
     pub in_flight: u32,
     /// Recent hops: good if they ended within the hedging threshold, bad if they took longer.
     pub timeliness: OutcomeCounts,
@@ -260,8 +260,8 @@
 /// Answers from which a first baseline is set: over all workloads, and of one workload.
 const MIN_ANSWERS: f64 = 48.0;
 const MIN_ANSWERS_OF_WORKLOAD: f64 = 32.0;
-/// The same at a tick, for balancers with few answers. It is not checked at each answer: among the first few
-/// answers the short calls are over-represented, since they end first.
+/// The number required at a tick, for balancers with few answers. It is not checked at each answer: among the
+/// first few answers the short calls are over-represented, since they end first.
 const MIN_ANSWERS_AT_TICK: f64 = 16.0;
 /// The histogram of latency ratios records a ratio of 1 as this many microseconds.
 const RATIO_SCALE: f64 = 100_000.0;
@@ -330,9 +330,9 @@
     pub fn record_latency(&mut self, elapsed: Micros, workload: WorkloadId) -> Option<(f64, f64)> {
         self.recent.record(elapsed);
         self.all.record(elapsed, MIN_ANSWERS);
-        let own = &mut self.workload(workload).latency;
-        own.record(elapsed, MIN_ANSWERS_OF_WORKLOAD);
-        if let Some(baseline) = own.baseline_us {
+        let latency = &mut self.workload(workload).latency;
+        latency.record(elapsed, MIN_ANSWERS_OF_WORKLOAD);
+        if let Some(baseline) = latency.baseline_us {
             self.ratios.record(Micros((elapsed.0 as f64 / baseline.max(1.0) * RATIO_SCALE) as u64));
         }
         let median = self.recent.median()?.0 as f64;
@@ -354,27 +354,27 @@
     /// The latency to expect for a call of this workload: its own baseline times the present latency ratio.
     /// Measured by the latency of all calls, a short call among long ones would never be queued.
     pub fn expected_latency(&self, workload: WorkloadId) -> Micros {
-        let baseline = self.workloads.get(workload.0).and_then(|own| own.latency.baseline_us);
-        let own = baseline.map(|baseline| Micros((baseline * self.latency_ratio()) as u64));
-        own.or(self.recent.median()).unwrap_or_default()
+        let baseline = self.workloads.get(workload.0).and_then(|stats| stats.latency.baseline_us);
+        let expected = baseline.map(|baseline| Micros((baseline * self.latency_ratio()) as u64));
+        expected.or(self.recent.median()).unwrap_or_default()
     }
 
     /// The timeliness of recent hops of all workloads.
     pub fn timeliness(&self) -> OutcomeCounts {
-        self.workloads.iter().map(|own| own.timeliness).sum()
+        self.workloads.iter().map(|stats| stats.timeliness).sum()
     }
 
-    /// The one workload of which more than this share of hops is late, while of the others less than half
-    /// that share is.
+    /// The one workload of which more than this share of hops is late, while less than half this share of the
+    /// others' hops is.
     pub fn only_late_workload(&self, share: f64) -> Option<WorkloadId> {
         let all = self.timeliness();
-        let alone = |own: &WorkloadStats| {
+        let only_this_is_late = |stats: &WorkloadStats| {
             let others =
-                OutcomeCounts { good: all.good - own.timeliness.good, bad: all.bad - own.timeliness.bad };
-            let known = own.timeliness.bad >= 3.0 && others.good >= 3.0;
-            known && own.timeliness.bad_share() > share && others.bad_share() < 0.5 * share
+                OutcomeCounts { good: all.good - stats.timeliness.good, bad: all.bad - stats.timeliness.bad };
+            let enough_hops = stats.timeliness.bad >= 3.0 && others.good >= 3.0;
+            enough_hops && stats.timeliness.bad_share() > share && others.bad_share() < 0.5 * share
         };
-        self.workloads.iter().position(alone).map(WorkloadId)
+        self.workloads.iter().position(only_this_is_late).map(WorkloadId)
     }
 
     /// The median latency of recent calls, relative to the baseline of their workload.
@@ -384,7 +384,7 @@
 
     /// Sets first baselines where there are enough answers; called at each tick.
     pub fn initialize_baselines(&mut self) {
-        let baselines = self.workloads.iter_mut().map(|own| &mut own.latency).chain([&mut self.all]);
+        let baselines = self.workloads.iter_mut().map(|stats| &mut stats.latency).chain([&mut self.all]);
         baselines.for_each(|latency| latency.initialize(MIN_ANSWERS_AT_TICK));
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -15,7 +15,7 @@
 const LATENCY_WINDOW: Micros = Micros::millis(30_000);
 /// A hop may be hedged once it takes longer than this quantile of recent answers.
 const HEDGE_QUANTILE: f64 = 0.95;
-/// Without so many samples there is no hedging threshold.
+/// With fewer samples there is no hedging threshold.
 const MIN_LATENCY_SAMPLES: u32 = 20;
 /// Tokens for hedges and retries that each first hop adds.
 const RETRY_TOKENS_PER_CALL: f64 = 0.2;
@@ -28,18 +28,20 @@
 /// The trip rate is twice the long-run failure rate, and at least this. Hedging pauses above it (the design's
 /// factor SuppressAt is 1).
 const MIN_TRIP_RATE: f64 = 0.05;
-/// Without so many recent outcomes hedging is not paused.
+/// With fewer recent outcomes hedging is not paused.
 const MIN_OUTCOMES: f64 = 10.0;
-/// Latency relative to the workload's baseline above which servers count as congested ...
+/// The latency relative to the workload's baseline above which servers count as congested.
 const CONGESTED_RATIO: f64 = 1.65;
-/// ... below which they no longer do ...
+/// The relative latency below which they no longer count as congested.
 const RECOVERED_RATIO: f64 = 1.45;
-/// ... and above which the concurrency limit leaves no room for scatter.
+/// The relative latency above which the concurrency limit may fall to the calls that are needed on average,
+/// without an allowance for their scatter.
 const SEVERE_RATIO: f64 = 2.4;
-/// A workload is slow if this share of its hops is past the hedging threshold, and less than half that share
-/// of others.
+/// A workload is slow if more than this share of its hops takes longer than the hedging threshold, and less
+/// than half this share of the hops of all others.
 const SLOW_WORKLOAD_SHARE: f64 = 0.6;
-/// The limit of a slow workload, as a share of the concurrency limit and in addition to it.
+/// The limit on a slow workload's open hops, as a share of the concurrency limit. It applies in addition to
+/// the concurrency limit, which does not count these hops.
 const SLOW_WORKLOAD_LIMIT: f64 = 0.25;
 /// Answers needed to detect congestion: a balancer that gets so many per second detects it within a second.
 const ANSWERS_TO_DETECT: f64 = 24.0;
@@ -56,10 +58,9 @@
 const TICK: Micros = Micros::millis(1_000);
 /// The least capacity of the subset, in servers, for a balancer that sends almost nothing.
 const MIN_SUBSET: f64 = 5.0;
-/// How often a server of another zone stands before one of the local zone on the ring, relative to an even
-/// order.
+/// The weight of a server of another zone in the random order of the ring; a local server's is 1.
 const REMOTE_ZONE_WEIGHT: f64 = 0.1;
-/// One server in so many is a home of a key, at least one.
+/// A key has one home server for so many ready servers, and at least one.
 const SERVERS_PER_HOME: usize = 30;
 /// The rates that tenants may use at this balancer add up to at least this many times its usual rate.
 const TENANT_HEADROOM: f64 = 1.2;
@@ -67,7 +68,8 @@
 const OVERFLOW_LOAD_RATIO: f64 = 3.0;
 /// The factor on the load of a server in another zone, where traffic between zones has a cost.
 const REMOTE_ZONE_LOAD: f64 = 1.2;
-/// The change of a slowdown that is reported to the other balancers, in doublings or halvings.
+/// The least change of a slowdown that is reported to the other balancers, as a binary logarithm: 1 is a
+/// doubling or halving.
 const REPORTED_CHANGE: f64 = 1.0;
 /// The slowdown at the servers above which calls are shed.
 const TARGET_SLOWDOWN: f64 = 2.2;
@@ -75,7 +77,7 @@
 const SHED_GAIN: f64 = 0.1;
 /// The slowdown assumed of a server that refuses a call without executing it.
 const REFUSAL_SLOWDOWN: f64 = 4.0;
-/// Each server is in the subsets of so many balancers at least, so that differences between balancers even
+/// Each server is in the subsets of at least so many balancers, so that differences between balancers even
 /// out.
 const MIN_SUBSETS_PER_SERVER: f64 = 4.0;
 
@@ -110,10 +112,10 @@
 /// What changes a server's health.
 #[rustfmt::skip]
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum HealthEvent { Condemned, EjectionOver, ProbationPassed, ProbationFailed }
+enum HealthEvent { DetectedFaulty, EjectionOver, ProbationPassed, ProbationFailed }
 
 const HEALTH_TRANSITIONS: &[(Health, HealthEvent, Health)] = &[
-    (Health::Healthy, HealthEvent::Condemned, Health::Ejected),
+    (Health::Healthy, HealthEvent::DetectedFaulty, Health::Ejected),
     (Health::Ejected, HealthEvent::EjectionOver, Health::Probation),
     (Health::Probation, HealthEvent::ProbationPassed, Health::Healthy),
     (Health::Probation, HealthEvent::ProbationFailed, Health::Ejected),
@@ -138,7 +140,7 @@
     now: Micros,
     config: DerivedConfig,
     rng: SeededRng,
-    /// For picking servers alone, where the number of draws varies.
+    /// A separate generator for picking servers, since the number of draws for a pick varies.
     pick_rng: SeededRng,
     pub(crate) fleet: Fleet,
     /// Added to the concurrency limit, which is then rounded down; changes with each tick.
@@ -221,7 +223,7 @@
             Event::CallWithdrawn { call } => self.advance(call, Withdrawn, out),
             Event::PeerReported { server, slowdown } => self.set_slowdown(server, slowdown),
             Event::ConfigChanged(config) => return self.config_changed(config),
-            Event::ShutdownBegun(by) => self.shutdown_begun(by, out),
+            Event::ShutdownBegun(answer_by) => self.shutdown_begun(answer_by, out),
             Event::TimerFired(QUEUE_POLL) => self.queue_poll_set = false,
             Event::TimerFired(SUBSCRIBE) => self.subscribe_if_due(out),
             Event::TimerFired(TICK_TIMER) => self.tick(out),
@@ -270,10 +272,10 @@
     }
 
     /// Shortens the deadlines of open calls, so that none is queued or sent again beyond the shutdown.
-    fn shutdown_begun(&mut self, by: Micros, out: &mut Vec<Action>) {
-        for (id, call) in self.calls.iter_mut().filter(|(_, call)| call.deadline > by) {
-            (call.deadline, call.queue_deadline) = (by, call.queue_deadline.min(by));
-            Self::set_call_timer(*id, QUEUE_TIMER, by - self.now, out);
+    fn shutdown_begun(&mut self, answer_by: Micros, out: &mut Vec<Action>) {
+        for (id, call) in self.calls.iter_mut().filter(|(_, call)| call.deadline > answer_by) {
+            (call.deadline, call.queue_deadline) = (answer_by, call.queue_deadline.min(answer_by));
+            Self::set_call_timer(*id, QUEUE_TIMER, answer_by - self.now, out);
         }
     }
 
@@ -293,8 +295,8 @@
         // A share of each workload's calls ranks with the highest payoff, so that the cheapest workload is
         // not starved.
         let mut priority = if promoted { self.config.max_payoff } else { settings.payoff };
-        // Traffic is spread unevenly over balancers: one that gets more than the even share grants tenants as
-        // much more.
+        // Traffic is spread unevenly over balancers: one that gets more than the even share grants tenants
+        // proportionally more.
         let factor = (TENANT_HEADROOM * self.send_rate.per_second / self.config.total_tenant_rate).max(1.0);
         let rate = self.config.tenant_rates.get(tenant.0).map_or(f64::INFINITY, |rate| rate * factor);
         let bucket = self.tenant_buckets.get_mut(tenant.0);
@@ -348,7 +350,7 @@
     fn slow_workload_in_flight(&self) -> u32 {
         self.slow_workload
             .and_then(|workload| self.congestion.workloads.get(workload.0))
-            .map_or(0, |own| own.in_flight)
+            .map_or(0, |stats| stats.in_flight)
     }
 
     /// Detects a workload whose calls are late on all servers, so that no server is at fault. Its calls do
@@ -366,9 +368,9 @@
         }
     }
 
-    /// Sends a hop; every hop passes here. The call's idempotency, deadline and hop count must allow it, and
-    /// [`Balancer::pick_server`] must find a server that is ready, healthy, not overloaded and, if cold, has
-    /// a token left.
+    /// Sends a hop; every hop is sent by this function. The call's idempotency, deadline and hop count must
+    /// allow it, and [`Balancer::pick_server`] must find a server that is ready, healthy, not overloaded and,
+    /// if cold, has a token left.
     fn send(&mut self, id: CallId, hedge: bool, out: &mut Vec<Action>) -> Option<Input> {
         if !self.retry_budget_allows(id) {
             return Some(if hedge { OneHopFailed } else { FinalFailure });
@@ -422,7 +424,7 @@
             self.update_blocked_until(server);
         }
         if health == Health::Ejected {
-            self.change_health(server, HealthEvent::EjectionOver, "its time aside is over".into(), out);
+            self.change_health(server, HealthEvent::EjectionOver, "its ejection is over".into(), out);
         }
         if !hedge {
             let threshold = self.latency.get(now).unwrap_or(timeout);
@@ -432,8 +434,8 @@
     }
 
     /// Whether the configured retry budget allows another hop. The lower a call's payoff, the smaller the
-    /// part of the budget that it may use, and a short time may not use it all: otherwise the first moment of
-    /// trouble would leave nothing for later.
+    /// part of the budget that it may use. At most half of the budget may be used within a short time, so
+    /// that the first failures do not use it up.
     fn retry_budget_allows(&mut self, id: CallId) -> bool {
         let (Some(window), Some(call)) = (&mut self.retry_budget, self.calls.get(&id)) else { return true };
         if call.hops.is_empty() {
@@ -501,9 +503,9 @@
             _ => !call.hops.iter().any(Hop::may_have_run),
         };
         if repeatable {
-            let soon =
+            let delay =
                 self.config.workloads[call.workload].quoted_time.times(0.05 + 0.1 * self.rng.uniform());
-            let retry_after = soon.min(self.config.max_retry_after);
+            let retry_after = delay.min(self.config.max_retry_after);
             out.push(Action::Refuse { call: id, retry_after });
         } else {
             out.push(Action::Fail { call: id });
@@ -515,11 +517,12 @@
     /// outcomes.
     fn cancel_hops(&mut self, id: CallId, keep: Option<HopNo>, out: &mut Vec<Action>) -> Option<Input> {
         let hops = self.calls.get(&id)?.hops.iter().zip(0..);
-        let open: Vec<HopNo> = hops.filter(|(hop, _)| hop.is_open()).map(|(_, no)| HopNo(no)).collect();
+        let open: Vec<HopNo> =
+            hops.filter(|(hop, _)| hop.is_open()).map(|(_, number)| HopNo(number)).collect();
         if open.is_empty() {
             self.calls.remove(&id);
         } else if self.config.may_cancel {
-            let superfluous = open.into_iter().filter(|no| keep != Some(*no));
+            let superfluous = open.into_iter().filter(|hop| keep != Some(*hop));
             out.extend(superfluous.map(|hop| Action::Cancel { call: id, hop }));
         }
         None
@@ -528,14 +531,14 @@
     fn hedge_timer_fired(&mut self, id: CallId, out: &mut Vec<Action>) {
         let threshold = self.latency.get(self.now);
         let (Some(threshold), Some(call)) = (threshold, self.calls.get_mut(&id)) else { return };
-        let left = call.deadline - self.now;
-        if call.state != InFlight || left.0 == 0 {
+        let time_left = call.deadline - self.now;
+        if call.state != InFlight || time_left.0 == 0 {
             return;
         }
         let Some(hop) = call.hops.last_mut().filter(|hop| hop.is_open() && !hop.is_hedge) else { return };
         let age = self.now - hop.sent_at;
         if age < threshold {
-            return Self::set_call_timer(id, HEDGE_TIMER, (threshold - age).min(left), out);
+            return Self::set_call_timer(id, HEDGE_TIMER, (threshold - age).min(time_left), out);
         }
         let (server, workload) = (hop.server, WorkloadId(call.workload));
         if !std::mem::replace(&mut hop.past_threshold, true) {
@@ -547,24 +550,29 @@
         // No hedges under congestion: if all servers slow down together, the threshold is out of date and
         // nearly every call would be hedged, but the congestion measure reacts at once. A hop at an ejected
         // server is hedged anyway.
-        let stuck = self.fleet.get(server).is_some_and(|server| server.health != Health::Healthy);
-        let calm = !self.congestion.congested && self.queue.is_empty() && self.is_below_limit();
-        let may = self.config.may_hedge && (calm || stuck) && !self.hedging_paused;
-        let may = may && self.slow_workload != Some(workload);
-        if may && self.retry_tokens >= 1.0 && self.retry_budget_allows(id) && self.pick_server(id).is_some() {
+        let at_unhealthy_server =
+            self.fleet.get(server).is_some_and(|server| server.health != Health::Healthy);
+        let uncongested = !self.congestion.congested && self.queue.is_empty() && self.is_below_limit();
+        let may_hedge = self.config.may_hedge && (uncongested || at_unhealthy_server) && !self.hedging_paused;
+        let may_hedge = may_hedge && self.slow_workload != Some(workload);
+        if may_hedge
+            && self.retry_tokens >= 1.0
+            && self.retry_budget_allows(id)
+            && self.pick_server(id).is_some()
+        {
             self.advance(id, HedgeDue, out);
         } else {
-            Self::set_call_timer(id, HEDGE_TIMER, threshold.min(left), out);
+            Self::set_call_timer(id, HEDGE_TIMER, threshold.min(time_left), out);
         }
     }
 
     fn hop_ended(&mut self, result: HopResult, out: &mut Vec<Action>) {
-        let HopResult { call: id, hop: HopNo(no), outcome, call_over, .. } = result;
+        let HopResult { call: id, hop: HopNo(number), outcome, call_over, .. } = result;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let repeatable = self.config.workloads[call.workload].idempotency != Idempotency::NonIdempotent;
         let workload = WorkloadId(call.workload);
         let (state, deadline, hops_left) = (call.state, call.deadline, call.hops.len() < call.max_hops);
-        let Some(hop) = call.hops.get_mut(no as usize).filter(|hop| hop.is_open()) else { return };
+        let Some(hop) = call.hops.get_mut(number as usize).filter(|hop| hop.is_open()) else { return };
         hop.outcome = Some(outcome);
         let (server, past_threshold) = (hop.server, hop.past_threshold);
         let any_open = call.hops.iter().any(Hop::is_open);
@@ -596,8 +604,8 @@
 
     // ---- servers ----
 
-    /// Whether the server is ready, got no hop of this call yet, and a hop to it can not cause a
-    /// second execution that matters.
+    /// Whether the server is ready, got no hop of this call yet, and a hop to it cannot cause a
+    /// harmful second execution.
     fn may_send_to(&self, call: &Call, server: &Server) -> bool {
         let ListedServer { server: id, zone, cell, status, .. } = server.listing;
         let idempotency = self.config.workloads[call.workload].idempotency;
@@ -616,8 +624,8 @@
     /// The only cell to which the call may be sent again, if its idempotency key is known in one cell only.
     fn required_cell(&self, call: &Call) -> Option<CellId> {
         let idempotency = self.config.workloads[call.workload].idempotency;
-        let bound = matches!(idempotency, Idempotency::ByKey { scope: DedupScope::Cell, .. });
-        call.hops.iter().find(|hop| bound && hop.may_have_run()).map(|hop| hop.cell)
+        let cell_scoped = matches!(idempotency, Idempotency::ByKey { scope: DedupScope::Cell, .. });
+        call.hops.iter().find(|hop| cell_scoped && hop.may_have_run()).map(|hop| hop.cell)
     }
 
     /// Picks a random server that holds none of this balancer's calls, first in the local zone if traffic
@@ -649,15 +657,15 @@
         let mut draw = |classes| self.fleet.pick_random(classes, cell, &mut rng, &suitable);
         let [first, second, last]: [&[ServerClass]; 3] =
             if mean < 0.5 { RANKS_LOW_LOAD } else { RANKS_LOADED };
-        let mut of = |classes, two: bool| {
+        let mut pick = |classes, best_of_two: bool| {
             let one = draw(classes)?;
-            Some(less_loaded(one, if two { draw(classes)? } else { one }, &load))
+            Some(less_loaded(one, if best_of_two { draw(classes)? } else { one }, &load))
         };
         let load_reports = self.config.load_reports;
         let found = home
-            .or_else(|| of(first, load_reports))
-            .or_else(|| of(second, load_reports))
-            .or_else(|| of(last, true));
+            .or_else(|| pick(first, load_reports))
+            .or_else(|| pick(second, load_reports))
+            .or_else(|| pick(last, true));
         debug_assert!({
             let rank = |server: &Server| if in_flight(server) < 0.5 { u8::from(remote(server)) } else { 2 };
             let best = self.fleet.subset().filter(|server| suitable(server)).map(rank).min();
@@ -688,7 +696,7 @@
     }
 
     /// Computes when the server may be sent to again: its ejection is over and, if it is cold, it has a
-    /// token. The time may be too early, and is computed again when it comes, but never too late.
+    /// token. The time is never too late. It may be too early, and is computed again when it has come.
     fn update_blocked_until(&mut self, id: ServerId) {
         let Some(server) = self.fleet.get(id) else { return };
         let ejected = if server.health == Health::Ejected { server.ejected_until } else { Micros(0) };
@@ -705,8 +713,8 @@
     }
 
     /// The limit on open hops at one server, per unit of its effective weight: half more than its even share.
-    /// Weight factors are relative to the highest one, so that nothing is lost if all servers slow down
-    /// together.
+    /// Weight factors are relative to the highest one, so that the limits do not fall if all servers slow
+    /// down together.
     fn limit_per_weight(&self) -> f64 {
         let fleet = &self.fleet;
         1.5 * self.congestion.concurrency_limit * self.remaining_fleet()
@@ -721,10 +729,11 @@
         usable / self.congestion.fleet_weight.max(usable)
     }
 
-    /// Chooses the balancer's subset of the ring: with all servers, every balancer would hold connections to
-    /// each of them and know next to nothing about each. The subset has a capacity of nearly one server per
-    /// call in flight at the peak. Cold servers count by their capacity and ejected ones not at all, so that
-    /// the subset extends past them. It is rebuilt at each tick and adjusted to `changed` servers in between.
+    /// Chooses the balancer's subset of the ring: if it used all servers, every balancer would hold
+    /// connections to each of them and get few answers from each. The subset has a capacity of nearly one
+    /// server per call in flight at the peak. Cold servers count by their capacity and ejected ones not at
+    /// all, so that the subset extends past them. It is rebuilt at each tick and adjusted to `changed`
+    /// servers in between.
     fn update_subset(&mut self, changed: Option<&[ServerId]>) {
         let (all, share, config, now) =
             (self.fleet.ready_count(), self.config.instance_share, &self.config, self.now);
@@ -833,8 +842,8 @@
     fn update_hedging_pause(&mut self, out: &mut Vec<Action>) {
         let trip = (2.0 * self.long_run_outcomes.bad_share()).max(MIN_TRIP_RATE);
         let rate = self.recent_outcomes.bad_share();
-        let known = self.recent_outcomes.total() >= MIN_OUTCOMES && self.recent_outcomes.bad >= 2.0;
-        let pause = known && rate > trip;
+        let enough_outcomes = self.recent_outcomes.total() >= MIN_OUTCOMES && self.recent_outcomes.bad >= 2.0;
+        let pause = enough_outcomes && rate > trip;
         if pause != self.hedging_paused {
             self.hedging_paused = pause;
             let word = if pause { "paused" } else { "resumed" };
@@ -880,9 +889,10 @@
         if congested != congestion.congested {
             congestion.congested = congested;
             let word = if congested { "crowded" } else { "calm" };
-            let (now, then, limit) = (median / 1e3, baseline / 1e3, congestion.concurrency_limit);
+            let (median_ms, baseline_ms, limit) =
+                (median / 1e3, baseline / 1e3, congestion.concurrency_limit);
             let text = format!(
-                "{word}: latency {ratio:.2} times the baseline, median {now:.0} against {then:.0} ms, concurrency limit {limit:.1}"
+                "{word}: latency {ratio:.2} times the baseline, median {median_ms:.0} against {baseline_ms:.0} ms, concurrency limit {limit:.1}"
             );
             out.push(Action::log(text));
         }
@@ -903,10 +913,10 @@
             }
             (rate, worse || server.unreachable, server.health)
         });
-        let Some((rate, bad, health)) = recorded else { return };
-        let condemned = bad && 2.0 * (ejected + 1.0) <= ready;
+        let Some((rate, faulty, health)) = recorded else { return };
+        let may_eject = faulty && 2.0 * (ejected + 1.0) <= ready;
         let event = match (health, good) {
-            (Health::Healthy, false) if condemned => HealthEvent::Condemned,
+            (Health::Healthy, false) if may_eject => HealthEvent::DetectedFaulty,
             (Health::Probation, true) => HealthEvent::ProbationPassed,
             (Health::Probation, false) => HealthEvent::ProbationFailed,
             _ => return,
@@ -984,8 +994,9 @@
     /// Periodic work: decays statistics, rebuilds the subset and renews the subscription.
     fn tick(&mut self, out: &mut Vec<Action>) {
         self.peak_in_flight *= 0.98;
-        let to_two_servers = 0.5 / self.config.instance_share / self.fleet.usable_count().max(1.0);
-        self.rounding = 0.999 - self.rng.uniform() * to_two_servers.min(1.0);
+        // The more balancers there are for each server, the more of the rounding is random.
+        let random_part = 0.5 / self.config.instance_share / self.fleet.usable_count().max(1.0);
+        self.rounding = 0.999 - self.rng.uniform() * random_part.min(1.0);
         self.update_subset(None);
         let warm =
             |server: &&Server| server.is_usable() && self.config.cold_share(server, self.now).is_none();
@@ -1003,7 +1014,7 @@
         self.send_rate.end_period(TICK, weight);
         self.congestion.fleet_weight *= 0.99;
         self.congestion.initialize_baselines();
-        self.congestion.workloads.iter_mut().for_each(|own| own.timeliness.decay(0.8));
+        self.congestion.workloads.iter_mut().for_each(|stats| stats.timeliness.decay(0.8));
         self.detect_slow_workload(out);
         self.recent_outcomes.decay(0.9);
         if self.long_run_outcomes.total() > 2000.0 {
--- a/src/types.rs
+++ b/src/types.rs
@@ -92,7 +92,7 @@
     pub payoff: f64,
 }
 
-/// A bound on hops beyond each call's first: in any window of this length at most `base`, and `ratio` times
+/// A bound on hops beyond each call's first: in any window of this length at most `base` plus `ratio` times
 /// the calls accepted in the window.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RetryBudget {
@@ -139,8 +139,8 @@
     pub cold_capacity: f64,
     /// The time after which a started server has its full capacity.
     pub warm_up_time: Micros,
-    /// The time over which calls to a cold server are counted: if it gets more than its capacity within it,
-    /// it collapses.
+    /// The window in which the calls to a cold server are counted: a server that gets more calls in one than
+    /// its capacity collapses.
     pub collapse_window: Micros,
 }
 
