--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -16,7 +16,8 @@
     ids: HashMap<String, ServerId>,
     /// The endpoint name of each server id.
     names: Vec<String>,
-    /// By the lower half of the name's hash, which identifies a server in messages between balancers.
+    /// Server ids by the lower half of the name's hash, which identifies a server in messages between
+    /// balancers.
     ids_by_hash: HashMap<u32, ServerId>,
 }
 
@@ -59,7 +60,7 @@
 struct Host {
     now: Micros,
     /// The number of the open batch.
-    round: Option<u64>,
+    open_batch: Option<u64>,
     instances: HashMap<u32, Instance>,
     /// Server lists by their number, for later `TARGETS` messages.
     lists: HashMap<u8, Vec<ListItem>>,
@@ -90,8 +91,8 @@
             host.output.clear();
         }
     }
-    match host.round {
-        Some(round) => Err(format!("the input ends inside batch {round}: COMMIT is missing")),
+    match host.open_batch {
+        Some(batch) => Err(format!("the input ends inside batch {batch}: COMMIT is missing")),
         None => Ok(()),
     }
 }
@@ -99,18 +100,18 @@
 impl Host {
     /// Executes one message; true if it closed a batch, whose replies are then complete.
     fn handle(&mut self, message: Message) -> Result<bool, String> {
-        match (&message, self.round) {
-            (Message::Clock { .. }, Some(round)) => return Err(format!("CLOCK inside batch {round}")),
+        match (&message, self.open_batch) {
+            (Message::Clock { .. }, Some(batch)) => return Err(format!("CLOCK inside batch {batch}")),
             (Message::Clock { .. }, None) | (_, Some(_)) => {}
             (_, None) => return Err("an event or COMMIT outside a batch: CLOCK is missing".into()),
         }
         match message {
             Message::Clock { t_s, round } => {
                 self.now = micros_from_seconds(t_s);
-                self.round = Some(round);
+                self.open_batch = Some(round);
             }
             Message::Commit => {
-                let round = self.round.take().unwrap_or_default();
+                let round = self.open_batch.take().unwrap_or_default();
                 self.write(&Reply::Yield { round })?;
                 return Ok(true);
             }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -31,6 +31,7 @@
     Targets {
         who: u32,
         sheet: Option<u8>,
+        /// 0 is changes, 1 a whole list, 2 a cached list and 3 a failed request.
         kind: u8,
     },
     /// A new API call.
@@ -41,6 +42,7 @@
         expires_in_s: f64,
         #[serde(default)]
         tenant: usize,
+        /// Flags; 2 marks a retry by the client.
         #[serde(default)]
         options: u32,
         key: Option<u64>,
@@ -87,7 +89,9 @@
 /// A load report; columns that the module does not use are ignored.
 #[derive(Deserialize, Clone, Copy)]
 pub struct Telemetry {
+    /// Calls in the server, including queued ones.
     busy_reqs: Option<f64>,
+    /// Queued calls.
     pending: Option<f64>,
     cpu_share: Option<f64>,
 }
@@ -134,14 +138,19 @@
 #[derive(Deserialize, Clone)]
 pub struct ListItem {
     pub endpoint: String,
+    /// The zone.
     #[serde(default)]
     pub hall: u32,
+    /// The cell.
     #[serde(default)]
     pub block: u32,
+    /// 0 is gone, 1 ready and 2 draining.
     #[serde(default)]
     pub availability: u8,
+    /// The weight.
     #[serde(default = "default_weight")]
     pub nominal: f64,
+    /// When the server last started; 0 for long ago.
     #[serde(default)]
     pub launched_s: f64,
 }
@@ -189,7 +198,7 @@
         who: u32,
         want: bool,
     },
-    /// Sends a message to other instances; -1 is all of them.
+    /// Sends a message to another instance, or to all of them if `to` is -1.
     Say {
         who: u32,
         to: i32,
--- a/adapter/tests/framing.rs
+++ b/adapter/tests/framing.rs
@@ -1,4 +1,5 @@
-//! The adapter answers complete batches completely, and ends with a clear error message on malformed input.
+//! The adapter writes all replies of each complete batch, and ends with an error that names the fault on
+//! malformed input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -20,16 +21,16 @@
     adapter.wait_with_output().expect("the adapter ends")
 }
 
-fn assert_rejected(input: &str, words: &[&str]) {
+fn assert_rejected(input: &str, fragments: &[&str]) {
     let output = serve(input);
     let error = String::from_utf8_lossy(&output.stderr).to_string();
     assert!(!output.status.success(), "{input}");
     assert!(output.stdout.is_empty(), "an incomplete reply to {input}");
-    assert!(words.iter().all(|word| error.contains(word)), "{error}");
+    assert!(fragments.iter().all(|fragment| error.contains(fragment)), "{error}");
 }
 
 #[test]
-fn a_call_is_answered_from_arrival_to_end() {
+fn batches_get_all_their_replies() {
     let input = [
         r#"{"what":"CLOCK","t_s":8.5,"round":1}"#,
         INIT,
--- a/benches/events.rs
+++ b/benches/events.rs
@@ -74,8 +74,9 @@
             call_count: 0,
             steps: 0,
         };
-        let entries: Vec<ListedServer> =
-            (0..size).map(|at| listing(at, simulation.started(at), ServerStatus::Ready)).collect();
+        let entries: Vec<ListedServer> = (0..size)
+            .map(|number| listing(number, simulation.started(number), ServerStatus::Ready))
+            .collect();
         simulation.deliver(Event::ListReceived { kind: ListKind::Whole, entries: &entries });
         for _ in 0..(4 * size).max(20_000) {
             simulation.run_step();
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -45,11 +45,11 @@
 }
 
 fn serve(mut stream: TcpStream, number: usize) -> Option<()> {
-    static CALLS: AtomicU64 = AtomicU64::new(0);
+    static REQUESTS: AtomicU64 = AtomicU64::new(0);
     loop {
         let line = read_request(&mut stream)?;
-        let call = CALLS.fetch_add(1, Ordering::Relaxed);
-        sleep(Duration::from_millis(if call % 30 == 29 { 1000 } else { 15 + call % 10 }));
+        let index = REQUESTS.fetch_add(1, Ordering::Relaxed);
+        sleep(Duration::from_millis(if index % 30 == 29 { 1000 } else { 15 + index % 10 }));
         let body = format!("server {number} did {line}\n");
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.write_all(answer.as_bytes()).ok()?;
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -45,7 +45,7 @@
 
     /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Limits) {
-        // What was used of another budget does not count against the new one.
+        // Attempts counted against the previous budget do not count against the new one.
         if self.limits.retry_budget != limits.retry_budget {
             self.budget_usage.reset();
         }
@@ -201,17 +201,17 @@
     fn record_answer(&mut self, now: Micros, id: CallId, kind: AnswerKind) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.record(now, Transition::AnswerBegun(kind));
-        let second = std::mem::replace(&mut request.answered, true);
+        let already_answered = std::mem::replace(&mut request.answered, true);
         let late = now > request.deadline + ANSWER_SLACK && request.client_gone.is_none();
-        let ran =
+        let may_have_run =
             request.repeat_safety != RepeatSafety::Safe && request.attempts.iter().any(Attempt::may_have_run);
-        if second {
+        if already_answered {
             self.report_violation(Rule::OneAnswer, now, id, None);
         }
         if late {
             self.report_violation(Rule::AnswerInTime, now, id, None);
         }
-        if ran && kind == AnswerKind::Refused {
+        if may_have_run && kind == AnswerKind::Refused {
             self.report_violation(Rule::RefusedOnlyIfNotRun, now, id, None);
         }
     }
--- a/guard/src/request.rs
+++ b/guard/src/request.rs
@@ -67,8 +67,8 @@
         request
     }
 
-    pub fn record(&mut self, at: Micros, transition: Transition) {
-        self.transitions[self.transition_count % MAX_TRANSITIONS] = Some((at - self.accepted, transition));
+    pub fn record(&mut self, now: Micros, transition: Transition) {
+        self.transitions[self.transition_count % MAX_TRANSITIONS] = Some((now - self.accepted, transition));
         self.transition_count += 1;
     }
 
--- a/sites/src/simulation.rs
+++ b/sites/src/simulation.rs
@@ -129,8 +129,8 @@
         weights.into_iter().filter(|_| total > 0.0).map(|(to, weight)| (to, weight / total)).collect()
     }
 
-    /// Serves the floors first, then the most valuable classes; of the load from other sites no more than its
-    /// limit.
+    /// Serves the floors first, then the most valuable classes. Load from other sites adds at most
+    /// `spare_capacity` to the work.
     fn serve(
         &self, site: SiteId, mut outcomes: Vec<ClassOutcome>, spare_capacity: f64, refusal_order: &[ClassId],
     ) -> SiteOutcome {
--- a/sites/tests/site_loss.rs
+++ b/sites/tests/site_loss.rs
@@ -62,14 +62,14 @@
 
 proptest! {
     #[test]
-    fn any_plan_keeps_to_capacities_floors_and_its_order(
+    fn any_plan_respects_capacities_floors_and_refusal_order(
         capacities in prop::collection::vec(10.0..1000.0f64, 2..8),
         loads in prop::collection::vec(0.0..400.0f64, 32),
         class_parameters in prop::collection::vec((0.1..9.0f64, 0.1..4.0f64, 0.0..0.3f64), 4),
         lost in prop::collection::vec(any::<bool>(), 8), load_fraction in 0.2..3.0f64,
         max_foreign_share in 0.0..1.0f64,
     ) {
-        let sites = capacities.iter().enumerate().map(|(at, capacity)| site("x", *capacity, Failover::ByCapacity, &loads[4 * at..4 * at + 4]));
+        let sites = capacities.iter().enumerate().map(|(index, capacity)| site("x", *capacity, Failover::ByCapacity, &loads[4 * index..4 * index + 4]));
         let classes = class_parameters.iter().map(|(payoff, work, floor)| class("y", *payoff, *work, *floor));
         let plan = Plan {
             sites: sites.collect(),
@@ -78,11 +78,11 @@
             cross_site_cost: 0.0,
             max_foreign_share,
         };
-        let lost_sites: Vec<SiteId> = (0..capacities.len() - 1).filter(|at| lost[*at]).map(SiteId).collect();
+        let lost_sites: Vec<SiteId> = (0..capacities.len() - 1).filter(|index| lost[*index]).map(SiteId).collect();
         let (outcome, order) = (plan.simulate_loss(&lost_sites, load_fraction), plan.refusal_order());
         let mut offered = outcome.dropped.iter().sum::<f64>();
-        for (at, site) in outcome.sites.iter().enumerate() {
-            prop_assert!(site.served_work <= plan.sites[at].capacity * (1.0 + 1e-9));
+        for (index, site) in outcome.sites.iter().enumerate() {
+            prop_assert!(site.served_work <= plan.sites[index].capacity * (1.0 + 1e-9));
             offered += site.class_outcomes.iter().map(ClassOutcome::offered).sum::<f64>();
             let served = |class: &ClassId| site.class_outcomes[class.0].served;
             for (position, class) in order.iter().enumerate() {
--- a/tests/base_config/mod.rs
+++ b/tests/base_config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that tests and benchmarks of the module start from; each overrides the fields that it is about.
+//! The configuration that tests and benchmarks of the module start from; each overrides some of its fields.
 use oakhollow::types::*;
 
 pub fn workload(idempotency: Idempotency) -> Workload {
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -1,5 +1,5 @@
-//! Several balancers in front of the same servers, like the workers of one program: the calls that a cold
-//! server gets from all of them together, even if one of them gets most of the calls.
+//! Checks how many calls a cold server gets from several balancers together, which use the same servers like
+//! the workers of one program. One balancer may get most of the calls.
 mod base_config;
 
 use oakhollow::rules::Balancer;
@@ -73,24 +73,30 @@
         simulation
     }
 
-    fn deliver(&mut self, at: usize, event: Event) {
+    fn deliver(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.instances[at].balancer.on(self.now, event, &mut actions);
-        self.execute(at, actions);
+        self.instances[index].balancer.on(self.now, event, &mut actions);
+        self.execute(index, actions);
     }
 
-    fn execute(&mut self, at: usize, actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             self.sequence += 1;
             match action {
                 Action::Send { call, server, .. } => {
-                    let hop = self.instances[at].hops.entry(call).or_default();
-                    self.hop_ends.push(Reverse((self.now + LATENCY, self.sequence, at, call, HopNo(*hop))));
+                    let hop = self.instances[index].hops.entry(call).or_default();
+                    self.hop_ends.push(Reverse((
+                        self.now + LATENCY,
+                        self.sequence,
+                        index,
+                        call,
+                        HopNo(*hop),
+                    )));
                     *hop += 1;
                     *self.sends_by_server.entry(server).or_default() += 1;
                 }
                 Action::SetTimer { after, token } => {
-                    self.instances[at].timers.push(Reverse((self.now + after, self.sequence, token)));
+                    self.instances[index].timers.push(Reverse((self.now + after, self.sequence, token)));
                 }
                 _ => {}
             }
@@ -98,8 +104,8 @@
     }
 
     fn list(&mut self, kind: ListKind, entries: &[ListedServer]) {
-        for at in 0..self.instances.len() {
-            self.deliver(at, Event::ListReceived { kind, entries });
+        for index in 0..self.instances.len() {
+            self.deliver(index, Event::ListReceived { kind, entries });
         }
     }
 
@@ -109,33 +115,33 @@
         let gap = Micros(1_000_000 / u64::from(calls_per_s));
         for number in 0..duration.0 / gap.0 {
             self.now = self.now + gap;
-            for at in 0..self.instances.len() {
-                while let Some(&Reverse((due, _, token))) = self.instances[at].timers.peek() {
+            for index in 0..self.instances.len() {
+                while let Some(&Reverse((due, _, token))) = self.instances[index].timers.peek() {
                     if due > self.now {
                         break;
                     }
-                    self.instances[at].timers.pop();
-                    self.deliver(at, Event::TimerFired(token));
+                    self.instances[index].timers.pop();
+                    self.deliver(index, Event::TimerFired(token));
                 }
             }
-            while let Some(&Reverse((due, _, at, call, hop))) = self.hop_ends.peek() {
+            while let Some(&Reverse((due, _, index, call, hop))) = self.hop_ends.peek() {
                 if due > self.now {
                     break;
                 }
                 self.hop_ends.pop();
                 let (outcome, elapsed, load) = (Outcome::Succeeded, LATENCY, None);
                 let result = HopResult { call, hop, outcome, elapsed, call_over: true, load };
-                self.deliver(at, Event::HopEnded(result));
+                self.deliver(index, Event::HopEnded(result));
             }
             self.sequence += 1;
-            let at = match number as u32 % one_in {
+            let index = match number as u32 % one_in {
                 0 => 1 + number as usize / one_in as usize % (self.instances.len() - 1),
                 _ => 0,
             };
             let (call, workload) = (CallId(self.sequence as u32), WorkloadId(0));
             let (time_left, tenant) = (Micros::millis(2_000), TenantId(0));
             self.deliver(
-                at,
+                index,
                 Event::CallArrived(Arrival {
                     call,
                     workload,
@@ -156,7 +162,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_share_of_all_instances_together() {
+fn all_instances_together_do_not_overload_a_cold_server() {
     for one_in in [4, 10, 1_000] {
         let mut simulation = Simulation::new(FEW_INSTANCES);
         let warm: Vec<ListedServer> = (0..WARM_SERVERS).map(|id| listing(ServerId(id), Micros(0))).collect();
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,6 +1,7 @@
-//! Random events on the module: changing lists, servers that fail in every way, calls of every idempotency,
-//! and pauses of seconds without events. Each action is checked against the rules without any knowledge of
-//! the module's state. In a debug build the module itself compares every pick with a search of all servers.
+//! Random events are passed to the module: changing lists, servers that fail in every way, calls of every
+//! idempotency, and pauses of seconds without events. Each action is checked against the rules without any
+//! knowledge of the module's state. In a debug build the module itself compares every pick with a search of
+//! all servers.
 mod base_config;
 
 use oakhollow::rules::Balancer;
@@ -152,7 +153,7 @@
                     self.check_retry_budget(call, parameters);
                 }
                 Action::Cancel { call, hop } => {
-                    self.end(call, hop.0 as usize, Outcome::Cancelled, parameters)
+                    self.end_hop(call, hop.0 as usize, Outcome::Cancelled, parameters)
                 }
                 Action::Refuse { call, .. } => {
                     let call = self.calls.get_mut(&call).expect("a call that was accepted");
@@ -198,12 +199,12 @@
         }
         call.hops.push(Hop { target, sent_at: self.now, outcome: None });
         let hop = call.hops.len() - 1;
-        let took = Micros(1_000 + self.rng.below(60_000) as u64);
-        let took = if self.rng.uniform() < 0.05 { took.times(15.0) } else { took };
-        self.hop_ends.push(Reverse((self.now + took.min(timeout), self.sequence, id, hop)));
+        let latency = Micros(1_000 + self.rng.below(60_000) as u64);
+        let latency = if self.rng.uniform() < 0.05 { latency.times(15.0) } else { latency };
+        self.hop_ends.push(Reverse((self.now + latency.min(timeout), self.sequence, id, hop)));
     }
 
-    /// Counts the window that ends now, and compares it with the retry budget.
+    /// Counts the hops beyond the first in the window that ends now, and compares them with the retry budget.
     fn check_retry_budget(&mut self, id: CallId, parameters: &Parameters) {
         let Some(budget) = parameters.retry_budget.filter(|_| self.calls[&id].hops.len() > 1) else { return };
         self.extra_hops.push(self.now);
@@ -216,7 +217,7 @@
         );
     }
 
-    fn end(&mut self, id: CallId, hop: usize, outcome: Outcome, parameters: &Parameters) {
+    fn end_hop(&mut self, id: CallId, hop: usize, outcome: Outcome, parameters: &Parameters) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.hops[hop].outcome.is_some() {
@@ -244,13 +245,13 @@
 
     fn advance_to(&mut self, until: Micros, parameters: &Parameters) {
         loop {
-            let timer = self.timers.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= until);
-            let hop_end = self.hop_ends.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= until);
+            let timer = self.timers.peek().map(|Reverse((due, ..))| *due).filter(|due| *due <= until);
+            let hop_end = self.hop_ends.peek().map(|Reverse((due, ..))| *due).filter(|due| *due <= until);
             match (timer, hop_end) {
                 (None, None) => break,
-                (Some(at), hop_end) if hop_end.is_none_or(|end| at <= end) => {
+                (Some(due), hop_end) if hop_end.is_none_or(|end| due <= end) => {
                     if let Some(Reverse((_, _, token))) = self.timers.pop() {
-                        self.now = self.now.max(at);
+                        self.now = self.now.max(due);
                         self.deliver(Event::TimerFired(token), parameters);
                     }
                 }
@@ -258,7 +259,7 @@
                     if let Some(Reverse((_, _, call, hop))) = self.hop_ends.pop() {
                         self.now = self.now.max(hop_end.unwrap_or_default());
                         let outcome = self.outcome(parameters);
-                        self.end(call, hop, outcome, parameters);
+                        self.end_hop(call, hop, outcome, parameters);
                     }
                 }
             }
@@ -274,26 +275,26 @@
         assert!(late.is_none(), "a call without an answer at its deadline");
     }
 
-    fn arrive(&mut self, number: u32, parameters: &Parameters) {
+    fn deliver_call(&mut self, number: u32, parameters: &Parameters) {
         let (call, workload) = (CallId(number), self.rng.below(IDEMPOTENCIES.len()));
         let deadline = self.now + TIME_LEFT;
-        let known = Call {
+        let accepted = Call {
             idempotency: IDEMPOTENCIES[workload],
             deadline,
             hops: Vec::new(),
             answers: 0,
             withdrawn: false,
         };
-        self.calls.insert(call, known);
+        self.calls.insert(call, accepted);
         self.accepted.push(self.now);
         let (workload, tenant, client_retry) = (WorkloadId(workload), TenantId(0), self.rng.uniform() < 0.1);
         let arrival =
             Arrival { call, workload, time_left: TIME_LEFT, tenant, client_retry, affinity_key: None };
         self.deliver(Event::CallArrived(arrival), parameters);
         // Some clients withdraw at once.
-        let known = self.calls.get_mut(&call).expect("just accepted");
-        if self.rng.uniform() < 0.03 && !known.is_over() {
-            known.withdrawn = true;
+        let accepted = self.calls.get_mut(&call).expect("just accepted");
+        if self.rng.uniform() < 0.03 && !accepted.is_over() {
+            accepted.withdrawn = true;
             self.deliver(Event::CallWithdrawn { call }, parameters);
         }
     }
@@ -359,11 +360,11 @@
         let budget = RetryBudget { base: f64::from(base), ratio, window };
         let mut sliding_window = RetryBudgetWindow::new(budget);
         let (mut now, mut accepted, mut extra_hops) = (Micros::millis(5_000), Vec::new(), Vec::new());
-        for (at, (gap, calls)) in gaps.into_iter().enumerate() {
-            if at == handover {
+        for (step, (gap, calls)) in gaps.into_iter().enumerate() {
+            if step == handover {
                 // A successor process starts, and its predecessor sends nothing any more.
                 sliding_window = RetryBudgetWindow::new(RetryBudget { base: 0.0, ratio: 0.0, ..budget });
-            } else if at == handover + 50 {
+            } else if step == handover + 50 {
                 sliding_window.set_budget(budget, now); // the predecessor has ended
             }
             now = now + Micros(gap);
@@ -375,7 +376,7 @@
                 let granted = budget.base + ratio * inside(&accepted, window) as f64;
                 prop_assert!(inside(&extra_hops, window) as f64 <= granted);
             }
-            if at < handover {
+            if step < handover {
                 let part = Micros(window.0 / 32 + 1);
                 let least = budget.base + ratio * inside(&accepted, window - part - part) as f64;
                 prop_assert!(inside(&extra_hops, window + part + part) as f64 + 1.0 > least);
@@ -387,7 +388,7 @@
     fn the_rules_hold_under_random_events(parameters in parameters(), seed in any::<u64>()) {
         let mut simulation = Simulation::new(&parameters, seed);
         for number in 0..parameters.calls {
-            simulation.arrive(number, &parameters);
+            simulation.deliver_call(number, &parameters);
             // Mostly up to 20 ms apart, some less than a millisecond, and sometimes a long pause.
             let gap = match simulation.rng.below(20) {
                 0 => Micros::millis(1_500),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Compares the fleet's totals, ring, subset and classes with a simple reference that computes each of them from all
-//! servers, over random sequences of changes.
+//! Compares the fleet's totals, ring, subset and classes with a simple reference that computes each of them
+//! from all servers, over random sequences of changes.
 use oakhollow::fleet::{Fleet, ServerClass};
 use oakhollow::records::{Health, Server};
 use oakhollow::types::*;
@@ -184,7 +184,7 @@
 struct Comparison {
     fleet: Fleet,
     reference: Reference,
-    /// The share of the ring in a balancer's subset, and the balancer's number.
+    /// The share of the ring that a balancer's subset covers, and the balancer's index.
     share: f64,
     instance_index: f64,
     /// The least capacity of the subset.
@@ -261,7 +261,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(14), ..ProptestConfig::default() })]
 
     #[test]
-    fn matches_the_reference(
+    fn fleet_matches_the_reference(
         changes in prop::collection::vec(change(60), 1..80), instances in 1..12_u32, instance_index in 0..12_u32,
         local_zone in 0..3_u32, min_capacity in 0..30_u32,
     ) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -27,8 +27,8 @@
 //! - `sent SERVER LEAST..MOST`: the number of hops sent to a server; `refused LEAST..MOST`: the number of calls
 //!   refused. Both count since the start or the last `reset_counts`
 //!
-//! ACTION is a prefix of: send ID.HOP SERVER, cancel ID.HOP, refuse ID retry_soon|retry_later (retry_soon if the
-//! retry-after time is under half a second), fail ID, subscribe, tell_peers SERVER, log TEXT.
+//! ACTION is a prefix of: send ID.HOP SERVER, cancel ID.HOP, refuse ID retry_soon|retry_later (retry_soon if
+//! the retry-after time is under half a second), fail ID, subscribe, tell_peers SERVER, log TEXT.
 mod runner;
 
 use oakhollow::rules::Balancer;
@@ -75,10 +75,10 @@
 }
 
 /// Asserts that a count is in the range `LEAST..MOST`.
-fn assert_in_range(range: &str, count: u32, what: &str) {
+fn assert_in_range(range: &str, count: u32, counted: &str) {
     let (least, most) = range.split_once("..").expect("LEAST..MOST");
     let range = least.parse().expect("least")..=most.parse().expect("most");
-    assert!(range.contains(&count), "{count} {what}");
+    assert!(range.contains(&count), "{count} {counted}");
 }
 
 fn hop(text: &str) -> (CallId, HopNo) {
