--- a/accord/src/facts.rs
+++ b/accord/src/facts.rs
@@ -95,20 +95,20 @@
         changes.into_iter().for_each(|(subject, fact)| self.set_fact(subject, fact));
     }
 
-    /// Applies another side's update. Returns false if it is not based on the content known here, or if the
-    /// result does not match its hash; in the second case the set is cleared.
-    pub fn apply_update(&mut self, from: u64, to: u64, changes: Vec<FactChange>) -> bool {
-        if from != 0 && from != self.hash {
+    /// Applies an update that was received. Returns false if it is not based on the content known here, or if
+    /// the result does not match its hash; in the second case the set is cleared.
+    pub fn apply_update(&mut self, base_hash: u64, new_hash: u64, changes: Vec<FactChange>) -> bool {
+        if base_hash != 0 && base_hash != self.hash {
             return false;
         }
-        if from == 0 {
+        if base_hash == 0 {
             *self = FactSet::default();
         }
         self.apply(changes);
-        if self.hash != to {
+        if self.hash != new_hash {
             *self = FactSet::default();
         }
-        self.hash == to
+        self.hash == new_hash
     }
 }
 
@@ -125,12 +125,14 @@
 pub struct Ledger {
     content: FactSet,
     history: VecDeque<LedgerEntry>,
-    /// How many changes were dropped from the front of the history, and for each content hash the last
-    /// position at which it was current. Positions count from the very first change.
+    /// How many changes were dropped from the front of the history.
     dropped: usize,
+    /// For each content hash, the position of the last change made to that content. Positions count all
+    /// changes, including the dropped ones.
     positions: BTreeMap<u64, usize>,
-    /// The positions of the changes that newly excluded a server, and how many facts exclude one now.
+    /// The positions of the changes that newly excluded a server.
     exclusions: VecDeque<usize>,
+    /// How many facts exclude a server now.
     excluded_count: usize,
 }
 
@@ -150,8 +152,8 @@
             return false;
         }
         let newly_excluded = fact.as_ref().is_some_and(|fact| fact.newly_excludes(known));
-        let exclusions = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.excluded));
-        self.excluded_count = self.excluded_count + exclusions(fact.as_ref()) - exclusions(known);
+        let exclusion_count = |fact: Option<&Fact>| usize::from(fact.is_some_and(|fact| fact.excluded));
+        self.excluded_count = self.excluded_count + exclusion_count(fact.as_ref()) - exclusion_count(known);
         let hash = self.hash();
         let position = self.dropped + self.history.len();
         self.positions.insert(hash, position);
@@ -182,15 +184,15 @@
         }
     }
 
-    /// The changes since the content had that hash, with the hash they start from: 0, with the whole content,
-    /// if that hash is no longer remembered.
+    /// The changes since the content had that hash, with the hash of the content that they apply to. If that
+    /// hash is no longer remembered, the hash is 0 and the changes are the whole content.
     pub fn changes_since(&self, hash: u64) -> (u64, Vec<FactChange>) {
         let Some(position) = self.position(hash) else {
             let all = self.facts().iter().map(|(subject, fact)| (subject.clone(), Some(fact.clone())));
             return (0, all.collect());
         };
-        let after = self.history.range(position - self.dropped..);
-        let mut subjects: Vec<&Subject> = after.map(|entry| &entry.subject).collect();
+        let entries = self.history.range(position - self.dropped..);
+        let mut subjects: Vec<&Subject> = entries.map(|entry| &entry.subject).collect();
         subjects.sort_unstable();
         subjects.dedup();
         let changes =
@@ -198,7 +200,7 @@
         (hash, changes.collect())
     }
 
-    /// For how long a holder with the content of that hash has lacked an exclusion; `None` if that can't be
+    /// For how long a holder has lacked an exclusion if its content has that hash; `None` if that can't be
     /// determined.
     pub fn exclusion_lag(&self, hash: u64, now: Micros) -> Option<Micros> {
         match self.position(hash) {
--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -8,19 +8,19 @@
 /// can't.
 pub type Validator = Arc<dyn Fn(&[Arc<str>]) -> Result<(), String> + Send + Sync>;
 
-/// What the host of a lease holder must do, in the given order.
+/// What the host of a lease holder must do. The actions must be carried out in the order of the output.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
     /// Send a message to the lease server of an instance.
     Send(InstanceId, Message),
-    /// Act on the strictest combination of [`LeaseHolder::active_documents`]. Must be done before the actions
-    /// that follow are sent.
+    /// Act on the strictest combination of [`LeaseHolder::active_documents`]. Must be done before any message
+    /// of a later action is sent.
     ApplyDocuments,
-    /// Respect what other instances' lists say now, see [`LeaseHolder::excluded_servers`] and
-    /// [`LeaseHolder::unconfirmed_servers`]. Must be done before the actions that follow are sent.
+    /// Apply the current [`LeaseHolder::excluded_servers`], [`LeaseHolder::unconfirmed_servers`] and
+    /// [`LeaseHolder::foreign_entries`]. Must be done before any message of a later action is sent.
     ApplyLists,
-    /// Apply a maintenance mark that was set at another instance. Must be done before the actions that follow
-    /// are sent.
+    /// Apply a maintenance mark that was set at another instance. Must be done before any message of a later
+    /// action is sent.
     ApplyMaintenance {
         /// The name of the server.
         name: Arc<str>,
@@ -33,16 +33,18 @@
     Log(String),
 }
 
-/// A lease, valid from when it was requested.
+/// A lease from one lease server.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Lease {
-    pub(crate) requested_at: Micros,
+    /// From when the lease counts, for the length of a lease: the time of its request, less the lag that the
+    /// grant states.
+    pub(crate) valid_from: Micros,
     pub(crate) committed: Version,
-    /// The revision of the names on its own list when it was requested.
+    /// The revision of the server names on the holder's own list when the lease was requested.
     names_revision: u64,
 }
 
-/// When a request was sent, and the revision of the names on its own list then.
+/// When a request was sent, and the revision of the server names on the holder's own list at that time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct SentRequest {
     pub(crate) sent_at: Micros,
@@ -99,8 +101,9 @@
         self
     }
 
-    /// Makes it receive facts only about the servers that its own list names, and send to none of those
-    /// before a majority of lease servers has confirmed it.
+    /// Makes it receive facts only about the servers that its own list names. The host must then send nothing
+    /// to a server before a majority of lease servers has confirmed the name, see
+    /// [`LeaseHolder::unconfirmed_servers`].
     pub fn with_subscription(mut self) -> LeaseHolder {
         self.server_view.subscribed = true;
         self
@@ -143,8 +146,8 @@
         self.server_view.unconfirmed_servers()
     }
 
-    /// The entries from other instances' lists whose servers, in that incarnation, this instance's own list
-    /// does not have.
+    /// The entries from other instances' lists for servers that this instance's own list lacks, or has only
+    /// in an earlier incarnation.
     pub fn foreign_entries(&self) -> impl Iterator<Item = &Arc<str>> {
         self.server_view.foreign_entries()
     }
@@ -228,7 +231,7 @@
     /// servers.
     pub fn lease_valid_until(&self) -> Micros {
         let mut expiry_times: Vec<Micros> =
-            self.leases.values().map(|lease| lease.requested_at + self.lease_duration).collect();
+            self.leases.values().map(|lease| lease.valid_from + self.lease_duration).collect();
         expiry_times.sort_unstable_by(|one, other| other.cmp(one));
         expiry_times.get(majority(self.lease_servers.len()) - 1).copied().unwrap_or_default()
     }
@@ -269,16 +272,16 @@
             )));
         }
         let texts: Vec<Arc<str>> = self.documents.values().cloned().chain([text.clone()]).collect();
-        let room = if texts.len() > MAX_PENDING_VERSIONS {
+        let count_check = if texts.len() > MAX_PENDING_VERSIONS {
             Err("too many versions are pending".into())
         } else {
             Ok(())
         };
-        // Each later subset is checked as well: it must be possible to act on a version also once the earlier
-        // ones are superseded.
-        let each = (0..texts.len()).try_for_each(|first| (self.validator)(&texts[first..]));
-        if let Err(why) = room.and(each) {
-            out.push(Action::Log(format!("version {version} rejected: {why}")));
+        // Also checks what is left after the earlier versions are superseded one by one: the instance must be
+        // able to act on each of these combinations.
+        let content_check = (0..texts.len()).try_for_each(|first| (self.validator)(&texts[first..]));
+        if let Err(reason) = count_check.and(content_check) {
+            out.push(Action::Log(format!("version {version} rejected: {reason}")));
             self.reject(version);
             return false;
         }
@@ -290,7 +293,7 @@
 
     fn reject(&mut self, version: Version) {
         self.rejected.insert(version);
-        // Bounds the memory if an author writes endless versions; the lowest are the least likely to be
+        // Bounds the memory if an author keeps writing new versions; the lowest are the least likely to be
         // received again.
         while self.rejected.len() > MAX_PENDING_VERSIONS {
             self.rejected.pop_first();
@@ -319,12 +322,12 @@
     fn refresh_server_view(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(marks) = self.server_view.refresh(now) else { return };
         out.push(Action::ApplyLists);
-        let mark = |(name, fact): (Arc<str>, Fact)| Action::ApplyMaintenance {
+        let apply_mark = |(name, fact): (Arc<str>, Fact)| Action::ApplyMaintenance {
             name,
             in_maintenance: fact.excluded,
             set_at: fact.since,
         };
-        out.extend(marks.into_iter().map(mark));
+        out.extend(marks.into_iter().map(apply_mark));
     }
 
     /// Requests a lease from one lease server, when only that one has something new.
@@ -353,12 +356,12 @@
         &mut self, now: Micros, from: InstanceId, grant: (u64, Version, Micros), out: &mut Vec<Action>,
     ) {
         let (sequence, committed, lag) = grant;
-        // A lease counts from when it was requested, however late the grant arrives, and is shorter by the
-        // time for which an exclusion was missing at the request.
+        // A lease counts from the time of its request, however late the grant arrives, and is shorter by the
+        // time for which this instance had lacked an exclusion when it sent the request.
         let request = self.sent_requests.get(&sequence).copied();
         let names_revision = request.map_or(0, |request| request.names_revision);
         let valid_from = request.map(|request| request.sent_at - lag);
-        let Some(valid_from) = valid_from.filter(|from| *from + self.lease_duration > now) else {
+        let Some(valid_from) = valid_from.filter(|valid_from| *valid_from + self.lease_duration > now) else {
             // The lease has already expired, or its request is too old to be remembered.
             if lag == Micros(0) && self.slow_servers.insert(from) {
                 let lease_duration = self.lease_duration.secs();
@@ -372,14 +375,15 @@
         let known = self.documents.contains_key(&committed);
         if !known
             || !self.server_view.accepts_names_revision(names_revision)
-            || self.leases.get(&from).is_some_and(|lease| {
-                (lease.requested_at, lease.names_revision) >= (valid_from, names_revision)
-            })
+            || self
+                .leases
+                .get(&from)
+                .is_some_and(|lease| (lease.valid_from, lease.names_revision) >= (valid_from, names_revision))
         {
             return;
         }
-        self.leases.insert(from, Lease { requested_at: valid_from, committed, names_revision });
-        self.leases.retain(|_, lease| lease.requested_at + self.lease_duration > now);
+        self.leases.insert(from, Lease { valid_from, committed, names_revision });
+        self.leases.retain(|_, lease| lease.valid_from + self.lease_duration > now);
         self.apply_confirmed_names(out);
         let agreed = self.majority_value(|lease| lease.committed);
         if let Some(agreed) = agreed.filter(|agreed| Some(*agreed) > self.committed) {
@@ -396,14 +400,14 @@
         }
     }
 
-    /// The greatest value that a majority of its leases has reached.
-    fn majority_value<T: Ord>(&self, of: impl Fn(&Lease) -> T) -> Option<T> {
-        let mut held: Vec<T> = self.leases.values().map(of).collect();
-        held.sort_unstable_by(|one, other| other.cmp(one));
-        held.into_iter().nth(majority(self.lease_servers.len()) - 1)
+    /// The greatest value that the leases from a majority of lease servers have reached.
+    fn majority_value<T: Ord>(&self, value_of: impl Fn(&Lease) -> T) -> Option<T> {
+        let mut values: Vec<T> = self.leases.values().map(value_of).collect();
+        values.sort_unstable_by(|one, other| other.cmp(one));
+        values.into_iter().nth(majority(self.lease_servers.len()) - 1)
     }
 
-    /// Allows the servers on its list that a majority of lease servers has confirmed.
+    /// Allows requests to servers whose names a majority of lease servers has confirmed.
     fn apply_confirmed_names(&mut self, out: &mut Vec<Action>) {
         if let Some(agreed) = self
             .majority_value(|lease| lease.names_revision)
--- a/accord/src/lease_server.rs
+++ b/accord/src/lease_server.rs
@@ -34,8 +34,8 @@
     /// The time from which it grants leases and commits versions: those granted before its restart have
     /// expired by then.
     pub(crate) active_from: Micros,
-    /// How long it counts a lease as valid: longer than the holder does.
-    lease_span: Micros,
+    /// How long it counts a lease as valid: longer than the holder does, by [`CLOCK_RATE_TOLERANCE`].
+    padded_lease_duration: Micros,
     pub(crate) documents: BTreeMap<Version, Arc<str>>,
     pub(crate) committed: Option<Version>,
     pub(crate) leases: Leases,
@@ -48,12 +48,12 @@
 impl LeaseServer {
     /// `lease_duration` is how long a lease holder counts its lease as valid.
     pub fn new(now: Micros, lease_duration: Micros) -> LeaseServer {
-        let lease_span = lease_duration.times(1.0 + CLOCK_RATE_TOLERANCE);
-        // Waits for one lease span, so that it does not commit a version that a lease granted before its
-        // restart still prevents.
+        let padded_lease_duration = lease_duration.times(1.0 + CLOCK_RATE_TOLERANCE);
+        // Waits for one lease, so that it does not commit a version that a lease granted before its restart
+        // still prevents.
         LeaseServer {
-            active_from: now + lease_span,
-            lease_span,
+            active_from: now + padded_lease_duration,
+            padded_lease_duration,
             documents: BTreeMap::new(),
             committed: None,
             leases: Leases::default(),
@@ -183,13 +183,13 @@
         if self.reports.last_sequence(from).is_some_and(|last| last >= sequence) {
             return;
         }
-        // Documents for which there is no room are not requested again and again.
-        let room = MAX_PENDING_VERSIONS.saturating_sub(self.documents.len());
+        // Requests no more documents than it can store; the rest would be requested again and again.
+        let free_slots = MAX_PENDING_VERSIONS.saturating_sub(self.documents.len());
         let requested: Vec<Version> = known_versions
             .iter()
             .copied()
             .filter(|version| self.needs_document(*version))
-            .take(room)
+            .take(free_slots)
             .collect();
         if !requested.is_empty() {
             out.push((from, Message::RequestDocuments(requested)));
@@ -201,26 +201,26 @@
         let missing_documents: Vec<_> =
             missing_documents.map(|(version, text)| (*version, text.clone())).collect();
         let committed = self.committed.filter(|committed| known_versions.contains(committed));
-        // A holder that lacks a pending version gets no renewal before it has the document; otherwise the
-        // version could wait for ever.
+        // A holder that lacks a pending version gets no renewal before it has the document; otherwise its
+        // renewed leases could prevent the commit for ever.
         let granted = committed.filter(|_| missing_documents.is_empty() && now >= self.active_from);
-        // A holder whose report is unknown here gets no lease: the leases of others must wait for what it
-        // reports.
+        // A holder whose report is unknown here gets no lease: it must not act on facts that the leases of
+        // other holders do not take into account.
         let report_ref = ReportRef {
             sequence,
             hash: reported_hash,
-            names: names_hash,
+            requested_topic: names_hash,
             received_hash,
-            expires_at: now + self.lease_span,
+            expires_at: now + self.padded_lease_duration,
         };
         let report_known = self.record_report(now, from, report_ref, out);
         let lag = self.reports.ledger_for(from).and_then(|ledger| ledger.exclusion_lag(received_hash, now));
-        let lag = lag.filter(|lag| *lag < self.lease_span && report_known);
+        let lag = lag.filter(|lag| *lag < self.padded_lease_duration && report_known);
         let granted = granted.zip(lag);
         if !missing_documents.is_empty() {
             out.push((from, Message::Documents(missing_documents)));
         }
-        let expires_at = granted.map(|_| now + self.lease_span);
+        let expires_at = granted.map(|_| now + self.padded_lease_duration);
         self.leases.update(from, (known_versions, rejected_versions), expires_at);
         let grant =
             |(committed, lag): (Version, Micros)| Message::LeaseGrant { sequence, committed, lag_us: lag.0 };
@@ -261,12 +261,13 @@
         self.reports.ledger().facts()
     }
 
-    /// How many entries were examined since the start; tests and the lab measure the cost of messages by it.
+    /// How many entries were examined since the start: tests and the test bench measure the cost of messages
+    /// by this count.
     pub fn entries_examined(&self) -> u64 {
         self.entries_examined + self.leases.entries_examined + self.reports.entries_examined()
     }
 
-    /// Commits the latest version that no lease prevents.
+    /// Drops expired leases and reports, and commits the latest version that no lease prevents.
     fn commit_ready_version(&mut self, now: Micros, out: &mut Vec<(HolderId, Message)>) {
         self.leases.expire(now);
         let notify = self.reports.expire(now);
--- a/accord/src/leases.rs
+++ b/accord/src/leases.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
+/// A lease, as the lease server that granted it records it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Lease {
     pub(crate) expires_at: Micros,
@@ -36,14 +37,16 @@
         self.by_holder.iter()
     }
 
-    /// Updates what a holder knows, and renews its lease if one is granted. Does nothing if it has no lease
-    /// and gets none.
+    /// Records the versions that a holder knows and rejects, and renews its lease if one is granted, with the
+    /// expiry time `granted_until`. Does nothing if the holder has no lease and gets none.
     pub(crate) fn update(
         &mut self, from: HolderId,
-        (known_versions, rejected_versions): (BTreeSet<Version>, BTreeSet<Version>), granted: Option<Micros>,
+        (known_versions, rejected_versions): (BTreeSet<Version>, BTreeSet<Version>),
+        granted_until: Option<Micros>,
     ) {
         self.entries_examined += 1;
-        let Some(expires_at) = granted.or_else(|| self.by_holder.get(&from).map(|lease| lease.expires_at))
+        let Some(expires_at) =
+            granted_until.or_else(|| self.by_holder.get(&from).map(|lease| lease.expires_at))
         else {
             return;
         };
@@ -84,7 +87,10 @@
 
     /// When the next valid lease expires.
     pub(crate) fn next_expiry(&self, now: Micros) -> Option<Micros> {
-        let last = HolderId { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
-        self.expiry_order.range((Excluded((now, last)), Unbounded)).next().map(|(expires_at, _)| *expires_at)
+        let greatest_id = HolderId { instance: crate::InstanceId(u32::MAX), incarnation: u64::MAX };
+        self.expiry_order
+            .range((Excluded((now, greatest_id)), Unbounded))
+            .next()
+            .map(|(expires_at, _)| *expires_at)
     }
 }
--- a/accord/src/lib.rs
+++ b/accord/src/lib.rs
@@ -1,13 +1,13 @@
 //! A lease protocol by which instances agree on versions of a document, such as the settings, so that no two
-//! of them act on contradicting rules. A few named instances, the `keepers` of the operator's file, are lease
-//! servers. Every instance is a [`LeaseHolder`]: it requests leases from the lease servers, and acts only
-//! while it holds valid leases from a majority of them. A [`LeaseServer`] commits a new version once each
-//! lease that it granted has expired or its holder knows the version. A lease holder that knows uncommitted
-//! versions acts on the strictest combination of all versions it knows.
+//! of them act on contradicting rules. A few instances, listed as `keepers` in the operator's file, run a
+//! lease server. Every instance is a [`LeaseHolder`]: it requests leases from the lease servers, and acts
+//! only while it holds valid leases from a majority of them. A [`LeaseServer`] commits a new version once
+//! each lease that it granted has expired or its holder knows the version. A lease holder that knows
+//! uncommitted versions acts on the strictest combination of all versions it knows.
 //!
-//! Lease holders also report which servers drain. Lease servers pass that on, and the same leases bound for
-//! how long a lease holder that has not received it may act. `docs/accord.md` has the proof. No I/O, no clock
-//! and no threads: the caller passes the time in.
+//! Lease holders also report which servers drain, and lease servers pass these reports on to the others. The
+//! same leases limit for how long a lease holder may act without having received a report. `docs/accord.md`
+//! has the proof. No I/O, no clock and no threads: the caller passes the time in.
 mod facts;
 mod lease_holder;
 mod lease_server;
@@ -51,8 +51,8 @@
 }
 
 impl std::fmt::Display for Version {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "{}.{}-{:04x}", self.epoch, self.number, self.hash & 0xffff)
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{}.{}-{:04x}", self.epoch, self.number, self.hash & 0xffff)
     }
 }
 
@@ -177,16 +177,17 @@
     StateChanged,
 }
 
-/// The most versions that may be pending, so that an author of endless versions can't exhaust memory.
+/// The most versions that may be pending, so that an author who keeps writing new versions can't exhaust
+/// memory.
 pub const MAX_PENDING_VERSIONS: usize = 16;
 
 /// By what fraction a lease server's clock may run faster than a lease holder's. A lease server counts leases
-/// as valid for longer by it.
+/// as valid for longer by this fraction.
 pub const CLOCK_RATE_TOLERANCE: f64 = 0.03;
 
-/// The length of a lease such that a fact known to one instance binds all instances after
-/// `max_divergence`. At most one lease passes until a lease server has the fact or the instance that
-/// knows it no longer acts, and at most another until no instance acts without it.
+/// The length of a lease such that all instances respect a fact at most `max_divergence` after one instance
+/// learned it. That is two leases: within the first, the fact reaches a lease server or the instance that
+/// knows it stops acting; within the second, each other instance receives the fact or stops acting.
 pub fn lease_duration(max_divergence: Micros) -> Micros {
     max_divergence.times(0.5 / (1.0 + CLOCK_RATE_TOLERANCE))
 }
--- a/accord/src/reports.rs
+++ b/accord/src/reports.rs
@@ -24,12 +24,12 @@
 pub(crate) struct ReportRef {
     pub(crate) sequence: u64,
     pub(crate) hash: u64,
-    pub(crate) names: Topic,
+    pub(crate) requested_topic: Topic,
     pub(crate) received_hash: u64,
     pub(crate) expires_at: Micros,
 }
 
-/// One report, how many holders report it, and how many announced it last.
+/// The content of a report, how many holders report it, and how many announced it last.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 struct KnownReport {
     content: FactSet,
@@ -56,7 +56,7 @@
     reports_by_hash: BTreeMap<u64, KnownReport>,
     /// How many distinct current reports contain each fact.
     fact_counts: BTreeMap<Subject, BTreeMap<Fact, usize>>,
-    /// Subjects for which the ledger has no room.
+    /// Subjects that are not published because the ledger is full.
     overflow: BTreeSet<Subject>,
     /// The published facts, and which holders receive them.
     subscriptions: Subscriptions,
@@ -85,24 +85,24 @@
     /// Records the report that a lease request refers to, and what its sender has received.
     pub(crate) fn record(&mut self, now: Micros, from: HolderId, report: ReportRef) -> ReportOutcome {
         self.entries_examined += 1;
-        let ReportRef { sequence, hash, names, received_hash, expires_at } = report;
+        let ReportRef { sequence, hash, requested_topic, received_hash, expires_at } = report;
         let known = hash == 0 || self.reports_by_hash.contains_key(&hash);
-        let last = self.holders.remove(&from);
-        let (before, announced) =
-            last.as_ref().map_or((0, 0), |state| (state.reported_hash, state.announced));
-        let previous_topic = last.as_ref().map(|state| state.topic);
-        let announced_names = last.as_ref().map_or(0, |state| state.announced_names);
-        if let Some(last) = last {
-            self.expiry_order.remove(&(last.expires_at, from));
+        let previous = self.holders.remove(&from);
+        let (previous_hash, announced) =
+            previous.as_ref().map_or((0, 0), |state| (state.reported_hash, state.announced));
+        let previous_topic = previous.as_ref().map(|state| state.topic);
+        let announced_names = previous.as_ref().map_or(0, |state| state.announced_names);
+        if let Some(previous) = previous {
+            self.expiry_order.remove(&(previous.expires_at, from));
         }
-        let names_known = self.subscriptions.change_topic(from, previous_topic, names);
+        let names_known = self.subscriptions.change_topic(from, previous_topic, requested_topic);
         // While its names are unknown here, a holder receives facts about no servers, or about those of its
         // previous names.
-        let topic = if names_known { names } else { previous_topic.unwrap_or(Some(0)) };
+        let topic = if names_known { requested_topic } else { previous_topic.unwrap_or(Some(0)) };
         if !names_known && previous_topic.is_none() {
             self.subscriptions.change_topic(from, None, topic);
         }
-        let hash = if known { hash } else { before };
+        let hash = if known { hash } else { previous_hash };
         self.holders.insert(
             from,
             HolderState {
@@ -117,26 +117,27 @@
         );
         self.expiry_order.insert((expires_at, from));
         let mut notify = BTreeSet::new();
-        if hash != before {
-            self.replace_report(now, before, hash, &mut notify);
+        if hash != previous_hash {
+            self.replace_report(now, previous_hash, hash, &mut notify);
         }
         ReportOutcome {
-            unknown_report: (!known).then_some(before),
+            unknown_report: (!known).then_some(previous_hash),
             unknown_names: (!names_known).then_some(topic.unwrap_or(0)),
             notify,
         }
     }
 
-    /// Records the server names on a holder's list, as a difference from names that are known. They take
-    /// effect with its next lease request that refers to them.
+    /// Records the server names on a holder's list, as a difference from names that are known; `hashes` are
+    /// those of the known and of the new names. They take effect with its next lease request that refers to
+    /// them.
     pub(crate) fn announce_names(
-        &mut self, from: HolderId, base: (u64, u64), added: Vec<Arc<str>>, removed: &[Arc<str>],
+        &mut self, from: HolderId, hashes: (u64, u64), added: Vec<Arc<str>>, removed: &[Arc<str>],
     ) {
         let Some(announced) = self.holders.get(&from).map(|state| state.announced_names) else { return };
-        if base.1 != announced && self.subscriptions.announce_names(base, added, removed) {
+        if hashes.1 != announced && self.subscriptions.announce_names(hashes, added, removed) {
             self.subscriptions.withdraw_names(announced);
             if let Some(state) = self.holders.get_mut(&from) {
-                state.announced_names = base.1;
+                state.announced_names = hashes.1;
             }
         }
     }
@@ -145,20 +146,20 @@
     /// lease request that refers to it, so that a delayed message can't undo what a later request referred
     /// to.
     pub(crate) fn announce_report(
-        &mut self, from: HolderId, (base, to): (u64, u64), changes: Vec<FactChange>,
+        &mut self, from: HolderId, (base_hash, new_hash): (u64, u64), changes: Vec<FactChange>,
     ) {
         self.entries_examined += changes.len() as u64;
         let Some(announced) = self.holders.get(&from).map(|state| state.announced) else { return };
-        let base = if base == 0 { Some(FactSet::default()) } else { self.content(base).cloned() };
+        let base = if base_hash == 0 { Some(FactSet::default()) } else { self.content(base_hash).cloned() };
         let Some(mut content) = base else { return };
         content.apply(changes);
         // If the result does not match its hash, the holder is asked for its report again.
-        if content.facts().len() > MAX_FACTS || content.hash() != to || to == announced {
+        if content.facts().len() > MAX_FACTS || content.hash() != new_hash || new_hash == announced {
             return;
         }
-        if to != 0 {
+        if new_hash != 0 {
             self.reports_by_hash
-                .entry(to)
+                .entry(new_hash)
                 .or_insert(KnownReport { content, ..KnownReport::default() })
                 .announced_by += 1;
         }
@@ -167,7 +168,7 @@
         }
         self.remove_if_unused(announced);
         if let Some(state) = self.holders.get_mut(&from) {
-            state.announced = to;
+            state.announced = new_hash;
         }
     }
 
@@ -193,15 +194,15 @@
         notify
     }
 
-    /// The update that a holder lacks: the base hash, the new hash and the changes. If the message is lost,
-    /// the holder's next request shows that.
+    /// The update that a holder lacks: the base hash, the new hash and the changes. Counts it as received; if
+    /// the message is lost, the holder's next request shows that.
     pub(crate) fn next_update(&mut self, holder: HolderId) -> Option<(u64, u64, Vec<FactChange>)> {
         let state = self.holders.get_mut(&holder)?;
         let ledger = self.subscriptions.ledger_for(state.topic)?;
-        let (from, changes) = ledger.changes_since(state.received_hash);
+        let (base_hash, changes) = ledger.changes_since(state.received_hash);
         state.received_hash = ledger.hash();
         self.entries_examined += 1 + changes.len() as u64;
-        Some((from, state.received_hash, changes))
+        Some((base_hash, state.received_hash, changes))
     }
 
     fn content(&self, hash: u64) -> Option<&FactSet> {
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Counts one more holder for one report, and one less for another.
+    /// Counts a holder for the added report instead of the removed one, and publishes the facts that change
+    /// by that.
     fn replace_report(
         &mut self, now: Micros, removed_hash: u64, added_hash: u64, notify: &mut BTreeSet<HolderId>,
     ) {
@@ -244,7 +246,7 @@
         }
         self.remove_if_unused(removed_hash);
         self.entries_examined += changed.len() as u64;
-        // Withdraws facts first: that makes room for new ones.
+        // Withdraws facts first, since the ledger may be too full for the new ones.
         let is_withdrawn = |reports: &Reports, subject: &Subject| {
             reports.fact_counts.get(subject).is_none_or(BTreeMap::is_empty)
         };
--- a/accord/src/server_view.rs
+++ b/accord/src/server_view.rs
@@ -40,15 +40,17 @@
     pub share_full_list: bool,
     index: u64,
     own_list: BTreeMap<Arc<str>, Fact>,
-    /// The servers in `own` that were removed from the list, in the order of their removal.
+    /// The servers in `own_list` that were removed from the list, in the order of their removal.
     removed: VecDeque<Arc<str>>,
     reported: Ledger,
     /// Whether it receives facts only about the servers that its own list names.
     pub subscribed: bool,
-    /// Those names, and how many times they have changed. Also the earlier sets by that count, from the one
-    /// that a majority of lease servers has confirmed.
+    /// The server names on its own list.
     names: NameSet,
+    /// How many times these names have changed.
     names_revision: u64,
+    /// The names by their revision, from the revision that a majority of lease servers has confirmed to the
+    /// current one.
     name_revisions: BTreeMap<u64, NameSet>,
     received: BTreeMap<InstanceId, ReceivedFacts>,
     /// For each subject the greatest fact from any lease server.
@@ -123,8 +125,8 @@
         self.name_revisions.first_key_value().map(|(first, _)| *first) != before
     }
 
-    /// The entries from other instances' lists whose servers, in that incarnation, this instance's own list
-    /// does not have.
+    /// The entries from other instances' lists for servers that this instance's own list lacks, or has only
+    /// in an earlier incarnation.
     pub fn foreign_entries(&self) -> impl Iterator<Item = &Arc<str>> {
         let usable = self.merged.iter().filter(|(subject, fact)| {
             let known = self.own_list.get(subject.name()).is_some_and(|own| own.since >= fact.since);
@@ -136,7 +138,7 @@
     /// Applies an update of its own list. Returns whether its report has changed, and whether its names have.
     pub fn apply_list(&mut self, now: Micros, update: ListUpdate) -> (bool, bool) {
         let names_before = self.names.hash();
-        let (report_before, later, advanced) = (
+        let (report_before, index_increased, advanced) = (
             self.reported.hash(),
             update.index > self.index,
             update.index != self.index || update.entries.is_empty(),
@@ -164,9 +166,9 @@
                 .filter(|name| !listed_names.contains(*name) && !self.removed.contains(*name));
             let unlisted: Vec<Arc<str>> = unlisted.cloned().collect();
             for name in unlisted {
-                // A list whose numbers start again may be incomplete at first; what it lacks is not reported
+                // A list whose indexes start again may be incomplete at first; what it lacks is not reported
                 // as removed.
-                if later {
+                if index_increased {
                     self.remove_server(now, &name);
                 } else {
                     self.own_list.remove(&name);
@@ -192,17 +194,17 @@
     /// Starts a new revision of the names.
     fn add_names_revision(&mut self) {
         self.names_revision += 1;
-        // Before the first revision the lease servers have no names.
+        // Revision 0 stands for the names that the lease servers have at first: none.
         if self.name_revisions.is_empty() {
             self.name_revisions.insert(0, NameSet::default());
         }
         self.name_revisions.insert(self.names_revision, self.names.clone());
         // Bounds the memory if the list keeps changing while no lease server answers. The confirmed revision
-        // stays.
+        // stays; the two after it are merged into one.
         if self.name_revisions.len() > MAX_NAME_REVISIONS {
-            let mut between = self.name_revisions.keys().copied().skip(1);
-            if let (Some(second), Some(third)) = (between.next(), between.next()) {
-                // Only names in both sets are confirmed by both.
+            let mut unconfirmed = self.name_revisions.keys().copied().skip(1);
+            if let (Some(second), Some(third)) = (unconfirmed.next(), unconfirmed.next()) {
+                // Keeps only the names in both sets, since a confirmation may be for either.
                 let dropped = self.name_revisions.remove(&third).unwrap_or_default();
                 self.name_revisions.entry(second).and_modify(|names| names.retain_common(&dropped));
             }
@@ -256,9 +258,9 @@
         if self.reported.facts().get(&subject).is_some_and(|known| *known >= fact) {
             return false;
         }
-        let marks = |(subject, _): &(&Subject, &Fact)| matches!(subject, Subject::Maintenance(_));
-        if self.reported.facts().iter().filter(marks).count() >= MAX_MAINTENANCE_MARKS {
-            let returned = self.reported.facts().iter().filter(marks).filter(|(_, fact)| !fact.excluded);
+        let is_mark = |(subject, _): &(&Subject, &Fact)| matches!(subject, Subject::Maintenance(_));
+        if self.reported.facts().iter().filter(is_mark).count() >= MAX_MAINTENANCE_MARKS {
+            let returned = self.reported.facts().iter().filter(is_mark).filter(|(_, fact)| !fact.excluded);
             let oldest = returned.min_by_key(|(_, fact)| fact.since).map(|(subject, _)| subject.clone());
             oldest.map(|oldest| self.reported.set(now, &oldest, None));
         }
@@ -268,9 +270,9 @@
     /// Applies an update from a lease server. Returns false if it is outdated or based on another content.
     pub fn receive(&mut self, from: InstanceId, number: u64, update: (u64, u64, Vec<FactChange>)) -> bool {
         let received = self.received.entry(from).or_default();
-        let late = number <= received.last_update;
+        let outdated = number <= received.last_update;
         received.last_update = received.last_update.max(number);
-        !late && received.content.apply_update(update.0, update.1, update.2)
+        !outdated && received.content.apply_update(update.0, update.1, update.2)
     }
 
     /// Merges what the lease servers sent. Returns the maintenance marks that are new, or `None` if nothing
@@ -287,8 +289,8 @@
         for (subject, fact) in &self.merged {
             match subject {
                 Subject::Maintenance(name) => marks.push((name.clone(), fact.clone())),
-                // Each instance that receives an exclusion also reports it, at second hand, so that it is not
-                // lost if the only instance that knew it stops.
+                // Each instance that receives an exclusion also reports it, as not first hand, so that it is
+                // not lost if the only instance that knew it stops.
                 Subject::Server(name) if fact.excluded && fact.first_hand => {
                     let already_known =
                         before.get(subject).is_some_and(|known| known.excluded && known.since >= fact.since);
--- a/accord/src/state_hash.rs
+++ b/accord/src/state_hash.rs
@@ -5,17 +5,23 @@
 use std::hash::{Hash, Hasher};
 
 impl LeaseServer {
-    /// `name` numbers the holders, so that states that differ only in which holder is which look alike.
-    pub fn hash_state(&self, now: Micros, name: impl Fn(HolderId) -> u32, into: &mut impl Hasher) {
-        (self.active_from - now, self.committed, self.documents.keys().collect::<Vec<_>>()).hash(into);
+    /// `holder_number` replaces the ids of holders, so that the caller can give the same hash to states that
+    /// differ only by a permutation of the holders.
+    pub fn hash_state(&self, now: Micros, holder_number: impl Fn(HolderId) -> u32, hasher: &mut impl Hasher) {
+        (self.active_from - now, self.committed, self.documents.keys().collect::<Vec<_>>()).hash(hasher);
         let valid = self.leases.iter().filter(|(_, lease)| lease.expires_at > now);
         let mut leases: Vec<_> = valid
             .map(|(holder, lease)| {
-                (name(*holder), lease.expires_at - now, &lease.known_versions, &lease.rejected_versions)
+                (
+                    holder_number(*holder),
+                    lease.expires_at - now,
+                    &lease.known_versions,
+                    &lease.rejected_versions,
+                )
             })
             .collect();
         leases.sort_unstable();
-        leases.hash(into);
+        leases.hash(hasher);
     }
 
     /// The number of the last request accepted from that holder.
@@ -25,16 +31,16 @@
 }
 
 impl LeaseHolder {
-    /// Without its leases, which belong to one lease server each.
-    pub fn hash_state(&self, into: &mut impl Hasher) {
-        (self.documents.keys().collect::<Vec<_>>(), &self.rejected, self.committed).hash(into);
+    /// Leaves the leases out: [`LeaseHolder::hash_lease`] hashes the lease from one lease server.
+    pub fn hash_state(&self, hasher: &mut impl Hasher) {
+        (self.documents.keys().collect::<Vec<_>>(), &self.rejected, self.committed).hash(hasher);
     }
 
-    /// The lease from one lease server.
-    pub fn hash_lease(&self, lease_server: InstanceId, now: Micros, into: &mut impl Hasher) {
+    /// Hashes the lease from one lease server.
+    pub fn hash_lease(&self, lease_server: InstanceId, now: Micros, hasher: &mut impl Hasher) {
         let valid =
-            self.leases.get(&lease_server).filter(|lease| lease.requested_at + self.lease_duration > now);
-        valid.map(|lease| (lease.requested_at + self.lease_duration - now, lease.committed)).hash(into);
+            self.leases.get(&lease_server).filter(|lease| lease.valid_from + self.lease_duration > now);
+        valid.map(|lease| (lease.valid_from + self.lease_duration - now, lease.committed)).hash(hasher);
     }
 
     /// For how long a lease for the request with that number would still be valid.
--- a/accord/src/subscriptions.rs
+++ b/accord/src/subscriptions.rs
@@ -1,5 +1,5 @@
-//! Which holders are told about which servers: all servers, or only those that the holder's own list names.
-//! Holders whose lists name the same servers share one subscription, with its own ledger of the facts
+//! Which holders receive facts about which servers: all servers, or only those that the holder's own list
+//! names. Holders whose lists name the same servers share one subscription, with its own ledger of the facts
 //! published to it.
 use crate::facts::{Fact, Ledger, Subject, MAX_FACTS};
 use crate::name_set::NameSet;
@@ -75,11 +75,11 @@
 
     /// Moves a holder from its previous topic, if it had one, to another. Returns false if the names of the
     /// new topic are unknown.
-    pub(crate) fn change_topic(&mut self, holder: HolderId, from: Option<Topic>, to: Topic) -> bool {
-        if from == Some(to) {
+    pub(crate) fn change_topic(&mut self, holder: HolderId, previous: Option<Topic>, topic: Topic) -> bool {
+        if previous == Some(topic) {
             return true;
         }
-        match to {
+        match topic {
             None => _ = self.unfiltered.insert(holder),
             Some(0) => _ = self.by_hash.entry(0).or_default().holders.insert(holder),
             Some(hash) => match self.by_hash.get_mut(&hash) {
@@ -87,8 +87,8 @@
                 None => return false,
             },
         }
-        if let Some(from) = from {
-            self.unsubscribe(holder, from);
+        if let Some(previous) = previous {
+            self.unsubscribe(holder, previous);
         }
         true
     }
@@ -108,16 +108,16 @@
     /// Records a set of names, given as a difference from a known set, that a holder will use in its next
     /// lease requests. Returns false if the base is unknown or the result does not match its hash.
     pub(crate) fn announce_names(
-        &mut self, (base, to): (u64, u64), added: Vec<Arc<str>>, removed: &[Arc<str>],
+        &mut self, (base_hash, new_hash): (u64, u64), added: Vec<Arc<str>>, removed: &[Arc<str>],
     ) -> bool {
         self.entries_examined += (added.len() + removed.len()) as u64;
-        if let Some(known) = self.by_hash.get_mut(&to) {
+        if let Some(known) = self.by_hash.get_mut(&new_hash) {
             known.announced_by += 1;
             return true;
         }
-        let base = match base {
+        let base = match base_hash {
             0 => Some(NameSet::default()),
-            base => self.by_hash.get(&base).map(|known| known.names.clone()),
+            base_hash => self.by_hash.get(&base_hash).map(|known| known.names.clone()),
         };
         let Some(mut names) = base else { return false };
         for name in added {
@@ -126,20 +126,20 @@
             names.add(name);
         }
         removed.iter().for_each(|name| _ = names.remove(name));
-        if names.hash() != to || to == 0 || names.len() > MAX_FACTS {
+        if names.hash() != new_hash || new_hash == 0 || names.len() > MAX_FACTS {
             return false;
         }
         for name in names.iter() {
-            self.hashes_by_name.entry(name.clone()).or_default().insert(to);
+            self.hashes_by_name.entry(name.clone()).or_default().insert(new_hash);
         }
         let ledger = self.ledger_for_names(&names);
         let announced = Subscription { names, ledger, announced_by: 1, ..Subscription::default() };
-        self.by_hash.insert(to, announced);
+        self.by_hash.insert(new_hash, announced);
         true
     }
 
     pub(crate) fn withdraw_names(&mut self, hash: u64) {
-        // There was no announcement.
+        // The holder has announced no names.
         if hash == 0 {
             return;
         }
@@ -165,9 +165,9 @@
         }
     }
 
-    /// The ledger of the published facts about the servers with these names, each dated when its exclusion
-    /// became known. Without these dates a holder that begins to name a server late would get a longer lease
-    /// than it may have.
+    /// The ledger of the published facts about the servers with these names. An exclusion is dated when it
+    /// became known here: otherwise a holder whose list names the server only later would get too long a
+    /// lease.
     fn ledger_for_names(&mut self, names: &NameSet) -> Ledger {
         let subjects =
             names.iter().flat_map(|name| [Subject::Server(name.clone()), Subject::Maintenance(name.clone())]);
@@ -179,7 +179,7 @@
         published.sort();
         self.entries_examined += names.len() as u64;
         let mut ledger = Ledger::default();
-        published.into_iter().for_each(|(at, subject, fact)| _ = ledger.set(at, &subject, Some(fact)));
+        published.into_iter().for_each(|(since, subject, fact)| _ = ledger.set(since, &subject, Some(fact)));
         ledger
     }
 }
