--- a/accord/tests/common/mod.rs
+++ b/accord/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 /// How long a lease holder counts its lease as valid.
-pub const WITHIN: Micros = Micros(400);
+pub const LEASE_DURATION: Micros = Micros(400);
 
 pub fn version(number: u64) -> Version {
     Version { epoch: 0, number, hash: number }
--- a/accord/tests/weighed.rs
+++ b/accord/tests/published_facts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// How long a lease holder counts its lease as valid.
-const WITHIN: Micros = Micros(400);
+const LEASE_DURATION: Micros = Micros(400);
 
 /// A report in plain form: for each server, its `since` and whether it is excluded.
 type PlainReport = BTreeMap<u8, (u64, bool)>;
@@ -16,7 +16,7 @@
 enum Step {
     /// A holder changes its report to this one.
     Report(u8, PlainReport),
-    /// A holder restarts: it is another holder then, which reports nothing yet.
+    /// A holder restarts with a new incarnation, which reports nothing yet.
     Restart(u8),
     /// That many hundredths of a lease pass, in which these holders send requests.
     Pass(u8, Vec<u8>),
@@ -27,9 +27,9 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let report = prop::collection::btree_map(0_u8..6, (0_u64..3, any::<bool>()), 0..5);
     let step = prop_oneof![
-        4 => (0..HOLDERS, report).prop_map(|(at, report)| Step::Report(at, report)),
+        4 => (0..HOLDERS, report).prop_map(|(holder_index, report)| Step::Report(holder_index, report)),
         1 => (0..HOLDERS).prop_map(Step::Restart),
-        3 => (1_u8..60, prop::collection::vec(0..HOLDERS, 0..4)).prop_map(|(hundredths, at)| Step::Pass(hundredths, at)),
+        3 => (1_u8..60, prop::collection::vec(0..HOLDERS, 0..4)).prop_map(|(hundredths, senders)| Step::Pass(hundredths, senders)),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -38,6 +38,7 @@
 struct TestHolder {
     lease_holder: LeaseHolder,
     incarnation: u64,
+    /// The index of its list.
     index: u64,
     report: PlainReport,
     lease_valid_until: Micros,
@@ -50,7 +51,7 @@
 }
 
 fn lease_holder() -> LeaseHolder {
-    LeaseHolder::new(vec![InstanceId(0)], WITHIN, Arc::new(|_: &[Arc<str>]| Ok(())))
+    LeaseHolder::new(vec![InstanceId(0)], LEASE_DURATION, Arc::new(|_: &[Arc<str>]| Ok(())))
 }
 
 fn facts(report: &PlainReport) -> Vec<(Arc<str>, Option<Fact>)> {
@@ -71,16 +72,17 @@
             lease_valid_until: Micros(0),
         };
         let holders = (0..count).map(|_| new_holder()).collect();
-        Cluster { now: Micros(1), lease_server: LeaseServer::new(Micros(0), WITHIN), holders }
+        Cluster { now: Micros(1), lease_server: LeaseServer::new(Micros(0), LEASE_DURATION), holders }
     }
 
-    fn apply_actions(&mut self, at: usize, actions: Vec<Action>) {
-        let holder = &mut self.holders[at];
-        let holder_id = HolderId { instance: InstanceId(at as u32), incarnation: holder.incarnation };
+    fn apply_actions(&mut self, holder_index: usize, actions: Vec<Action>) {
+        let holder = &mut self.holders[holder_index];
+        let holder_id =
+            HolderId { instance: InstanceId(holder_index as u32), incarnation: holder.incarnation };
         for action in actions {
             let Action::Send(_, message) = action else { continue };
             if matches!(message, Message::LeaseRequest { .. }) {
-                holder.lease_valid_until = self.now + WITHIN.times(1.0 + CLOCK_RATE_TOLERANCE);
+                holder.lease_valid_until = self.now + LEASE_DURATION.times(1.0 + CLOCK_RATE_TOLERANCE);
             }
             let mut out = Vec::new();
             self.lease_server.handle_message(self.now, holder_id, message, &mut out);
@@ -88,32 +90,32 @@
             for (to, message) in out {
                 if to == holder_id && matches!(message, Message::UnknownReport { .. }) {
                     let mut actions = Vec::new();
-                    self.holders[at].lease_holder.handle_message(
+                    self.holders[holder_index].lease_holder.handle_message(
                         self.now,
                         InstanceId(0),
                         message,
                         &mut actions,
                     );
-                    self.apply_actions(at, actions);
+                    self.apply_actions(holder_index, actions);
                     return;
                 }
             }
         }
     }
 
-    fn send_request(&mut self, at: usize) {
+    fn send_request(&mut self, holder_index: usize) {
         let mut actions = Vec::new();
-        self.holders[at].lease_holder.handle_message(
+        self.holders[holder_index].lease_holder.handle_message(
             self.now,
             InstanceId(0),
             Message::StateChanged,
             &mut actions,
         );
-        self.apply_actions(at, actions);
+        self.apply_actions(holder_index, actions);
     }
 
-    fn report(&mut self, at: usize, report: PlainReport) {
-        let holder = &mut self.holders[at];
+    fn report(&mut self, holder_index: usize, report: PlainReport) {
+        let holder = &mut self.holders[holder_index];
         holder.index += 1;
         // An entry that is missing from the new report counts as excluded, and is sent as such.
         let previous = std::mem::replace(&mut holder.report, report.clone());
@@ -130,10 +132,11 @@
         let mut actions = Vec::new();
         let update = ListUpdate { index: holder.index, snapshot: false, entries };
         holder.lease_holder.handle_list_update(self.now, update, &mut actions);
-        self.apply_actions(at, actions);
-        self.send_request(at);
+        self.apply_actions(holder_index, actions);
+        self.send_request(holder_index);
     }
 
+    /// The `since` of each server that a holder with a valid lease reports as excluded.
     fn expected(&self) -> BTreeMap<String, u64> {
         let mut greatest = BTreeMap::new();
         for holder in self.holders.iter().filter(|holder| holder.lease_valid_until > self.now) {
@@ -159,9 +162,9 @@
         let mut cluster = Cluster::new(HOLDERS);
         for step in steps {
             match step {
-                Step::Report(at, report) => cluster.report(at as usize, report),
-                Step::Restart(at) => {
-                    let holder = &mut cluster.holders[at as usize];
+                Step::Report(holder_index, report) => cluster.report(holder_index as usize, report),
+                Step::Restart(holder_index) => {
+                    let holder = &mut cluster.holders[holder_index as usize];
                     // The report of the earlier incarnation counts until its lease expires, so it restarts
                     // only after that.
                     if holder.lease_valid_until > cluster.now {
@@ -176,8 +179,8 @@
                     };
                 }
                 Step::Pass(hundredths, senders) => {
-                    cluster.now = cluster.now + WITHIN.times(f64::from(hundredths) / 100.0);
-                    senders.into_iter().for_each(|at| cluster.send_request(at as usize));
+                    cluster.now = cluster.now + LEASE_DURATION.times(f64::from(hundredths) / 100.0);
+                    senders.into_iter().for_each(|holder_index| cluster.send_request(holder_index as usize));
                     cluster.lease_server.handle_timer(cluster.now, &mut Vec::new());
                 }
             }
@@ -186,10 +189,10 @@
     }
 }
 
-/// The entries that a lease server examines for one drain that another holder reports already, beside that
-/// many holders which each report a drain of their own.
+/// How many entries a lease server examines for the report of one drain, if `others` holders have each
+/// reported a different drain before, and one of them this same drain.
 fn entries_examined_for_a_drain(others: u32) -> u64 {
-    let (mut lease_server, now) = (LeaseServer::new(Micros(0), WITHIN), Micros(1));
+    let (mut lease_server, now) = (LeaseServer::new(Micros(0), LEASE_DURATION), Micros(1));
     let mut out = Vec::new();
     let report = |instance: u32,
                   name: String,
@@ -225,7 +228,7 @@
     (0..others).for_each(|other| report(other, format!("s{other}"), &mut lease_server, &mut out));
     assert_eq!(lease_server.facts().len(), others as usize);
     let before = lease_server.entries_examined();
-    // Reports what is reported already: no other holder is concerned.
+    // A fact that another holder reports already: the published facts do not change.
     report(others, "s0".into(), &mut lease_server, &mut out);
     lease_server.entries_examined() - before
 }
--- a/accord/tests/simulation.rs
+++ b/accord/tests/simulation.rs
@@ -5,7 +5,7 @@
 mod state_space;
 mod world;
 
-use common::WITHIN;
+use common::LEASE_DURATION;
 use oakhollow_accord::Message;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -20,8 +20,8 @@
         let mixed = (self.0 ^ (self.0 >> 29)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         mixed ^ (mixed >> 32)
     }
-    fn below(&mut self, most: usize) -> usize {
-        (self.next() % most as u64) as usize
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next() % bound as u64) as usize
     }
     fn fraction(&mut self) -> f64 {
         (self.next() % 10_000) as f64 / 10_000.0
@@ -31,7 +31,8 @@
 /// The outcome of a simulation.
 struct Outcome {
     violation: Option<String>,
-    /// Instances that act on the last version alone at the end, after a period without faults.
+    /// How many instances act on the last version alone, and send to no draining server, at the end of a
+    /// period without faults.
     converged: usize,
     message_count: usize,
 }
@@ -48,22 +49,23 @@
 
 fn simulate(seed: u64, lease_servers: usize, instances: usize, bug: InjectedBug, scope: Scope) -> Outcome {
     let listed = scope == Scope::Listed;
-    let (mut random, mut world) = (Random(seed), World::of(lease_servers, instances, bug, listed));
-    for at in 0..instances {
-        std::sync::Arc::make_mut(&mut world.instances[at]).clock_drift =
+    let (mut random, mut world) =
+        (Random(seed), World::with_subscription(lease_servers, instances, bug, listed));
+    for instance in 0..instances {
+        std::sync::Arc::make_mut(&mut world.instances[instance]).clock_drift =
             0.01 * (2.0 * random.fraction() - 1.0);
-        world.propose(at, 1);
+        world.propose(instance, 1);
         for server in 0..SERVERS {
             if !listed || random.below(2) == 0 {
-                world.update_list(at, (server, 1, false), false);
+                world.update_list(instance, (server, 1, false), false);
             }
         }
     }
     let mut incarnations = vec![1; SERVERS as usize];
-    for at in 0..lease_servers {
-        world.server_clock_drift[at] = 0.01 * (2.0 * random.fraction() - 1.0);
+    for lease_server in 0..lease_servers {
+        world.server_clock_drift[lease_server] = 0.01 * (2.0 * random.fraction() - 1.0);
     }
-    // Some links are bad: they lose more messages.
+    // The messages of some instances are lost more often.
     let loss_rates: Vec<f64> =
         (0..instances).map(|_| if random.below(4) == 0 { 0.7 } else { 0.05 }).collect();
     // One instance may receive no facts about servers, while all other messages reach it.
@@ -74,7 +76,7 @@
         u64,
         usize,
     ) = (Vec::new(), Vec::new(), 1, 0);
-    let (faults_end, duration) = (8.0 * WITHIN.0 as f64, 14.0 * WITHIN.0 as f64);
+    let (faults_end, duration) = (8.0 * LEASE_DURATION.0 as f64, 14.0 * LEASE_DURATION.0 as f64);
     while world.now < duration {
         world.now += 10.0;
         let faulty = world.now < faults_end;
@@ -86,8 +88,8 @@
             world.restart_lease_server(random.below(lease_servers));
         }
         if faulty && random.below(60) == 0 {
-            let file = 1 + random.below(latest_version as usize) as u64;
-            world.restart_instance(random.below(instances), file);
+            let file_version = 1 + random.below(latest_version as usize) as u64;
+            world.restart_instance(random.below(instances), file_version);
         }
         if faulty && random.below(12) == 0 {
             let (server, instance) = (random.below(SERVERS as usize), random.below(instances));
@@ -113,29 +115,31 @@
         }
         world.run_timers();
         let due: Vec<(f64, Envelope)>;
-        (due, in_flight) = in_flight.into_iter().partition(|(at, _)| *at <= world.now);
+        (due, in_flight) = in_flight.into_iter().partition(|(deliver_at, _)| *deliver_at <= world.now);
         for (_, message) in due {
             delivered.push(message.clone());
             let receiver = match &message {
                 Envelope::ToLeaseServer(..) => None,
-                Envelope::ToLeaseHolder(at, ..) => Some(*at),
+                Envelope::ToLeaseHolder(instance, ..) => Some(*instance),
             };
             world.deliver(message);
-            if let Some(pair) = receiver.and_then(|at| Some((at, world.contradiction(at)?))) {
-                let active_versions = |at: usize| &world.instances[at].active_versions;
+            if let Some(pair) = receiver.and_then(|instance| Some((instance, world.contradiction(instance)?)))
+            {
+                let active_versions = |instance: usize| &world.instances[instance].active_versions;
                 let description =
                     format!("{pair:?}: {:?} and {:?}", active_versions(pair.0), active_versions(pair.1));
                 return Outcome { violation: Some(description), converged: 0, message_count };
             }
-            let drain_violation = receiver.and_then(|at| Some((at, world.drain_violation(at)?)));
-            if let Some((at, (other, server, duration))) = drain_violation {
+            let drain_violation =
+                receiver.and_then(|instance| Some((instance, world.drain_violation(instance)?)));
+            if let Some((instance, (other, server, duration))) = drain_violation {
                 let description = format!(
-                    "{at} may send to s{server}, of which {other} has known for {duration} us that it drains"
+                    "instance {instance} may send to s{server}, but instance {other} has known for {duration} us that it drains"
                 );
                 return Outcome { violation: Some(description), converged: 0, message_count };
             }
         }
-        // Stops if the rules produce messages without end.
+        // Fails if the protocol keeps producing messages without end.
         assert!(in_flight.len() < 1_000_000, "seed {seed}: {} messages are in flight", in_flight.len());
         for message in std::mem::take(&mut world.sent) {
             message_count += 1;
@@ -151,10 +155,10 @@
             }
         }
     }
-    // All instances act on the last version alone, and none sends to a server that drains by any list that
-    // names its incarnation.
-    let has_converged = |at: &usize| {
-        let own = &world.instances[*at];
+    // An instance has converged if it acts on the last version alone, and sends to no server of which any
+    // instance's list says that this incarnation, or a later one, drains.
+    let has_converged = |instance: &usize| {
+        let own = &world.instances[*instance];
         let sends = |server: &u64| {
             let Some((incarnation, draining, _)) = own.list.get(server).copied() else { return false };
             let drains = |other: &std::sync::Arc<world::Instance>| {
@@ -164,7 +168,9 @@
                 && own.excluded.get(server).is_none_or(|excluded| *excluded < incarnation)
                 && world.instances.iter().any(drains)
         };
-        world.is_acting(*at) && own.active_versions.len() == 1 && !(0..SERVERS).any(|server| sends(&server))
+        world.is_acting(*instance)
+            && own.active_versions.len() == 1
+            && !(0..SERVERS).any(|server| sends(&server))
     };
     let converged = (0..instances).filter(has_converged).count();
     Outcome { violation: None, converged, message_count }
--- a/accord/tests/state_space/mod.rs
+++ b/accord/tests/state_space/mod.rs
@@ -3,7 +3,7 @@
 //! package's own code. Time advances in steps of 0.6 lease lengths, so a lease is valid for one step, also at
 //! a lease server. An exchange on one link can stop after any of its messages; the next message is then lost,
 //! or delivered at some later time. States that behave alike from then on are visited once.
-use crate::common::WITHIN;
+use crate::common::LEASE_DURATION;
 use crate::world::{Envelope, InjectedBug, World};
 use fnv::FnvHasher;
 use oakhollow_accord::{HolderId, InstanceId, Message};
@@ -14,7 +14,7 @@
 
 const LEASE_SERVERS: usize = 3;
 const INSTANCES: usize = 2;
-const STEP: f64 = 0.6 * WITHIN.0 as f64;
+const STEP: f64 = 0.6 * LEASE_DURATION.0 as f64;
 /// The most messages in one exchange: a lease request, a request for documents, the documents, and a lease.
 const MAX_MESSAGES: usize = 8;
 
@@ -25,12 +25,13 @@
     restarted: bool,
     /// Delayed messages, which may be delivered later or lost.
     delayed: Vec<Envelope>,
-    /// The instance whose turn it is, and which exchanges have taken place in this step.
+    /// The instance whose exchanges in this step have begun and are not complete.
     turn: Option<usize>,
-    /// Whether messages of that instance were lost or delayed in this step, and in how many steps that has
-    /// happened.
+    /// Whether messages of that instance were lost or delayed in this step.
     step_is_faulty: bool,
+    /// In how many steps messages of an instance were lost or delayed.
     faulty_steps: usize,
+    /// Which exchanges have taken place in this step.
     exchanged: [[bool; LEASE_SERVERS]; INSTANCES],
 }
 
@@ -49,8 +50,8 @@
 impl State {
     fn initial(bug: InjectedBug) -> State {
         let mut world = World::new(LEASE_SERVERS, INSTANCES, bug);
-        (0..INSTANCES).for_each(|at| world.propose(at, 1));
-        world.now = 3.0 * WITHIN.0 as f64;
+        (0..INSTANCES).for_each(|holder| world.propose(holder, 1));
+        world.now = 3.0 * LEASE_DURATION.0 as f64;
         let mut state = State {
             world,
             latest_version: 1,
@@ -104,17 +105,19 @@
         pending.extend(self.world.sent.drain(..).filter(on_this_link));
     }
 
+    /// Hashes the state with the instances in that order.
     fn hash_with_order(&self, order: [usize; INSTANCES]) -> u64 {
         let world = &self.world;
         let mut lease_servers: [u64; LEASE_SERVERS] = std::array::from_fn(|lease_server| {
             let mut hasher = DefaultHasher::new();
             let now = world.server_time(lease_server);
-            let name = |holder_id: HolderId| {
-                let at = holder_id.instance.0 as usize;
-                let position = order.iter().position(|holder| *holder == at).unwrap_or(INSTANCES) as u32;
-                position * 2 + u32::from(holder_id.incarnation != world.instances[at].incarnation)
+            let holder_number = |holder_id: HolderId| {
+                let instance = holder_id.instance.0 as usize;
+                let position =
+                    order.iter().position(|holder| *holder == instance).unwrap_or(INSTANCES) as u32;
+                position * 2 + u32::from(holder_id.incarnation != world.instances[instance].incarnation)
             };
-            world.lease_servers[lease_server].hash_state(now, name, &mut hasher);
+            world.lease_servers[lease_server].hash_state(now, holder_number, &mut hasher);
             for holder in order {
                 let (lease_holder, now) = (&world.instances[holder].lease_holder, world.holder_time(holder));
                 lease_holder.hash_lease(InstanceId(lease_server as u32), now, &mut hasher);
@@ -204,8 +207,8 @@
         }
     }
 
-    /// The same for all states that behave alike: the lease servers are interchangeable, and so are the other
-    /// instances.
+    /// A hash that is the same for all states that behave alike: the lease servers are interchangeable, and
+    /// so are the other instances.
     fn hash(&self) -> u64 {
         self.hash_with_order([0, 1]).min(self.hash_with_order([1, 0]))
     }
@@ -218,7 +221,7 @@
                 let mut in_exchange = self.clone();
                 (in_exchange.turn, in_exchange.exchanged[holder][lease_server]) = (Some(holder), true);
                 let mut pending = in_exchange.begin_exchange(holder, lease_server);
-                // Stops after each of the messages.
+                // Produces one successor for each message after which the exchange may stop.
                 for _ in 0..=MAX_MESSAGES {
                     let mut next = in_exchange.clone();
                     let next_message = pending.pop_front();
@@ -265,10 +268,10 @@
                 });
             }
             if bounds.restart && !self.restarted {
-                for file in [1, self.latest_version] {
+                for file_version in [1, self.latest_version] {
                     push_successor(&|state| {
                         state.restarted = true;
-                        state.world.restart_instance(holder, file);
+                        state.world.restart_instance(holder, file_version);
                     });
                 }
             }
@@ -324,8 +327,8 @@
     new_states
 }
 
-/// The states of the next depth, or a pair of instances that contradict each other in one of them. The result
-/// does not depend on which thread takes which chunk.
+/// The new states one step from the frontier, or a pair of instances that contradict each other in one of
+/// them. The result does not depend on which thread takes which chunk.
 fn expand(bounds: &Bounds, frontier: &[State], visited: &mut Visited) -> Result<Vec<State>, (usize, usize)> {
     let (known, chunks, next_chunk) =
         (&*visited, frontier.chunks(CHUNK_SIZE).collect::<Vec<_>>(), AtomicUsize::new(0));
@@ -387,19 +390,19 @@
 /// Takes minutes and several gigabytes of memory.
 #[test]
 #[ignore]
-fn no_message_order_of_more_faults_leads_to_a_contradiction() {
+fn no_message_order_with_more_faults_leads_to_a_contradiction() {
     assert!(explore_all(2, 1, 1) > 1_000_000);
     assert!(explore_all(2, 0, 2) > 1_000_000);
 }
 
 #[test]
 fn injected_bugs_are_found() {
-    let find = |bug, restart, delayed, faulty_steps| {
+    let assert_found = |bug, restart, delayed, faulty_steps| {
         let bounds = Bounds { version_changes: 1, restart, delayed, faulty_steps, max_states: 3_000_000 };
         let result = explore(&bounds, bug);
         println!("{bug:?}: {result:?}");
         assert!(result.is_err(), "{bug:?} is not found");
     };
-    find(InjectedBug::CountsLeaseFromGrant, false, 1, 2);
-    find(InjectedBug::IgnoresPendingVersions, false, 0, 1);
+    assert_found(InjectedBug::CountsLeaseFromGrant, false, 1, 2);
+    assert_found(InjectedBug::IgnoresPendingVersions, false, 0, 1);
 }
--- a/accord/tests/rules.rs
+++ b/accord/tests/versions_and_exclusions.rs
@@ -2,7 +2,7 @@
 //! servers.
 mod common;
 
-use common::{document, version, WITHIN};
+use common::{document, version, LEASE_DURATION};
 use oakhollow_accord::*;
 use std::sync::Arc;
 
@@ -27,11 +27,12 @@
                 Ok(())
             })
         };
-        let holder = |accepts_odd| LeaseHolder::new(vec![LEASE_SERVER], WITHIN, validator(accepts_odd));
+        let holder =
+            |accepts_odd| LeaseHolder::new(vec![LEASE_SERVER], LEASE_DURATION, validator(accepts_odd));
         let holders = vec![holder(true), holder(false)];
         let mut cluster = Cluster {
             now: Micros(0),
-            lease_server: LeaseServer::new(Micros(0), WITHIN),
+            lease_server: LeaseServer::new(Micros(0), LEASE_DURATION),
             holders,
             log: Vec::new(),
         };
@@ -41,19 +42,19 @@
         cluster
     }
 
-    fn propose(&mut self, at: usize, document: Document) -> bool {
+    fn propose(&mut self, holder_index: usize, document: Document) -> bool {
         let mut actions = Vec::new();
-        let accepted = self.holders[at].propose(self.now, document, &mut actions);
-        self.apply_actions(at, actions);
+        let accepted = self.holders[holder_index].propose(self.now, document, &mut actions);
+        self.apply_actions(holder_index, actions);
         accepted
     }
 
-    fn apply_actions(&mut self, at: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, holder_index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(_, message) => {
                     let (from, mut out) =
-                        (HolderId { instance: InstanceId(at as u32), incarnation: 1 }, Vec::new());
+                        (HolderId { instance: InstanceId(holder_index as u32), incarnation: 1 }, Vec::new());
                     self.lease_server.handle_message(self.now, from, message, &mut out);
                     self.deliver(out);
                 }
@@ -65,20 +66,20 @@
 
     fn deliver(&mut self, out: Vec<(HolderId, Message)>) {
         for (to, message) in out.into_iter().filter(|(_, message)| *message != Message::StateChanged) {
-            let (at, mut actions) = (to.instance.0 as usize, Vec::new());
-            self.holders[at].handle_message(self.now, LEASE_SERVER, message, &mut actions);
-            self.apply_actions(at, actions);
+            let (holder_index, mut actions) = (to.instance.0 as usize, Vec::new());
+            self.holders[holder_index].handle_message(self.now, LEASE_SERVER, message, &mut actions);
+            self.apply_actions(holder_index, actions);
         }
     }
 
-    /// Lets that many tenths of a lease pass.
+    /// Advances the time by that many tenths of a lease, and runs the timers after each.
     fn pass_tenths(&mut self, tenths: u32) {
         for _ in 0..tenths {
-            self.now = self.now + WITHIN.times(0.1);
-            for at in 0..self.holders.len() {
+            self.now = self.now + LEASE_DURATION.times(0.1);
+            for holder_index in 0..self.holders.len() {
                 let mut actions = Vec::new();
-                self.holders[at].handle_timer(self.now, &mut actions);
-                self.apply_actions(at, actions);
+                self.holders[holder_index].handle_timer(self.now, &mut actions);
+                self.apply_actions(holder_index, actions);
             }
             let mut out = Vec::new();
             self.lease_server.handle_timer(self.now, &mut out);
@@ -146,11 +147,11 @@
 }
 
 #[test]
-fn documents_without_room_are_not_requested_repeatedly() {
+fn documents_beyond_the_limit_are_not_requested_repeatedly() {
     let mut cluster = Cluster::new();
     (6..40).for_each(|number| _ = cluster.propose(0, document_with_text(number, "odd")));
     assert_eq!(cluster.holders[0].active_documents().count(), MAX_PENDING_VERSIONS);
-    // The second holder rejects all of those, and knows one that the lease server has no room for.
+    // The second holder rejects all of those, and knows one that the lease server can't store.
     assert!(cluster.propose(1, document(50)));
     cluster.pass_tenths(20);
     assert_eq!(cluster.committed(), [Some(version(5)), Some(version(5))]);
@@ -160,14 +161,14 @@
 #[test]
 fn lease_shorter_than_the_round_trip_is_logged_once() {
     let accept_all = |_: &[Arc<str>]| Ok(());
-    let mut holder = LeaseHolder::new(vec![LEASE_SERVER], WITHIN, Arc::new(accept_all));
+    let mut holder = LeaseHolder::new(vec![LEASE_SERVER], LEASE_DURATION, Arc::new(accept_all));
     let (mut actions, mut log_lines) = (Vec::new(), 0);
     holder.propose(Micros(0), document(5), &mut actions);
     for sequence in 1..4 {
         let now = Micros(sequence * 1_000);
         holder.handle_timer(now, &mut actions);
         let late_grant = Message::LeaseGrant { sequence, committed: version(5), lag_us: 0 };
-        holder.handle_message(now + WITHIN + WITHIN, LEASE_SERVER, late_grant, &mut actions);
+        holder.handle_message(now + LEASE_DURATION + LEASE_DURATION, LEASE_SERVER, late_grant, &mut actions);
         log_lines += actions
             .drain(..)
             .filter(|action| matches!(action, Action::Log(text) if text.starts_with("accord.within")))
@@ -176,22 +177,25 @@
     assert_eq!((log_lines, holder.lease_valid_until()), (1, Micros(0)));
 }
 
-/// Applies an update of an instance's own list, and delivers the messages that follow.
-fn update_list(cluster: &mut Cluster, at: usize, index: u64, snapshot: bool, entries: &[(&str, u64, bool)]) {
+/// Applies an update of an instance's own list, delivers the messages that follow, and lets a tenth of a
+/// lease pass.
+fn update_list(
+    cluster: &mut Cluster, holder_index: usize, index: u64, snapshot: bool, entries: &[(&str, u64, bool)],
+) {
     let fact = |since, excluded| Some(Fact { since, excluded, first_hand: true, entry: None });
     let entries = entries.iter().map(|(name, since, excluded)| (Arc::from(*name), fact(*since, *excluded)));
     let (mut actions, entries) = (Vec::new(), entries.collect());
-    cluster.holders[at].handle_list_update(
+    cluster.holders[holder_index].handle_list_update(
         cluster.now,
         ListUpdate { index, snapshot, entries },
         &mut actions,
     );
-    cluster.apply_actions(at, actions);
+    cluster.apply_actions(holder_index, actions);
     cluster.pass_tenths(1);
 }
 
-fn excluded(cluster: &Cluster, at: usize) -> Vec<(String, u64)> {
-    cluster.holders[at]
+fn excluded(cluster: &Cluster, holder_index: usize) -> Vec<(String, u64)> {
+    cluster.holders[holder_index]
         .excluded_servers()
         .into_iter()
         .map(|(name, since)| (name.to_string(), since))
@@ -205,8 +209,8 @@
     update_list(&mut cluster, 1, 1, true, &[("a", 1, false), ("b", 1, false)]);
     update_list(&mut cluster, 0, 2, false, &[("a", 1, true)]);
     assert!(excluded(&cluster, 1).contains(&("a".into(), 1)));
-    // Another discovery says that it is in use, under a higher index: indexes of two discoveries can't be
-    // compared.
+    // The second instance's discovery says that it is in use, under a higher index: the indexes of two
+    // discoveries can't be compared.
     update_list(&mut cluster, 1, 9, false, &[("a", 1, false)]);
     assert!(excluded(&cluster, 1).contains(&("a".into(), 1)));
     // The instance that reported the drain takes it back, and the list of the other one advances.
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn absence_is_a_removal_unless_the_list_starts_again() {
+fn missing_entry_counts_as_removed_unless_the_list_index_decreases() {
     let mut cluster = Cluster::new();
     update_list(&mut cluster, 0, 5, true, &[("a", 1, false), ("b", 1, false)]);
     update_list(&mut cluster, 0, 1, true, &[]);
