--- a/terms/src/list.rs
+++ b/terms/src/list.rs
@@ -67,7 +67,7 @@
 }
 
 impl EndpointEntry {
-    /// Whether the list says that it accepts requests.
+    /// Whether the list says that the endpoint accepts requests.
     pub fn is_active(&self) -> bool {
         matches!(self.status, Status::Active)
     }
@@ -87,7 +87,7 @@
         matches!(self.status, Status::Left)
     }
 
-    /// The entry as the decision module takes it, with the server number that the host has assigned.
+    /// Converts the entry for the decision module, with the server number that the host has assigned.
     pub fn to_listing(&self, server: ServerId, zones: &[String]) -> ListedServer {
         let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         ListedServer {
--- a/terms/src/maintenance.rs
+++ b/terms/src/maintenance.rs
@@ -47,14 +47,15 @@
 }
 
 impl HostClock {
-    /// Converts a time of a process with the clock `writer` to our clock, which says `now`. If the boots
-    /// differ or are unknown, the wall-clock time is used unchanged. The result is never later than `now`.
-    fn rebase(ours: Option<&HostClock>, writer: Option<&HostClock>, at: Micros, now: Micros) -> Micros {
+    /// Converts a time by the clock `writer` of another process to the clock `ours` of this process, which
+    /// says `now`. If the boots differ or are unknown, the wall-clock time is used unchanged. The result is
+    /// never later than `now`.
+    fn rebase(ours: Option<&HostClock>, writer: Option<&HostClock>, time: Micros, now: Micros) -> Micros {
         let offset = match (ours, writer) {
             (Some(ours), Some(writer)) if ours.boot_id == writer.boot_id => ours.offset_us - writer.offset_us,
             _ => 0,
         };
-        Micros(at.0.saturating_add_signed(offset)).min(now)
+        Micros(time.0.saturating_add_signed(offset)).min(now)
     }
 }
 
@@ -139,7 +140,7 @@
     /// A maintenance mark was set.
     #[serde(rename = "mark")]
     MaintenanceChange(MaintenanceChange),
-    /// It accepts no more connections.
+    /// The sender accepts no more connections.
     #[serde(rename = "parting")]
     StoppedAccepting,
 }
@@ -161,22 +162,24 @@
     const RETURN_MEMORY: Micros = Micros::millis(600_000);
 
     /// Sets or clears the maintenance mark of a server.
-    pub fn set(&mut self, name: &str, in_maintenance: bool, at: Micros) {
+    pub fn set(&mut self, name: &str, in_maintenance: bool, set_at: Micros) {
         if in_maintenance {
             self.in_maintenance.insert(name.into());
             self.returned.remove(name);
             return;
         }
         self.in_maintenance.remove(name);
-        self.returned.retain(|_, returned_at| *returned_at + Self::RETURN_MEMORY > at);
+        self.returned.retain(|_, returned_at| *returned_at + Self::RETURN_MEMORY > set_at);
         if self.returned.len() < Self::MAX_ENTRIES {
-            self.returned.insert(name.into(), at);
+            self.returned.insert(name.into(), set_at);
         }
     }
 
-    /// `state` is included for a successor only; `clock` is that of this process.
+    /// Serialises the marks as one line of JSON. `state` is empty unless the line is for a successor; `clock`
+    /// is that of this process.
     pub fn to_json(&self, listen: SocketAddr, state: HandoverState, clock: Option<HostClock>) -> String {
-        let returned = self.returned.iter().map(|(name, at)| (name.clone(), at.0)).collect();
+        let returned =
+            self.returned.iter().map(|(name, returned_at)| (name.clone(), returned_at.0)).collect();
         let health = state.learned.iter().map(HealthRecord::from_health).collect();
         let snapshot = Snapshot {
             version: FORMAT_VERSION,
@@ -190,7 +193,8 @@
         to_json(&snapshot)
     }
 
-    /// `ours` is the clock of this process, which says `now`; the times are converted to it.
+    /// Reads what [`MaintenanceMarks::to_json`] wrote. Converts the times to the clock `ours` of this
+    /// process, which says `now`.
     ///
     /// ```
     /// use oakhollow::{server_health::ServerHealth, types::Micros};
@@ -227,8 +231,8 @@
             return Err(format!("listen: {} belongs to another sidecar", snapshot.listen));
         }
         let writer = snapshot.clock;
-        let to_our_clock = |at| HostClock::rebase(ours, writer.as_ref(), Micros(at), now);
-        let returned = snapshot.returned.into_iter().map(|(name, at)| (name, to_our_clock(at))).collect();
+        let to_our_clock = |time| HostClock::rebase(ours, writer.as_ref(), Micros(time), now);
+        let returned = snapshot.returned.into_iter().map(|(name, time)| (name, to_our_clock(time))).collect();
         let learned = snapshot.health.into_iter().filter_map(HealthRecord::read).collect();
         Ok((
             MaintenanceMarks { in_maintenance: snapshot.in_maintenance, returned },
--- a/terms/src/operator_config.rs
+++ b/terms/src/operator_config.rs
@@ -52,7 +52,8 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccordConfig {
-    /// By the `name` in the instance's file, the address of its lease server as seen from this instance.
+    /// The addresses at which this instance reaches the lease servers, by the `name` in the file of each
+    /// instance.
     pub instances: BTreeMap<String, SocketAddr>,
     /// The instances that run a lease server.
     pub keepers: Vec<String>,
@@ -119,7 +120,7 @@
     fn invalid_key(&self) -> Option<(&'static str, String)> {
         let AccordConfig { instances, keepers, max_divergence_s, .. } = self;
         let listed_only = self.scope == Scope::Listed;
-        let duplicate = keepers.iter().enumerate().find(|(at, keeper)| keepers[..*at].contains(keeper));
+        let duplicate = keepers.iter().enumerate().find(|(index, keeper)| keepers[..*index].contains(keeper));
         let unknown = keepers.iter().find(|keeper| !instances.contains_key(*keeper));
         match () {
             _ if !(Self::MIN_DIVERGENCE_S..=Self::MAX_DIVERGENCE_S).contains(max_divergence_s) => {
@@ -162,17 +163,17 @@
 
     /// Reads the file. An error message is one line with the file, the line and the key.
     pub fn from_file(path: &Path, cores: usize) -> Result<OperatorConfig, String> {
-        let in_file = |error: String| format!("{}: {error}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|error| in_file(error.to_string()))?;
-        OperatorConfig::from_toml(&text, cores).map_err(in_file)
+        let with_path = |error: String| format!("{}: {error}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+        OperatorConfig::from_toml(&text, cores).map_err(with_path)
     }
 
     /// `cores` is the number of cores of the machine.
     pub fn from_toml(text: &str, cores: usize) -> Result<OperatorConfig, String> {
-        let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-        let message = |at: Option<usize>, key: &str, reason: &str| {
+        let line_number = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
+        let message = |offset: Option<usize>, key: &str, reason: &str| {
             let reason = reason.trim().replace('\n', " ");
-            let position = at.map(|at| format!("line {}: ", line(at))).unwrap_or_default();
+            let position = offset.map(|offset| format!("line {}: ", line_number(offset))).unwrap_or_default();
             let key = if key.is_empty() || key == "." { String::new() } else { format!("{key}: ") };
             format!("{position}{key}{reason}")
         };
@@ -184,28 +185,29 @@
             let key = if inner.message().starts_with("unknown field") { String::new() } else { key };
             message(inner.span().map(|span| span.start), &key, inner.message())
         })?;
-        let position_of = |key: &str| {
-            let at = text.lines().position(|line| line.trim_start().starts_with(key));
-            at.map(|at| text.lines().take(at).map(|line| line.len() + 1).sum())
+        let offset_of = |key: &str| {
+            let line_index = text.lines().position(|line| line.trim_start().starts_with(key));
+            line_index.map(|line_index| text.lines().take(line_index).map(|line| line.len() + 1).sum())
         };
         if let Some((key, reason)) = read.accord.as_ref().and_then(AccordConfig::invalid_key) {
-            return Err(message(position_of(key), &format!("accord.{key}"), &reason));
+            return Err(message(offset_of(key), &format!("accord.{key}"), &reason));
         }
         if let Some((key, reason)) = read.plan.as_ref().and_then(|plan| plan.plan().err()) {
-            // A key below sites and calls is on the line of its name, in a table of its own or inline.
+            // A key below `sites` or `calls` is reported at the line of its site or class, which may have a
+            // table of its own or an inline one.
             let name = key.get(1).or(key.first()).map_or("", String::as_str);
             let tables = [name.to_string(), format!("[plan.{}.{name}", key[0])];
-            let at = tables.iter().find_map(|name| position_of(name));
-            return Err(message(at, &format!("plan.{}", key.join(".")), &reason));
+            let offset = tables.iter().find_map(|name| offset_of(name));
+            return Err(message(offset, &format!("plan.{}", key.join(".")), &reason));
         }
         let max_workers = Self::MAX_WORKERS_PER_CORE * cores.max(1);
         if !(1..=max_workers).contains(&read.workers) {
-            let at = position_of("workers");
+            let offset = offset_of("workers");
             let reason = format!(
                 "must be a whole number from 1 to {max_workers} (four for each of {cores} cores), not {}",
                 read.workers
             );
-            return Err(message(at, "workers", &reason));
+            return Err(message(offset, "workers", &reason));
         }
         Ok(read)
     }
--- a/terms/src/settings.rs
+++ b/terms/src/settings.rs
@@ -217,16 +217,21 @@
             Some(_) => Err(format!(".rules.{key}: must be {requirement}")),
         }
         };
-        let share = |value| (0.0..=1.0).contains(&value);
-        let spare = |value: f64| (0.0..=MAX_SPARE_ATTEMPTS).contains(&value) && value.fract() == 0.0;
-        let window = |value| value > 0.0 && value <= MAX_RETRY_WINDOW_S;
+        let is_valid_share = |value| (0.0..=1.0).contains(&value);
+        let is_valid_base = |value: f64| (0.0..=MAX_SPARE_ATTEMPTS).contains(&value) && value.fract() == 0.0;
+        let is_valid_window = |value| value > 0.0 && value <= MAX_RETRY_WINDOW_S;
         Ok(Some(RetryBudget {
-            ratio: checked("budget_share", budget_share, share, "a number from 0 to 1")?,
-            base: checked("spare_attempts", spare_attempts, spare, "a whole number from 0 to 1000000")?,
+            ratio: checked("budget_share", budget_share, is_valid_share, "a number from 0 to 1")?,
+            base: checked(
+                "spare_attempts",
+                spare_attempts,
+                is_valid_base,
+                "a whole number from 0 to 1000000",
+            )?,
             window: micros_from_seconds(checked(
                 "extra_window_s",
                 extra_window_s,
-                window,
+                is_valid_window,
                 "over 0 and at most 3600",
             )?),
         }))
@@ -271,10 +276,10 @@
         json.check_ranges()?;
         let SettingsJson { bounds, rules, .. } = &json;
         let mut workloads = Vec::new();
-        for (at, workload) in json.workloads.iter().enumerate() {
+        for (index, workload) in json.workloads.iter().enumerate() {
             let idempotency = workload.idempotency(bounds.connect_timeout_s).ok_or_else(|| {
                 format!(
-                    ".workloads[{at}].group: must be all, zone or cell for idempotency_key, not {:?}",
+                    ".workloads[{index}].group: must be all, zone or cell for idempotency_key, not {:?}",
                     workload.group
                 )
             })?;
@@ -326,18 +331,19 @@
 }
 
 impl SettingsJson {
-    /// Settings that are valid one by one but not together, as an error message that names the key. With load
-    /// reports in answers the list is pushed; without them it may be pushed or requested, so that servers
-    /// without load reports are supported too. Affinity keys and peer messages need both a pushed list and
-    /// load reports.
+    /// The error message, beginning with a key, if values that are valid one by one do not fit together. With
+    /// load reports in answers the list is pushed; without them it may be pushed or requested, so that
+    /// servers without load reports are supported too. Affinity keys and peer messages need both a pushed
+    /// list and load reports.
     fn find_inconsistency(&self) -> Option<String> {
         let ReportJson { columns, source } = &self.report;
         let has_reports = *source == LoadReportSource::Answers;
         let pushed =
             self.discovery.as_ref().map_or(has_reports, |discovery| *discovery == DiscoveryMode::Pushed);
-        if let Some(at) = columns.iter().position(|column| !LOAD_REPORT_COLUMNS.contains(&column.as_str())) {
-            let (unknown, all) = (&columns[at], LOAD_REPORT_COLUMNS.join(", "));
-            return Some(format!("report.columns[{at}]: unknown value {unknown:?}, known are {all}"));
+        if let Some(index) = columns.iter().position(|column| !LOAD_REPORT_COLUMNS.contains(&column.as_str()))
+        {
+            let (unknown, all) = (&columns[index], LOAD_REPORT_COLUMNS.join(", "));
+            return Some(format!("report.columns[{index}]: unknown value {unknown:?}, known are {all}"));
         }
         let message = match () {
             _ if *source == LoadReportSource::None && !columns.is_empty() => {
@@ -367,39 +373,42 @@
     /// Checks values that parse but are out of range.
     fn check_ranges(&self) -> Result<(), String> {
         let SettingsJson { bounds, rules, .. } = self;
-        let from_zero = |key: String, value: f64| match value >= 0.0 {
+        let check_not_negative = |key: String, value: f64| match value >= 0.0 {
             true => Ok(()),
             false => Err(format!("{key}: must be a number from 0 up")),
         };
-        let over_zero = |key: String, value: f64| match value > 0.0 {
+        let check_positive = |key: String, value: f64| match value > 0.0 {
             true => Ok(()),
             false => Err(format!("{key}: must be over 0")),
         };
-        from_zero(".bounds.connect_timeout_s".into(), bounds.connect_timeout_s)?;
-        from_zero(".bounds.idle_close_s".into(), bounds.idle_close_s)?;
-        from_zero(".bounds.max_retry_after_s".into(), bounds.max_retry_after_s)?;
-        from_zero(".goal.worst_class".into(), self.goal.worst_class)?;
-        from_zero(".overage_payoff".into(), self.overage_payoff)?;
-        from_zero(".rules.ask_within_s".into(), rules.ask_within_s)?;
-        from_zero(".rules.cold_from".into(), rules.cold_from)?;
-        from_zero(".rules.fall_s".into(), rules.fall_s)?;
-        from_zero(".rules.stop_sending_within_s".into(), rules.stop_sending_within_s)?;
-        from_zero(".rules.warm_within_s".into(), rules.warm_within_s)?;
-        for (at, workload) in self.workloads.iter().enumerate() {
-            let key = |name: &str| format!(".workloads[{at}].{name}");
-            over_zero(key("quoted_time_s"), workload.quoted_time_s)?;
-            over_zero(key("abandon_time_s"), workload.abandon_time_s)?;
-            from_zero(key("payoff"), workload.payoff)?;
-            from_zero(key("memory_span_s"), workload.memory_span_s)?;
+        check_not_negative(".bounds.connect_timeout_s".into(), bounds.connect_timeout_s)?;
+        check_not_negative(".bounds.idle_close_s".into(), bounds.idle_close_s)?;
+        check_not_negative(".bounds.max_retry_after_s".into(), bounds.max_retry_after_s)?;
+        check_not_negative(".goal.worst_class".into(), self.goal.worst_class)?;
+        check_not_negative(".overage_payoff".into(), self.overage_payoff)?;
+        check_not_negative(".rules.ask_within_s".into(), rules.ask_within_s)?;
+        check_not_negative(".rules.cold_from".into(), rules.cold_from)?;
+        check_not_negative(".rules.fall_s".into(), rules.fall_s)?;
+        check_not_negative(".rules.stop_sending_within_s".into(), rules.stop_sending_within_s)?;
+        check_not_negative(".rules.warm_within_s".into(), rules.warm_within_s)?;
+        for (index, workload) in self.workloads.iter().enumerate() {
+            let key = |name: &str| format!(".workloads[{index}].{name}");
+            check_positive(key("quoted_time_s"), workload.quoted_time_s)?;
+            check_positive(key("abandon_time_s"), workload.abandon_time_s)?;
+            check_not_negative(key("payoff"), workload.payoff)?;
+            check_not_negative(key("memory_span_s"), workload.memory_span_s)?;
         }
         let mut with_names =
             self.workloads.iter().enumerate().filter(|(_, workload)| !workload.name.is_empty());
-        let duplicate = |at: usize, name: &str| self.workloads[..at].iter().any(|other| other.name == name);
-        if let Some((at, workload)) = with_names.find(|(at, workload)| duplicate(*at, &workload.name)) {
-            return Err(format!(".workloads[{at}].name: {:?} appears twice", workload.name));
+        let is_duplicate =
+            |index: usize, name: &str| self.workloads[..index].iter().any(|other| other.name == name);
+        if let Some((index, workload)) =
+            with_names.find(|(index, workload)| is_duplicate(*index, &workload.name))
+        {
+            return Err(format!(".workloads[{index}].name: {:?} appears twice", workload.name));
         }
-        for (at, tenant) in self.tenants.iter().enumerate() {
-            from_zero(format!(".tenants[{at}].quota_per_s"), tenant.quota_per_s)?;
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            check_not_negative(format!(".tenants[{index}].quota_per_s"), tenant.quota_per_s)?;
         }
         match () {
             _ if self.balancers == 0 => Err(".balancers: must be 1 or more".into()),
@@ -426,8 +435,9 @@
 }
 
 impl WorkloadJson {
-    /// A retry arrives later than it was decided on, by up to the connect timeout. The window is shorter by
-    /// that, so that a retry does not arrive after its server has forgotten the key.
+    /// When a request may be repeated; `None` if the group is invalid. A retry may arrive later than it was
+    /// decided on, by up to the connect timeout. The window is shorter by that, so that a retry does not
+    /// arrive after its server has forgotten the key.
     fn idempotency(&self, connect_timeout_s: f64) -> Option<Idempotency> {
         let window = micros_from_seconds(self.memory_span_s - connect_timeout_s);
         let scope = match self.group.as_str() {
--- a/terms/src/shared_settings.rs
+++ b/terms/src/shared_settings.rs
@@ -10,12 +10,12 @@
 ///
 /// ```
 /// use oakhollow_terms::LocalSettings;
-/// let of = |me: u32, hops: u32| format!(r#"{{"me":{me},"balancers":2,"bounds":{{"most_hops":{hops}}},
+/// let json = |me: u32, hops: u32| format!(r#"{{"me":{me},"balancers":2,"bounds":{{"most_hops":{hops}}},
 ///   "rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5}},
 ///   "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":1,"semantics":"read_like"}}]}}"#);
-/// let (local, first) = LocalSettings::split(&of(1, 3)).unwrap();
-/// let (_, second) = LocalSettings::split(&of(0, 2)).unwrap();
-/// assert_eq!(first, LocalSettings::split(&of(0, 3)).unwrap().1);
+/// let (local, first) = LocalSettings::split(&json(1, 3)).unwrap();
+/// let (_, second) = LocalSettings::split(&json(0, 2)).unwrap();
+/// assert_eq!(first, LocalSettings::split(&json(0, 3)).unwrap().1);
 /// let settings = local.merge(&[first.text.as_str(), &second.text]).unwrap();
 /// assert_eq!((settings.balancer.instance_index, settings.balancer.max_hops), (1, 2));
 /// ```
@@ -49,7 +49,7 @@
         if let Value::Object(all) = &mut all {
             all.extend(self.0.clone());
         }
-        SidecarConfig::on_sockets(read_json(all.to_string().as_bytes())?)
+        SidecarConfig::adapt_to_sockets(read_json(all.to_string().as_bytes())?)
     }
 }
 
--- a/terms/src/sidecar_config.rs
+++ b/terms/src/sidecar_config.rs
@@ -78,12 +78,12 @@
 impl SidecarConfig {
     /// The fewest file descriptors that a sidecar can work with.
     const MIN_SOCKETS: usize = 64;
-    /// The longest interval between two list requests, half of the time within which the decision module has
+    /// The longest interval between two list requests: half of the time within which the decision module has
     /// to make one. Whatever the settings allow, a sidecar counts as knowing a change 6 s after discovery has
-    /// it and can be reached: two such intervals, one of them for a request that failed, and one second for a
-    /// request that succeeds and for a slow machine.
+    /// it and can be reached. That leaves time for two intervals, as the request after the first one may
+    /// fail, and one second for a request that succeeds and for a slow machine.
     pub const MAX_LIST_REQUEST_INTERVAL: Micros = Micros::millis(2_500);
-    /// How long the list may go without a list request, if the settings don't say, or allow more.
+    /// The longest time without a list request, if the settings set no limit or a higher one.
     const MAX_LIST_REQUEST_GAP: Micros = Micros(2 * Self::MAX_LIST_REQUEST_INTERVAL.0);
     /// The shortest interval between two list requests, however short the drain grace, so that failing
     /// requests don't follow each other without a pause.
@@ -101,35 +101,36 @@
 
     /// Reads the file. An error message is one line with the file and the key.
     pub fn from_file(path: &Path) -> Result<SidecarConfig, String> {
-        let in_file = |error: String| format!("{}: {}", path.display(), error.replace('\n', " "));
-        let json = std::fs::read(path).map_err(|error| in_file(error.to_string()))?;
-        let mut config: SidecarConfig = read_json(&json).map_err(in_file)?;
-        config.keys = KeySet::of(&json);
-        config.settings =
-            Self::on_sockets(config.settings).map_err(|error| in_file(format!("settings.{error}")))?;
-        let json: serde_json::Value = read_json(&json).map_err(in_file)?;
+        let with_path = |error: String| format!("{}: {}", path.display(), error.replace('\n', " "));
+        let json = std::fs::read(path).map_err(|error| with_path(error.to_string()))?;
+        let mut config: SidecarConfig = read_json(&json).map_err(with_path)?;
+        config.keys = KeySet::from_json(&json);
+        config.settings = Self::adapt_to_sockets(config.settings)
+            .map_err(|error| with_path(format!("settings.{error}")))?;
+        let json: serde_json::Value = read_json(&json).map_err(with_path)?;
         config.settings_text = json["settings"].to_string();
         match () {
             _ if config.limits.sockets < Self::MIN_SOCKETS => {
-                Err(in_file(format!("limits.sockets: must be {} or more", Self::MIN_SOCKETS)))
+                Err(with_path(format!("limits.sockets: must be {} or more", Self::MIN_SOCKETS)))
             }
             _ if config.limits.memory_mb < Self::MIN_MEMORY_MB => {
-                Err(in_file(format!("limits.memory_mb: must be {} or more", Self::MIN_MEMORY_MB)))
+                Err(with_path(format!("limits.memory_mb: must be {} or more", Self::MIN_MEMORY_MB)))
             }
             _ => Ok(config),
         }
     }
 
     /// Adapts the settings to a sidecar on sockets.
-    pub(crate) fn on_sockets(mut settings: Settings) -> Result<Settings, String> {
+    pub(crate) fn adapt_to_sockets(mut settings: Settings) -> Result<Settings, String> {
         // On sockets the list is never pushed unrequested: the sidecar must open a watch, also where the
         // simulator would push the list.
         let balancer = &mut settings.balancer;
         if balancer.resubscribe_within.0 == 0 || balancer.resubscribe_within > Self::MAX_LIST_REQUEST_GAP {
             balancer.resubscribe_within = Self::MAX_LIST_REQUEST_GAP;
         }
-        // The settings count a change of a pushed list as known even while no watch is open. The sidecar must
-        // not be without a watch for longer than requests may still be sent to a draining server.
+        // Settings for a pushed list assume that a change is known even while no watch is open. The sidecar
+        // must therefore not be without a watch for longer than requests may still be sent to a draining
+        // server.
         if !std::mem::replace(&mut balancer.must_subscribe, true) && settings.drain_grace.0 > 0 {
             balancer.resubscribe_within =
                 balancer.resubscribe_within.min(settings.drain_grace.max(Self::MIN_LIST_REQUEST_INTERVAL));
@@ -138,7 +139,7 @@
             return Err(inconsistency.clone());
         }
         match settings.workloads.iter().position(|workload| workload.name.is_empty()) {
-            Some(at) => Err(format!("workloads[{at}].name: missing")),
+            Some(index) => Err(format!("workloads[{index}].name: missing")),
             None => Ok(settings),
         }
     }
@@ -161,7 +162,7 @@
                 r#"{{"me":0,"balancers":1,"discovery":"{discovery}","bounds":{{"most_hops":2}},"rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5{rest}}},
                 "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"semantics":"read_like"}}]}}"#
             );
-            let balancer = SidecarConfig::on_sockets(read_json(json.as_bytes()).expect("settings"))
+            let balancer = SidecarConfig::adapt_to_sockets(read_json(json.as_bytes()).expect("settings"))
                 .expect("valid settings")
                 .balancer;
             assert!(balancer.must_subscribe);
--- a/terms/src/site_plan.rs
+++ b/terms/src/site_plan.rs
@@ -7,17 +7,21 @@
 ///
 /// ```
 /// use oakhollow_terms::OperatorConfig;
-/// let text = |goes: &str, first: &str, floor: f64| format!(r#"[plan]
-/// refuse_first = ["{first}"]
+/// let text = |failover: &str, refuse_first: &str, floor: f64| format!(r#"[plan]
+/// refuse_first = ["{refuse_first}"]
 /// [plan.calls]
 /// order = {{ payoff = 5.0, floor = {floor} }}
 /// search = {{ payoff = 1.0 }}
 /// [plan.sites]
-/// lj = {{ room = 100.0, goes = {goes}, load = {{ order = 80.0, search = 10.0 }} }}
+/// lj = {{ room = 100.0, goes = {failover}, load = {{ order = 80.0, search = 10.0 }} }}
 /// mb = {{ room = 60.0, load = {{ order = 70.0 }} }}
 /// "#);
-/// let read = |goes: &str, first: &str, floor: f64| OperatorConfig::from_toml(&text(goes, first, floor), 8);
-/// let error = |goes: &str, first: &str, floor: f64| read(goes, first, floor).map(|_| ()).unwrap_err();
+/// let read = |failover: &str, refuse_first: &str, floor: f64| {
+///     OperatorConfig::from_toml(&text(failover, refuse_first, floor), 8)
+/// };
+/// let error = |failover: &str, refuse_first: &str, floor: f64| {
+///     read(failover, refuse_first, floor).map(|_| ()).unwrap_err()
+/// };
 /// assert!(read("\"room\"", "search", 0.2).unwrap().site_plan().is_some());
 /// assert_eq!(error("{ kp = 1.0 }", "search", 0.2), "line 7: plan.sites.lj.goes: there is no site \"kp\"");
 /// assert_eq!(error("{ mb = 0.5 }", "search", 0.2), "line 7: plan.sites.lj.goes: shares add up to 0.5, not to 1");
@@ -92,6 +96,7 @@
 pub(crate) type PlanError = (Vec<String>, String);
 
 impl SitePlanConfig {
+    /// Checks the values and replaces names by ids.
     pub(crate) fn plan(&self) -> Result<Plan, PlanError> {
         let error =
             |key: &[&str], reason: String| (key.iter().map(|part| part.to_string()).collect(), reason);
@@ -122,20 +127,20 @@
                 FailoverConfig::Word(FailoverWord::ByCapacity) => Failover::ByCapacity,
                 FailoverConfig::Word(FailoverWord::Drop) => Failover::Drop,
                 FailoverConfig::Shares(shares) => {
-                    let mut to = Vec::new();
+                    let mut targets = Vec::new();
                     for (other, share) in shares {
                         let id = site_id(other)
                             .ok_or_else(|| error(&key, format!("there is no site {other:?}")))?;
                         if other == name {
                             return Err(error(&key, "a site's load can't go to itself".into()));
                         }
-                        to.push((id, fraction(&key, *share)?));
+                        targets.push((id, fraction(&key, *share)?));
                     }
                     let sum: f64 = shares.values().sum();
                     if (sum - 1.0).abs() > 1e-6 {
                         return Err(error(&key, format!("shares add up to {sum}, not to 1")));
                     }
-                    Failover::Shares(to)
+                    Failover::Shares(targets)
                 }
             };
             let mut load = vec![0.0; classes.len()];
--- a/terms/src/stricter.rs
+++ b/terms/src/stricter.rs
@@ -80,12 +80,15 @@
 /// let merge = |before: serde_json::Value, after: serde_json::Value| stricter(&before, &after);
 /// let bounds = |hops: u32, cancel: bool| json!({"bounds": {"most_hops": hops, "cancel": cancel}});
 /// assert_eq!(merge(bounds(3, true), bounds(4, false)), Ok(bounds(3, false)));
-/// let class = |name: &str, how: &str, payoff: u32| json!({"name": name, "semantics": how, "payoff": payoff});
-/// let of = |all: &[serde_json::Value]| json!({ "workloads": all });
-/// let (view, pay) = (class("view", "read_like", 1), class("pay", "non_idempotent", 2));
-/// let changed = of(&[class("view", "non_idempotent", 9), class("new", "read_like", 1)]);
-/// assert_eq!(merge(of(&[view, pay.clone()]), changed), Ok(of(&[class("view", "non_idempotent", 1)])));
-/// let error = merge(of(&[pay]), of(&[class("new", "read_like", 1)])).unwrap_err();
+/// let workload = |name: &str, semantics: &str, payoff: u32| {
+///     json!({"name": name, "semantics": semantics, "payoff": payoff})
+/// };
+/// let settings = |all: &[serde_json::Value]| json!({ "workloads": all });
+/// let (view, pay) = (workload("view", "read_like", 1), workload("pay", "non_idempotent", 2));
+/// let changed = settings(&[workload("view", "non_idempotent", 9), workload("new", "read_like", 1)]);
+/// let merged = settings(&[workload("view", "non_idempotent", 1)]);
+/// assert_eq!(merge(settings(&[view, pay.clone()]), changed), Ok(merged));
+/// let error = merge(settings(&[pay]), settings(&[workload("new", "read_like", 1)])).unwrap_err();
 /// assert_eq!(error, "workloads: no workload is in both versions");
 /// let error = merge(json!({"odd": 1}), json!({"odd": 2})).unwrap_err();
 /// assert_eq!(error, "odd: changed, but there is no rule for which value is stricter");
@@ -101,18 +104,18 @@
     merge("", &object(before)?, &object(after)?).map(Value::Object)
 }
 
-fn merge(at: &str, before: &Object, after: &Object) -> Result<Object, String> {
+fn merge(parent: &str, before: &Object, after: &Object) -> Result<Object, String> {
     let mut merged = Object::new();
     let new = after.keys().filter(|key| !before.contains_key(*key));
     for key in before.keys().chain(new) {
-        let path = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
+        let path = if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") };
         let rule = RULES.iter().find(|(known, _)| *known == path).map(|(_, rule)| *rule);
         let (earlier, later) = (before.get(key), after.get(key));
         if let Some(value) = merge_value(&path, rule, earlier, later)? {
             merged.insert(key.clone(), value);
         }
     }
-    match at {
+    match parent {
         "workloads" => merge_semantics(&mut merged, before, after),
         "rules" => merge_retry_budget(&mut merged, before, after),
         _ => {}
@@ -132,7 +135,7 @@
             Some(order) if order == wanted => Some(earlier.clone()),
             _ => Some(later.clone()),
         },
-        // Defaults are not known here: a stated value counts.
+        // Defaults are not known here, so the value that is set counts.
         (earlier, later) => earlier.or(later).cloned(),
     };
     Ok(match (rule, earlier, later) {
@@ -168,18 +171,18 @@
 }
 
 fn merge_workloads(path: &str, before: &[Value], after: &[Value]) -> Result<Value, String> {
-    let mut both = Vec::new();
+    let mut merged = Vec::new();
     for earlier in before {
         let later = earlier.get("name").and_then(|name| find_by_name(after, name));
         if let (Some(earlier), Some(later)) = (earlier.as_object(), later.and_then(Value::as_object)) {
-            both.push(Value::Object(merge(path, earlier, later)?));
+            merged.push(Value::Object(merge(path, earlier, later)?));
         }
     }
     // Settings without any workload would be invalid.
-    if both.is_empty() {
+    if merged.is_empty() {
         return Err(format!("{path}: no workload is in both versions"));
     }
-    Ok(Value::Array(both))
+    Ok(Value::Array(merged))
 }
 
 fn merge_tenants(before: &[Value], after: &[Value]) -> Value {
@@ -226,8 +229,8 @@
     }
 }
 
-/// A retry budget that stays within both. If the windows differ, only the fixed number of retries is certain
-/// to do so, and the share becomes 0.
+/// A retry budget that never allows more than either of the two. If the windows differ, that is certain only
+/// of the fixed number of retries, and the share becomes 0.
 fn merge_retry_budget(merged: &mut Object, before: &Object, after: &Object) {
     let keys = ["spare_attempts", "budget_share", "extra_window_s"];
     let read = |rules: &Object| {
@@ -243,7 +246,8 @@
             });
         }
     };
-    let pick = |key: usize, earlier: bool| if earlier { &before[keys[key]] } else { &after[keys[key]] };
+    let pick =
+        |key: usize, from_before: bool| if from_before { &before[keys[key]] } else { &after[keys[key]] };
     merged.insert(keys[0].into(), pick(0, earlier.0 <= later.0).clone());
     let share = if earlier.2 == later.2 { pick(1, earlier.1 <= later.1).clone() } else { 0.0.into() };
     merged.insert(keys[1].into(), share);
