--- a/accord/src/lease_holder.rs
+++ b/accord/src/lease_holder.rs
@@ -70,7 +70,7 @@
     next_request_at: Micros,
     server_view: ServerView,
     /// Lease servers whose last grant arrived after its lease had expired.
-    slow_servers: BTreeSet<InstanceId>,
+    slow_lease_servers: BTreeSet<InstanceId>,
 }
 
 impl LeaseHolder {
@@ -91,7 +91,7 @@
             leases: BTreeMap::new(),
             next_request_at: Micros(0),
             server_view: ServerView::default(),
-            slow_servers: BTreeSet::new(),
+            slow_lease_servers: BTreeSet::new(),
         }
     }
 
@@ -363,7 +363,7 @@
         let valid_from = request.map(|request| request.sent_at - lag);
         let Some(valid_from) = valid_from.filter(|valid_from| *valid_from + self.lease_duration > now) else {
             // The lease has already expired, or its request is too old to be remembered.
-            if lag == Micros(0) && self.slow_servers.insert(from) {
+            if lag == Micros(0) && self.slow_lease_servers.insert(from) {
                 let lease_duration = self.lease_duration.secs();
                 out.push(Action::Log(format!(
                     "accord.within: a keeper's answer took longer than the lease duration of {lease_duration:.3} s"
@@ -371,7 +371,7 @@
             }
             return;
         };
-        self.slow_servers.remove(&from);
+        self.slow_lease_servers.remove(&from);
         let known = self.documents.contains_key(&committed);
         if !known
             || !self.server_view.accepts_names_revision(names_revision)
--- a/accord/src/reports.rs
+++ b/accord/src/reports.rs
@@ -6,16 +6,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The state of one holder: the hash of its report, and what it has received from this lease server.
+/// What this lease server knows of one holder.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct HolderState {
     pub(crate) sequence: u64,
     reported_hash: u64,
     /// The hash of the report it announced last, which its next lease requests will refer to.
-    announced: u64,
-    /// The servers it receives facts about, and the hash of the names it announced last.
+    announced_report: u64,
+    /// The servers it receives facts about.
     topic: Topic,
+    /// The hash of the names it announced last.
     announced_names: u64,
+    /// The hash of the facts it has received, or that were sent to it since its last request.
     received_hash: u64,
     expires_at: Micros,
 }
@@ -39,9 +41,9 @@
 
 /// The result of a lease request.
 pub(crate) struct ReportOutcome {
-    /// The hash of the last known report, if the one that the request refers to is unknown here; likewise for
-    /// the names.
+    /// If the report that the request refers to is unknown here: the hash of the holder's last known report.
     pub(crate) unknown_report: Option<u64>,
+    /// If the names that the request refers to are unknown here: the hash of the holder's last known names.
     pub(crate) unknown_names: Option<u64>,
     /// The holders to notify because published facts have changed.
     pub(crate) notify: BTreeSet<HolderId>,
@@ -88,8 +90,8 @@
         let ReportRef { sequence, hash, requested_topic, received_hash, expires_at } = report;
         let known = hash == 0 || self.reports_by_hash.contains_key(&hash);
         let previous = self.holders.remove(&from);
-        let (previous_hash, announced) =
-            previous.as_ref().map_or((0, 0), |state| (state.reported_hash, state.announced));
+        let (previous_hash, announced_report) =
+            previous.as_ref().map_or((0, 0), |state| (state.reported_hash, state.announced_report));
         let previous_topic = previous.as_ref().map(|state| state.topic);
         let announced_names = previous.as_ref().map_or(0, |state| state.announced_names);
         if let Some(previous) = previous {
@@ -108,7 +110,7 @@
             HolderState {
                 sequence,
                 reported_hash: hash,
-                announced,
+                announced_report,
                 topic,
                 announced_names,
                 received_hash,
@@ -149,12 +151,14 @@
         &mut self, from: HolderId, (base_hash, new_hash): (u64, u64), changes: Vec<FactChange>,
     ) {
         self.entries_examined += changes.len() as u64;
-        let Some(announced) = self.holders.get(&from).map(|state| state.announced) else { return };
+        let Some(announced_report) = self.holders.get(&from).map(|state| state.announced_report) else {
+            return;
+        };
         let base = if base_hash == 0 { Some(FactSet::default()) } else { self.content(base_hash).cloned() };
         let Some(mut content) = base else { return };
         content.apply(changes);
         // If the result does not match its hash, the holder is asked for its report again.
-        if content.facts().len() > MAX_FACTS || content.hash() != new_hash || new_hash == announced {
+        if content.facts().len() > MAX_FACTS || content.hash() != new_hash || new_hash == announced_report {
             return;
         }
         if new_hash != 0 {
@@ -163,12 +167,12 @@
                 .or_insert(KnownReport { content, ..KnownReport::default() })
                 .announced_by += 1;
         }
-        if let Some(known) = self.reports_by_hash.get_mut(&announced) {
+        if let Some(known) = self.reports_by_hash.get_mut(&announced_report) {
             known.announced_by -= 1;
         }
-        self.remove_if_unused(announced);
+        self.remove_if_unused(announced_report);
         if let Some(state) = self.holders.get_mut(&from) {
-            state.announced = new_hash;
+            state.announced_report = new_hash;
         }
     }
 
@@ -184,10 +188,10 @@
             let Some(state) = self.holders.remove(&holder) else { continue };
             self.subscriptions.unsubscribe(holder, state.topic);
             self.subscriptions.withdraw_names(state.announced_names);
-            if let Some(known) = self.reports_by_hash.get_mut(&state.announced) {
+            if let Some(known) = self.reports_by_hash.get_mut(&state.announced_report) {
                 known.announced_by -= 1;
             }
-            self.remove_if_unused(state.announced);
+            self.remove_if_unused(state.announced_report);
             self.replace_report(now, state.reported_hash, 0, &mut notify);
             notify.remove(&holder);
         }
--- a/accord/src/subscriptions.rs
+++ b/accord/src/subscriptions.rs
@@ -21,8 +21,9 @@
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Subscriptions {
-    /// All published facts, and the holders that receive all of them.
+    /// All published facts.
     ledger: Ledger,
+    /// The holders that receive all published facts.
     unfiltered: BTreeSet<HolderId>,
     by_hash: BTreeMap<u64, Subscription>,
     /// The hashes of the subscriptions that contain a server name.
--- a/accord/tests/simulation.rs
+++ b/accord/tests/simulation.rs
@@ -198,7 +198,7 @@
     };
     std::thread::scope(|scope| {
         let threads: Vec<_> = (1..=4).map(|seed| scope.spawn(move || run_share(seed))).collect();
-        threads.into_iter().for_each(|thread| thread.join().expect("all simulations hold"));
+        threads.into_iter().for_each(|thread| thread.join().expect("all simulations pass"));
     });
 }
 
--- a/terms/src/maintenance.rs
+++ b/terms/src/maintenance.rs
@@ -101,7 +101,7 @@
     }
 
     /// `None` if a value is out of range.
-    fn read(self) -> Option<(String, ServerHealth)> {
+    fn into_health(self) -> Option<(String, ServerHealth)> {
         let in_range = |value: f64| (0.0..1e9).contains(&value);
         let valid = (0.01..=1.0).contains(&self.weight_factor) && in_range(self.good) && in_range(self.bad);
         let outcomes = OutcomeCounts { good: self.good, bad: self.bad };
@@ -233,7 +233,7 @@
         let writer = snapshot.clock;
         let to_our_clock = |time| HostClock::rebase(ours, writer.as_ref(), Micros(time), now);
         let returned = snapshot.returned.into_iter().map(|(name, time)| (name, to_our_clock(time))).collect();
-        let learned = snapshot.health.into_iter().filter_map(HealthRecord::read).collect();
+        let learned = snapshot.health.into_iter().filter_map(HealthRecord::into_health).collect();
         Ok((
             MaintenanceMarks { in_maintenance: snapshot.in_maintenance, returned },
             HandoverState { list: snapshot.list, learned },
