--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -1,72 +1,130 @@
-//! Plays every file in `sidecar/tests/scenarios` on the program itself, against test servers and a test discovery on
-//! loopback. The notation, in addition to that of `tests/scenarios.rs`:
+//! Runs the files in `sidecar/tests/scenarios` against the program itself, with test servers and a test discovery on
+//! loopback.
 //!
-//! - `server NAME MODE [BODY]` starts a server, or changes it if it exists; `servers COUNT MODE` starts several.
-//!   MODE is one of
-//!   - answers, late (after 0.3 s), chunked, interim (after a 1xx answer), until-close, huge, long-chunked,
-//!     long-bare,
-//!   - closes (closes its connection after an answer, unannounced), echoes (answers the request's id),
-//!     echoes-twice, echoes-late (twice, the second 4 ms later), twice (its answer, and once more), trickles (in
-//!     single bytes),
-//!   - errors, busy (a 503 that proves nothing), turns-away (a 503 that proves that nothing ran), loaded (BODY is
-//!     its load report),
-//!   - breaks (closes without an answer), half and cuts and cuts-chunked (close in the middle of the answer),
-//!     stalls (stops in the middle), garbled, noise, hints (1xx answers without end),
-//!   - silent, holds (silent until its mode changes, then by the new mode), absent (nothing listens),
-//!     OTHER's-address, shut-door (its connections stay unanswered until `admits NAME`, after which the kernel's
-//!     retry, 1 s later, connects; from then on it answers)
-//! - `sidecar [KEY=VALUE ...]` starts the program with all servers in `known`. Keys: sockets, ulimit, hops,
-//!   connect, idle, discovery, ask, cancel, quoted and abandon (of all workloads), unchanged (a watch is first sent
-//!   an empty line), taken (how long another socket holds its address), deaf (its log is closed once it serves).
-//!   `operator LINE` before it: a line of the operator's file
-//! - `told NAME LEFT`: the last request there announced at most LEFT, less the time between the last `mark` and the
-//!   last `admits`
-//! - `limits COUNT`: its limit of descriptors from now on, at its start ulimit; `holds LEAST MOST`: so many
-//!   descriptors are open; `sidecar ... instances=COUNT`: it is the keeper of so many instances that agree on
-//!   settings; `members COUNT`: so many connect to it, two per instance
-//! - `freezes` and `thaws`: stops it by a signal, and continues it; what comes in between comes to it all at once.
-//!   `never WORDS`: its log does not have these words
-//! - `puts ID WORKLOAD LEFT BYTES whole|chunked|slow|cut`: sends a request with a long body at once, in chunks, at
-//!   200 kB a second, or ended in its middle; `took NAME BYTES`: the length of the last request's body there; `gets
-//!   ID STATUS BYTES`: the length of an answer's body; `broken ID`: its answer has no end
-//! - `call ID WORKLOAD LEFT` sends a request, with WORKLOAD one of view (repeatable), save (idempotency key, per
-//!   cell), pay (not repeatable); `calls COUNT WORKLOAD LEFT [BODY]`: one after the other, each answered 200;
-//!   `flood COUNT WORKLOAD LEFT LEAST`: so many of them refused; `keeps COUNT WORKLOAD LEFT`: concurrently, with
-//!   the ids `kept-0` and so on; `again ID OTHER WORKLOAD LEFT`: on the connection of OTHER; `leaves ID`: closes
-//!   the connection
-//! - `raw ID BYTES` and `more ID BYTES`, with `\r`, `\n`, `_` for a space and `*N` for N times an `x`
-//! - `own COUNT WORKLOAD LEFT`: requests one after the other, each answered 200 with its own id; `expect ID STATUS
-//!   [BODY]`; `closed ID`; `opens COUNT [BYTES]`: opens connections that send no more; `drops` closes them
-//! - `seen NAME COUNT` requests, `links NAME COUNT` connections, `got NAME BYTES` in the last request; within a
-//!   second `gone NAME LEAST` requests cancelled, `shut NAME LEAST` connections closed between requests
-//! - `settles COUNT WORKLOAD LEFT STATUS [BODY]`: sends requests until so many in a row were answered so. None that
-//!   begins more than 0.1 s after the command may be answered otherwise; the time for which the program and this
-//!   process waited for a processor is added to that
-//! - `list whole|changes NAME[:leaving|:left] ...`, `list garbage|ends`, `list raw LINE`, `list drip BYTES` without
-//!   a line end; `list next whole|changes ...`: what a watch is sent first from now on; `asked COUNT`: at least so
-//!   many list requests, `asked COUNT only`: exactly so many
-//! - how list requests are answered from then on: `list up`; `list down`: by a 503, and the watches end; `list
-//!   refuses`: nothing listens, and the watches end; `list shut`: connections stay unanswered; `list hangs`: never;
-//!   `list halves`: by half a line and the end; `list stalls`: by the beginning of a long line, and no more; `list
-//!   interim`: by a 1xx answer and all else in one piece. `list lets-go` ends the requests that hang; `connects
-//!   [NAME]`: a connection to discovery, or to that server, is being opened
-//! - `moves [MODE]`: discovery gets another address, where requests are answered as after `list MODE`; the
-//!   configuration file names it, and SIGHUP is sent. `rereads FROM TO ...`: the same file with FROM replaced, and
-//!   SIGHUP; `spoils`: an empty file, and SIGHUP
-//! - `sidecar ... console` has a console; `asks METHOD PATH STATUS` there, within a second; `healthy`: its
-//!   healthcheck says yes soon; `hangs COUNT [BYTES]`: connections to it that send no more
-//! - `sidecar ... passed`: its listening socket is opened by the test and passed to it; `beside [KEY=VALUE ...]`
-//!   starts another process on that socket, to which commands apply from then on; `swap`: they apply to the other
-//!   one
-//! - `seen-all COUNT` requests at all servers; `beyond=FEW:SHARE:SECONDS` for `sidecar` and `beside`: the retry
-//!   budget
-//! - `forget NAME`: resets its count of requests; `least NAME LEAST` requests since
-//! - `restarts`: killed, and started again with the same folder
-//! - `alone`: it is linked to the C library and has started no other program
-//! - `before LENGTH`: no more than that has passed since the last `stop` or `mark`
-//! - `ready STATUS`, `wait LENGTH`, `stop`, `exits CODE`, `says WORDS`, `unreachable`, `calm`: uses next to no CPU
-//! - `refused FROM TO WORDS`: with FROM replaced in its file the program ends at once, with one line that has these
-//!   words
+//! # Notation
+//!
+//! `;` separates the commands of a line, and `#` starts a comment. Times are written as `300ms` or `2s`. Words in
+//! capitals are arguments, and brackets enclose optional ones. NAME is a test server; ID is a name that the file
+//! gives to a client connection and the request on it; COUNT is a number. A check that "waits" fails after 20 s. An
+//! unknown command fails the scenario; an unknown mode or option does not.
+//!
+//! ## Test servers
+//!
+//! - `server NAME MODE [BODY]` starts a server, or sets the mode and body of one that exists. BODY is `hello` if left
+//!   out. `servers COUNT MODE` does so for `s0`, `s1` and so on. Modes:
+//!   - With a complete answer: `ok` (200 with BODY), `delayed` (the same after 0.3 s), `chunked` (with BODY in chunks),
+//!     `interim` (a 103 comes first), `close-delimited` (without a length: the connection's end ends the body),
+//!     `trickle` (the last 8 bytes one by one, over 1.6 s), `load-report` (with BODY as its load report),
+//!     `close-after-answer` (closes the connection after an `ok`, without announcing it)
+//!   - With a complete answer too long to be buffered: `large` (70 kB with a length), `large-chunked`,
+//!     `large-close-delimited`
+//!   - Echoing the request's id as the body: `echo-id`, `echo-id-twice` (two answers at once),
+//!     `echo-id-twice-delayed` (the second answer 4 ms after the first)
+//!   - With surplus bytes: `answer-twice` (`ok`, and the same answer once more)
+//!   - With an error status: `internal-error` (500), `unavailable` (a 503 that leaves open whether the request ran),
+//!     `refuse-not-started` (a 503 with `Not-Started: 1`, which proves that it did not run)
+//!   - Incomplete: `close-without-answer`, `truncate-body`, `truncate-large-body` and `truncate-large-chunked` (close
+//!     the connection in the middle of the body), `stall-body` (stops in the middle, connection left open)
+//!   - Malformed: `conflicting-lengths` (two lengths that differ), `not-http`, `interim-only` (102 answers, no final
+//!     one)
+//!   - Unanswered: `silent` (never answers), `hold` (waits until the mode changes, then does what the new mode says)
+//!   - Not accepting: `not-listening`; `full-backlog` (the accept queue is full, so connections stay half open until
+//!     `accept-connections`); `address-of:OTHER` (a further name for the address of server OTHER)
+//! - `accept-connections NAME` ends `full-backlog`: the mode becomes `ok`, and a connection that was being opened
+//!   succeeds at the kernel's next retry (1 s after its first attempt, if that was the only one).
+//! - `expect-requests NAME COUNT` and `expect-connections NAME COUNT` wait until the server has had so many requests
+//!   or connections, and fail if there are more. `expect-total-requests COUNT`: the sum over all servers, at once.
+//! - `reset-requests NAME` sets a server's count of requests to zero; `expect-min-requests NAME COUNT`: it has had at
+//!   least so many since.
+//! - `expect-request-contains NAME BYTES` and `expect-request-body-size NAME BYTES` (a number) check the last request
+//!   there. `expect-timeout NAME TIME`: it announced at most TIME, less the time between the last `start-timer` and
+//!   the last `accept-connections`.
+//! - `expect-cancelled NAME COUNT`: within a second, the program has closed the connections of at least COUNT requests
+//!   that came in mode `silent`. `expect-closed-idle NAME COUNT`: the same for connections on which the server was
+//!   waiting for a next request.
+//! - `expect-connecting [NAME]` waits until a connection to the server, or to discovery, is being opened.
+//!
+//! ## Clients
+//!
+//! WORKLOAD is `view` (a GET that may be repeated), `save` (has an idempotency key, repeatable in its cell) or `pay`
+//! (not repeatable). TIMEOUT is the request's time limit. Requests are numbered from 1, which gives their ids.
+//!
+//! - `send ID WORKLOAD TIMEOUT` sends a request on a new connection; `send-on ID OTHER WORKLOAD TIMEOUT` on the
+//!   connection of OTHER. `send-concurrently COUNT WORKLOAD TIMEOUT` sends several without waiting for answers.
+//! - `send-raw ID BYTES` opens a connection and sends bytes; `send-more ID BYTES` sends more on it. In BYTES, `\r` and
+//!   `\n` are control characters, `_` is a space and `*N` is N times an `x`.
+//! - `upload ID WORKLOAD TIMEOUT BYTES whole|chunked|slow|truncated` sends a request with a body of so many bytes: as
+//!   fast as it is read, the same in chunks, at 200 kB a second, or closing the connection in the middle.
+//! - `close ID` closes the connection. `expect-closed ID` waits until the program has closed it without sending more.
+//! - `expect ID STATUS [BODY]` waits for an answer and compares it. `expect-answer-body-size ID STATUS BYTES`: the
+//!   length of its body. `expect-truncated ID`: the connection ends before the answer does.
+//! - `expect-all-ok COUNT WORKLOAD TIMEOUT [BODY]` sends requests one after the other, each of which must be answered
+//!   200. `expect-own-ids COUNT WORKLOAD TIMEOUT`: and with its own id as the body.
+//!   `expect-refusals COUNT WORKLOAD TIMEOUT LEAST`: at least LEAST of them are answered 503.
+//! - `send-until COUNT WORKLOAD TIMEOUT STATUS [BODY]` sends requests until COUNT in a row had this answer. One that
+//!   begins more than 0.1 s after the command must have it. For that bound, the time that the program and this
+//!   process waited for a processor is added to the 0.1 s.
+//! - `open-connections COUNT [BYTES]` opens connections that send BYTES and nothing more; `close-connections` closes
+//!   them, and those of `open-console-connections` and `connect-instances`.
+//!
+//! ## The program
+//!
+//! - `sidecar [OPTION ...]` starts discovery and the program, with all servers so far in `known`. Options:
+//!   - Settings under their own names: `sockets=`, `most_hops=`, `connect_timeout_s=`, `idle_close_s=`,
+//!     `ask_within_s=`, `cancel=`, `quoted_time_s=` and `abandon_time_s=` (of all workloads), `discovery=` (`pushed`
+//!     also turns load reports on)
+//!   - `retry_budget=ATTEMPTS:SHARE:SECONDS`: `spare_attempts`, `budget_share` and `extra_window_s`
+//!   - `ulimit=COUNT`: the limit of descriptors it starts with
+//!   - `console`: it has a console
+//!   - `passed-socket`: the test opens its listening socket and passes it on
+//!   - `list-unchanged`: discovery sends an empty line first, instead of the list
+//!   - `address-in-use=TIME`: another socket listens at its address for so long
+//!   - `close-log`: the reader of its log closes the pipe once it serves
+//!   - `instances=COUNT`: it is the lease server of COUNT instances that agree on settings
+//! - `operator LINE`, before `sidecar`, sets the operator's file to this line.
+//! - `start-successor [OPTION ...]` starts another process on the passed socket, to which commands apply from then
+//!   on. `switch-process`: they apply to the other one of the two.
+//! - `stop` sends SIGTERM and starts the timer, `kill` sends SIGKILL, `pause` stops the process by a signal and
+//!   `resume` continues it: what comes in between reaches it all at once.
+//! - `kill-and-restart [OPTION ...]` starts it again at the same address, with the same folder.
+//! - `set-ulimit COUNT` changes its limit of descriptors while it runs. `expect-open-descriptors LEAST MOST`: it has
+//!   between LEAST and MOST open.
+//! - `connect-instances COUNT` opens COUNT connections to the lease server, two for each instance.
+//! - `expect-ready STATUS` waits until `GET /ready` has this status, `expect-log TEXT` until its log contains TEXT,
+//!   `expect-exit CODE` until it exits. `expect-no-log TEXT`: its log does not contain TEXT so far.
+//! - `expect-unreachable`: connections to it are refused. `expect-low-cpu`: it has used less than half a core since
+//!   its start. `expect-single-process`: it is linked to the C library and has no child processes.
+//! - `expect-console METHOD PATH STATUS`: the console answers with STATUS within a second and closes the connection.
+//!   `expect-healthy` waits until its healthcheck answers 200. `open-console-connections COUNT [BYTES]`: as
+//!   `open-connections`, to the console.
+//! - `expect-config-error FROM TO TEXT` starts the program with FROM replaced by TO in its configuration file: it
+//!   ends at once with one line that contains TEXT.
+//! - `reload FROM TO ...` replaces each FROM by its TO in the configuration file as first written, and sends SIGHUP.
+//!   Without the last TO, FROM is removed. `reload-empty` empties the file and sends SIGHUP.
+//!
+//! ## Discovery
+//!
+//! - `discovery send-full|send-update NAME[:STATUS] ...` sends a full list or an update on all open watches. STATUS is
+//!   `active` (if left out), `leaving` or `left`.
+//!   `discovery send-malformed`; `discovery send-line LINE`; `discovery send-partial BYTES` (without a line end);
+//!   `discovery close-watches`.
+//! - `discovery initial full|update NAME[:STATUS] ...` sets what a new watch is sent first. At the start that
+//!   is the full list.
+//! - How list requests are answered from then on: `discovery up`; `discovery unavailable` (by a 503);
+//!   `discovery refuse-connections` (nothing listens); `discovery full-backlog` (connections stay half open);
+//!   `discovery silent` (never); `discovery truncate-line` (by half a line and the end of the answer);
+//!   `discovery stall-line` (by the beginning of a long line, and no more); `discovery interim` (by a 103 and the
+//!   answer in one piece). `unavailable`, `refuse-connections` and `full-backlog` also end the open watches.
+//! - `discovery close-pending` closes the requests that `silent` and `stall-line` left open.
+//! - `expect-list-requests COUNT` waits for at least COUNT list requests; `expect-list-requests COUNT exactly` checks
+//!   at once for exactly COUNT.
+//! - `move-discovery [MODE]` starts discovery at another address, where it answers as after `discovery MODE`, writes
+//!   the address into the configuration file, and sends SIGHUP. Its list requests are counted from zero.
+//!
+//! ## Time
+//!
+//! - `wait TIME`; `start-timer`; `expect-elapsed-under TIME`: less than that has passed since the last `start-timer`
+//!   or `stop`.
 #[path = "../../tests/runner/mod.rs"]
 mod runner;
 
@@ -200,7 +258,7 @@
         let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler };
         let shared = server.state.clone();
         thread::spawn(move || {
-            wait_until("it is admitted", || shared.lock().expect("server state").mode == "answers");
+            wait_until("it is admitted", || shared.lock().expect("server state").mode == "ok");
             drop(listener.accept());
             accept_all(&listener, &shared);
         });
@@ -216,11 +274,11 @@
     }
 }
 
-/// Waits until the server's mode is no longer `holds`.
+/// Waits until the server's mode is no longer `hold`.
 fn mode_after_hold(shared: &Mutex<ServerState>) -> String {
     loop {
         let mode = shared.lock().expect("server state").mode.clone();
-        if mode != "holds" {
+        if mode != "hold" {
             return mode;
         }
         thread::sleep(Duration::from_millis(5));
@@ -235,12 +293,12 @@
             state.last_request = head + &body;
             (state.mode.clone(), state.body.clone())
         };
-        let mode = if mode == "holds" { mode_after_hold(shared) } else { mode };
+        let mode = if mode == "hold" { mode_after_hold(shared) } else { mode };
         let whole =
             format!("HTTP/1.1 200 OK\r\nX-Made-By: us\r\nContent-Length: {}\r\n\r\n{text}", text.len());
         let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         let answer = match mode.as_str() {
-            "late" => {
+            "delayed" => {
                 thread::sleep(Duration::from_millis(300));
                 whole
             }
@@ -251,40 +309,40 @@
                 &text[1..]
             ),
             "interim" => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{whole}"),
-            "until-close" => format!("HTTP/1.1 200 OK\r\n\r\n{text}"),
-            "half" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
-            "huge" => format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70000)),
-            "long-chunked" => {
+            "close-delimited" => format!("HTTP/1.1 200 OK\r\n\r\n{text}"),
+            "truncate-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
+            "large" => format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70000)),
+            "large-chunked" => {
                 let half = format!("{:x}\r\n{}\r\n", 400_000, "x".repeat(400_000));
                 format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{half}{half}0\r\n\r\n")
             }
-            "long-bare" => format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(300_000)),
-            "cuts" => format!("HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n{}", "x".repeat(80_000)),
-            "cuts-chunked" => {
+            "large-close-delimited" => format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(300_000)),
+            "truncate-large-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n{}", "x".repeat(80_000)),
+            "truncate-large-chunked" => {
                 format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}", 90_000, "x".repeat(80_000))
             }
-            "errors" => empty("500 Internal Server Error"),
-            "busy" => empty("503 Service Unavailable"),
-            "loaded" => {
+            "internal-error" => empty("500 Internal Server Error"),
+            "unavailable" => empty("503 Service Unavailable"),
+            "load-report" => {
                 format!("HTTP/1.1 200 OK\r\nLoad-Report: {text}\r\nContent-Length: 2\r\n\r\nok")
             }
-            "turns-away" => empty("503 Service Unavailable\r\nNot-Started: 1"),
-            "garbled" => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc".into(),
-            "noise" => "\u{1}\u{2}noise".into(),
-            "hints" => "HTTP/1.1 102 Processing\r\n\r\n".repeat(99),
-            "stalls" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
-            "twice" => format!("{whole}{whole}"),
-            "echoes" | "echoes-twice" | "echoes-late" => {
+            "refuse-not-started" => empty("503 Service Unavailable\r\nNot-Started: 1"),
+            "conflicting-lengths" => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc".into(),
+            "not-http" => "\u{1}\u{2}noise".into(),
+            "interim-only" => "HTTP/1.1 102 Processing\r\n\r\n".repeat(99),
+            "stall-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
+            "answer-twice" => format!("{whole}{whole}"),
+            "echo-id" | "echo-id-twice" | "echo-id-twice-delayed" => {
                 let id = shared.lock().expect("server state").last_request.clone();
                 let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("an id").to_string();
                 let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
-                if mode == "echoes-late" {
+                if mode == "echo-id-twice-delayed" {
                     let _ = stream.write_all(whole.as_bytes());
                     thread::sleep(Duration::from_millis(4));
                 }
-                whole.repeat(if mode == "echoes-twice" { 2 } else { 1 })
+                whole.repeat(if mode == "echo-id-twice" { 2 } else { 1 })
             }
-            "breaks" => return,
+            "close-without-answer" => return,
             "silent" => {
                 let cancelled = stream.read(&mut [0]).is_ok_and(|count| count == 0);
                 shared.lock().expect("server state").cancelled += usize::from(cancelled);
@@ -292,7 +350,7 @@
             }
             _ => whole,
         };
-        if mode == "trickles" {
+        if mode == "trickle" {
             // In single bytes, with pauses that add up to more than a second.
             let (front, rest) = answer.split_at(answer.len() - 8);
             let pieces = std::iter::once(front).chain((0..8).map(|at| &rest[at..at + 1]));
@@ -305,7 +363,12 @@
         if stream.write_all(answer.as_bytes()).is_err()
             || matches!(
                 mode.as_str(),
-                "closes" | "until-close" | "half" | "long-bare" | "cuts" | "cuts-chunked"
+                "close-after-answer"
+                    | "close-delimited"
+                    | "truncate-body"
+                    | "large-close-delimited"
+                    | "truncate-large-body"
+                    | "truncate-large-chunked"
             )
         {
             return;
@@ -396,17 +459,17 @@
         let (head, first) =
             ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk(&discovery.initial_line));
         let answer = match discovery.mode.as_str() {
-            "down" => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string(),
-            "hangs" => String::new(),
-            "halves" => format!("{head}{}", &first[..first.len() / 2]),
-            "stalls" => format!("{head}{:x}\r\n{{\"index\":8,{}", 400_000, " ".repeat(300_000)),
+            "unavailable" => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string(),
+            "silent" => String::new(),
+            "truncate-line" => format!("{head}{}", &first[..first.len() / 2]),
+            "stall-line" => format!("{head}{:x}\r\n{{\"index\":8,{}", 400_000, " ".repeat(300_000)),
             "interim" => format!("HTTP/1.1 103 Early Hints\r\n\r\n{head}{first}"),
             _ => format!("{head}{first}"),
         };
         let sent = stream.write_all(answer.as_bytes()).is_ok();
         match discovery.mode.as_str() {
-            "down" | "halves" => {}
-            "hangs" | "stalls" => discovery.hung.push(stream),
+            "unavailable" | "truncate-line" => {}
+            "silent" | "stall-line" => discovery.hung.push(stream),
             _ if sent => discovery.watches.push(stream),
             _ => {}
         }
@@ -436,7 +499,7 @@
     admitted_at: Option<Instant>,
     /// Requests sent, by which they are numbered.
     request_count: u32,
-    /// Requests sent by `settles`, which have numbers of their own.
+    /// Requests sent by `send-until`, which have numbers of their own.
     probe_count: u32,
     /// Sockets that keep their addresses from being given to others.
     reserved_sockets: Vec<TcpListener>,
@@ -496,8 +559,8 @@
         let workload = |name: &str, semantics: &str| {
             format!(
                 r#"{{"name":"{name}","semantics":"{semantics}","group":"cell","memory_span_s":5,"quoted_time_s":{},"abandon_time_s":{},"payoff":1,"overdue_payoff":0.5}}"#,
-                get("quoted", "2"),
-                get("abandon", "3")
+                get("quoted_time_s", "2"),
+                get("abandon_time_s", "3")
             )
         };
         let names: Vec<&str> = self.servers.iter().map(|server| server.name.as_str()).collect();
@@ -512,22 +575,22 @@
             if words.contains(&"console") { r#""console":"127.0.0.1:0","# } else { "" },
             get("sockets", "1024"),
             self.list(true, &names),
-            get("hops", "4"),
+            get("most_hops", "4"),
             get("cancel", "true"),
-            get("connect", "0.2"),
-            get("idle", "60"),
+            get("connect_timeout_s", "0.2"),
+            get("idle_close_s", "60"),
             get("discovery", "on_request"),
             match get("discovery", "").as_str() {
                 "pushed" =>
                     r#""report":{"source":"answers","columns":["busy_reqs","pending"]},"family_info":{"warm_keys":true},"#,
                 _ => "",
             },
-            match get("beyond", "").split(':').collect::<Vec<_>>()[..] {
+            match get("retry_budget", "").split(':').collect::<Vec<_>>()[..] {
                 [few, share, window] =>
                     format!(r#""spare_attempts":{few},"budget_share":{share},"extra_window_s":{window},"#),
                 _ => String::new(),
             },
-            get("ask", "10"),
+            get("ask_within_s", "10"),
             workload("view", "read_like"),
             workload("save", "idempotency_key"),
             workload("pay", "non_idempotent"),
@@ -590,7 +653,7 @@
     }
 
     fn start_sidecar(&mut self, words: &[&str]) {
-        if words.contains(&"passed") {
+        if words.contains(&"passed-socket") {
             self.passed.get_or_insert_with(|| listen().0);
         }
         if let Some(count) = words.iter().find_map(|word| word.strip_prefix("instances=")) {
@@ -603,11 +666,11 @@
             );
             self.keeper = Some(keeper);
         }
-        let address = self.start_discovery(words.contains(&"unchanged"));
+        let address = self.start_discovery(words.contains(&"list-unchanged"));
         let limit = words.iter().find_map(|word| word.strip_prefix("ulimit="));
         let before = limit.map_or(String::new(), |limit| format!("ulimit -n {limit};"));
         // Another socket holds the address for a moment more.
-        let taken = words.iter().find_map(|word| word.strip_prefix("taken=")).map(|time| {
+        let taken = words.iter().find_map(|word| word.strip_prefix("address-in-use=")).map(|time| {
             let place = self.reserve(any_loopback_port());
             (TcpListener::bind(place).expect("its place"), place, time)
         });
@@ -618,7 +681,7 @@
             thread::sleep(Duration::from_micros(runner::parse_duration_us(time)));
             drop(holder);
         }
-        let deaf = words.contains(&"deaf");
+        let deaf = words.contains(&"close-log");
         let (mut errors, log) =
             (program.stderr.take().expect("its log"), Arc::new(Mutex::new(String::new())));
         let shared = log.clone();
@@ -715,13 +778,13 @@
     fn set_server(&mut self, name: &str, mode: &str, body: &str) {
         if !self.servers.iter().any(|server| server.name == name) {
             let mut server = Server::start(name);
-            if mode == "absent" {
+            if mode == "not-listening" {
                 server.address = self.reserve(any_loopback_port());
             }
-            if mode == "shut-door" {
+            if mode == "full-backlog" {
                 server = Server::with_full_backlog(name);
             }
-            if let Some(other) = mode.strip_suffix("'s-address") {
+            if let Some(other) = mode.strip_prefix("address-of:") {
                 server.address = self.find(other).address;
             }
             self.servers.push(server);
@@ -751,31 +814,31 @@
 
     fn run_list_command(&mut self, words: &[&str]) {
         let line = match words {
-            ["whole", names @ ..] | ["next", "whole", names @ ..] => self.list(true, names),
-            ["changes", names @ ..] | ["next", "changes", names @ ..] => self.list(false, names),
-            ["raw" | "drip", line] => line.to_string(),
+            ["send-full", names @ ..] | ["initial", "full", names @ ..] => self.list(true, names),
+            ["send-update", names @ ..] | ["initial", "update", names @ ..] => self.list(false, names),
+            ["send-line" | "send-partial", line] => line.to_string(),
             _ => "{\"index\":8,".to_string(),
         };
         let bytes = match words[0] {
-            "drip" => format!("{:x}\r\n{line}\r\n", line.len()),
+            "send-partial" => format!("{:x}\r\n{line}\r\n", line.len()),
             _ => chunk(&line),
         };
         let mut discovery = self.discovery.lock().expect("discovery");
         match words[0] {
-            "next" => discovery.initial_line = line,
-            "refuses" => discovery.stop_listening(),
-            "shut" => discovery.fill_backlog(),
-            "up" | "down" | "hangs" | "halves" | "stalls" | "interim" => {
+            "initial" => discovery.initial_line = line,
+            "refuse-connections" => discovery.stop_listening(),
+            "full-backlog" => discovery.fill_backlog(),
+            "up" | "unavailable" | "silent" | "truncate-line" | "stall-line" | "interim" => {
                 discovery.mode = words[0].to_string();
                 discovery.open(&self.discovery);
             }
-            "ends" => discovery.watches.clear(),
-            "lets-go" => discovery.hung.clear(),
+            "close-watches" => discovery.watches.clear(),
+            "close-pending" => discovery.hung.clear(),
             _ => discovery.watches.iter_mut().for_each(|watch| {
                 let _ = watch.write_all(bytes.as_bytes());
             }),
         }
-        if matches!(words[0], "down" | "refuses" | "shut") {
+        if matches!(words[0], "unavailable" | "refuse-connections" | "full-backlog") {
             discovery.watches.clear();
         }
     }
@@ -790,23 +853,23 @@
                 (0..count).for_each(|number| self.set_server(&format!("s{number}"), mode, "hello"));
             }
             ["sidecar", ..] => self.start_sidecar(&words[1..]),
-            ["call", id, workload, left] => self.send_request(id, self.connect(), workload, left),
-            ["calls", count, workload, left, ..] => {
+            ["send", id, workload, left] => self.send_request(id, self.connect(), workload, left),
+            ["expect-all-ok", count, workload, left, ..] => {
                 for _ in 0..count.parse().expect("a count") {
                     self.send_request("calls", self.connect(), workload, left);
                     self.expect("calls", "200", words.get(4).copied().unwrap_or_default());
                 }
             }
-            ["settles", count, workload, left, status, ..] => {
+            ["send-until", count, workload, left, status, ..] => {
                 let body = words.get(5).copied().unwrap_or_default();
                 self.send_until_settled(count, (workload, left), (status, body));
             }
-            ["keeps", count, workload, left] => {
+            ["send-concurrently", count, workload, left] => {
                 for number in 0..count.parse().expect("a count") {
                     self.send_request(&format!("kept-{number}"), self.connect(), workload, left);
                 }
             }
-            ["flood", count, workload, left, least] => {
+            ["expect-refusals", count, workload, left, least] => {
                 let count: usize = count.parse().expect("a count");
                 let dismissed = (0..count).filter(|_| {
                     self.send_request("flood", self.connect(), workload, left);
@@ -816,18 +879,18 @@
                 let (dismissed, least) = (dismissed.count(), least.parse().expect("a count"));
                 assert!(dismissed >= least, "{dismissed} of {count} dismissed");
             }
-            ["again", id, other, workload, left] => {
+            ["send-on", id, other, workload, left] => {
                 let stream = self.clients.remove(other).expect("a call");
                 self.send_request(id, stream, workload, left);
             }
-            ["leaves", id] => drop(self.clients.remove(id)),
-            ["raw", id, bytes] => {
+            ["close", id] => drop(self.clients.remove(id)),
+            ["send-raw", id, bytes] => {
                 let stream = self.connect();
                 self.clients.insert(id.to_string(), stream);
                 self.send_bytes(id, bytes);
             }
-            ["more", id, bytes] => self.send_bytes(id, bytes),
-            ["own", count, workload, left] => {
+            ["send-more", id, bytes] => self.send_bytes(id, bytes),
+            ["expect-own-ids", count, workload, left] => {
                 for _ in 0..count.parse().expect("a count") {
                     self.send_request("own", self.connect(), workload, left);
                     let own = format!("{:016x}", self.request_count);
@@ -836,40 +899,40 @@
             }
             ["expect", id, status] => self.expect(id, status, ""),
             ["expect", id, status, body] => self.expect(id, status, body),
-            ["closed", id] => {
+            ["expect-closed", id] => {
                 let mut rest = Vec::new();
                 let ended = self.clients.remove(id).expect("a call").read_to_end(&mut rest);
                 assert!(rest.is_empty(), "{rest:?}");
                 assert!(!ended.is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock), "still open");
             }
-            ["least", name, least] => {
+            ["expect-min-requests", name, least] => {
                 let least: usize = least.parse().expect("a count");
                 let requests = self.find(name).state.lock().expect("server state").requests;
                 assert!(requests >= least, "{requests}");
             }
-            ["forget", name] => self.find(name).state.lock().expect("server state").requests = 0,
-            ["opens", count] => self.open_silent(count, ""),
-            ["opens", count, bytes] => self.open_silent(count, bytes),
-            ["drops"] => self.idle.clear(),
-            ["seen", name, count] => self.expect_count(name, count, |state| state.requests),
-            ["seen-all", count] => {
+            ["reset-requests", name] => self.find(name).state.lock().expect("server state").requests = 0,
+            ["open-connections", count] => self.open_silent(count, ""),
+            ["open-connections", count, bytes] => self.open_silent(count, bytes),
+            ["close-connections"] => self.idle.clear(),
+            ["expect-requests", name, count] => self.expect_count(name, count, |state| state.requests),
+            ["expect-total-requests", count] => {
                 let requests = |server: &Server| server.state.lock().expect("server state").requests;
                 assert_eq!(self.servers.iter().map(requests).sum::<usize>().to_string(), count);
             }
-            ["links", name, count] => self.expect_count(name, count, |state| state.connections),
-            ["gone", name, least] => self.expect_soon(name, least, |state| state.cancelled),
-            ["shut", name, least] => self.expect_soon(name, least, |state| state.closed_idle),
-            ["got", name, ..] => {
+            ["expect-connections", name, count] => self.expect_count(name, count, |state| state.connections),
+            ["expect-cancelled", name, least] => self.expect_soon(name, least, |state| state.cancelled),
+            ["expect-closed-idle", name, least] => self.expect_soon(name, least, |state| state.closed_idle),
+            ["expect-request-contains", name, ..] => {
                 let last = self.find(name).state.lock().expect("server state").last_request.clone();
                 assert!(last.contains(&decode_bytes(words[2])), "{last}");
             }
-            ["admits", name] => {
+            ["accept-connections", name] => {
                 let server = self.servers.iter_mut().find(|server| server.name == name).expect("a server");
                 self.admitted_at = Some(Instant::now());
-                server.state.lock().expect("server state").mode = "answers".into();
+                server.state.lock().expect("server state").mode = "ok".into();
                 server.backlog_filler = None;
             }
-            ["told", name, left] => {
+            ["expect-timeout", name, left] => {
                 let last = self.find(name).state.lock().expect("server state").last_request.clone();
                 let announced = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
                 let announced = Duration::from_millis(announced.expect("a time").parse().expect("a number"));
@@ -880,35 +943,35 @@
                     "announced {announced:?}, {passed:?} after {left:?} were left"
                 );
             }
-            ["freezes"] => self.signal("STOP"),
-            ["thaws"] => self.signal("CONT"),
-            ["never", ..] => {
+            ["pause"] => self.signal("STOP"),
+            ["resume"] => self.signal("CONT"),
+            ["expect-no-log", ..] => {
                 let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
                 let log = log.lock().expect("log");
                 assert!(!log.contains(&words), "{log}");
             }
-            ["list", ..] => self.run_list_command(&words[1..]),
-            ["asked", count] => {
+            ["discovery", ..] => self.run_list_command(&words[1..]),
+            ["expect-list-requests", count] => {
                 let count: usize = count.parse().expect("a count");
                 wait_until("it asks", || self.discovery.lock().expect("discovery").requests >= count);
             }
-            ["asked", count, "only"] => {
+            ["expect-list-requests", count, "exactly"] => {
                 assert_eq!(self.discovery.lock().expect("discovery").requests.to_string(), count);
             }
-            ["limits", count] => {
+            ["set-ulimit", count] => {
                 use rustix::process::{prlimit, Pid, Resource, Rlimit};
                 let id = self.program.as_ref().expect("a sidecar").0.id();
                 let most = Some(count.parse().expect("a count"));
                 let limit = Rlimit { current: most, maximum: most };
                 prlimit(Pid::from_raw(id as i32), Resource::Nofile, limit).expect("a limit");
             }
-            ["holds", least, most] => {
+            ["expect-open-descriptors", least, most] => {
                 let id = self.program.as_ref().expect("a sidecar").0.id();
                 let held = std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count();
                 let [least, most] = [least, most].map(|count| count.parse().expect("a count"));
                 assert!((least..=most).contains(&held), "{held}");
             }
-            ["members", count] => {
+            ["connect-instances", count] => {
                 for number in 0..count.parse().expect("a count") {
                     let mut stream = TcpStream::connect(self.keeper.expect("a keeper")).expect("a link");
                     let (name, life) = (format!("n{}", number / 2), number % 2 + 1);
@@ -917,15 +980,15 @@
                     self.idle.push(stream);
                 }
             }
-            ["connects"] => {
+            ["expect-connecting"] => {
                 let to = self.discovery.lock().expect("discovery").address();
                 wait_until("it connects", || is_connecting(to));
             }
-            ["connects", name] => {
+            ["expect-connecting", name] => {
                 let to = self.find(name).address;
                 wait_until("it connects", || is_connecting(to));
             }
-            ["ready", status] => wait_until("/ready has this status", || {
+            ["expect-ready", status] => wait_until("/ready has this status", || {
                 let mut stream = self.connect();
                 stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
                 read_message(&mut stream)
@@ -936,11 +999,11 @@
                 self.signal("TERM");
                 self.marked_at = Some(Instant::now());
             }
-            ["asks", method, path, status] => self.expect_console_answer(method, path, status),
-            ["healthy"] => {
+            ["expect-console", method, path, status] => self.expect_console_answer(method, path, status),
+            ["expect-healthy"] => {
                 wait_until("it serves", || self.console_request("GET", "/healthcheck").contains(" 200 "))
             }
-            ["hangs", count, ..] => {
+            ["open-console-connections", count, ..] => {
                 for _ in 0..count.parse().expect("a count") {
                     let mut stream =
                         TcpStream::connect(self.console.expect("a console")).expect("a connection");
@@ -948,7 +1011,7 @@
                     self.idle.push(stream);
                 }
             }
-            ["restarts", ..] => {
+            ["kill-and-restart", ..] => {
                 self.signal("KILL");
                 let _ = self.program.as_mut().expect("a sidecar").0.wait();
                 let (port, words) = (self.reserve(self.port.expect("a sidecar")), &words[1..]);
@@ -956,41 +1019,41 @@
                 let words: Vec<&str> = words.iter().copied().chain([listen.as_str()]).collect();
                 self.start_sidecar(&words);
             }
-            ["beside", ..] => {
+            ["start-successor", ..] => {
                 let (program, log) = self.program.take().expect("a sidecar");
                 self.beside = Some((program, log, self.console));
                 self.start_sidecar(&words[1..]);
             }
-            ["swap"] => {
+            ["switch-process"] => {
                 let (program, log, console) = self.beside.take().expect("another");
                 let (other, log) = self.program.replace((program, log)).expect("a sidecar");
                 self.beside = Some((other, log, std::mem::replace(&mut self.console, console)));
             }
             ["kill"] => self.signal("KILL"),
-            ["puts", id, workload, left, bytes, mode] => {
+            ["upload", id, workload, left, bytes, mode] => {
                 self.send_long_request(id, (workload, left), bytes, mode)
             }
-            ["took", name, bytes] => {
+            ["expect-request-body-size", name, bytes] => {
                 let last = self.find(name).state.lock().expect("server state").last_request.clone();
                 let (head, body) = last.split_once("\r\n\r\n").expect("a request");
                 assert_eq!(body.len().to_string(), bytes, "{head}");
             }
-            ["gets", id, status, bytes] => {
+            ["expect-answer-body-size", id, status, bytes] => {
                 let stream = self.clients.get_mut(id).expect("a call");
                 let (head, body) = read_message(stream).expect("an answer");
                 assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
                 assert_eq!(body.len().to_string(), bytes);
             }
-            ["broken", id] => {
+            ["expect-truncated", id] => {
                 let stream = self.clients.get_mut(id).expect("a call");
                 assert!(read_message(stream).is_none(), "an end");
             }
-            ["mark"] => self.marked_at = Some(Instant::now()),
-            ["before", time] => {
+            ["start-timer"] => self.marked_at = Some(Instant::now()),
+            ["expect-elapsed-under", time] => {
                 let passed = self.marked_at.expect("a mark").elapsed();
                 assert!(passed < Duration::from_micros(runner::parse_duration_us(time)), "{passed:?}");
             }
-            ["moves", ref mode @ ..] => {
+            ["move-discovery", ref mode @ ..] => {
                 let mode = mode.first().copied().unwrap_or_default().to_string();
                 self.discovery = Arc::new(Mutex::new(Discovery { mode, ..Discovery::default() }));
                 let to = format!(r#""discovery":"{}","seed""#, self.start_discovery(false));
@@ -998,27 +1061,27 @@
                 let from = format!(r#""discovery":{},"seed""#, from.split(',').next().expect("an address"));
                 self.rewrite_config(&[(&from, &to)]);
             }
-            ["rereads", ..] => {
+            ["reload", ..] => {
                 let changes = words[1..].chunks(2);
                 let changes = changes.map(|pair| (pair[0], pair.get(1).copied().unwrap_or_default()));
                 self.rewrite_config(&changes.collect::<Vec<_>>());
             }
-            ["spoils"] => {
+            ["reload-empty"] => {
                 std::fs::write(&self.file, "").expect("the file");
                 self.signal("HUP");
             }
-            ["exits", code] => {
+            ["expect-exit", code] => {
                 let program = &mut self.program.as_mut().expect("a sidecar").0;
                 wait_until("it exits", || program.try_wait().expect("its state").is_some());
                 let status = program.wait().expect("its end");
                 assert_eq!(status.code(), code.parse().ok());
             }
-            ["says", ..] => {
+            ["expect-log", ..] => {
                 let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
                 wait_until("its log says so", || log.lock().expect("log").contains(&words));
             }
-            ["unreachable"] => assert!(TcpStream::connect(self.port.expect("a sidecar")).is_err()),
-            ["calm"] => {
+            ["expect-unreachable"] => assert!(TcpStream::connect(self.port.expect("a sidecar")).is_err()),
+            ["expect-low-cpu"] => {
                 let id = self.program.as_ref().expect("a sidecar").0.id();
                 let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("its figures");
                 let ticks =
@@ -1026,7 +1089,7 @@
                 let (ticks, lived) = (ticks.sum::<u32>(), self.started_at.expect("a sidecar").elapsed());
                 assert!(f64::from(ticks) / 100.0 < 0.5 * lived.as_secs_f64(), "{ticks} ticks in {lived:?}");
             }
-            ["alone"] => {
+            ["expect-single-process"] => {
                 let id = self.program.as_ref().expect("a sidecar").0.id();
                 let maps = std::fs::read_to_string(format!("/proc/{id}/maps")).expect("its maps");
                 assert!(maps.lines().any(|line| line.contains("/libc.so")), "not linked to the C library");
@@ -1041,7 +1104,7 @@
                 );
             }
             ["operator", ..] => self.operator = format!("{}\n", words[1..].join(" ")),
-            ["refused", from, to, ..] => {
+            ["expect-config-error", from, to, ..] => {
                 let config = self.config(&[], "127.0.0.1:1");
                 assert!(config.contains(from), "{config}");
                 let output = self.launch(&config.replacen(from, to, 1), "").wait_with_output();
@@ -1069,7 +1132,7 @@
         let mode = mode.to_string();
         // In a thread of its own, since a server that answers early stops reading.
         thread::spawn(move || {
-            let mut left = if mode == "cut" { bytes / 2 } else { bytes };
+            let mut left = if mode == "truncated" { bytes / 2 } else { bytes };
             while left > 0 {
                 let piece = left.min(20_000);
                 let text = "x".repeat(piece);
@@ -1087,7 +1150,7 @@
             }
             match mode.as_str() {
                 "chunked" => _ = other.write_all(b"0\r\nT: 1\r\n\r\n"),
-                "cut" => _ = other.shutdown(std::net::Shutdown::Both),
+                "truncated" => _ = other.shutdown(std::net::Shutdown::Both),
                 _ => {}
             }
         });
