--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -138,51 +138,52 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until a condition holds that another thread or process brings about.
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "timed out waiting until {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {description}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound socket");
     (listener, address)
 }
 
-/// Whether a connection to this loopback address is being opened.
-fn is_connecting(to: SocketAddr) -> bool {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("its table");
-    let to = format!("0100007F:{:04X}", to.port());
+/// Whether a connection to this loopback address is being opened and has not been answered.
+fn has_half_open_connection(remote: SocketAddr) -> bool {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of TCP connections");
+    let remote = format!("0100007F:{:04X}", remote.port());
     // The third column is the remote address, the fourth the state: 02 is SYN_SENT.
-    table.lines().any(|line| line.split_whitespace().skip(2).take(2).eq([to.as_str(), "02"]))
+    table.lines().any(|line| line.split_whitespace().skip(2).take(2).eq([remote.as_str(), "02"]))
 }
 
 /// How long the program may take to apply a list.
 const LIST_DELAY: Duration = Duration::from_millis(100);
 
 /// How long each thread of a process has waited for a processor so far, as the kernel counts it.
-fn scheduling_waits(process: u32) -> BTreeMap<PathBuf, Duration> {
-    let tasks = std::fs::read_dir(format!("/proc/{process}/task")).expect("a process");
-    let scheduling_delays = tasks.filter_map(|task| {
+fn scheduling_waits(pid: u32) -> BTreeMap<PathBuf, Duration> {
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).expect("a running process");
+    let waits = tasks.filter_map(|task| {
         let path = task.ok()?.path();
-        // Time running, time waiting, time slices: the second one, in nanoseconds.
-        let text = std::fs::read_to_string(path.join("schedstat")).ok()?;
-        Some((path, Duration::from_nanos(text.split(' ').nth(1)?.parse().ok()?)))
+        // Three fields: time running, time waiting for a processor (both in nanoseconds), and time slices.
+        let schedstat = std::fs::read_to_string(path.join("schedstat")).ok()?;
+        Some((path, Duration::from_nanos(schedstat.split(' ').nth(1)?.parse().ok()?)))
     });
-    scheduling_delays.collect()
+    waits.collect()
 }
 
 fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Reads one message: its head, and the body by Content-Length or chunks.
+/// Reads one HTTP message and returns its head and its body, delimited by Content-Length or chunks. Returns `None` if
+/// it is incomplete.
 fn read_message(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -192,17 +193,17 @@
         }
         head.push(byte[0]);
     }
-    let head = String::from_utf8(head).expect("text");
+    let head = String::from_utf8(head).expect("valid UTF-8");
     if head.contains("Transfer-Encoding: chunked") {
         return Some((head, read_chunks(stream)?));
     }
     let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-    let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
+    let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length in bytes"))];
     stream.read_exact(&mut body).ok()?;
-    Some((head, String::from_utf8(body).expect("text")))
+    Some((head, String::from_utf8(body).expect("valid UTF-8")))
 }
 
-/// Reads a chunked body to its end. Returns none if the end is missing.
+/// Reads a chunked body to its last chunk. Returns `None` if the connection ends before it.
 fn read_chunks(stream: &mut TcpStream) -> Option<String> {
     let (mut body, mut byte) = (Vec::new(), [0]);
     loop {
@@ -221,15 +222,17 @@
     }
 }
 
-/// How a test server answers, and what it has seen.
+/// How a test server answers, and what it has received.
 #[derive(Default)]
 struct ServerState {
     mode: String,
     body: String,
     requests: usize,
     connections: usize,
+    /// Requests received in mode `silent` whose connection the program closed.
     cancelled: usize,
-    closed_idle: usize,
+    /// Connections that the program closed while the server was waiting for a next request.
+    closed_between_requests: usize,
     last_request: String,
 }
 
@@ -237,7 +240,7 @@
     name: String,
     address: SocketAddr,
     state: Arc<Mutex<ServerState>>,
-    /// Fills the queue of the listener. Dropped when connections may be accepted.
+    /// A connection that fills the accept queue, until `accept-connections`.
     backlog_filler: Option<TcpStream>,
 }
 
@@ -245,39 +248,41 @@
     fn start(name: &str) -> Server {
         let (listener, address) = listen();
         let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler: None };
-        let shared = server.state.clone();
-        thread::spawn(move || accept_all(&listener, &shared));
+        let state = server.state.clone();
+        thread::spawn(move || accept_all(&listener, &state));
         server
     }
 
-    /// Starts a server whose accept queue is full: the kernel answers no other connection until that one is accepted.
+    /// Starts a server whose accept queue holds one connection and is full: the kernel answers no other until that
+    /// one is accepted.
     fn with_full_backlog(name: &str) -> Server {
         let (listener, address) = listen();
-        rustix::net::listen(&listener, 0).expect("a short queue");
-        let backlog_filler = Some(TcpStream::connect(address).expect("the one that fills it"));
+        rustix::net::listen(&listener, 0).expect("the backlog is set");
+        let backlog_filler =
+            Some(TcpStream::connect(address).expect("the connection that fills the backlog"));
         let server = Server { name: name.to_string(), address, state: Arc::default(), backlog_filler };
-        let shared = server.state.clone();
+        let state = server.state.clone();
         thread::spawn(move || {
-            wait_until("it is admitted", || shared.lock().expect("server state").mode == "ok");
+            wait_until("connections may be accepted", || state.lock().expect("server state").mode == "ok");
             drop(listener.accept());
-            accept_all(&listener, &shared);
+            accept_all(&listener, &state);
         });
         server
     }
 }
 
-fn accept_all(listener: &TcpListener, shared: &Arc<Mutex<ServerState>>) {
+fn accept_all(listener: &TcpListener, state: &Arc<Mutex<ServerState>>) {
     for stream in listener.incoming().map_while(Result::ok) {
-        let shared = shared.clone();
-        shared.lock().expect("server state").connections += 1;
-        thread::spawn(move || serve(stream, &shared));
+        let state = state.clone();
+        state.lock().expect("server state").connections += 1;
+        thread::spawn(move || serve(stream, &state));
     }
 }
 
-/// Waits until the server's mode is no longer `hold`.
-fn mode_after_hold(shared: &Mutex<ServerState>) -> String {
+/// Waits until the server's mode is no longer `hold`, and returns the new mode.
+fn mode_after_hold(state: &Mutex<ServerState>) -> String {
     loop {
-        let mode = shared.lock().expect("server state").mode.clone();
+        let mode = state.lock().expect("server state").mode.clone();
         if mode != "hold" {
             return mode;
         }
@@ -285,77 +290,79 @@
     }
 }
 
-fn serve(mut stream: TcpStream, shared: &Mutex<ServerState>) {
-    while let Some((head, body)) = read_message(&mut stream) {
-        let (mode, text) = {
-            let mut state = shared.lock().expect("server state");
+fn serve(mut stream: TcpStream, server_state: &Mutex<ServerState>) {
+    while let Some((request_head, request_body)) = read_message(&mut stream) {
+        let (mode, answer_body) = {
+            let mut state = server_state.lock().expect("server state");
             state.requests += 1;
-            state.last_request = head + &body;
+            state.last_request = request_head + &request_body;
             (state.mode.clone(), state.body.clone())
         };
-        let mode = if mode == "hold" { mode_after_hold(shared) } else { mode };
-        let whole =
-            format!("HTTP/1.1 200 OK\r\nX-Made-By: us\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-        let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+        let mode = if mode == "hold" { mode_after_hold(server_state) } else { mode };
+        let ok_answer = format!(
+            "HTTP/1.1 200 OK\r\nX-Made-By: us\r\nContent-Length: {}\r\n\r\n{answer_body}",
+            answer_body.len()
+        );
+        let without_body = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         let answer = match mode.as_str() {
             "delayed" => {
                 thread::sleep(Duration::from_millis(300));
-                whole
+                ok_answer
             }
             "chunked" => format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\n{}\r\n{:x}\r\n{}\r\n0\r\nT: 1\r\n\r\n",
-                &text[..1],
-                text.len() - 1,
-                &text[1..]
+                &answer_body[..1],
+                answer_body.len() - 1,
+                &answer_body[1..]
             ),
-            "interim" => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{whole}"),
-            "close-delimited" => format!("HTTP/1.1 200 OK\r\n\r\n{text}"),
-            "truncate-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
+            "interim" => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{ok_answer}"),
+            "close-delimited" => format!("HTTP/1.1 200 OK\r\n\r\n{answer_body}"),
+            "truncate-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{answer_body}", answer_body.len() + 9),
             "large" => format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70000)),
             "large-chunked" => {
-                let half = format!("{:x}\r\n{}\r\n", 400_000, "x".repeat(400_000));
-                format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{half}{half}0\r\n\r\n")
+                let large_chunk = format!("{:x}\r\n{}\r\n", 400_000, "x".repeat(400_000));
+                format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{large_chunk}{large_chunk}0\r\n\r\n")
             }
             "large-close-delimited" => format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(300_000)),
             "truncate-large-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n{}", "x".repeat(80_000)),
             "truncate-large-chunked" => {
                 format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}", 90_000, "x".repeat(80_000))
             }
-            "internal-error" => empty("500 Internal Server Error"),
-            "unavailable" => empty("503 Service Unavailable"),
+            "internal-error" => without_body("500 Internal Server Error"),
+            "unavailable" => without_body("503 Service Unavailable"),
             "load-report" => {
-                format!("HTTP/1.1 200 OK\r\nLoad-Report: {text}\r\nContent-Length: 2\r\n\r\nok")
+                format!("HTTP/1.1 200 OK\r\nLoad-Report: {answer_body}\r\nContent-Length: 2\r\n\r\nok")
             }
-            "refuse-not-started" => empty("503 Service Unavailable\r\nNot-Started: 1"),
+            "refuse-not-started" => without_body("503 Service Unavailable\r\nNot-Started: 1"),
             "conflicting-lengths" => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc".into(),
             "not-http" => "\u{1}\u{2}noise".into(),
             "interim-only" => "HTTP/1.1 102 Processing\r\n\r\n".repeat(99),
-            "stall-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len() + 9),
-            "answer-twice" => format!("{whole}{whole}"),
+            "stall-body" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{answer_body}", answer_body.len() + 9),
+            "answer-twice" => format!("{ok_answer}{ok_answer}"),
             "echo-id" | "echo-id-twice" | "echo-id-twice-delayed" => {
-                let id = shared.lock().expect("server state").last_request.clone();
-                let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("an id").to_string();
-                let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
+                let id = server_state.lock().expect("server state").last_request.clone();
+                let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("a Request-Id").to_string();
+                let echo = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
                 if mode == "echo-id-twice-delayed" {
-                    let _ = stream.write_all(whole.as_bytes());
+                    let _ = stream.write_all(echo.as_bytes());
                     thread::sleep(Duration::from_millis(4));
                 }
-                whole.repeat(if mode == "echo-id-twice" { 2 } else { 1 })
+                echo.repeat(if mode == "echo-id-twice" { 2 } else { 1 })
             }
             "close-without-answer" => return,
             "silent" => {
                 let cancelled = stream.read(&mut [0]).is_ok_and(|count| count == 0);
-                shared.lock().expect("server state").cancelled += usize::from(cancelled);
+                server_state.lock().expect("server state").cancelled += usize::from(cancelled);
                 return;
             }
-            _ => whole,
+            _ => ok_answer,
         };
         if mode == "trickle" {
-            // In single bytes, with pauses that add up to more than a second.
-            let (front, rest) = answer.split_at(answer.len() - 8);
-            let pieces = std::iter::once(front).chain((0..8).map(|at| &rest[at..at + 1]));
-            for piece in pieces {
-                let _ = stream.write_all(piece.as_bytes());
+            // The last bytes one by one, with pauses that add up to more than a second.
+            let (first_part, rest) = answer.split_at(answer.len() - 8);
+            let parts = std::iter::once(first_part).chain((0..8).map(|index| &rest[index..index + 1]));
+            for part in parts {
+                let _ = stream.write_all(part.as_bytes());
                 thread::sleep(Duration::from_millis(200));
             }
             continue;
@@ -374,138 +381,147 @@
             return;
         }
     }
-    shared.lock().expect("server state").closed_idle += 1;
+    server_state.lock().expect("server state").closed_between_requests += 1;
 }
 
-/// The test discovery: sends one whole list, then what the scenario says.
+/// The test discovery: answers each list request with `initial_line`, then sends what the scenario says.
 #[derive(Default)]
 struct Discovery {
-    /// How requests are answered.
+    /// How requests are answered: the argument of `discovery` or `move-discovery`.
     mode: String,
     requests: usize,
-    /// What a watch is sent first.
+    /// The first line that a new watch is sent.
     initial_line: String,
     watches: Vec<TcpStream>,
-    /// Requests that are not answered, or not to the end.
-    hung: Vec<TcpStream>,
-    /// Its address, reserved by a socket that never listens.
-    reserved: Option<(SocketAddr, TcpListener)>,
+    /// Requests that were left without an answer or with an incomplete one.
+    unanswered: Vec<TcpStream>,
+    /// Its address, and the socket that reserves it and never listens.
+    reserved_address: Option<(SocketAddr, TcpListener)>,
     listener: Option<TcpListener>,
-    /// Fills the queue of the listener until connections may be accepted.
+    /// A connection that fills the accept queue, until `discovery up` or another mode that accepts.
     backlog_filler: Option<TcpStream>,
 }
 
-/// Binds a socket to an address that other sockets of this process, or the program instead, may bind too.
-fn bind_socket(to: SocketAddr, left_to_program: bool) -> TcpListener {
+/// Binds a socket to an address that others may bind too: the program (by SO_REUSEADDR), or other sockets of this
+/// process (by SO_REUSEPORT).
+fn bind_without_listening(address: SocketAddr, program_may_bind: bool) -> TcpListener {
     use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
-    // Programs that are started must not inherit it.
-    let (stream, closed) = (SocketType::STREAM, SocketFlags::CLOEXEC);
-    let socket = socket_with(AddressFamily::INET, stream, closed, None).expect("a socket");
-    if left_to_program {
-        sockopt::set_socket_reuseaddr(&socket, true).expect("its option");
+    // The programs that the test starts must not inherit the socket.
+    let (stream, close_on_exec) = (SocketType::STREAM, SocketFlags::CLOEXEC);
+    let socket = socket_with(AddressFamily::INET, stream, close_on_exec, None).expect("a socket");
+    if program_may_bind {
+        sockopt::set_socket_reuseaddr(&socket, true).expect("the socket option is set");
     } else {
-        sockopt::set_socket_reuseport(&socket, true).expect("its option");
+        sockopt::set_socket_reuseport(&socket, true).expect("the socket option is set");
     }
-    bind(&socket, &to).expect("a port");
+    bind(&socket, &address).expect("the address is free");
     TcpListener::from(socket)
 }
 
 impl Discovery {
     fn address(&self) -> SocketAddr {
-        self.reserved.as_ref().expect("discovery").0
+        self.reserved_address.as_ref().expect("discovery is started").0
     }
 
     /// Stops listening: connections are refused.
     fn stop_listening(&mut self) {
         self.backlog_filler = None;
         if let Some(listener) = self.listener.take() {
-            rustix::net::shutdown(&listener, rustix::net::Shutdown::Read).expect("it ends");
+            rustix::net::shutdown(&listener, rustix::net::Shutdown::Read).expect("the listener is shut down");
         }
     }
 
-    /// Listens with a full queue: connections stay unanswered.
+    /// Listens with a full accept queue: the kernel leaves connection attempts unanswered.
     fn fill_backlog(&mut self) {
         self.stop_listening();
-        let listener = bind_socket(self.address(), false);
-        rustix::net::listen(&listener, 0).expect("a short queue");
-        self.backlog_filler = Some(TcpStream::connect(self.address()).expect("the one that fills it"));
+        let listener = bind_without_listening(self.address(), false);
+        rustix::net::listen(&listener, 0).expect("the backlog is set");
+        self.backlog_filler =
+            Some(TcpStream::connect(self.address()).expect("the connection that fills the backlog"));
         self.listener = Some(listener);
     }
 
-    /// Accepts connections, if it did not before.
+    /// Starts to accept connections, if it is not accepting them yet.
     fn open(&mut self, shared: &Arc<Mutex<Discovery>>) {
-        let Some(address) = self.reserved.as_ref().map(|reserved| reserved.0) else { return };
+        let Some(address) = self.reserved_address.as_ref().map(|reserved_address| reserved_address.0) else {
+            return;
+        };
         if self.listener.is_some() && self.backlog_filler.is_none() {
             return;
         }
         self.backlog_filler = None;
-        let listener = self.listener.get_or_insert_with(|| bind_socket(address, false));
-        rustix::net::listen(&*listener, 4096).expect("a queue");
-        let (listener, shared) = (listener.try_clone().expect("a descriptor"), shared.clone());
+        let listener = self.listener.get_or_insert_with(|| bind_without_listening(address, false));
+        rustix::net::listen(&*listener, 4096).expect("the backlog is set");
+        let (listener, shared) = (listener.try_clone().expect("the socket is duplicated"), shared.clone());
         thread::spawn(move || serve_discovery(listener, shared));
     }
 }
 
+/// A line as one chunk of a chunked body.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-fn serve_discovery(listener: TcpListener, shared: Arc<Mutex<Discovery>>) {
+fn serve_discovery(listener: TcpListener, shared_discovery: Arc<Mutex<Discovery>>) {
     for mut stream in listener.incoming().map_while(Result::ok) {
-        let Some((head, _)) = read_message(&mut stream) else { continue };
-        assert!(head.starts_with("GET /v1/endpoints?stream=1&index="), "{head}");
-        let mut discovery = shared.lock().expect("discovery");
+        let Some((request_head, _)) = read_message(&mut stream) else { continue };
+        assert!(request_head.starts_with("GET /v1/endpoints?stream=1&index="), "{request_head}");
+        let mut discovery = shared_discovery.lock().expect("discovery");
         discovery.requests += 1;
-        let (head, first) =
+        let (answer_head, first_chunk) =
             ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk(&discovery.initial_line));
         let answer = match discovery.mode.as_str() {
             "unavailable" => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string(),
             "silent" => String::new(),
-            "truncate-line" => format!("{head}{}", &first[..first.len() / 2]),
-            "stall-line" => format!("{head}{:x}\r\n{{\"index\":8,{}", 400_000, " ".repeat(300_000)),
-            "interim" => format!("HTTP/1.1 103 Early Hints\r\n\r\n{head}{first}"),
-            _ => format!("{head}{first}"),
+            "truncate-line" => format!("{answer_head}{}", &first_chunk[..first_chunk.len() / 2]),
+            "stall-line" => format!("{answer_head}{:x}\r\n{{\"index\":8,{}", 400_000, " ".repeat(300_000)),
+            "interim" => format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer_head}{first_chunk}"),
+            _ => format!("{answer_head}{first_chunk}"),
         };
         let sent = stream.write_all(answer.as_bytes()).is_ok();
         match discovery.mode.as_str() {
             "unavailable" | "truncate-line" => {}
-            "silent" | "stall-line" => discovery.hung.push(stream),
+            "silent" | "stall-line" => discovery.unanswered.push(stream),
             _ if sent => discovery.watches.push(stream),
             _ => {}
         }
     }
 }
 
-/// What a scenario file has started, and what its commands refer to.
+/// The state of a running scenario file: the processes it has started, and what its commands refer to.
 #[derive(Default)]
 struct Scenario {
     servers: Vec<Server>,
     discovery: Arc<Mutex<Discovery>>,
+    /// The program, and its log so far.
     program: Option<(Child, Arc<Mutex<String>>)>,
-    port: Option<SocketAddr>,
-    console: Option<SocketAddr>,
-    /// Where its keeper listens for the other instances.
-    keeper: Option<SocketAddr>,
-    /// The listening socket that processes inherit.
-    passed: Option<TcpListener>,
-    /// The other process, to which commands do not apply at the moment.
-    beside: Option<(Child, Arc<Mutex<String>>, Option<SocketAddr>)>,
-    /// The sidecar's folder, kept when it starts again.
-    folder: PathBuf,
+    listen_address: Option<SocketAddr>,
+    console_address: Option<SocketAddr>,
+    /// Where the lease server listens for the other instances.
+    lease_server_address: Option<SocketAddr>,
+    /// The listening socket that the program and its successor inherit.
+    passed_listener: Option<TcpListener>,
+    /// With two processes: the one to which commands do not apply at the moment, its log and its console.
+    other_process: Option<(Child, Arc<Mutex<String>>, Option<SocketAddr>)>,
+    /// The program's folder for temporary files, kept when it is started again.
+    work_folder: PathBuf,
     clients: BTreeMap<String, TcpStream>,
-    idle: Vec<TcpStream>,
+    /// Connections that send nothing more; closed by `close-connections`.
+    idle_connections: Vec<TcpStream>,
     started_at: Option<Instant>,
-    marked_at: Option<Instant>,
-    admitted_at: Option<Instant>,
-    /// Requests sent, by which they are numbered.
+    /// When the last `start-timer` or `stop` was.
+    timer_started_at: Option<Instant>,
+    /// When the last `accept-connections` was.
+    accepted_at: Option<Instant>,
+    /// Requests sent so far. The number of a request gives its id.
     request_count: u32,
-    /// Requests sent by `send-until`, which have numbers of their own.
-    probe_count: u32,
-    /// Sockets that keep their addresses from being given to others.
-    reserved_sockets: Vec<TcpListener>,
-    file: PathBuf,
-    /// The operator's file, if there is one.
-    operator: String,
+    /// The last number of a request sent by `send-until`.
+    probe_request_count: u32,
+    /// Sockets that keep the kernel from giving their addresses to others.
+    address_reservations: Vec<TcpListener>,
+    config_file: PathBuf,
+    /// The text of the operator's file, empty without one.
+    operator_file_text: String,
     config_text: String,
 }
 
@@ -514,13 +530,16 @@
         if let (true, Some((_, log))) = (thread::panicking(), &self.program) {
             eprintln!("{}", log.lock().map(|log| log.clone()).unwrap_or_default());
         }
-        let programs = [self.program.take().map(|it| it.0), self.beside.take().map(|it| it.0)];
+        let programs = [
+            self.program.take().map(|process| process.0),
+            self.other_process.take().map(|process| process.0),
+        ];
         for mut program in programs.into_iter().flatten() {
             let _ = program.kill();
             let _ = program.wait();
         }
-        if !self.folder.as_os_str().is_empty() {
-            let _ = std::fs::remove_dir_all(&self.folder);
+        if !self.work_folder.as_os_str().is_empty() {
+            let _ = std::fs::remove_dir_all(&self.work_folder);
         }
     }
 }
@@ -528,39 +547,43 @@
 impl Scenario {
     /// Reserves an address at which nothing listens: the kernel gives it to no other socket, but the program may
     /// bind it.
-    fn reserve(&mut self, at: SocketAddr) -> SocketAddr {
-        let place = bind_socket(at, true);
-        let address = place.local_addr().expect("its address");
-        self.reserved_sockets.push(place);
+    fn reserve_address(&mut self, address: SocketAddr) -> SocketAddr {
+        let socket = bind_without_listening(address, true);
+        let address = socket.local_addr().expect("a bound socket");
+        self.address_reservations.push(socket);
         address
     }
 
-    fn entries(&self, words: &[&str]) -> String {
-        let entry = |word: &&str| {
-            let (name, status) = word.split_once(':').unwrap_or((word, "active"));
-            let at = self.servers.iter().position(|server| server.name == name).expect("a server");
-            let address = self.servers[at].address;
+    fn list_entries(&self, names_with_status: &[&str]) -> String {
+        let entry = |name_with_status: &&str| {
+            let (name, status) = name_with_status.split_once(':').unwrap_or((name_with_status, "active"));
+            let index =
+                self.servers.iter().position(|server| server.name == name).expect("a server of this name");
+            let address = self.servers[index].address;
             format!(
-                r#"{{"name":"{name}","address":"{address}","zone":"a","group":{at},"status":"{status}","weight":1.0,"since_ms":0}}"#
+                r#"{{"name":"{name}","address":"{address}","zone":"a","group":{index},"status":"{status}","weight":1.0,"since_ms":0}}"#
             )
         };
-        words.iter().map(entry).collect::<Vec<_>>().join(",")
+        names_with_status.iter().map(entry).collect::<Vec<_>>().join(",")
     }
 
-    fn list(&self, snapshot: bool, words: &[&str]) -> String {
-        format!(r#"{{"index":7,"snapshot":{snapshot},"endpoints":[{}]}}"#, self.entries(words))
+    fn list_line(&self, snapshot: bool, names_with_status: &[&str]) -> String {
+        format!(
+            r#"{{"index":7,"snapshot":{snapshot},"endpoints":[{}]}}"#,
+            self.list_entries(names_with_status)
+        )
     }
 
-    fn config(&self, words: &[&str], discovery: &str) -> String {
-        let get = |key: &str, other: &'static str| {
-            let found = words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='));
-            found.unwrap_or(other).to_string()
+    fn config(&self, options: &[&str], discovery: &str) -> String {
+        let value = |key: &str, default: &'static str| {
+            let given = options.iter().find_map(|option| option.strip_prefix(key)?.strip_prefix('='));
+            given.unwrap_or(default).to_string()
         };
         let workload = |name: &str, semantics: &str| {
             format!(
                 r#"{{"name":"{name}","semantics":"{semantics}","group":"cell","memory_span_s":5,"quoted_time_s":{},"abandon_time_s":{},"payoff":1,"overdue_payoff":0.5}}"#,
-                get("quoted_time_s", "2"),
-                get("abandon_time_s", "3")
+                value("quoted_time_s", "2"),
+                value("abandon_time_s", "3")
             )
         };
         let names: Vec<&str> = self.servers.iter().map(|server| server.name.as_str()).collect();
@@ -571,68 +594,74 @@
             "connect_timeout_s":{},"idle_close_s":{}}},"discovery":"{}",{}"zones":["a"],
             "rules":{{{}"ask_within_s":{},"cold_from":0.3,"fall_s":1.5,"warm_within_s":8}},
             "workloads":[{},{},{}]}}}}"#,
-            get("listen", "127.0.0.1:0"),
-            if words.contains(&"console") { r#""console":"127.0.0.1:0","# } else { "" },
-            get("sockets", "1024"),
-            self.list(true, &names),
-            get("most_hops", "4"),
-            get("cancel", "true"),
-            get("connect_timeout_s", "0.2"),
-            get("idle_close_s", "60"),
-            get("discovery", "on_request"),
-            match get("discovery", "").as_str() {
+            value("listen", "127.0.0.1:0"),
+            if options.contains(&"console") { r#""console":"127.0.0.1:0","# } else { "" },
+            value("sockets", "1024"),
+            self.list_line(true, &names),
+            value("most_hops", "4"),
+            value("cancel", "true"),
+            value("connect_timeout_s", "0.2"),
+            value("idle_close_s", "60"),
+            value("discovery", "on_request"),
+            match value("discovery", "").as_str() {
                 "pushed" =>
                     r#""report":{"source":"answers","columns":["busy_reqs","pending"]},"family_info":{"warm_keys":true},"#,
                 _ => "",
             },
-            match get("retry_budget", "").split(':').collect::<Vec<_>>()[..] {
-                [few, share, window] =>
-                    format!(r#""spare_attempts":{few},"budget_share":{share},"extra_window_s":{window},"#),
+            match value("retry_budget", "").split(':').collect::<Vec<_>>()[..] {
+                [attempts, share, seconds] => format!(
+                    r#""spare_attempts":{attempts},"budget_share":{share},"extra_window_s":{seconds},"#
+                ),
                 _ => String::new(),
             },
-            get("ask_within_s", "10"),
+            value("ask_within_s", "10"),
             workload("view", "read_like"),
             workload("save", "idempotency_key"),
             workload("pay", "non_idempotent"),
         )
     }
 
-    fn launch(&mut self, config: &str, before: &str) -> Child {
-        let file = format!("oakhollow-{:?}-{}.json", thread::current().id(), std::process::id());
-        (self.file, self.config_text) = (std::env::temp_dir().join(file), config.to_string());
-        std::fs::write(&self.file, config).expect("the file");
+    fn spawn_program(&mut self, config: &str, shell_prefix: &str) -> Child {
+        let file_name = format!("oakhollow-{:?}-{}.json", thread::current().id(), std::process::id());
+        (self.config_file, self.config_text) = (std::env::temp_dir().join(file_name), config.to_string());
+        std::fs::write(&self.config_file, config).expect("the configuration file is written");
         let mut command = Command::new("/bin/sh");
-        let before = match &self.passed {
-            Some(_) => format!("{before} exec 5<&0 0</dev/null;"),
-            None => before.to_string(),
+        let shell_prefix = match &self.passed_listener {
+            Some(_) => format!("{shell_prefix} exec 5<&0 0</dev/null;"),
+            None => shell_prefix.to_string(),
         };
-        command.args(["-c", &format!("{before} exec {}", env!("CARGO_BIN_EXE_oakhollow"))]);
-        if let Some(passed) = &self.passed {
-            command.stdin(Stdio::from(OwnedFd::from(passed.try_clone().expect("a descriptor"))));
+        command.args(["-c", &format!("{shell_prefix} exec {}", env!("CARGO_BIN_EXE_oakhollow"))]);
+        if let Some(listener) = &self.passed_listener {
+            command
+                .stdin(Stdio::from(OwnedFd::from(listener.try_clone().expect("the socket is duplicated"))));
             command.env("RELAY_PASSED_SOCKET", "5");
         }
-        if !self.operator.is_empty() {
-            let file = self.file.with_extension("toml");
-            std::fs::write(&file, &self.operator).expect("the operator's file");
-            command.env("OAKHOLLOW_OPERATOR", file);
+        if !self.operator_file_text.is_empty() {
+            let operator_file = self.config_file.with_extension("toml");
+            std::fs::write(&operator_file, &self.operator_file_text).expect("the operator's file is written");
+            command.env("OAKHOLLOW_OPERATOR", operator_file);
         }
-        if self.folder.as_os_str().is_empty() {
-            self.folder = self.file.with_extension("d");
-            std::fs::create_dir_all(&self.folder).expect("a folder");
+        if self.work_folder.as_os_str().is_empty() {
+            self.work_folder = self.config_file.with_extension("d");
+            std::fs::create_dir_all(&self.work_folder).expect("the folder is created");
         }
-        command.env("TMPDIR", &self.folder);
-        command.env("RELAY_CONFIG", &self.file).stderr(Stdio::piped()).spawn().expect("the program starts")
+        command.env("TMPDIR", &self.work_folder);
+        command
+            .env("RELAY_CONFIG", &self.config_file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts")
     }
 
-    /// Starts a test discovery at a new address.
-    fn start_discovery(&mut self, unchanged: bool) -> SocketAddr {
-        let place = bind_socket(any_loopback_port(), false);
-        let address = place.local_addr().expect("its address");
+    /// Starts the test discovery at a new address.
+    fn start_discovery(&mut self, list_unchanged: bool) -> SocketAddr {
+        let socket = bind_without_listening(any_loopback_port(), false);
+        let address = socket.local_addr().expect("a bound socket");
         let names: Vec<&str> = self.servers.iter().map(|server| server.name.as_str()).collect();
-        let first = if unchanged { String::new() } else { self.list(true, &names) };
+        let initial_line = if list_unchanged { String::new() } else { self.list_line(true, &names) };
         let mut discovery = self.discovery.lock().expect("discovery");
-        (discovery.initial_line, discovery.reserved, discovery.listener) =
-            (first, Some((address, place)), None);
+        (discovery.initial_line, discovery.reserved_address, discovery.listener) =
+            (initial_line, Some((address, socket)), None);
         discovery.open(&self.discovery);
         address
     }
@@ -642,184 +671,190 @@
             assert!(text.contains(from), "{text}");
             text.replacen(from, to, 1)
         });
-        std::fs::write(&self.file, text).expect("the file");
+        std::fs::write(&self.config_file, text).expect("the configuration file is written");
         self.signal("HUP");
     }
 
     fn signal(&self, name: &str) {
-        let id = self.program.as_ref().expect("a sidecar").0.id();
-        let sent = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {id}")]).status();
-        assert!(sent.expect("kill").success());
+        let pid = self.program.as_ref().expect("the program is started").0.id();
+        let status = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {pid}")]).status();
+        assert!(status.expect("the shell runs kill").success());
     }
 
-    fn start_sidecar(&mut self, words: &[&str]) {
-        if words.contains(&"passed-socket") {
-            self.passed.get_or_insert_with(|| listen().0);
+    fn start_sidecar(&mut self, options: &[&str]) {
+        if options.contains(&"passed-socket") {
+            self.passed_listener.get_or_insert_with(|| listen().0);
         }
-        if let Some(count) = words.iter().find_map(|word| word.strip_prefix("instances=")) {
-            let keeper = self.reserve(any_loopback_port());
-            let others =
-                (1..count.parse().expect("a count")).map(|number| format!(", n{number} = \"127.0.0.1:1\""));
-            self.operator += &format!(
-                "accord = {{ keepers = [\"n0\"], within = 4, instances = {{ n0 = \"{keeper}\"{} }} }}\n",
-                others.collect::<String>()
+        if let Some(count) = options.iter().find_map(|option| option.strip_prefix("instances=")) {
+            let lease_server_address = self.reserve_address(any_loopback_port());
+            let other_instances = (1..count.parse().expect("a whole number"))
+                .map(|number| format!(", n{number} = \"127.0.0.1:1\""));
+            self.operator_file_text += &format!(
+                "accord = {{ keepers = [\"n0\"], within = 4, instances = {{ n0 = \"{lease_server_address}\"{} }} }}\n",
+                other_instances.collect::<String>()
             );
-            self.keeper = Some(keeper);
+            self.lease_server_address = Some(lease_server_address);
         }
-        let address = self.start_discovery(words.contains(&"list-unchanged"));
-        let limit = words.iter().find_map(|word| word.strip_prefix("ulimit="));
-        let before = limit.map_or(String::new(), |limit| format!("ulimit -n {limit};"));
-        // Another socket holds the address for a moment more.
-        let taken = words.iter().find_map(|word| word.strip_prefix("address-in-use=")).map(|time| {
-            let place = self.reserve(any_loopback_port());
-            (TcpListener::bind(place).expect("its place"), place, time)
-        });
-        let listen = taken.as_ref().map(|(_, place, _)| format!("listen={place}"));
-        let words: Vec<&str> = words.iter().copied().chain(listen.as_deref()).collect();
-        let mut program = self.launch(&self.config(&words, &address.to_string()), &before);
-        if let Some((holder, _, time)) = taken {
-            thread::sleep(Duration::from_micros(runner::parse_duration_us(time)));
-            drop(holder);
+        let discovery_address = self.start_discovery(options.contains(&"list-unchanged"));
+        let limit = options.iter().find_map(|option| option.strip_prefix("ulimit="));
+        let shell_prefix = limit.map_or(String::new(), |limit| format!("ulimit -n {limit};"));
+        // Another socket listens at the program's address for a while.
+        let address_holder =
+            options.iter().find_map(|option| option.strip_prefix("address-in-use=")).map(|hold_time| {
+                let held_address = self.reserve_address(any_loopback_port());
+                (TcpListener::bind(held_address).expect("the reserved address"), held_address, hold_time)
+            });
+        let listen = address_holder.as_ref().map(|(_, held_address, _)| format!("listen={held_address}"));
+        let options: Vec<&str> = options.iter().copied().chain(listen.as_deref()).collect();
+        let mut program =
+            self.spawn_program(&self.config(&options, &discovery_address.to_string()), &shell_prefix);
+        if let Some((listener, _, hold_time)) = address_holder {
+            thread::sleep(Duration::from_micros(runner::parse_duration_us(hold_time)));
+            drop(listener);
         }
-        let deaf = words.contains(&"close-log");
-        let (mut errors, log) =
-            (program.stderr.take().expect("its log"), Arc::new(Mutex::new(String::new())));
+        let closes_log = options.contains(&"close-log");
+        let (mut stderr, log) =
+            (program.stderr.take().expect("a piped standard error"), Arc::new(Mutex::new(String::new())));
         let shared = log.clone();
         thread::spawn(move || {
             let mut buffer = [0; 1024];
-            while let Some(count) = errors.read(&mut buffer).ok().filter(|count| *count > 0) {
+            while let Some(count) = stderr.read(&mut buffer).ok().filter(|count| *count > 0) {
                 let mut log = shared.lock().expect("log");
                 *log += &String::from_utf8_lossy(&buffer[..count]);
-                if deaf && log.contains("Serving") {
+                if closes_log && log.contains("Serving") {
                     break;
                 }
             }
         });
         self.program = Some((program, log.clone()));
-        wait_until("it listens", || {
+        wait_until("the program listens", || {
             let log = log.lock().expect("log");
             let rest = log.split_once("listening on ").map(|(_, rest)| rest.to_string());
-            self.port = rest.and_then(|rest| rest.split([',', ' ', '\n']).next()?.parse().ok());
-            self.port.is_some()
+            self.listen_address = rest.and_then(|rest| rest.split([',', ' ', '\n']).next()?.parse().ok());
+            self.listen_address.is_some()
         });
-        if words.contains(&"console") {
-            wait_until("it has a console", || {
+        if options.contains(&"console") {
+            wait_until("the program has a console", || {
                 let log = log.lock().expect("log").clone();
-                let at = log.split_once("console at ").and_then(|(_, rest)| rest.split_once(','));
-                self.console = at.and_then(|(at, _)| at.parse().ok());
-                self.console.is_some()
+                let address = log.split_once("console at ").and_then(|(_, rest)| rest.split_once(','));
+                self.console_address = address.and_then(|(address, _)| address.parse().ok());
+                self.console_address.is_some()
             });
         }
         self.started_at = Some(Instant::now());
     }
 
     fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.port.expect("a sidecar")).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let stream =
+            TcpStream::connect(self.listen_address.expect("the program is started")).expect("a connection");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         stream
     }
 
-    fn send_request(&mut self, id: &str, mut stream: TcpStream, workload: &str, left: &str) {
+    fn send_request(&mut self, id: &str, mut stream: TcpStream, workload: &str, timeout: &str) {
         self.request_count += 1;
-        let (calls, left) = (self.request_count, runner::parse_duration_us(left) / 1000);
-        let head = format!("Host: api.internal\r\nRequest-Id: {calls:016x}\r\nRequest-Class: {workload}\r\nRequest-Timeout-Ms: {left}\r\n");
+        let (number, timeout_ms) = (self.request_count, runner::parse_duration_us(timeout) / 1000);
+        let head = format!("Host: api.internal\r\nRequest-Id: {number:016x}\r\nRequest-Class: {workload}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n");
         let request = match workload {
             "view" => format!("GET /view/7?x=y HTTP/1.1\r\n{head}\r\n"),
-            _ => format!("POST /{workload} HTTP/1.1\r\n{head}Idempotency-Key: k{calls}\r\nContent-Length: 5\r\n\r\nhello"),
+            _ => format!("POST /{workload} HTTP/1.1\r\n{head}Idempotency-Key: k{number}\r\nContent-Length: 5\r\n\r\nhello"),
         };
-        stream.write_all(request.as_bytes()).expect("sent");
+        stream.write_all(request.as_bytes()).expect("the bytes are sent");
         self.clients.insert(id.to_string(), stream);
     }
 
-    fn expect(&mut self, id: &str, status: &str, body: &str) {
-        let stream = self.clients.get_mut(id).expect("a call");
+    fn expect_answer(&mut self, id: &str, status: &str, body: &str) {
+        let stream = self.clients.get_mut(id).expect("a client with this id");
         let (head, answer_body) = read_message(stream).expect("an answer");
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
         assert!(body.is_empty() || answer_body == body, "{answer_body}");
     }
 
-    /// How long the program's threads have waited for a processor in all, and each thread of this process.
+    /// How long all threads of the program together, and each thread of this process, have waited for a processor.
     fn scheduling_delays(&self) -> (Duration, BTreeMap<PathBuf, Duration>) {
-        let program = self.program.as_ref().expect("a sidecar").0.id();
-        (scheduling_waits(program).values().sum(), scheduling_waits(std::process::id()))
+        let pid = self.program.as_ref().expect("the program is started").0.id();
+        (scheduling_waits(pid).values().sum(), scheduling_waits(std::process::id()))
     }
 
-    fn send_until_settled(
-        &mut self, count: &str, (workload, left): (&str, &str), (status, body): (&str, &str),
-    ) {
-        let (start, count) = (Instant::now(), count.parse::<usize>().expect("a count"));
+    fn send_until(&mut self, count: &str, (workload, timeout): (&str, &str), (status, body): (&str, &str)) {
+        let (start, count) = (Instant::now(), count.parse::<usize>().expect("a whole number"));
         let (mut in_a_row, status) = (0, format!("HTTP/1.1 {status} "));
-        let (theirs, ours) = self.scheduling_delays();
-        // These requests have ids of their own: their number must not shift the ids that a file names.
-        self.probe_count = self.probe_count.max(1 << 20);
-        std::mem::swap(&mut self.request_count, &mut self.probe_count);
+        let (program_waits, test_waits) = self.scheduling_delays();
+        // How many requests are sent here depends on timing. Numbers from another range keep the ids predictable that
+        // the scenario file names.
+        self.probe_request_count = self.probe_request_count.max(1 << 20);
+        std::mem::swap(&mut self.request_count, &mut self.probe_request_count);
         while in_a_row < count {
-            let begun = start.elapsed();
-            self.send_request("settles", self.connect(), workload, left);
-            let stream = self.clients.get_mut("settles").expect("a call");
+            let sent_at = start.elapsed();
+            self.send_request("probe", self.connect(), workload, timeout);
+            let stream = self.clients.get_mut("probe").expect("a client with this id");
             let (head, answer_body) = read_message(stream).expect("an answer");
-            let so = head.starts_with(&status) && (body.is_empty() || answer_body == body);
-            if !so && begun >= LIST_DELAY {
-                let (theirs_now, ours_now) = self.scheduling_delays();
-                // One thread of this process sends the list and one the requests: twice the longest wait of any.
-                let longest =
-                    ours_now.iter().map(|(thread, now)| *now - ours.get(thread).copied().unwrap_or_default());
-                let machine = theirs_now.saturating_sub(theirs) + 2 * longest.max().unwrap_or_default();
+            let as_expected = head.starts_with(&status) && (body.is_empty() || answer_body == body);
+            if !as_expected && sent_at >= LIST_DELAY {
+                let (program_waits_now, test_waits_now) = self.scheduling_delays();
+                // Two threads of this process matter, the one that sends the list and the one that sends the requests:
+                // twice the longest wait of any thread covers both.
+                let longest = test_waits_now
+                    .iter()
+                    .map(|(thread, now)| *now - test_waits.get(thread).copied().unwrap_or_default());
+                let machine_delay =
+                    program_waits_now.saturating_sub(program_waits) + 2 * longest.max().unwrap_or_default();
                 assert!(
-                    begun < LIST_DELAY + machine,
-                    "late by {begun:?}, the machine {machine:?}: {head}{answer_body}"
+                    sent_at < LIST_DELAY + machine_delay,
+                    "wrong answer to a request sent after {sent_at:?}, with scheduling delays of {machine_delay:?}: {head}{answer_body}"
                 );
             }
-            in_a_row = if so { in_a_row + 1 } else { 0 };
+            in_a_row = if as_expected { in_a_row + 1 } else { 0 };
         }
-        std::mem::swap(&mut self.request_count, &mut self.probe_count);
+        std::mem::swap(&mut self.request_count, &mut self.probe_request_count);
     }
 
     fn set_server(&mut self, name: &str, mode: &str, body: &str) {
         if !self.servers.iter().any(|server| server.name == name) {
             let mut server = Server::start(name);
             if mode == "not-listening" {
-                server.address = self.reserve(any_loopback_port());
+                server.address = self.reserve_address(any_loopback_port());
             }
             if mode == "full-backlog" {
                 server = Server::with_full_backlog(name);
             }
             if let Some(other) = mode.strip_prefix("address-of:") {
-                server.address = self.find(other).address;
+                server.address = self.find_server(other).address;
             }
             self.servers.push(server);
         }
-        let mut state = self.find(name).state.lock().expect("server state");
+        let mut state = self.find_server(name).state.lock().expect("server state");
         (state.mode, state.body) = (mode.to_string(), body.to_string());
     }
 
-    fn find(&self, name: &str) -> &Server {
-        self.servers.iter().find(|server| server.name == name).expect("a server")
+    fn find_server(&self, name: &str) -> &Server {
+        self.servers.iter().find(|server| server.name == name).expect("a server of this name")
     }
 
-    fn expect_count(&self, name: &str, wanted: &str, count: impl Fn(&ServerState) -> usize) {
-        let (server, wanted) = (self.find(name), wanted.parse::<usize>().expect("a count"));
-        wait_until("the count is reached", || count(&server.state.lock().expect("server state")) >= wanted);
-        assert_eq!(count(&server.state.lock().expect("server state")), wanted);
+    fn expect_count(&self, name: &str, expected: &str, count: impl Fn(&ServerState) -> usize) {
+        let (server, expected) = (self.find_server(name), expected.parse::<usize>().expect("a whole number"));
+        wait_until("the count is reached", || count(&server.state.lock().expect("server state")) >= expected);
+        assert_eq!(count(&server.state.lock().expect("server state")), expected);
     }
 
-    /// Waits for a count and requires it within a second: at the end of a request's time it would hold anyway.
-    fn expect_soon(&self, name: &str, least: &str, count: impl Fn(&ServerState) -> usize) {
-        let (start, least) = (Instant::now(), least.parse::<usize>().expect("a count"));
+    /// Waits for a count, which must be reached within a second: once the request's time limit ends it would be
+    /// reached anyway.
+    fn expect_soon(&self, name: &str, minimum: &str, count: impl Fn(&ServerState) -> usize) {
+        let (start, minimum) = (Instant::now(), minimum.parse::<usize>().expect("a whole number"));
         wait_until("the count is reached", || {
-            count(&self.find(name).state.lock().expect("server state")) >= least
+            count(&self.find_server(name).state.lock().expect("server state")) >= minimum
         });
-        assert!(start.elapsed() < Duration::from_secs(1), "late");
+        assert!(start.elapsed() < Duration::from_secs(1), "took more than a second");
     }
 
-    fn run_list_command(&mut self, words: &[&str]) {
+    fn run_discovery_command(&mut self, words: &[&str]) {
         let line = match words {
-            ["send-full", names @ ..] | ["initial", "full", names @ ..] => self.list(true, names),
-            ["send-update", names @ ..] | ["initial", "update", names @ ..] => self.list(false, names),
+            ["send-full", names @ ..] | ["initial", "full", names @ ..] => self.list_line(true, names),
+            ["send-update", names @ ..] | ["initial", "update", names @ ..] => self.list_line(false, names),
             ["send-line" | "send-partial", line] => line.to_string(),
             _ => "{\"index\":8,".to_string(),
         };
-        let bytes = match words[0] {
+        let body_chunk = match words[0] {
             "send-partial" => format!("{:x}\r\n{line}\r\n", line.len()),
             _ => chunk(&line),
         };
@@ -833,9 +868,9 @@
                 discovery.open(&self.discovery);
             }
             "close-watches" => discovery.watches.clear(),
-            "close-pending" => discovery.hung.clear(),
+            "close-pending" => discovery.unanswered.clear(),
             _ => discovery.watches.iter_mut().for_each(|watch| {
-                let _ = watch.write_all(bytes.as_bytes());
+                let _ = watch.write_all(body_chunk.as_bytes());
             }),
         }
         if matches!(words[0], "unavailable" | "refuse-connections" | "full-backlog") {
@@ -849,39 +884,39 @@
             ["server", name, mode] => self.set_server(name, mode, "hello"),
             ["server", name, mode, body] => self.set_server(name, mode, body),
             ["servers", count, mode] => {
-                let count: usize = count.parse().expect("a count");
+                let count: usize = count.parse().expect("a whole number");
                 (0..count).for_each(|number| self.set_server(&format!("s{number}"), mode, "hello"));
             }
             ["sidecar", ..] => self.start_sidecar(&words[1..]),
-            ["send", id, workload, left] => self.send_request(id, self.connect(), workload, left),
-            ["expect-all-ok", count, workload, left, ..] => {
-                for _ in 0..count.parse().expect("a count") {
-                    self.send_request("calls", self.connect(), workload, left);
-                    self.expect("calls", "200", words.get(4).copied().unwrap_or_default());
+            ["send", id, workload, timeout] => self.send_request(id, self.connect(), workload, timeout),
+            ["expect-all-ok", count, workload, timeout, ..] => {
+                for _ in 0..count.parse().expect("a whole number") {
+                    self.send_request("expect-all-ok", self.connect(), workload, timeout);
+                    self.expect_answer("expect-all-ok", "200", words.get(4).copied().unwrap_or_default());
                 }
             }
-            ["send-until", count, workload, left, status, ..] => {
+            ["send-until", count, workload, timeout, status, ..] => {
                 let body = words.get(5).copied().unwrap_or_default();
-                self.send_until_settled(count, (workload, left), (status, body));
+                self.send_until(count, (workload, timeout), (status, body));
             }
-            ["send-concurrently", count, workload, left] => {
-                for number in 0..count.parse().expect("a count") {
-                    self.send_request(&format!("kept-{number}"), self.connect(), workload, left);
+            ["send-concurrently", count, workload, timeout] => {
+                for number in 0..count.parse().expect("a whole number") {
+                    self.send_request(&format!("concurrent-{number}"), self.connect(), workload, timeout);
                 }
             }
-            ["expect-refusals", count, workload, left, least] => {
-                let count: usize = count.parse().expect("a count");
-                let dismissed = (0..count).filter(|_| {
-                    self.send_request("flood", self.connect(), workload, left);
-                    let stream = self.clients.get_mut("flood").expect("a call");
+            ["expect-refusals", count, workload, timeout, minimum] => {
+                let count: usize = count.parse().expect("a whole number");
+                let refused = (0..count).filter(|_| {
+                    self.send_request("expect-refusals", self.connect(), workload, timeout);
+                    let stream = self.clients.get_mut("expect-refusals").expect("a client with this id");
                     read_message(stream).expect("an answer").0.starts_with("HTTP/1.1 503 ")
                 });
-                let (dismissed, least) = (dismissed.count(), least.parse().expect("a count"));
-                assert!(dismissed >= least, "{dismissed} of {count} dismissed");
+                let (refused, minimum) = (refused.count(), minimum.parse().expect("a whole number"));
+                assert!(refused >= minimum, "{refused} of {count} refused");
             }
-            ["send-on", id, other, workload, left] => {
-                let stream = self.clients.remove(other).expect("a call");
-                self.send_request(id, stream, workload, left);
+            ["send-on", id, other, workload, timeout] => {
+                let stream = self.clients.remove(other).expect("a client with this id");
+                self.send_request(id, stream, workload, timeout);
             }
             ["close", id] => drop(self.clients.remove(id)),
             ["send-raw", id, bytes] => {
@@ -890,176 +925,207 @@
                 self.send_bytes(id, bytes);
             }
             ["send-more", id, bytes] => self.send_bytes(id, bytes),
-            ["expect-own-ids", count, workload, left] => {
-                for _ in 0..count.parse().expect("a count") {
-                    self.send_request("own", self.connect(), workload, left);
-                    let own = format!("{:016x}", self.request_count);
-                    self.expect("own", "200", &own);
+            ["expect-own-ids", count, workload, timeout] => {
+                for _ in 0..count.parse().expect("a whole number") {
+                    self.send_request("expect-own-ids", self.connect(), workload, timeout);
+                    let own_id = format!("{:016x}", self.request_count);
+                    self.expect_answer("expect-own-ids", "200", &own_id);
                 }
             }
-            ["expect", id, status] => self.expect(id, status, ""),
-            ["expect", id, status, body] => self.expect(id, status, body),
+            ["expect", id, status] => self.expect_answer(id, status, ""),
+            ["expect", id, status, body] => self.expect_answer(id, status, body),
             ["expect-closed", id] => {
-                let mut rest = Vec::new();
-                let ended = self.clients.remove(id).expect("a call").read_to_end(&mut rest);
-                assert!(rest.is_empty(), "{rest:?}");
-                assert!(!ended.is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock), "still open");
+                let mut unexpected = Vec::new();
+                let read_result =
+                    self.clients.remove(id).expect("a client with this id").read_to_end(&mut unexpected);
+                assert!(unexpected.is_empty(), "{unexpected:?}");
+                assert!(!read_result.is_err_and(|error| error.kind() == ErrorKind::WouldBlock), "still open");
             }
-            ["expect-min-requests", name, least] => {
-                let least: usize = least.parse().expect("a count");
-                let requests = self.find(name).state.lock().expect("server state").requests;
-                assert!(requests >= least, "{requests}");
+            ["expect-min-requests", name, minimum] => {
+                let minimum: usize = minimum.parse().expect("a whole number");
+                let requests = self.find_server(name).state.lock().expect("server state").requests;
+                assert!(requests >= minimum, "{requests}");
             }
-            ["reset-requests", name] => self.find(name).state.lock().expect("server state").requests = 0,
-            ["open-connections", count] => self.open_silent(count, ""),
-            ["open-connections", count, bytes] => self.open_silent(count, bytes),
-            ["close-connections"] => self.idle.clear(),
+            ["reset-requests", name] => {
+                self.find_server(name).state.lock().expect("server state").requests = 0
+            }
+            ["open-connections", count] => self.open_connections(count, ""),
+            ["open-connections", count, bytes] => self.open_connections(count, bytes),
+            ["close-connections"] => self.idle_connections.clear(),
             ["expect-requests", name, count] => self.expect_count(name, count, |state| state.requests),
             ["expect-total-requests", count] => {
                 let requests = |server: &Server| server.state.lock().expect("server state").requests;
                 assert_eq!(self.servers.iter().map(requests).sum::<usize>().to_string(), count);
             }
             ["expect-connections", name, count] => self.expect_count(name, count, |state| state.connections),
-            ["expect-cancelled", name, least] => self.expect_soon(name, least, |state| state.cancelled),
-            ["expect-closed-idle", name, least] => self.expect_soon(name, least, |state| state.closed_idle),
+            ["expect-cancelled", name, minimum] => self.expect_soon(name, minimum, |state| state.cancelled),
+            ["expect-closed-idle", name, minimum] => {
+                self.expect_soon(name, minimum, |state| state.closed_between_requests)
+            }
             ["expect-request-contains", name, ..] => {
-                let last = self.find(name).state.lock().expect("server state").last_request.clone();
-                assert!(last.contains(&decode_bytes(words[2])), "{last}");
+                let last_request =
+                    self.find_server(name).state.lock().expect("server state").last_request.clone();
+                assert!(last_request.contains(&decode_bytes(words[2])), "{last_request}");
             }
             ["accept-connections", name] => {
-                let server = self.servers.iter_mut().find(|server| server.name == name).expect("a server");
-                self.admitted_at = Some(Instant::now());
+                let server = self
+                    .servers
+                    .iter_mut()
+                    .find(|server| server.name == name)
+                    .expect("a server of this name");
+                self.accepted_at = Some(Instant::now());
                 server.state.lock().expect("server state").mode = "ok".into();
                 server.backlog_filler = None;
             }
-            ["expect-timeout", name, left] => {
-                let last = self.find(name).state.lock().expect("server state").last_request.clone();
-                let announced = last.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
-                let announced = Duration::from_millis(announced.expect("a time").parse().expect("a number"));
-                let passed = self.admitted_at.expect("admitted") - self.marked_at.expect("a mark");
-                let left = Duration::from_micros(runner::parse_duration_us(left));
+            ["expect-timeout", name, timeout] => {
+                let last_request =
+                    self.find_server(name).state.lock().expect("server state").last_request.clone();
+                let announced =
+                    last_request.lines().find_map(|line| line.strip_prefix("Request-Timeout-Ms: "));
+                let announced = Duration::from_millis(
+                    announced.expect("a Request-Timeout-Ms").parse().expect("milliseconds"),
+                );
+                let elapsed = self.accepted_at.expect("connections are accepted")
+                    - self.timer_started_at.expect("the timer is started");
+                let timeout = Duration::from_micros(runner::parse_duration_us(timeout));
                 assert!(
-                    announced + passed <= left,
-                    "announced {announced:?}, {passed:?} after {left:?} were left"
+                    announced + elapsed <= timeout,
+                    "announced {announced:?}, {elapsed:?} after the timer was started with {timeout:?} left"
                 );
             }
             ["pause"] => self.signal("STOP"),
             ["resume"] => self.signal("CONT"),
             ["expect-no-log", ..] => {
-                let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
+                let (text, log) =
+                    (words[1..].join(" "), &self.program.as_ref().expect("the program is started").1);
                 let log = log.lock().expect("log");
-                assert!(!log.contains(&words), "{log}");
+                assert!(!log.contains(&text), "{log}");
             }
-            ["discovery", ..] => self.run_list_command(&words[1..]),
+            ["discovery", ..] => self.run_discovery_command(&words[1..]),
             ["expect-list-requests", count] => {
-                let count: usize = count.parse().expect("a count");
-                wait_until("it asks", || self.discovery.lock().expect("discovery").requests >= count);
+                let count: usize = count.parse().expect("a whole number");
+                wait_until("the list is requested", || {
+                    self.discovery.lock().expect("discovery").requests >= count
+                });
             }
             ["expect-list-requests", count, "exactly"] => {
                 assert_eq!(self.discovery.lock().expect("discovery").requests.to_string(), count);
             }
             ["set-ulimit", count] => {
                 use rustix::process::{prlimit, Pid, Resource, Rlimit};
-                let id = self.program.as_ref().expect("a sidecar").0.id();
-                let most = Some(count.parse().expect("a count"));
-                let limit = Rlimit { current: most, maximum: most };
-                prlimit(Pid::from_raw(id as i32), Resource::Nofile, limit).expect("a limit");
+                let pid = self.program.as_ref().expect("the program is started").0.id();
+                let limit = Some(count.parse().expect("a whole number"));
+                let rlimit = Rlimit { current: limit, maximum: limit };
+                prlimit(Pid::from_raw(pid as i32), Resource::Nofile, rlimit).expect("the limit is set");
             }
             ["expect-open-descriptors", least, most] => {
-                let id = self.program.as_ref().expect("a sidecar").0.id();
-                let held = std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count();
-                let [least, most] = [least, most].map(|count| count.parse().expect("a count"));
-                assert!((least..=most).contains(&held), "{held}");
+                let pid = self.program.as_ref().expect("the program is started").0.id();
+                let open =
+                    std::fs::read_dir(format!("/proc/{pid}/fd")).expect("the open descriptors").count();
+                let [least, most] = [least, most].map(|count| count.parse().expect("a whole number"));
+                assert!((least..=most).contains(&open), "{open}");
             }
             ["connect-instances", count] => {
-                for number in 0..count.parse().expect("a count") {
-                    let mut stream = TcpStream::connect(self.keeper.expect("a keeper")).expect("a link");
-                    let (name, life) = (format!("n{}", number / 2), number % 2 + 1);
-                    let greeting = oakhollow_terms::Greeting::new(&name, life).to_json();
-                    writeln!(stream, "{greeting}").expect("said");
-                    self.idle.push(stream);
+                for number in 0..count.parse().expect("a whole number") {
+                    let mut stream =
+                        TcpStream::connect(self.lease_server_address.expect("instances are configured"))
+                            .expect("a connection");
+                    let (instance, launch) = (format!("n{}", number / 2), number % 2 + 1);
+                    let greeting = oakhollow_terms::Greeting::new(&instance, launch).to_json();
+                    writeln!(stream, "{greeting}").expect("the greeting is sent");
+                    self.idle_connections.push(stream);
                 }
             }
             ["expect-connecting"] => {
-                let to = self.discovery.lock().expect("discovery").address();
-                wait_until("it connects", || is_connecting(to));
+                let address = self.discovery.lock().expect("discovery").address();
+                wait_until("a connection is being opened", || has_half_open_connection(address));
             }
             ["expect-connecting", name] => {
-                let to = self.find(name).address;
-                wait_until("it connects", || is_connecting(to));
+                let address = self.find_server(name).address;
+                wait_until("a connection is being opened", || has_half_open_connection(address));
             }
             ["expect-ready", status] => wait_until("/ready has this status", || {
                 let mut stream = self.connect();
-                stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
+                stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("the bytes are sent");
                 read_message(&mut stream)
                     .is_some_and(|(head, _)| head.starts_with(&format!("HTTP/1.1 {status} ")))
             }),
             ["wait", time] => thread::sleep(Duration::from_micros(runner::parse_duration_us(time))),
             ["stop"] => {
                 self.signal("TERM");
-                self.marked_at = Some(Instant::now());
+                self.timer_started_at = Some(Instant::now());
             }
             ["expect-console", method, path, status] => self.expect_console_answer(method, path, status),
-            ["expect-healthy"] => {
-                wait_until("it serves", || self.console_request("GET", "/healthcheck").contains(" 200 "))
-            }
+            ["expect-healthy"] => wait_until("the healthcheck answers 200", || {
+                self.console_request("GET", "/healthcheck").contains(" 200 ")
+            }),
             ["open-console-connections", count, ..] => {
-                for _ in 0..count.parse().expect("a count") {
+                for _ in 0..count.parse().expect("a whole number") {
                     let mut stream =
-                        TcpStream::connect(self.console.expect("a console")).expect("a connection");
-                    stream.write_all(decode_bytes(words.get(2).unwrap_or(&"")).as_bytes()).expect("sent");
-                    self.idle.push(stream);
+                        TcpStream::connect(self.console_address.expect("the program has a console"))
+                            .expect("a connection");
+                    stream
+                        .write_all(decode_bytes(words.get(2).unwrap_or(&"")).as_bytes())
+                        .expect("the bytes are sent");
+                    self.idle_connections.push(stream);
                 }
             }
             ["kill-and-restart", ..] => {
                 self.signal("KILL");
-                let _ = self.program.as_mut().expect("a sidecar").0.wait();
-                let (port, words) = (self.reserve(self.port.expect("a sidecar")), &words[1..]);
-                let listen = format!("listen={port}");
-                let words: Vec<&str> = words.iter().copied().chain([listen.as_str()]).collect();
-                self.start_sidecar(&words);
+                let _ = self.program.as_mut().expect("the program is started").0.wait();
+                let (address, options) =
+                    (self.reserve_address(self.listen_address.expect("the program is started")), &words[1..]);
+                let listen = format!("listen={address}");
+                let options: Vec<&str> = options.iter().copied().chain([listen.as_str()]).collect();
+                self.start_sidecar(&options);
             }
             ["start-successor", ..] => {
-                let (program, log) = self.program.take().expect("a sidecar");
-                self.beside = Some((program, log, self.console));
+                let (program, log) = self.program.take().expect("the program is started");
+                self.other_process = Some((program, log, self.console_address));
                 self.start_sidecar(&words[1..]);
             }
             ["switch-process"] => {
-                let (program, log, console) = self.beside.take().expect("another");
-                let (other, log) = self.program.replace((program, log)).expect("a sidecar");
-                self.beside = Some((other, log, std::mem::replace(&mut self.console, console)));
+                let (program, log, console) = self.other_process.take().expect("another process");
+                let (replaced, log) = self.program.replace((program, log)).expect("the program is started");
+                self.other_process =
+                    Some((replaced, log, std::mem::replace(&mut self.console_address, console)));
             }
             ["kill"] => self.signal("KILL"),
-            ["upload", id, workload, left, bytes, mode] => {
-                self.send_long_request(id, (workload, left), bytes, mode)
+            ["upload", id, workload, timeout, bytes, mode] => {
+                self.upload(id, (workload, timeout), bytes, mode)
             }
             ["expect-request-body-size", name, bytes] => {
-                let last = self.find(name).state.lock().expect("server state").last_request.clone();
-                let (head, body) = last.split_once("\r\n\r\n").expect("a request");
+                let last_request =
+                    self.find_server(name).state.lock().expect("server state").last_request.clone();
+                let (head, body) = last_request.split_once("\r\n\r\n").expect("a request");
                 assert_eq!(body.len().to_string(), bytes, "{head}");
             }
             ["expect-answer-body-size", id, status, bytes] => {
-                let stream = self.clients.get_mut(id).expect("a call");
+                let stream = self.clients.get_mut(id).expect("a client with this id");
                 let (head, body) = read_message(stream).expect("an answer");
                 assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
                 assert_eq!(body.len().to_string(), bytes);
             }
             ["expect-truncated", id] => {
-                let stream = self.clients.get_mut(id).expect("a call");
-                assert!(read_message(stream).is_none(), "an end");
+                let stream = self.clients.get_mut(id).expect("a client with this id");
+                assert!(read_message(stream).is_none(), "the answer is complete");
             }
-            ["start-timer"] => self.marked_at = Some(Instant::now()),
+            ["start-timer"] => self.timer_started_at = Some(Instant::now()),
             ["expect-elapsed-under", time] => {
-                let passed = self.marked_at.expect("a mark").elapsed();
-                assert!(passed < Duration::from_micros(runner::parse_duration_us(time)), "{passed:?}");
+                let elapsed = self.timer_started_at.expect("the timer is started").elapsed();
+                assert!(elapsed < Duration::from_micros(runner::parse_duration_us(time)), "{elapsed:?}");
             }
             ["move-discovery", ref mode @ ..] => {
                 let mode = mode.first().copied().unwrap_or_default().to_string();
                 self.discovery = Arc::new(Mutex::new(Discovery { mode, ..Discovery::default() }));
-                let to = format!(r#""discovery":"{}","seed""#, self.start_discovery(false));
-                let from = self.config_text.split_once(r#""discovery":"#).expect("an address").1;
-                let from = format!(r#""discovery":{},"seed""#, from.split(',').next().expect("an address"));
-                self.rewrite_config(&[(&from, &to)]);
+                let replacement = format!(r#""discovery":"{}","seed""#, self.start_discovery(false));
+                let from =
+                    self.config_text.split_once(r#""discovery":"#).expect("the address of discovery").1;
+                let from = format!(
+                    r#""discovery":{},"seed""#,
+                    from.split(',').next().expect("the address of discovery")
+                );
+                self.rewrite_config(&[(&from, &replacement)]);
             }
             ["reload", ..] => {
                 let changes = words[1..].chunks(2);
@@ -1067,90 +1133,96 @@
                 self.rewrite_config(&changes.collect::<Vec<_>>());
             }
             ["reload-empty"] => {
-                std::fs::write(&self.file, "").expect("the file");
+                std::fs::write(&self.config_file, "").expect("the configuration file is written");
                 self.signal("HUP");
             }
             ["expect-exit", code] => {
-                let program = &mut self.program.as_mut().expect("a sidecar").0;
-                wait_until("it exits", || program.try_wait().expect("its state").is_some());
-                let status = program.wait().expect("its end");
+                let program = &mut self.program.as_mut().expect("the program is started").0;
+                wait_until("the program exits", || program.try_wait().expect("its status").is_some());
+                let status = program.wait().expect("its exit status");
                 assert_eq!(status.code(), code.parse().ok());
             }
             ["expect-log", ..] => {
-                let (words, log) = (words[1..].join(" "), &self.program.as_ref().expect("a sidecar").1);
-                wait_until("its log says so", || log.lock().expect("log").contains(&words));
+                let (text, log) =
+                    (words[1..].join(" "), &self.program.as_ref().expect("the program is started").1);
+                wait_until("the log contains the text", || log.lock().expect("log").contains(&text));
+            }
+            ["expect-unreachable"] => {
+                assert!(TcpStream::connect(self.listen_address.expect("the program is started")).is_err())
             }
-            ["expect-unreachable"] => assert!(TcpStream::connect(self.port.expect("a sidecar")).is_err()),
             ["expect-low-cpu"] => {
-                let id = self.program.as_ref().expect("a sidecar").0.id();
-                let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("its figures");
+                let pid = self.program.as_ref().expect("the program is started").0.id();
+                let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("its statistics");
                 let ticks =
-                    stat.split(' ').skip(13).take(2).map(|ticks| ticks.parse::<u32>().expect("ticks"));
-                let (ticks, lived) = (ticks.sum::<u32>(), self.started_at.expect("a sidecar").elapsed());
-                assert!(f64::from(ticks) / 100.0 < 0.5 * lived.as_secs_f64(), "{ticks} ticks in {lived:?}");
+                    stat.split(' ').skip(13).take(2).map(|ticks| ticks.parse::<u32>().expect("clock ticks"));
+                let (ticks, uptime) =
+                    (ticks.sum::<u32>(), self.started_at.expect("the program is started").elapsed());
+                assert!(f64::from(ticks) / 100.0 < 0.5 * uptime.as_secs_f64(), "{ticks} ticks in {uptime:?}");
             }
             ["expect-single-process"] => {
-                let id = self.program.as_ref().expect("a sidecar").0.id();
-                let maps = std::fs::read_to_string(format!("/proc/{id}/maps")).expect("its maps");
+                let pid = self.program.as_ref().expect("the program is started").0.id();
+                let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).expect("its memory maps");
                 assert!(maps.lines().any(|line| line.contains("/libc.so")), "not linked to the C library");
-                // A process name may hold spaces: the fields that count come after its bracket.
-                let parent = |stat: String| stat.rsplit(')').next()?.split(' ').nth(2)?.parse::<u32>().ok();
-                let all = std::fs::read_dir("/proc").expect("processes").flatten();
-                let stats = all.filter_map(|one| std::fs::read_to_string(one.path().join("stat")).ok());
+                // The process name may contain spaces: fields are counted from the bracket that closes it.
+                let parent_pid =
+                    |stat: String| stat.rsplit(')').next()?.split(' ').nth(2)?.parse::<u32>().ok();
+                let processes = std::fs::read_dir("/proc").expect("processes").flatten();
+                let stats =
+                    processes.filter_map(|process| std::fs::read_to_string(process.path().join("stat")).ok());
                 assert_eq!(
-                    stats.filter_map(parent).filter(|parent| *parent == id).count(),
+                    stats.filter_map(parent_pid).filter(|parent_pid| *parent_pid == pid).count(),
                     0,
-                    "others started"
+                    "it has child processes"
                 );
             }
-            ["operator", ..] => self.operator = format!("{}\n", words[1..].join(" ")),
+            ["operator", ..] => self.operator_file_text = format!("{}\n", words[1..].join(" ")),
             ["expect-config-error", from, to, ..] => {
                 let config = self.config(&[], "127.0.0.1:1");
                 assert!(config.contains(from), "{config}");
-                let output = self.launch(&config.replacen(from, to, 1), "").wait_with_output();
-                let output = output.expect("its end");
-                let log = String::from_utf8(output.stderr).expect("text");
+                let output = self.spawn_program(&config.replacen(from, to, 1), "").wait_with_output();
+                let output = output.expect("its output");
+                let log = String::from_utf8(output.stderr).expect("valid UTF-8");
                 assert!(!output.status.success() && log.lines().count() == 1, "{log}");
                 assert!(log.contains(&words[3..].join(" ")), "{log}");
             }
-            _ => panic!("not a command"),
+            _ => panic!("unknown command"),
         }
     }
 
-    fn send_long_request(&mut self, id: &str, (workload, left): (&str, &str), bytes: &str, mode: &str) {
+    fn upload(&mut self, id: &str, (workload, timeout): (&str, &str), body_size: &str, mode: &str) {
         self.request_count += 1;
-        let (calls, left) = (self.request_count, runner::parse_duration_us(left) / 1000);
-        let bytes: usize = bytes.parse().expect("bytes");
+        let (number, timeout_ms) = (self.request_count, runner::parse_duration_us(timeout) / 1000);
+        let body_size: usize = body_size.parse().expect("a number of bytes");
         let framing = match mode {
             "chunked" => "Transfer-Encoding: chunked".to_string(),
-            _ => format!("Content-Length: {bytes}"),
+            _ => format!("Content-Length: {body_size}"),
         };
         let mut stream = self.connect();
-        let head = format!("POST /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {calls:016x}\r\nRequest-Timeout-Ms: {left}\r\nIdempotency-Key: k{calls}\r\n{framing}\r\n\r\n");
-        stream.write_all(head.as_bytes()).expect("sent");
-        let mut other = stream.try_clone().expect("a descriptor");
+        let head = format!("POST /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {number:016x}\r\nRequest-Timeout-Ms: {timeout_ms}\r\nIdempotency-Key: k{number}\r\n{framing}\r\n\r\n");
+        stream.write_all(head.as_bytes()).expect("the bytes are sent");
+        let mut writer = stream.try_clone().expect("the socket is duplicated");
         let mode = mode.to_string();
-        // In a thread of its own, since a server that answers early stops reading.
+        // In a thread of its own: a peer that answers early stops reading, and writing would block.
         thread::spawn(move || {
-            let mut left = if mode == "truncated" { bytes / 2 } else { bytes };
-            while left > 0 {
-                let piece = left.min(20_000);
-                let text = "x".repeat(piece);
+            let mut remaining = if mode == "truncated" { body_size / 2 } else { body_size };
+            while remaining > 0 {
+                let length = remaining.min(20_000);
+                let text = "x".repeat(length);
                 let sent = match mode.as_str() {
-                    "chunked" => write!(other, "{piece:x};a=b\r\n{text}\r\n"),
-                    _ => other.write_all(text.as_bytes()),
+                    "chunked" => write!(writer, "{length:x};a=b\r\n{text}\r\n"),
+                    _ => writer.write_all(text.as_bytes()),
                 };
                 if sent.is_err() {
                     return;
                 }
-                left -= piece;
+                remaining -= length;
                 if mode == "slow" {
                     thread::sleep(Duration::from_millis(100));
                 }
             }
             match mode.as_str() {
-                "chunked" => _ = other.write_all(b"0\r\nT: 1\r\n\r\n"),
-                "truncated" => _ = other.shutdown(std::net::Shutdown::Both),
+                "chunked" => _ = writer.write_all(b"0\r\nT: 1\r\n\r\n"),
+                "truncated" => _ = writer.shutdown(std::net::Shutdown::Both),
                 _ => {}
             }
         });
@@ -1163,50 +1235,52 @@
     }
 
     fn console_request(&self, method: &str, path: &str) -> String {
-        let begun = Instant::now();
-        let mut stream = TcpStream::connect(self.console.expect("a console")).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let start = Instant::now();
+        let mut stream = TcpStream::connect(self.console_address.expect("the program has a console"))
+            .expect("a connection");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         let path = decode_bytes(path);
-        write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").expect("sent");
+        write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+            .expect("the bytes are sent");
         let (head, _) = read_message(&mut stream).expect("an answer");
-        assert!(begun.elapsed() < Duration::from_secs(1), "late");
-        assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one request per connection");
+        assert!(start.elapsed() < Duration::from_secs(1), "took more than a second");
+        assert_eq!(stream.read(&mut [0]).ok(), Some(0), "the console left the connection open");
         head
     }
 
-    fn open_silent(&mut self, count: &str, bytes: &str) {
-        for _ in 0..count.parse().expect("a count") {
+    fn open_connections(&mut self, count: &str, bytes: &str) {
+        for _ in 0..count.parse().expect("a whole number") {
             let mut stream = self.connect();
-            stream.write_all(decode_bytes(bytes).as_bytes()).expect("sent");
-            self.idle.push(stream);
+            stream.write_all(decode_bytes(bytes).as_bytes()).expect("the bytes are sent");
+            self.idle_connections.push(stream);
         }
     }
 
     fn send_bytes(&mut self, id: &str, bytes: &str) {
         let stream = self.clients.get_mut(id).expect("a connection");
-        stream.write_all(decode_bytes(bytes).as_bytes()).expect("sent");
+        stream.write_all(decode_bytes(bytes).as_bytes()).expect("the bytes are sent");
     }
 }
 
-/// Decodes the notation's escapes.
+/// Decodes BYTES as described in the notation.
 fn decode_bytes(text: &str) -> String {
     let text = text.replace("\\r", "\r").replace("\\n", "\n").replace('_', " ");
     match text.split_once('*') {
         None => text,
         Some((front, rest)) => {
             let digits = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
-            let count = rest[..digits].parse().expect("a count");
+            let count = rest[..digits].parse().expect("a whole number");
             format!("{front}{}{}", "x".repeat(count), &rest[digits..])
         }
     }
 }
 
-/// The platform preloads a library into the program, which works in a single process only.
+/// The platform preloads a library into the program, and that library works in a single process only.
 #[test]
 fn the_deploy_file_runs_one_process() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/balancer.toml");
-    let text = std::fs::read_to_string(file).expect("the deploy file");
-    let run = text.lines().find_map(|line| line.strip_prefix("run = ")).expect("run");
+    let text = std::fs::read_to_string(file).expect("the deploy file is readable");
+    let run = text.lines().find_map(|line| line.strip_prefix("run = ")).expect("a line that begins with run");
     let run = run.split('"').nth(1).expect("a command");
     assert!(run.starts_with("exec ") && !run.contains(['|', '&', ';']), "{run}");
 }
@@ -1214,7 +1288,7 @@
 #[test]
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    // Four at once took 3.8 s of processor time in 50 s: a fiftieth of a core each.
+    // Files mostly wait: four at once took 3.8 s of processor time in 50 s, a fiftieth of a core each.
     let cores = thread::available_parallelism().map_or(1, |cores| cores.get());
     runner::run_scenarios(folder.as_ref(), (cores / 2).max(2), Scenario::default, Scenario::run_command);
 }
