--- a/sidecar/tests/client_departures/ledger.rs
+++ b/sidecar/tests/client_departures/ledger.rs
@@ -1,4 +1,4 @@
-//! Records for each request when its client left, and when the first byte of each of its attempts came to a server.
+//! Records for each request when its client left, and when a server received the first byte of each of its attempts.
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -11,9 +11,9 @@
 
 #[derive(Default)]
 struct RequestRecord {
-    /// When its client left, taken right before.
+    /// Taken right before its client leaves.
     left_at: Option<Instant>,
-    /// The client leaves during the case, not at its end.
+    /// Whether the client leaves during the case, rather than at its end.
     leaves_early: bool,
     attempts: Vec<Instant>,
 }
@@ -26,21 +26,22 @@
 pub struct Findings {
     /// Clients that left, by how many of their attempts had begun before: none, one, more.
     pub attempts_at_departure: [usize; 3],
-    /// Attempts that began after their client had left, and the longest time between the two.
+    /// Attempts that began after their client had left.
     pub attempts_after: usize,
+    /// The longest time from a client's departure to the beginning of such an attempt.
     pub longest_delay: Duration,
-    /// The latest attempt beyond the bound, also after subtracting the stalls: its request, its delay, the stalls.
+    /// The latest attempt that is beyond the bound even with the stalls subtracted: its request, its delay, the stalls.
     pub violation: Option<(RequestNo, Duration, Duration)>,
     /// The latest attempt that is beyond the bound only because of stalls.
     pub explained_by_stalls: Option<(RequestNo, Duration, Duration)>,
-    /// Attempts for clients that stayed, later than the bound after the first departure: they show that attempts
-    /// were still being sent.
+    /// Attempts for clients that stayed which began later than the bound after the first departure: they show that
+    /// attempts were still being sent.
     pub attempts_for_others: usize,
 }
 
 impl Ledger {
     pub fn record_attempt(&self, id: &str, at: Instant) {
-        let id = RequestNo(u32::from_str_radix(id, 16).expect("our id"));
+        let id = RequestNo(u32::from_str_radix(id, 16).expect("a hexadecimal id of this test"));
         self.0.lock().expect("ledger").entry(id).or_default().attempts.push(at);
     }
 
@@ -56,34 +57,35 @@
         now
     }
 
-    /// Evaluates the run. `stalled` returns for how much of a span the test or the program was kept from running.
+    /// Evaluates the run. `stalled` returns for how much of a time span the test or the program was kept from running.
     pub fn evaluate(&self, stalled: impl Fn(Instant, Instant) -> Duration) -> Findings {
         let (ledger, mut findings) = (self.0.lock().expect("ledger"), Findings::default());
         let leaves_early = || ledger.values().filter(|record| record.leaves_early);
-        let first = leaves_early().filter_map(|record| record.left_at).min().expect("clients that left");
+        let first_departure =
+            leaves_early().filter_map(|record| record.left_at).min().expect("clients that left");
         for record in leaves_early() {
-            let begun =
+            let attempts_before =
                 record.attempts.iter().filter(|at| record.left_at.is_some_and(|left_at| **at <= left_at));
-            findings.attempts_at_departure[begun.count().min(2)] += 1;
+            findings.attempts_at_departure[attempts_before.count().min(2)] += 1;
         }
         for (request, record) in ledger.iter() {
             for &at in &record.attempts {
                 if !record.leaves_early {
-                    findings.attempts_for_others += usize::from(at > first + BOUND);
+                    findings.attempts_for_others += usize::from(at > first_departure + BOUND);
                 }
                 let Some(left_at) = record.left_at.filter(|left_at| *left_at < at) else { continue };
-                let late = at - left_at;
+                let delay = at - left_at;
                 (findings.attempts_after, findings.longest_delay) =
-                    (findings.attempts_after + 1, findings.longest_delay.max(late));
-                if late > BOUND {
+                    (findings.attempts_after + 1, findings.longest_delay.max(delay));
+                if delay > BOUND {
                     let stalled = stalled(left_at, at);
-                    let finding = if late.saturating_sub(stalled) > BOUND {
+                    let finding = if delay.saturating_sub(stalled) > BOUND {
                         &mut findings.violation
                     } else {
                         &mut findings.explained_by_stalls
                     };
-                    if finding.is_none_or(|(_, longest_delay, _)| longest_delay < late) {
-                        *finding = Some((*request, late, stalled));
+                    if finding.is_none_or(|(_, longest_delay, _)| longest_delay < delay) {
+                        *finding = Some((*request, delay, stalled));
                     }
                 }
             }
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_late_attempt_is_excused_only_by_as_much_as_was_stalled() {
+fn a_late_attempt_is_excused_only_by_the_time_of_stalls() {
     let findings = |delay_ms: u64, stalled_ms: u64| {
         let (ledger, left_at) = (Ledger::default(), Instant::now());
         let record = RequestRecord {
--- a/sidecar/tests/client_departures/main.rs
+++ b/sidecar/tests/client_departures/main.rs
@@ -1,18 +1,19 @@
-//! A client that closes its connection, ends its sending or resets the connection has left: no attempt of its
-//! request, first or further, may begin more than 0.1 s later. Measured on sockets, from the instant before the
-//! client leaves to the first byte that a server receives. Only resets are tested behind bodies longer than the
-//! kernel accepts from a client, since the kernel reports no other end behind those (`docs/endings.md`). The bound
-//! was broken where the process had been stopped for longer than 0.1 s, which [`SUSPENDED_CASES`] covers.
+//! A client has left when it closes its connection, closes only its sending side, or resets the connection. No attempt
+//! of its request, be it the first or a further one, may begin more than 0.1 s later. This is measured on sockets, from
+//! the instant before the client leaves to the first byte that a server receives. Behind bodies longer than the kernel
+//! accepts from a client only resets are tested, since the kernel reports no other end there (`docs/endings.md`). The
+//! bound was once violated where the process had been suspended for longer than 0.1 s, which [`SUSPENDED_CASES`]
+//! covers.
 //!
-//! Each case forces one moment in which a request waits, and makes some clients leave in it while others stay. The
-//! others show that attempts were still sent long after, so that those who left would have had theirs. Each case
-//! runs on a process with a core of its own, and on one with a fifth of a core: that process is stopped for 20 ms
-//! of each 25 ms, which the bound of 0.1 s allows for (the time counts from the client's departure, also while the
-//! process is stopped).
+//! Each case brings requests into one state in which they wait, and makes some clients leave in that state while others
+//! stay. Attempts for the clients that stayed show that attempts were still being sent later, so that the clients that
+//! left would have had theirs. Each case runs on a process with a core of its own, and on one with a fifth of a core:
+//! that process is stopped for 20 ms of each 25 ms, which the bound of 0.1 s allows for (the time counts from the
+//! client's departure, also while the process is stopped).
 //!
 //! Stalls of the machine are measured, but not added to the bound. An attempt that is late by more than the time
-//! for which the test or the program's thread was kept from a processor is a violation. After one that is late by
-//! less the case runs again, five times at most, and each time is printed. If the last run is late too, that is a
+//! for which the test or the program's thread was kept from a processor is a violation. If it is late by less, the
+//! case is repeated, with five runs at most, and each repetition is printed. If the last run is late too, that is a
 //! violation as well.
 mod ledger;
 mod program;
@@ -28,19 +29,19 @@
 use std::time::Duration;
 use test_bed::{CaseResult, Departure, TestBed};
 
-/// How often a case runs at most, if stalls of the machine spoil its result.
+/// How often a case runs at most if stalls of the machine make its result unusable.
 const MAX_RUNS: usize = 5;
 
 const fn ms(length: u64) -> Duration {
     Duration::from_millis(length)
 }
 
-/// A moment in which clients leave, and what shows that it was forced.
+/// A state of requests in which clients leave, and the counts that show that the state was reached.
 struct Case {
     name: &'static str,
     run: fn(CpuShare) -> CaseResult,
-    /// The least numbers of clients that had no attempt yet when they left, of those that had one, and of attempts for
-    /// clients that stayed.
+    /// The minimum numbers of clients that had no attempt yet when they left, of clients that had one, and of attempts
+    /// for clients that stayed.
     minimum: (usize, usize, usize),
 }
 
@@ -55,8 +56,8 @@
     Case { name: "a burst of 200, just accepted", run: burst_unread, minimum: (190, 0, 10) },
 ];
 
-/// The process is suspended for longer than the bound. Then it learns at once of the departures and of what the
-/// requests waited for.
+/// The process is suspended for longer than the bound. When it continues, it learns at the same time of the departures
+/// and of what the requests waited for.
 const SUSPENDED_CASES: [Case; 4] = [
     Case { name: "suspended, queued", run: queued_suspended, minimum: (25, 0, 10) },
     Case { name: "suspended, connecting", run: connecting_suspended, minimum: (10, 0, 10) },
@@ -64,10 +65,10 @@
     Case { name: "suspended, at its hedge", run: hedged_suspended, minimum: (0, 4, 1) },
 ];
 
-/// Two servers, which may have eight requests at a time between them.
+/// Two servers, to which the program sends eight requests at a time in all.
 const TWO_SILENT_SERVERS: [Mode; 2] = [Mode::Silent; 2];
 
-/// As many requests as two servers may have at a time are sent to them; further ones wait.
+/// Starts with as many open requests as the two servers may have at a time: further ones are queued.
 fn at_capacity(share: CpuShare) -> TestBed {
     let mut test_bed = TestBed::start(share, &TWO_SILENT_SERVERS);
     test_bed.send_requests(8);
@@ -79,7 +80,7 @@
     all.iter().copied().step_by(2).collect()
 }
 
-/// The queue drains while clients leave, some of them just as their turn comes.
+/// The queue is served while clients leave, some of them just when their request is next.
 fn queued(share: CpuShare) -> CaseResult {
     let mut test_bed = at_capacity(share);
     let requests = test_bed.send_requests(100);
@@ -89,7 +90,7 @@
     test_bed.finish(ms(400))
 }
 
-/// Connections come up a second after they were begun, when the kernel tries again; meanwhile the servers accept again.
+/// Connections are established a second after they were begun, at the kernel's retry. By then the servers accept.
 fn connecting(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &[Mode::FullBacklog; 6]);
     let requests = test_bed.send_views(24);
@@ -100,7 +101,7 @@
     test_bed.finish(ms(800))
 }
 
-/// Has so many requests answered that the budget allows some retries, but no hedges.
+/// Has enough requests answered for the retry budget to allow some retries, but no hedges.
 fn earn_retry_budget(test_bed: &mut TestBed) {
     test_bed.set_all_servers(Mode::Answers(ms(50)));
     for _ in 0..3 {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Each attempt is refused late, so that clients leave before, at and after the moment of the next.
+/// Each attempt is refused late, so that clients leave before, at and after the time of the next attempt.
 fn refused_late(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &TWO_SILENT_SERVERS);
     earn_retry_budget(&mut test_bed);
@@ -124,7 +125,7 @@
     test_bed.finish(ms(200))
 }
 
-/// Refused at once by one server, the requests wait for capacity at the other.
+/// The requests are refused at once by one server, and wait for capacity at the other.
 fn waiting_between_attempts(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &TWO_SILENT_SERVERS);
     earn_retry_budget(&mut test_bed);
@@ -144,36 +145,38 @@
 /// Hedges are sent after a quarter of a second. Clients leave before, at and after that.
 fn hedged(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &[Mode::Answers(ms(250)); 6]);
-    let usual = test_bed.send_views(24);
-    usual.into_iter().for_each(|request| test_bed.expect_answer(request));
+    let answered = test_bed.send_views(24);
+    answered.into_iter().for_each(|request| test_bed.expect_answer(request));
     test_bed.set_all_servers(Mode::Silent);
     for round in 0..5 {
-        let mut leaving = test_bed.send_views(14);
-        // The clients of the last two stay, and their requests are hedged.
-        leaving.truncate(12);
-        let around = leaving.split_off(6);
+        let mut leaving_early = test_bed.send_views(14);
+        // The clients of the last two requests stay, and those requests are hedged.
+        leaving_early.truncate(12);
+        let leaving_around_hedge = leaving_early.split_off(6);
         thread::sleep(ms(10 + 7 * round));
-        test_bed.leave_within(leaving, ms(190));
-        test_bed.leave_within(around, ms(100));
+        test_bed.leave_within(leaving_early, ms(190));
+        test_bed.leave_within(leaving_around_hedge, ms(100));
         thread::sleep(ms(100));
         test_bed.all_leave();
     }
     test_bed.finish(ms(200))
 }
 
-/// The ends of the connections come behind unread bytes: whole bodies, halves and beginnings, as long as the kernel
-/// accepts them from the clients. Behind longer ones it reports only a reset.
+/// The connections end behind unread bytes: complete bodies, halves and beginnings, no longer than the kernel accepts
+/// from a client. Behind longer ones it reports only a reset.
 fn long_body(share: CpuShare) -> CaseResult {
     const BODIES: [(&str, usize, f64); 4] =
         [("save", 120_000, 1.0), ("pay", 120_000, 0.5), ("pay", 1_000_000, 0.1), ("view", 1_000_000, 1.0)];
     let mut test_bed = at_capacity(share);
     let mut leaving = Vec::new();
-    for at in 0..48 {
-        let (workload, body, part) = BODIES[at / 2 % 4];
-        let (stays, whole) = (at % 2 == 1, part == 1.0);
-        let departure = if body > 200_000 && whole { Departure::Resets } else { test_bed.next_departure() };
-        let request = test_bed.send(workload, (body, if stays { 1.0 } else { part }), departure);
-        leaving.extend((!stays).then_some(request));
+    for index in 0..48 {
+        let (workload, body_size, share_sent) = BODIES[index / 2 % 4];
+        let (client_stays, is_complete) = (index % 2 == 1, share_sent == 1.0);
+        let departure =
+            if body_size > 200_000 && is_complete { Departure::Resets } else { test_bed.next_departure() };
+        let request =
+            test_bed.send(workload, (body_size, if client_stays { 1.0 } else { share_sent }), departure);
+        leaving.extend((!client_stays).then_some(request));
     }
     thread::sleep(ms(200));
     test_bed.set_all_servers(Mode::Answers(ms(80)));
@@ -187,24 +190,24 @@
     let requests = test_bed.send_requests(240);
     thread::sleep(ms(400));
     test_bed.set_all_servers(Mode::Answers(ms(50)));
-    let leaving = requests.iter().zip(0..).filter(|(_, at)| at % 6 != 0).map(|(request, _)| *request);
+    let leaving = requests.iter().zip(0..).filter(|(_, index)| index % 6 != 0).map(|(request, _)| *request);
     leaving.for_each(|request| test_bed.leave(request));
     test_bed.finish(ms(500))
 }
 
-/// Clients leave right after writing their requests, while others are served.
+/// Clients leave right after writing their requests, while the requests of others are served.
 fn burst_unread(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &[Mode::Answers(ms(50)); 2]);
-    for at in 0..240 {
+    for index in 0..240 {
         let request = test_bed.send_request();
-        if at % 6 != 0 {
+        if index % 6 != 0 {
             test_bed.leave(request);
         }
     }
     test_bed.finish(ms(500))
 }
 
-/// Clients leave and connections to servers come up while the process is suspended, and it learns of both at once.
+/// Clients leave and connections to servers are established while the process is suspended: it learns of both at once.
 fn connecting_suspended(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &[Mode::FullBacklog; 6]);
     let requests = test_bed.send_views(24);
@@ -216,7 +219,7 @@
     test_bed.finish(ms(400))
 }
 
-/// The same with the capacity for which the requests wait.
+/// The same, with the capacity for which the requests wait becoming free.
 fn queued_suspended(share: CpuShare) -> CaseResult {
     let mut test_bed = at_capacity(share);
     let requests = test_bed.send_requests(60);
@@ -228,7 +231,7 @@
     test_bed.finish(ms(400))
 }
 
-/// The same with the refusal after which a request is retried.
+/// The same, with the refusal after which a request is retried.
 fn refused_suspended(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &TWO_SILENT_SERVERS);
     earn_retry_budget(&mut test_bed);
@@ -241,11 +244,11 @@
     test_bed.finish(ms(400))
 }
 
-/// The same with the moment of the hedge.
+/// The same, with the time at which requests are hedged.
 fn hedged_suspended(share: CpuShare) -> CaseResult {
     let mut test_bed = TestBed::start(share, &[Mode::Answers(ms(250)); 6]);
-    let usual = test_bed.send_views(24);
-    usual.into_iter().for_each(|request| test_bed.expect_answer(request));
+    let answered = test_bed.send_views(24);
+    answered.into_iter().for_each(|request| test_bed.expect_answer(request));
     test_bed.set_all_servers(Mode::Silent);
     let requests = test_bed.send_views(8);
     thread::sleep(ms(100));
@@ -258,22 +261,28 @@
 fn run_cases(share: CpuShare, cases: &[Case]) {
     let mut failures = Vec::new();
     for Case { name, run, minimum } in cases {
-        for number in 1..=MAX_RUNS {
-            let (findings, ran) = run(share);
-            println!("{share:?} core ({ran:.2} of the time), {name}, run {number}: {findings:?}");
-            let forced = findings.attempts_at_departure[0] >= minimum.0
+        for run_number in 1..=MAX_RUNS {
+            let (findings, running_share) = run(share);
+            println!(
+                "{share:?} core ({running_share:.2} of the time), {name}, run {run_number}: {findings:?}"
+            );
+            let state_reached = findings.attempts_at_departure[0] >= minimum.0
                 && findings.attempts_at_departure[1] >= minimum.1
                 && findings.attempts_for_others >= minimum.2;
-            if findings.violation.is_none() && findings.explained_by_stalls.is_none() && forced {
+            if findings.violation.is_none() && findings.explained_by_stalls.is_none() && state_reached {
                 break;
             }
-            if findings.violation.is_some() || number == MAX_RUNS {
-                failures.push(format!("{name}: {findings:?}, bound {BOUND:?}, forced {forced}"));
+            if findings.violation.is_some() || run_number == MAX_RUNS {
+                failures
+                    .push(format!("{name}: {findings:?}, bound {BOUND:?}, state reached: {state_reached}"));
                 break;
             }
             // Written to standard error directly: the test harness hides the output of a test that passes.
-            let why = if forced { "the machine stalled" } else { "the moment was not forced" };
-            let _ = writeln!(stderr(), "{share:?} core, {name}, run {number}: repeated, {why}: {findings:?}");
+            let reason = if state_reached { "the machine stalled" } else { "the state was not reached" };
+            let _ = writeln!(
+                stderr(),
+                "{share:?} core, {name}, run {run_number}: repeated, {reason}: {findings:?}"
+            );
         }
     }
     assert!(failures.is_empty(), "{share:?} core: {}", failures.join("\n"));
--- a/sidecar/tests/client_departures/program.rs
+++ b/sidecar/tests/client_departures/program.rs
@@ -1,4 +1,4 @@
-//! The program itself, started for one run of a case, with a whole core or a fifth of one.
+//! A process of the program, started for one run of a case with a whole core or a fifth of one.
 use crate::stalls::Stalls;
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::io::{BufRead, BufReader, Read};
@@ -11,9 +11,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// For a fifth of a core: how long the process runs before each stop.
+/// With a fifth of a core: how long the process runs before it is stopped.
 const RUN_TIME: Duration = Duration::from_millis(5);
-/// How long it is stopped.
+/// How long it is stopped each time.
 const STOP_TIME: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -27,8 +27,8 @@
     child: Child,
     folder: PathBuf,
     stop: Arc<AtomicBool>,
-    /// Microseconds for which it was not stopped, and for which it was.
-    times: Arc<[AtomicU64; 2]>,
+    /// Microseconds for which it ran, and for which it was stopped.
+    running_and_stopped_us: Arc<[AtomicU64; 2]>,
     throttler: Option<JoinHandle<()>>,
 }
 
@@ -38,18 +38,18 @@
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("oakhollow-departures-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         let file = folder.join("sidecar.json");
-        std::fs::write(&file, config(servers)).expect("the file");
+        std::fs::write(&file, config(servers)).expect("the configuration file is written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_oakhollow"));
         command.arg(&file).env("TMPDIR", &folder).stderr(Stdio::piped());
-        // SAFETY: one system call, which allocates nothing. Guards against a stopped process left behind by a
-        // killed test.
+        // SAFETY: it makes one system call and allocates nothing. The call ends the process with the test: if the test
+        // is killed, no stopped process is left behind.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
         let mut child = command.spawn().expect("the program starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
+        let mut log = BufReader::new(child.stderr.take().expect("a piped standard error"));
         let (mut line, mut address) = (String::new(), None);
         while address.is_none() && log.read_line(&mut line).is_ok_and(|count| count > 0) {
             let rest = line.split_once("listening on ").map(|(_, rest)| rest);
@@ -57,8 +57,15 @@
         }
         // Read to the end: the program does not wait for a reader of its log, but drops lines while the pipe is full.
         thread::spawn(move || log.read_to_end(&mut Vec::new()));
-        let address = address.unwrap_or_else(|| panic!("it doesn't listen: {line}"));
-        Program { address, child, folder, stop: Arc::default(), times: Arc::default(), throttler: None }
+        let address = address.unwrap_or_else(|| panic!("the program doesn't listen: {line}"));
+        Program {
+            address,
+            child,
+            folder,
+            stop: Arc::default(),
+            running_and_stopped_us: Arc::default(),
+            throttler: None,
+        }
     }
 
     pub fn id(&self) -> u32 {
@@ -66,27 +73,29 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("signalled");
+        kill_process(Pid::from_child(&self.child), signal).expect("the signal is sent");
     }
 
-    /// Gives it a fifth of a core from now on. A stop that lasts longer than intended counts as a stall.
+    /// Limits it to a fifth of a core from now on, by stopping it periodically. A stop that lasts longer than intended
+    /// counts as a stall.
     pub fn throttle(&mut self, stalls: &Arc<Stalls>) {
-        let (stop, times, stalls) = (self.stop.clone(), self.times.clone(), stalls.clone());
+        let (stop, running_and_stopped_us, stalls) =
+            (self.stop.clone(), self.running_and_stopped_us.clone(), stalls.clone());
         let add = |time: &AtomicU64, length: Duration| {
             time.fetch_add(length.as_micros() as u64, Ordering::Relaxed);
         };
-        let id = Pid::from_child(&self.child);
+        let pid = Pid::from_child(&self.child);
         self.throttler = Some(thread::spawn(move || {
             let mut resumed_at = Instant::now();
             while !stop.load(Ordering::Relaxed) {
                 thread::sleep(RUN_TIME);
                 let stopped_at = Instant::now();
-                kill_process(id, Signal::STOP).expect("stopped");
-                add(&times[0], stopped_at - resumed_at);
+                kill_process(pid, Signal::STOP).expect("SIGSTOP is sent");
+                add(&running_and_stopped_us[0], stopped_at - resumed_at);
                 thread::sleep(STOP_TIME);
-                kill_process(id, Signal::CONT).expect("continued");
+                kill_process(pid, Signal::CONT).expect("SIGCONT is sent");
                 resumed_at = Instant::now();
-                add(&times[1], resumed_at - stopped_at);
+                add(&running_and_stopped_us[1], resumed_at - stopped_at);
                 stalls.record(stopped_at + STOP_TIME, resumed_at);
             }
         }));
@@ -94,9 +103,10 @@
 
     /// The share of the time for which it was not stopped.
     pub fn running_share(&self) -> f64 {
-        let [ran, stopped] = [0, 1].map(|at| self.times[at].load(Ordering::Relaxed) as f64);
+        let [running, stopped] =
+            [0, 1].map(|index| self.running_and_stopped_us[index].load(Ordering::Relaxed) as f64);
         if stopped > 0.0 {
-            ran / (ran + stopped)
+            running / (running + stopped)
         } else {
             1.0
         }
@@ -116,9 +126,9 @@
 }
 
 fn config(servers: &[SocketAddr]) -> String {
-    let entry = |(at, address): (usize, &SocketAddr)| {
+    let entry = |(index, address): (usize, &SocketAddr)| {
         format!(
-            r#"{{"name":"s{at}","address":"{address}","zone":"a","group":0,"status":"active","weight":1.0,"since_ms":0}}"#
+            r#"{{"name":"s{index}","address":"{address}","zone":"a","group":0,"status":"active","weight":1.0,"since_ms":0}}"#
         )
     };
     let entries: Vec<String> = servers.iter().enumerate().map(entry).collect();
@@ -127,7 +137,7 @@
             r#"{{"name":"{name}","semantics":"{semantics}","group":"cell","memory_span_s":9,"quoted_time_s":8,"abandon_time_s":10,"payoff":1}}"#
         )
     };
-    let kinds = [("view", "read_like"), ("save", "idempotency_key"), ("pay", "non_idempotent")];
+    let workloads = [("view", "read_like"), ("save", "idempotency_key"), ("pay", "non_idempotent")];
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
         "limits":{{"memory_mb":192,"sockets":1024}},"known":{{"index":7,"snapshot":true,"endpoints":[{}]}},
@@ -135,6 +145,6 @@
         "bounds":{{"most_hops":4,"cancel":true,"parallel_tries":true,"retry_after":true,"connect_timeout_s":5}},
         "rules":{{"ask_within_s":10,"cold_from":0.3,"fall_s":1.5,"warm_within_s":8}},"workloads":[{}]}}}}"#,
         entries.join(","),
-        kinds.map(workload).join(",")
+        workloads.map(workload).join(",")
     )
 }
--- a/sidecar/tests/client_departures/server.rs
+++ b/sidecar/tests/client_departures/server.rs
@@ -1,4 +1,5 @@
-//! Test servers, all on one thread. It records when the first byte of each attempt came, and how late it ran itself.
+//! Test servers, all on one thread. The thread records when the first byte of each attempt arrived, and when it was
+//! itself late to run.
 use crate::ledger::Ledger;
 use crate::stalls::{Stalls, TICK};
 use async_executor::LocalExecutor;
@@ -34,14 +35,14 @@
 impl Servers {
     pub fn start(initial_modes: &[Mode], ledger: &Arc<Ledger>, stalls: &Arc<Stalls>) -> Servers {
         let listeners: Vec<_> =
-            initial_modes.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-        let address = |listener: &TcpListener| listener.local_addr().expect("its address");
+            initial_modes.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
+        let address = |listener: &TcpListener| listener.local_addr().expect("a bound socket");
         let addresses = listeners.iter().map(address).collect();
         let modes: Vec<SharedMode> = initial_modes.iter().map(|mode| Arc::new(Mutex::new(*mode))).collect();
         let stop = Arc::new(AtomicBool::new(false));
-        let (all, ledger) = (listeners.into_iter().zip(modes.clone()).collect(), ledger.clone());
+        let (servers, ledger) = (listeners.into_iter().zip(modes.clone()).collect(), ledger.clone());
         let (stalls, stop_flag) = (stalls.clone(), stop.clone());
-        let thread = thread::spawn(move || serve_all(all, &ledger, &stalls, &stop_flag));
+        let thread = thread::spawn(move || serve_all(servers, &ledger, &stalls, &stop_flag));
         Servers { addresses, modes, stop, thread: Some(thread) }
     }
 
@@ -63,22 +64,24 @@
     }
 }
 
-fn serve_all(all: Vec<(TcpListener, SharedMode)>, ledger: &Arc<Ledger>, stalls: &Stalls, stop: &AtomicBool) {
+fn serve_all(
+    servers: Vec<(TcpListener, SharedMode)>, ledger: &Arc<Ledger>, stalls: &Stalls, stop: &AtomicBool,
+) {
     let executor = Rc::new(LocalExecutor::new());
-    for (listener, mode) in all {
+    for (listener, mode) in servers {
         executor.spawn(accept_connections(executor.clone(), listener, mode, ledger.clone())).detach();
     }
-    let life = async {
+    let check_until_stopped = async {
         while !stop.load(Ordering::Relaxed) {
             let due = Instant::now() + TICK;
             Timer::at(due).await;
             stalls.record(due, Instant::now());
         }
     };
-    reactor::block_on(executor.run(life)).expect("a reactor");
+    reactor::block_on(executor.run(check_until_stopped)).expect("the reactor works");
 }
 
-/// Waits until the mode is another one, and returns that.
+/// Waits until the current mode is another one than `mode`, and returns it.
 async fn wait_for_other_mode(mode: Mode, current: &SharedMode) -> Mode {
     loop {
         let now = *current.lock().expect("mode");
@@ -93,12 +96,12 @@
     executor: Rc<LocalExecutor<'static>>, listener: TcpListener, mode: SharedMode, ledger: Arc<Ledger>,
 ) {
     if *mode.lock().expect("mode") == Mode::FullBacklog {
-        rustix::net::listen(&listener, 0).expect("a short queue");
-        let address = listener.local_addr().expect("its address");
+        rustix::net::listen(&listener, 0).expect("the backlog is set");
+        let address = listener.local_addr().expect("a bound socket");
         // This connection fills the accept queue: the kernel answers no other.
-        let backlog_filler = TcpStream::connect(address).expect("the one that fills it");
+        let backlog_filler = TcpStream::connect(address).expect("the connection that fills the queue");
         wait_for_other_mode(Mode::FullBacklog, &mode).await;
-        rustix::net::listen(&listener, 128).expect("a usual queue");
+        rustix::net::listen(&listener, 128).expect("the backlog is set");
         drop(backlog_filler);
     }
     let listener = Async::from_listener(listener).expect("a listener");
@@ -117,29 +120,29 @@
     loop {
         let mut received = read(Vec::new()).await?;
         let first_byte_at = Instant::now();
-        let (head, length) = loop {
+        let (head_length, body_length) = loop {
             if let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-                let head = String::from_utf8_lossy(&received[..end]);
-                let of = |key| head.lines().find_map(|line| line.strip_prefix(key));
-                ledger.record_attempt(of("Request-Id: ").expect("an id"), first_byte_at);
+                let head_text = String::from_utf8_lossy(&received[..end]);
+                let header = |key| head_text.lines().find_map(|line| line.strip_prefix(key));
+                ledger.record_attempt(header("Request-Id: ").expect("a Request-Id"), first_byte_at);
                 break (
                     end + 4,
-                    of("Content-Length: ").map_or(0, |length| length.parse().expect("a length")),
+                    header("Content-Length: ").map_or(0, |length| length.parse().expect("a length")),
                 );
             }
             received = read(received).await?;
         };
-        while received.len() < head + length {
+        while received.len() < head_length + body_length {
             received = read(received).await?;
         }
-        let (after, answer) = match wait_for_other_mode(Mode::Silent, mode).await {
-            Mode::Answers(after) => (after, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
-            Mode::Refuses(after) => {
-                (after, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+        let (delay, answer) = match wait_for_other_mode(Mode::Silent, mode).await {
+            Mode::Answers(delay) => (delay, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+            Mode::Refuses(delay) => {
+                (delay, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
             }
             Mode::Silent | Mode::FullBacklog => return None,
         };
-        Timer::after(after).await;
+        Timer::after(delay).await;
         (&stream).write_all(answer.as_bytes()).await.ok()?;
     }
 }
--- a/sidecar/tests/client_departures/stalls.rs
+++ b/sidecar/tests/client_departures/stalls.rs
@@ -1,13 +1,13 @@
-//! Measures stalls: times in which the test, or the program's thread, was ready to run and got no processor.
+//! Measures stalls: times in which a thread of the test or the program's worker was ready to run but got no processor.
 use std::fs;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often threads of the test check whether they run in time.
+/// The interval at which threads of the test check whether they run in time.
 pub const TICK: Duration = Duration::from_millis(1);
-/// A wake-up that is late by no more than this is no stall.
+/// A wake-up that is late by no more than this does not count as a stall.
 const USUAL_DELAY: Duration = Duration::from_millis(2);
 
 /// Spans in which a thread of the test ran late.
@@ -22,21 +22,21 @@
         }
     }
 
-    /// How much of a span lies within stalls.
+    /// How much of a time span lies within stalls. Overlapping stalls count once.
     fn stalled_within(&self, from: Instant, to: Instant) -> Duration {
         let mut stalls = self.0.lock().expect("stalls").clone();
         stalls.sort_unstable();
-        let (mut counted, mut sum) = (from, Duration::ZERO);
+        let (mut counted_until, mut sum) = (from, Duration::ZERO);
         for (due, ran_at) in stalls {
-            sum += ran_at.min(to).saturating_duration_since(due.max(counted));
-            counted = counted.max(ran_at);
+            sum += ran_at.min(to).saturating_duration_since(due.max(counted_until));
+            counted_until = counted_until.max(ran_at);
         }
         sum
     }
 }
 
-/// Runs during a case: a thread that wakes each millisecond, and records how long the program's worker has waited for a
-/// processor, as the kernel counts it.
+/// A thread that runs during a case. It wakes each millisecond, and records its own late wake-ups and how long the
+/// program's worker has waited for a processor, as the kernel counts it.
 pub struct Probe {
     pub stalls: Arc<Stalls>,
     processor_waits: Arc<Mutex<Vec<(Instant, Duration)>>>,
@@ -56,7 +56,7 @@
                 let due = Instant::now() + TICK;
                 thread::sleep(TICK);
                 stalls.record(due, Instant::now());
-                // Time running, time waiting, time slices: the second one, in nanoseconds.
+                // Three fields: time running, time waiting for a processor (both in nanoseconds), and time slices.
                 let text = file.as_ref().and_then(|file| fs::read_to_string(file).ok());
                 let waited = text.and_then(|text| text.split(' ').nth(1)?.parse().ok());
                 let waited = Duration::from_nanos(waited.unwrap_or(0));
@@ -66,17 +66,17 @@
         probe
     }
 
-    /// For how much of a span the test or the program was stalled, at most.
+    /// An upper bound for how much of a time span the test or the program was stalled.
     pub fn stalled(&self, from: Instant, to: Instant) -> Duration {
         let processor_waits = self.processor_waits.lock().expect("waits");
         let (before, after) = (
             processor_waits.partition_point(|(at, _)| *at <= from),
             processor_waits.partition_point(|(at, _)| *at < to),
         );
-        let at = |index: usize| {
+        let waited_until = |index: usize| {
             processor_waits.get(index.min(processor_waits.len().saturating_sub(1))).map(|(_, waited)| *waited)
         };
-        let waited = at(after).zip(at(before.saturating_sub(1)));
+        let waited = waited_until(after).zip(waited_until(before.saturating_sub(1)));
         let waited = waited.map_or(Duration::ZERO, |(after, before)| after.saturating_sub(before));
         self.stalls.stalled_within(from, to) + waited
     }
@@ -94,19 +94,19 @@
 /// The file in which the kernel reports how long the program's one worker has waited for a processor, if there is one.
 fn worker_schedstat(program: u32) -> Option<std::path::PathBuf> {
     let tasks = fs::read_dir(format!("/proc/{program}/task")).ok()?.flatten();
-    let named = |path: &std::path::Path| fs::read_to_string(path.join("comm")).ok();
+    let thread_name = |path: &std::path::Path| fs::read_to_string(path.join("comm")).ok();
     let worker =
-        tasks.map(|task| task.path()).find(|path| named(path).is_some_and(|name| name == "worker 0\n"));
+        tasks.map(|task| task.path()).find(|path| thread_name(path).is_some_and(|name| name == "worker 0\n"));
     Some(worker?.join("schedstat"))
 }
 
 #[test]
 fn overlapping_stalls_count_once_and_those_outside_the_span_not_at_all() {
     let (stalls, begun) = (Stalls::default(), Instant::now());
-    let at = |length| begun + Duration::from_millis(length);
+    let after_ms = |ms| begun + Duration::from_millis(ms);
     for (due, ran_at) in [(30, 60), (10, 40), (80, 95), (200, 300), (50, 51)] {
-        stalls.record(at(due), at(ran_at));
+        stalls.record(after_ms(due), after_ms(ran_at));
     }
-    assert_eq!(stalls.stalled_within(at(0), at(90)), Duration::from_millis(60));
-    assert_eq!(stalls.stalled_within(at(100), at(200)), Duration::ZERO);
+    assert_eq!(stalls.stalled_within(after_ms(0), after_ms(90)), Duration::from_millis(60));
+    assert_eq!(stalls.stalled_within(after_ms(100), after_ms(200)), Duration::ZERO);
 }
--- a/sidecar/tests/client_departures/test_bed.rs
+++ b/sidecar/tests/client_departures/test_bed.rs
@@ -1,4 +1,4 @@
-//! The test bed of a case: one process of the program, its servers, and clients that leave.
+//! What a case runs on: a process of the program, its servers, and clients that leave.
 use crate::ledger::{Findings, Ledger, RequestNo};
 use crate::program::{CpuShare, Program};
 use crate::server::{Mode, Servers};
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How a client leaves.
 #[derive(Clone, Copy, PartialEq)]
@@ -27,7 +27,7 @@
 
 /// The program under test, its servers and clients.
 pub struct TestBed {
-    // Dropped in this order: the program before its servers.
+    // Fields are dropped in this order: the program must end before its servers.
     probe: Probe,
     program: Program,
     servers: Servers,
@@ -42,10 +42,10 @@
         let servers = Servers::start(servers, &ledger, &stalls);
         let mut program = Program::start(&servers.addresses);
         let probe = Probe::start(program.id(), stalls);
-        wait_until("it is ready", || {
+        wait_until("the program is ready", || {
             let mut stream = TcpStream::connect(program.address).expect("a connection");
             let mut answer = [0; 12];
-            stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
+            stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("the request is sent");
             stream.read_exact(&mut answer).is_ok() && &answer == b"HTTP/1.1 200"
         });
         if share == CpuShare::Fifth {
@@ -62,13 +62,13 @@
         self.servers.set(number, mode);
     }
 
-    /// Sends a request with a body of so many bytes, of which the client writes at once as many as the kernel
-    /// accepts and `part` allows. `departure` is how the client will leave.
+    /// Sends a request with a body of `body` bytes. The client writes the share `part` of it, or as much of that as the
+    /// kernel accepts at once. `departure` is how the client will leave.
     pub fn send(&mut self, workload: &str, (body, part): (usize, f64), departure: Departure) -> RequestNo {
         self.request_count += 1;
         let request_no = RequestNo(self.request_count);
         let mut stream = TcpStream::connect(self.program.address).expect("a connection");
-        stream.set_nodelay(true).expect("no delay");
+        stream.set_nodelay(true).expect("TCP_NODELAY is set");
         let method = if body > 0 || workload != "view" { "POST" } else { "GET" };
         let mut request = format!(
             "{method} /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {:08x}\r\nIdempotency-Key: k{}\r\nContent-Length: {body}\r\n\r\n",
@@ -76,7 +76,7 @@
         )
         .into_bytes();
         request.resize(request.len() + (body as f64 * part) as usize, b'x');
-        stream.set_nonblocking(true).expect("unblocked");
+        stream.set_nonblocking(true).expect("the socket is non-blocking");
         let mut sent = 0;
         while let Ok(count) = stream.write(&request[sent..]) {
             sent += count;
@@ -84,12 +84,12 @@
                 break;
             }
         }
-        stream.set_nonblocking(false).expect("blocked");
+        stream.set_nonblocking(false).expect("the socket is blocking");
         self.clients.insert(request_no, (stream, departure));
         request_no
     }
 
-    /// The next way to leave, in turn.
+    /// How the client of the next request leaves: each way in turn.
     pub fn next_departure(&self) -> Departure {
         [Departure::Closes, Departure::EndsSending, Departure::Resets][self.request_count as usize / 2 % 3]
     }
@@ -115,19 +115,19 @@
 
     /// Reads the answer to a request, which must be a 200.
     pub fn expect_answer(&mut self, request_no: RequestNo) {
-        let (mut stream, _) = self.clients.remove(&request_no).expect("a request");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let (mut stream, _) = self.clients.remove(&request_no).expect("a client that has not left");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).expect("an answer");
         assert_eq!(&answer, b"HTTP/1.1 200");
     }
 
-    /// Makes the client of a request leave, as one that the case counts.
+    /// Makes the client of a request leave during the case.
     pub fn leave(&mut self, request_no: RequestNo) {
         self.depart(request_no, true);
     }
 
-    /// Makes all remaining clients leave.
+    /// Makes all remaining clients leave, as at the end of the case.
     pub fn all_leave(&mut self) {
         for request_no in self.clients.keys().copied().collect::<Vec<_>>() {
             self.depart(request_no, false);
@@ -135,35 +135,36 @@
     }
 
     fn depart(&mut self, request_no: RequestNo, leaves_early: bool) {
-        let (stream, departure) = self.clients.remove(&request_no).expect("a request");
+        let (stream, departure) = self.clients.remove(&request_no).expect("a client that has not left");
         let before = self.ledger.record_departure(request_no, leaves_early);
         match departure {
             Departure::Closes => drop(stream),
             Departure::EndsSending => {
-                stream.shutdown(Shutdown::Write).expect("ended");
-                // The socket stays open until the program closes it: a client that ends its sending counts as gone.
+                stream.shutdown(Shutdown::Write).expect("the sending side is closed");
+                // A client that closes its sending side counts as gone, so the program closes the connection. The socket
+                // stays open until then.
                 thread::spawn(move || { &stream }.read_to_end(&mut Vec::new()));
             }
             Departure::Resets => {
-                sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("no lingering");
+                sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("SO_LINGER is set");
                 drop(stream);
             }
         }
-        // A delay between the record and the close itself.
+        // If this thread was delayed between recording the departure and closing the connection, that is a stall.
         self.probe.stalls.record(before, Instant::now());
     }
 
-    /// Makes clients leave one after the other over this time, in an order other than that of their requests.
+    /// Makes clients leave one after the other, spread over this time, in an order unrelated to that of their requests.
     pub fn leave_within(&mut self, mut leaving: Vec<RequestNo>, length: Duration) {
-        let (begun, count) = (Instant::now(), leaving.len());
+        let (start, count) = (Instant::now(), leaving.len());
         leaving.sort_by_key(|request_no| request_no.0.wrapping_mul(0x9E37_79B9));
-        for (request_no, at) in leaving.into_iter().zip(0..) {
-            thread::sleep((begun + length * at / count as u32).saturating_duration_since(Instant::now()));
+        for (request_no, index) in leaving.into_iter().zip(0..) {
+            thread::sleep((start + length * index / count as u32).saturating_duration_since(Instant::now()));
             self.leave(request_no);
         }
     }
 
-    /// Stops the process while something happens, and for so long after it.
+    /// Suspends the process while `meanwhile` runs, and for `length` after it.
     pub fn suspend_during(&mut self, length: Duration, meanwhile: impl FnOnce(&mut TestBed)) {
         self.program.signal(Signal::STOP);
         meanwhile(self);
@@ -172,8 +173,8 @@
     }
 
     /// Waits until no further attempt could come, and evaluates the run.
-    pub fn finish(mut self, rest: Duration) -> CaseResult {
-        thread::sleep(rest);
+    pub fn finish(mut self, settle_time: Duration) -> CaseResult {
+        thread::sleep(settle_time);
         self.all_leave();
         thread::sleep(Duration::from_millis(150));
         (self.ledger.evaluate(|from, to| self.probe.stalled(from, to)), self.program.running_share())
@@ -181,10 +182,10 @@
 }
 
 /// Waits until a condition holds that another thread or process brings about.
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "timed out waiting until {what}");
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {description}");
         thread::sleep(Duration::from_millis(5));
     }
 }
