--- a/sidecar/tests/list_freshness.rs
+++ b/sidecar/tests/list_freshness.rs
@@ -1,79 +1,80 @@
-//! How long a list may be used that is no longer updated, depending on what is known of discovery.
+//! How long a list that is no longer updated may be used, depending on what is known about discovery.
 use oakhollow::types::Micros;
 use oakhollow_sidecar::list_freshness::ListFreshness;
 
 const GRACE: Micros = Micros::millis(1_500);
-/// 6 s until a change counts as notified, plus the grace, minus the time for which a process may be suspended.
+/// 6 s until a change counts as notified, plus the grace, minus 0.3 s by which a process may be delayed.
 const USABLE_FOR: Micros = Micros::millis(7_200);
+/// A list with so many endpoints that rejected requests may mean an overloaded discovery.
 const LONG_LIST: usize = 3_200;
 
-fn at(ms: u64) -> Micros {
+fn at_ms(ms: u64) -> Micros {
     Micros::millis(ms)
 }
 
-/// A watch whose last update came at 10 s.
+/// The state after a watch whose last update came at 10 s.
 fn updated_at_10_s() -> ListFreshness {
-    let mut freshness = ListFreshness::started_at(at(0));
-    freshness.heard(at(10_000));
+    let mut freshness = ListFreshness::started_at(at_ms(0));
+    freshness.heard(at_ms(10_000));
     freshness
 }
 
 #[test]
-fn there_is_no_bound_while_discovery_is_not_known_to_be_reachable() {
+fn the_list_is_usable_without_limit_while_discovery_is_not_known_to_be_reachable() {
     assert_eq!(updated_at_10_s().usable_until(GRACE), None);
     let mut freshness = updated_at_10_s();
-    freshness.watch_ended(at(11_000));
-    freshness.unreachable(at(30_000));
+    freshness.watch_ended(at_ms(11_000));
+    freshness.unreachable(at_ms(30_000));
     assert_eq!(freshness.usable_until(GRACE), None);
 }
 
 #[test]
-fn with_discovery_reachable_a_silent_watch_bounds_use_from_its_last_update() {
+fn if_discovery_is_reachable_a_silent_watch_limits_how_long_its_list_is_usable() {
     let mut freshness = updated_at_10_s();
-    freshness.connected(at(15_000), at(15_001), LONG_LIST);
-    assert_eq!(freshness.usable_until(GRACE), Some(at(10_000) + USABLE_FOR));
-    // Further requests that connect as quickly change nothing, whatever their end.
-    freshness.connected(at(17_000), at(17_001), LONG_LIST);
-    assert_eq!(freshness.usable_until(GRACE), Some(at(10_000) + USABLE_FOR));
-    freshness.heard(at(17_100));
+    freshness.connected(at_ms(15_000), at_ms(15_001), LONG_LIST);
+    assert_eq!(freshness.usable_until(GRACE), Some(at_ms(10_000) + USABLE_FOR));
+    // Further requests that connect as quickly change nothing, whatever their outcome.
+    freshness.connected(at_ms(17_000), at_ms(17_001), LONG_LIST);
+    assert_eq!(freshness.usable_until(GRACE), Some(at_ms(10_000) + USABLE_FOR));
+    freshness.heard(at_ms(17_100));
     assert_eq!(freshness.usable_until(GRACE), None);
 }
 
 #[test]
-fn unanswered_requests_after_a_watch_ended_count_as_an_outage_for_a_while() {
-    let until = |endpoints| {
+fn after_a_watch_ended_discovery_counts_as_down_for_a_while_if_requests_are_not_answered() {
+    let usable_until_with = |endpoints| {
         let mut freshness = updated_at_10_s();
-        freshness.watch_ended(at(11_000));
-        freshness.connected(at(11_300), at(11_301), endpoints);
+        freshness.watch_ended(at_ms(11_000));
+        freshness.connected(at_ms(11_300), at_ms(11_301), endpoints);
         freshness.usable_until(GRACE)
     };
-    assert_eq!(until(LONG_LIST), Some(at(16_000) + USABLE_FOR));
-    assert_eq!(until(200), Some(at(21_000) + USABLE_FOR));
-    assert_eq!(until(0), Some(at(21_000) + USABLE_FOR));
+    assert_eq!(usable_until_with(LONG_LIST), Some(at_ms(16_000) + USABLE_FOR));
+    assert_eq!(usable_until_with(200), Some(at_ms(21_000) + USABLE_FOR));
+    assert_eq!(usable_until_with(0), Some(at_ms(21_000) + USABLE_FOR));
 }
 
 #[test]
-fn an_answer_shows_that_discovery_was_reachable_from_its_requests_start() {
+fn an_answer_shows_that_discovery_was_reachable_since_its_request_began() {
     let mut freshness = updated_at_10_s();
-    freshness.watch_ended(at(11_000));
-    freshness.connected(at(11_300), at(11_301), LONG_LIST);
-    freshness.answered(at(11_300));
-    assert_eq!(freshness.usable_until(GRACE), Some(at(11_300) + USABLE_FOR));
+    freshness.watch_ended(at_ms(11_000));
+    freshness.connected(at_ms(11_300), at_ms(11_301), LONG_LIST);
+    freshness.answered(at_ms(11_300));
+    assert_eq!(freshness.usable_until(GRACE), Some(at_ms(11_300) + USABLE_FOR));
     // An answer to a later request does not show that discovery was unreachable before.
-    freshness.answered(at(14_000));
-    assert_eq!(freshness.usable_until(GRACE), Some(at(11_300) + USABLE_FOR));
+    freshness.answered(at_ms(14_000));
+    assert_eq!(freshness.usable_until(GRACE), Some(at_ms(11_300) + USABLE_FOR));
 }
 
 #[test]
-fn a_connection_that_took_long_shows_that_discovery_was_unreachable_until_then() {
+fn a_slow_connection_shows_that_discovery_was_unreachable_until_it_was_established() {
     let mut freshness = updated_at_10_s();
-    freshness.connected(at(15_000), at(18_000), LONG_LIST);
-    assert_eq!(freshness.usable_until(GRACE), Some(at(18_000) + USABLE_FOR));
+    freshness.connected(at_ms(15_000), at_ms(18_000), LONG_LIST);
+    assert_eq!(freshness.usable_until(GRACE), Some(at_ms(18_000) + USABLE_FOR));
 }
 
 #[test]
-fn without_a_grace_in_the_settings_there_is_no_bound() {
+fn without_a_grace_in_the_settings_the_list_is_usable_without_limit() {
     let mut freshness = updated_at_10_s();
-    freshness.connected(at(15_000), at(15_001), LONG_LIST);
+    freshness.connected(at_ms(15_000), at_ms(15_001), LONG_LIST);
     assert_eq!(freshness.usable_until(Micros(0)), None);
 }
--- a/sidecar/tests/list_pacing.rs
+++ b/sidecar/tests/list_pacing.rs
@@ -1,4 +1,5 @@
-//! The pause after a list request that was rejected late: it grows with the tier, and with how long the request waited.
+//! The pause after a list request that was rejected after a wait: it grows with the number of instances in the tier, and
+//! with how long the request waited.
 use oakhollow_sidecar::http1::watch::pacing::pause_after_rejection;
 use std::time::Duration;
 
@@ -10,13 +11,14 @@
 }
 
 #[test]
-fn a_tier_keeps_to_its_request_rate_unless_its_requests_wait_too_long() {
-    let (least, most) = (pause_after_rejection(WAITED, 160, 0.0), pause_after_rejection(WAITED, 160, 1.0));
-    assert_eq!((least, most), (Duration::from_millis(1_250), Duration::from_secs(5)));
+fn a_tier_keeps_its_request_rate_but_a_pause_is_at_most_five_times_the_wait() {
+    let (shortest, longest) =
+        (pause_after_rejection(WAITED, 160, 0.0), pause_after_rejection(WAITED, 160, 1.0));
+    assert_eq!((shortest, longest), (Duration::from_millis(1_250), Duration::from_secs(5)));
     assert_eq!(pause_after_rejection(WAITED, 900, 1.0), 5 * WAITED);
 }
 
 #[test]
-fn a_few_instances_pause_no_longer_than_the_module_s_backoff() {
+fn in_a_small_tier_the_pause_is_no_longer_than_the_decision_modules_backoff() {
     assert!(pause_after_rejection(WAITED, 30, 1.0) < Duration::from_secs(1));
 }
--- a/sidecar/tests/logging.rs
+++ b/sidecar/tests/logging.rs
@@ -1,4 +1,5 @@
-//! Lines logged before the program ends are written by then, and a reader that reads nothing does not delay the end.
+//! At the program's exit all lines logged before have been written, and a log reader that reads nothing does not delay
+//! the exit.
 use oakhollow_sidecar::logging;
 use slog::info;
 use std::io::{Result, Write};
@@ -9,9 +10,9 @@
 
 /// A writer that takes 1 ms per write.
 #[derive(Clone, Default)]
-struct Slow(Arc<Mutex<Vec<u8>>>);
+struct SlowWriter(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Slow {
+impl Write for SlowWriter {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         thread::sleep(Duration::from_millis(1));
         self.0.lock().expect("bytes").extend_from_slice(bytes);
@@ -23,23 +24,23 @@
 }
 
 #[test]
-fn the_last_lines_are_written_while_another_thread_has_a_logger() {
-    let written = Slow::default();
+fn the_last_lines_are_written_although_another_logger_still_exists() {
+    let written = SlowWriter::default();
     let (log, flush) = logging::to_writer(written.clone(), "n0", slog::Level::Info);
-    let _other = log.clone();
+    let _other_logger = log.clone();
     (0..5).for_each(|number| info!(log, "line {}", number));
     drop((log, flush));
-    let text = String::from_utf8(written.0.lock().expect("bytes").clone()).expect("text");
+    let text = String::from_utf8(written.0.lock().expect("bytes").clone()).expect("valid UTF-8");
     assert_eq!(text.lines().count(), 5, "{text}");
     assert!(text.contains("line 4"), "{text}");
 }
 
 /// A writer that blocks until the channel's sender is dropped.
-struct Stuck(Mutex<Receiver<()>>);
+struct BlockedWriter(Mutex<Receiver<()>>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
-        let _ = self.0.lock().expect("a receiver").recv();
+        let _ = self.0.lock().expect("the receiver").recv();
         Ok(bytes.len())
     }
     fn flush(&mut self) -> Result<()> {
@@ -48,12 +49,12 @@
 }
 
 #[test]
-fn a_reader_that_reads_nothing_does_not_delay_the_end() {
+fn a_log_reader_that_reads_nothing_does_not_delay_the_exit() {
     let (sender, receiver) = channel();
-    let (log, flush) = logging::to_writer(Stuck(Mutex::new(receiver)), "n0", slog::Level::Info);
+    let (log, flush) = logging::to_writer(BlockedWriter(Mutex::new(receiver)), "n0", slog::Level::Info);
     (0..1_000).for_each(|number| info!(log, "line {}", number));
-    let begun = Instant::now();
+    let start = Instant::now();
     drop(flush);
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     drop(sender);
 }
--- a/sidecar/tests/metrics.rs
+++ b/sidecar/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The text of `GET /metrics`: every counter from the start, and what was counted.
+//! The text of `GET /metrics`: every rule and reason has a line from the start, and counts and gauges appear in it.
 use oakhollow::types::{Micros, Outcome};
 use oakhollow_guard::{CloseReason, Denial, Rule};
 use oakhollow_sidecar::metrics::{
@@ -63,6 +63,6 @@
         "oakhollow_watch_open 1",
     ];
     for line in lines {
-        assert!(text.lines().any(|one| one == line), "no {line} in {text}");
+        assert!(text.lines().any(|rendered| rendered == line), "no {line} in {text}");
     }
 }
--- a/sidecar/tests/system_errors.rs
+++ b/sidecar/tests/system_errors.rs
@@ -1,4 +1,5 @@
-//! Which errors of system calls concern one connection, and which are a shortage of this process or host.
+//! Which errors of system calls concern a single connection or server, and which show that this process or host lacks
+//! resources.
 use oakhollow_sidecar::system_errors::{accept_failure, is_our_shortage, AcceptFailure};
 use rustix::io::Errno;
 use std::io::Error;
@@ -8,7 +9,7 @@
 }
 
 #[test]
-fn a_failed_accept_concerns_the_connection_the_host_or_our_descriptors() {
+fn a_failed_accept_is_classified_by_its_cause() {
     let kinds = [
         (Errno::CONNABORTED, AcceptFailure::Connection),
         (Errno::PROTO, AcceptFailure::Connection),
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn our_own_shortage_is_told_from_a_failure_of_the_server() {
+fn a_shortage_of_our_own_is_distinguished_from_a_failure_of_the_server() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN]
     {
         assert!(is_our_shortage(&error(errno)), "{errno}");
--- a/sidecar/tests/uninterrupted.rs
+++ b/sidecar/tests/uninterrupted.rs
@@ -1,27 +1,27 @@
-//! A read or write that a signal interrupts is tried again.
+//! A read or write that is interrupted by a signal is retried.
 use futures_lite::{future, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use oakhollow_sidecar::uninterrupted::Uninterrupted;
 use std::io::{ErrorKind, Result};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A stream on which every other operation is interrupted.
+/// A stream on which every other operation fails with `Interrupted`, starting with the first.
 #[derive(Default)]
-struct Interrupts {
+struct InterruptingStream {
     operations: usize,
     written: Vec<u8>,
 }
 
-impl Interrupts {
-    fn interrupted(&mut self) -> bool {
+impl InterruptingStream {
+    fn is_interrupted(&mut self) -> bool {
         self.operations += 1;
         self.operations % 2 == 1
     }
 }
 
-impl AsyncRead for Interrupts {
+impl AsyncRead for InterruptingStream {
     fn poll_read(mut self: Pin<&mut Self>, _: &mut Context, buffer: &mut [u8]) -> Poll<Result<usize>> {
-        if self.interrupted() {
+        if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
         buffer[0] = 7;
@@ -29,9 +29,9 @@
     }
 }
 
-impl AsyncWrite for Interrupts {
+impl AsyncWrite for InterruptingStream {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context, bytes: &[u8]) -> Poll<Result<usize>> {
-        if self.interrupted() {
+        if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
         self.written.push(bytes[0]);
@@ -49,11 +49,11 @@
 
 #[test]
 fn interrupted_operations_are_retried() {
-    let mut stream = Uninterrupted(Interrupts::default());
+    let mut stream = Uninterrupted(InterruptingStream::default());
     future::block_on(async {
-        let mut three = [0; 3];
-        stream.read_exact(&mut three).await.expect("read");
-        assert_eq!(three, [7; 3]);
+        let mut received = [0; 3];
+        stream.read_exact(&mut received).await.expect("read");
+        assert_eq!(received, [7; 3]);
         stream.write_all(b"abc").await.expect("written");
     });
     assert_eq!(stream.0.written, b"abc");
