--- a/sidecar/benches/loopback/clients.rs
+++ b/sidecar/benches/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on kept connections, in a closed loop: each sends its next request when it has an answer.
+//! Clients on kept connections in a closed loop: each sends its next request when it has received the whole answer.
 use hdrhistogram::Histogram;
 use polling::{Event, Events, PollMode, Poller};
 use std::io::{Read, Write};
@@ -22,7 +22,7 @@
     }
 }
 
-static IDS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 struct Client {
     stream: TcpStream,
@@ -32,7 +32,7 @@
 
 impl Client {
     fn send(&mut self) -> std::io::Result<()> {
-        let id = IDS.fetch_add(1, Ordering::Relaxed);
+        let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         let request = format!(
             "GET /view/1 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: {id:016x}\r\nRequest-Class: view\r\nRequest-Timeout-Ms: 2000\r\n\r\n"
         );
@@ -41,7 +41,7 @@
     }
 }
 
-/// Whether the bytes hold a whole answer, by its Content-Length.
+/// Whether the bytes contain a complete answer according to its Content-Length.
 fn is_whole_answer(bytes: &[u8]) -> bool {
     let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else { return false };
     let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
@@ -50,9 +50,9 @@
     bytes.len() >= end + 4 + length.unwrap_or(0)
 }
 
-/// Runs `connections` clients on `threads` threads for `warm_up`, which does not count, and then for `length`.
+/// Runs `connections` clients on `threads` threads, first for `warm_up`, which is not measured, and then for `length`.
 pub fn run_clients(
-    to: SocketAddr, connections: usize, threads: usize, warm_up: Duration, length: Duration,
+    address: SocketAddr, connections: usize, threads: usize, warm_up: Duration, length: Duration,
 ) -> std::io::Result<Measurements> {
     let started = Instant::now();
     let (count_from, run_until) = (started + warm_up, started + warm_up + length);
@@ -61,15 +61,15 @@
             let (poller, mut events) = (Poller::new()?, Events::new());
             let mut clients = Vec::new();
             for key in 0..count {
-                let stream = TcpStream::connect(to)?;
+                let stream = TcpStream::connect(address)?;
                 stream.set_nodelay(true)?;
-                // SAFETY: the clients outlive the poller's use.
+                // SAFETY: the stream is not dropped while the poller is in use.
                 unsafe { poller.add_with_mode(&stream, Event::readable(key), PollMode::Level)? };
                 let mut client = Client { stream, sent: Instant::now(), received: Vec::new() };
                 client.send()?;
                 clients.push(client);
             }
-            let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are sound");
+            let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
             let mut measurements =
                 Measurements { requests: 0, not_served: 0, seconds: length.as_secs_f64(), latency };
             let mut buffer = [0; 16 * 1024];
@@ -98,37 +98,38 @@
             Ok(measurements)
         })
     };
-    let shares = (0..threads).map(|at| connections / threads + usize::from(at < connections % threads));
-    let running: Vec<_> = shares.map(run_thread).collect();
-    let mut all: Option<Measurements> = None;
-    for one in running {
-        let one = one.join().expect("a client's thread ends")?;
-        all = Some(match all {
-            None => one,
+    let connection_counts =
+        (0..threads).map(|index| connections / threads + usize::from(index < connections % threads));
+    let running_threads: Vec<_> = connection_counts.map(run_thread).collect();
+    let mut total: Option<Measurements> = None;
+    for measurements in running_threads {
+        let measurements = measurements.join().expect("no client thread panics")?;
+        total = Some(match total {
+            None => measurements,
             Some(mut sum) => {
-                sum.requests += one.requests;
-                sum.not_served += one.not_served;
-                sum.latency.add(&one.latency).expect("equal bounds");
+                sum.requests += measurements.requests;
+                sum.not_served += measurements.not_served;
+                sum.latency.add(&measurements.latency).expect("equal bounds");
                 sum
             }
         });
     }
-    all.ok_or_else(|| std::io::ErrorKind::InvalidInput.into())
+    total.ok_or_else(|| std::io::ErrorKind::InvalidInput.into())
 }
 
 /// Requests `/ready` until it answers 200, for 10 s at most. Returns whether it did.
-pub fn wait_until_ready(to: SocketAddr) -> bool {
-    let run_until = Instant::now() + Duration::from_secs(10);
-    let ask = || -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect(to)?;
+pub fn wait_until_ready(address: SocketAddr) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(10);
+    let is_ready = || -> std::io::Result<bool> {
+        let mut stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")?;
         let mut answer = [0; 12];
         stream.read_exact(&mut answer)?;
         Ok(answer.ends_with(b"200"))
     };
-    while Instant::now() < run_until {
-        if ask().unwrap_or(false) {
+    while Instant::now() < deadline {
+        if is_ready().unwrap_or(false) {
             return true;
         }
         thread::sleep(Duration::from_millis(20));
--- a/sidecar/benches/loopback/main.rs
+++ b/sidecar/benches/loopback/main.rs
@@ -1,10 +1,10 @@
-//! Compares requests per second through the program with requests sent straight to a test server, in one run, by the
-//! number of servers and of workers:
+//! Measures requests per second through the program, for each number of servers and of workers, and for comparison
+//! straight to a test server:
 //!
 //!     cargo bench --bench loopback -- --build now=target/release/oakhollow --servers 4,1000,10000
 //!
-//! `--build NAME=PATH` may be given several times: builds run in turn, in an order that is reversed each round, so
-//! that a drift of the machine's speed affects all alike. Figures are medians over the rounds.
+//! `--build NAME=PATH` may be given several times: builds run in turn, and every other round in reverse order, so that
+//! a drift of the machine's speed affects all alike. Figures are medians over the rounds.
 mod clients;
 mod test_servers;
 
@@ -20,7 +20,7 @@
 #[derive(Parser)]
 struct Args {
     /// A build to measure.
-    #[arg(long, value_parser = build, required = true)]
+    #[arg(long, value_parser = parse_build, required = true)]
     build: Vec<(String, PathBuf)>,
     /// Servers in the list.
     #[arg(long, value_delimiter = ',', default_values_t = [4, 1000])]
@@ -60,31 +60,34 @@
     bench: bool,
 }
 
-fn build(text: &str) -> Result<(String, PathBuf), String> {
-    let (name, path) = text.split_once('=').ok_or("NAME=PATH is wanted")?;
+/// Parses `NAME=PATH`.
+fn parse_build(text: &str) -> Result<(String, PathBuf), String> {
+    let (name, path) = text.split_once('=').ok_or("must be NAME=PATH")?;
     let path = PathBuf::from(path);
-    // Cargo runs a benchmark in its package's folder.
+    // Cargo runs a benchmark in its package's folder, while PATH is meant relative to the workspace.
     let path = if path.is_relative() { PathBuf::from("..").join(path) } else { path };
-    path.is_file().then_some((name.to_string(), path.clone())).ok_or(format!("{} is no file", path.display()))
+    path.is_file()
+        .then_some((name.to_string(), path.clone()))
+        .ok_or(format!("{} is not a file", path.display()))
 }
 
-/// A running sidecar, which is killed when this is dropped.
-struct Running {
+/// A running sidecar process. It is killed when this is dropped.
+struct RunningSidecar {
     child: Child,
     listen: SocketAddr,
     folder: PathBuf,
-    /// The instances it agrees with.
-    _others: Vec<Running>,
+    /// The other instances that agree on settings with it, which end with it.
+    _other_instances: Vec<RunningSidecar>,
 }
 
-/// The index of an instance among those that agree, and the addresses of the keepers.
+/// The index of an instance among those that agree on settings, and the addresses of all of them, each a lease server.
 type AccordPosition = (usize, Vec<SocketAddr>);
 
 fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-impl Drop for Running {
+impl Drop for RunningSidecar {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -92,25 +95,31 @@
     }
 }
 
-impl Running {
+impl RunningSidecar {
     fn start(
         args: &Args, path: &PathBuf, discovery: SocketAddr, workers: usize,
         accord_position: Option<AccordPosition>,
-    ) -> std::io::Result<Running> {
+    ) -> std::io::Result<RunningSidecar> {
         let listen = free_address()?;
-        let mut others = Vec::new();
-        if let Some((0, keepers)) = &accord_position {
-            for other in 1..keepers.len() {
-                others.push(Running::start(args, path, discovery, 1, Some((other, keepers.clone())))?);
+        let mut other_instances = Vec::new();
+        if let Some((0, lease_servers)) = &accord_position {
+            for other_index in 1..lease_servers.len() {
+                other_instances.push(RunningSidecar::start(
+                    args,
+                    path,
+                    discovery,
+                    1,
+                    Some((other_index, lease_servers.clone())),
+                )?);
             }
         }
-        let me = accord_position.as_ref().map_or(0, |(me, _)| *me);
+        let index = accord_position.as_ref().map_or(0, |(index, _)| *index);
         let folder =
             std::env::temp_dir().join(format!("oakhollow-loopback-{}-{}", std::process::id(), listen.port()));
         std::fs::create_dir_all(&folder)?;
         let file = folder.join("sidecar.json");
         let json = format!(
-            r#"{{"name":"n{me}","version":{{"number":1}},"listen":"{listen}","discovery":"{discovery}","seed":"7","limits":{{"memory_mb":8192,"sockets":18000}},
+            r#"{{"name":"n{index}","version":{{"number":1}},"listen":"{listen}","discovery":"{discovery}","seed":"7","limits":{{"memory_mb":8192,"sockets":18000}},
   "settings":{{"me":0,"balancers":1,"bounds":{{"cancel":true,"parallel_tries":true,"most_hops":4,"connect_timeout_s":0.5,"idle_close_s":60.0,
   "retry_after":true,"max_retry_after_s":2.0}},"rules":{{"ask_within_s":10.0,"cold_from":0.3,"fall_s":1.5,"warm_within_s":8.0}},
   "zones":["here"],"workloads":[{{"name":"view","semantics":"read_like","quoted_time_s":1.0,"abandon_time_s":3.0,"payoff":1.0}}]}}}}"#
@@ -129,21 +138,23 @@
             command.stderr(Stdio::null());
         }
         if workers > 1 || accord_position.is_some() {
-            let operator = folder.join("oakhollow.toml");
-            let mut text = format!("workers = {workers}\n");
-            if let Some((_, keepers)) = &accord_position {
-                text += "[accord]\nwithin = 2.0\nkeepers = [\"n0\", \"n1\", \"n2\"]\n[accord.instances]\n";
-                for (at, keeper) in keepers.iter().enumerate() {
-                    text += &format!("n{at} = \"{keeper}\"\n");
+            let operator_file = folder.join("oakhollow.toml");
+            let mut operator_text = format!("workers = {workers}\n");
+            if let Some((_, lease_servers)) = &accord_position {
+                operator_text +=
+                    "[accord]\nwithin = 2.0\nkeepers = [\"n0\", \"n1\", \"n2\"]\n[accord.instances]\n";
+                for (number, address) in lease_servers.iter().enumerate() {
+                    operator_text += &format!("n{number} = \"{address}\"\n");
                 }
             }
-            std::fs::write(&operator, text)?;
-            command.arg("--operator").arg(operator);
+            std::fs::write(&operator_file, operator_text)?;
+            command.arg("--operator").arg(operator_file);
         }
-        let running = Running { child: command.spawn()?, listen, folder, _others: others };
-        // The other instances are ready only once this one runs as well.
-        match me > 0 || wait_until_ready(listen) {
-            true => Ok(running),
+        let sidecar =
+            RunningSidecar { child: command.spawn()?, listen, folder, _other_instances: other_instances };
+        // Only the first instance waits: the others become ready only once it runs as well.
+        match index > 0 || wait_until_ready(listen) {
+            true => Ok(sidecar),
             false => Err(std::io::Error::other("the sidecar is not ready within 10 s")),
         }
     }
@@ -154,9 +165,9 @@
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
         };
         let stat = read("stat");
-        let after = stat.rsplit(')').next().unwrap_or_default();
+        let fields = stat.rsplit(')').next().unwrap_or_default();
         let ticks: f64 =
-            after.split_whitespace().skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
+            fields.split_whitespace().skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
         let status = read("status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kb = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok()).unwrap_or(0.0);
@@ -164,31 +175,32 @@
     }
 }
 
-/// One row of the report.
+/// The figures of one run. A row of the report has the medians of the runs with the same label.
 struct Row {
     label: String,
     requests_per_s: f64,
-    p50: f64,
-    p99: f64,
-    max: f64,
+    p50_us: f64,
+    p99_us: f64,
+    max_us: f64,
     not_served: u64,
+    /// Processor time per request.
     cpu_us: f64,
-    mb: f64,
+    resident_mb: f64,
 }
 
 impl Row {
-    fn of(label: String, measurements: &Measurements, cpu_us: f64, mb: f64) -> Row {
-        let at = |quantile| measurements.latency.value_at_quantile(quantile) as f64;
-        let (p50, p99, max) = (at(0.5), at(0.99), measurements.latency.max() as f64);
+    fn new(label: String, measurements: &Measurements, cpu_us: f64, resident_mb: f64) -> Row {
+        let latency_us = |quantile| measurements.latency.value_at_quantile(quantile) as f64;
+        let (p50_us, p99_us, max_us) = (latency_us(0.5), latency_us(0.99), measurements.latency.max() as f64);
         Row {
             label,
             requests_per_s: measurements.requests_per_s(),
-            p50,
-            p99,
-            max,
+            p50_us,
+            p99_us,
+            max_us,
             not_served: measurements.not_served,
             cpu_us,
-            mb,
+            resident_mb,
         }
     }
 }
@@ -200,21 +212,27 @@
 
 fn main() -> std::io::Result<()> {
     let args = Args::parse();
-    let (warm, length) = (Duration::from_secs_f64(args.warm), Duration::from_secs_f64(args.seconds));
-    let max = args.servers.iter().copied().max().unwrap_or(1);
-    let servers = test_servers::servers(max, args.server_threads)?;
+    let (warm_up, measured_time) =
+        (Duration::from_secs_f64(args.warm), Duration::from_secs_f64(args.seconds));
+    let max_servers = args.servers.iter().copied().max().unwrap_or(1);
+    let servers = test_servers::servers(max_servers, args.server_threads)?;
     let mut rows: Vec<Row> = Vec::new();
     for round in 0..args.rounds {
-        let direct =
-            run_clients(servers[0], args.callers, args.caller_threads, Duration::from_millis(300), length)?;
-        rows.push(Row::of("direct".into(), &direct, 0.0, 0.0));
+        let direct = run_clients(
+            servers[0],
+            args.callers,
+            args.caller_threads,
+            Duration::from_millis(300),
+            measured_time,
+        )?;
+        rows.push(Row::new("direct".into(), &direct, 0.0, 0.0));
         let mut runs = Vec::new();
-        for &count in &args.servers {
+        for &server_count in &args.servers {
             for &workers in &args.workers {
-                for (name, path) in &args.build {
-                    runs.push((count, workers, name.clone(), path, false));
+                for (label, path) in &args.build {
+                    runs.push((server_count, workers, label.clone(), path, false));
                     if args.accord {
-                        runs.push((count, workers, format!("{name} agreed"), path, true));
+                        runs.push((server_count, workers, format!("{label} with accord"), path, true));
                     }
                 }
             }
@@ -222,34 +240,42 @@
         if round % 2 == 1 {
             runs.reverse();
         }
-        for (count, workers, name, path, with_accord) in runs {
+        for (server_count, workers, label, path, with_accord) in runs {
             let churn = Arc::new(test_servers::Churn::default());
-            churn.on.store(args.changes > 0, Ordering::Relaxed);
-            let discovery =
-                test_servers::discovery(servers[..count].to_vec(), churn.clone(), args.changes.max(1))?;
+            churn.enabled.store(args.changes > 0, Ordering::Relaxed);
+            let discovery = test_servers::discovery(
+                servers[..server_count].to_vec(),
+                churn.clone(),
+                args.changes.max(1),
+            )?;
             let accord_position = match with_accord {
                 true => Some((0, vec![free_address()?, free_address()?, free_address()?])),
                 false => None,
             };
-            let running = Running::start(&args, path, discovery, workers, accord_position)?;
-            run_clients(running.listen, args.callers, args.caller_threads, Duration::ZERO, warm)?;
-            let (before, _) = running.usage();
-            let measurements =
-                run_clients(running.listen, args.callers, args.caller_threads, Duration::ZERO, length)?;
-            let (after, mb) = running.usage();
-            let cpu_us = (after - before) * 1e6 / measurements.requests.max(1) as f64;
-            rows.push(Row::of(
-                format!("{name}, {count} servers, {workers} workers"),
+            let sidecar = RunningSidecar::start(&args, path, discovery, workers, accord_position)?;
+            run_clients(sidecar.listen, args.callers, args.caller_threads, Duration::ZERO, warm_up)?;
+            let (cpu_s_before, _) = sidecar.usage();
+            let measurements = run_clients(
+                sidecar.listen,
+                args.callers,
+                args.caller_threads,
+                Duration::ZERO,
+                measured_time,
+            )?;
+            let (cpu_s_after, resident_mb) = sidecar.usage();
+            let cpu_us = (cpu_s_after - cpu_s_before) * 1e6 / measurements.requests.max(1) as f64;
+            rows.push(Row::new(
+                format!("{label}, {server_count} servers, {workers} workers"),
                 &measurements,
                 cpu_us,
-                mb,
+                resident_mb,
             ));
         }
     }
-    let mut names: Vec<&str> = Vec::new();
+    let mut labels: Vec<&str> = Vec::new();
     for row in &rows {
-        if !names.contains(&row.label.as_str()) {
-            names.push(&row.label);
+        if !labels.contains(&row.label.as_str()) {
+            labels.push(&row.label);
         }
     }
     println!(
@@ -257,24 +283,24 @@
         args.callers, args.rounds, args.seconds, args.changes
     );
     println!(
-        "| arm | calls/s | part of direct | p50 us | p99 us | most us | not served | cpu us/call | RSS MB |"
+        "| run | requests/s | share of direct | p50 us | p99 us | max us | not served | cpu us/request | RSS MB |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
-    let pick = |name: &str, figure: fn(&Row) -> f64| {
-        median(rows.iter().filter(|row| row.label == name).map(figure).collect())
+    let median_of = |label: &str, figure: fn(&Row) -> f64| {
+        median(rows.iter().filter(|row| row.label == label).map(figure).collect())
     };
-    let direct = pick("direct", |row| row.requests_per_s);
-    for name in names {
+    let direct = median_of("direct", |row| row.requests_per_s);
+    for label in labels {
         println!(
-            "| {name} | {:.0} | {:.4} | {:.0} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} |",
-            pick(name, |row| row.requests_per_s),
-            pick(name, |row| row.requests_per_s) / direct,
-            pick(name, |row| row.p50),
-            pick(name, |row| row.p99),
-            pick(name, |row| row.max),
-            pick(name, |row| row.not_served as f64),
-            pick(name, |row| row.cpu_us),
-            pick(name, |row| row.mb),
+            "| {label} | {:.0} | {:.4} | {:.0} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} |",
+            median_of(label, |row| row.requests_per_s),
+            median_of(label, |row| row.requests_per_s) / direct,
+            median_of(label, |row| row.p50_us),
+            median_of(label, |row| row.p99_us),
+            median_of(label, |row| row.max_us),
+            median_of(label, |row| row.not_served as f64),
+            median_of(label, |row| row.cpu_us),
+            median_of(label, |row| row.resident_mb),
         );
     }
     Ok(())
--- a/sidecar/benches/loopback/test_servers.rs
+++ b/sidecar/benches/loopback/test_servers.rs
@@ -1,4 +1,4 @@
-//! Test servers that answer at once, and a test discovery that lists them and optionally keeps changing the list.
+//! Test servers that answer at once, and a test discovery that lists them and can keep changing the list.
 use polling::{Event, Events, PollMode, Poller};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,7 +29,7 @@
 fn serve(listeners: Vec<TcpListener>) -> std::io::Result<()> {
     let (poller, mut events) = (Poller::new()?, Events::new());
     for (key, listener) in listeners.iter().enumerate() {
-        // SAFETY: the listeners live as long as the poller.
+        // SAFETY: the listeners are not dropped while the poller is in use.
         unsafe { poller.add_with_mode(listener, Event::readable(key), PollMode::Level)? };
     }
     let mut connections: Vec<Option<TcpStream>> = Vec::new();
@@ -43,19 +43,19 @@
                 while let Ok((stream, _)) = listener.accept() {
                     stream.set_nonblocking(true)?;
                     stream.set_nodelay(true)?;
-                    let at = free_slots.pop().unwrap_or_else(|| {
+                    let slot = free_slots.pop().unwrap_or_else(|| {
                         connections.push(None);
                         connections.len() - 1
                     });
-                    let readable = Event::readable(listeners.len() + at);
+                    let readable = Event::readable(listeners.len() + slot);
                     // SAFETY: a connection is deleted from the poller before it is closed.
                     unsafe { poller.add_with_mode(&stream, readable, PollMode::Level)? };
-                    connections[at] = Some(stream);
+                    connections[slot] = Some(stream);
                 }
                 continue;
             }
-            let at = event.key - listeners.len();
-            let Some(stream) = &mut connections[at] else { continue };
+            let slot = event.key - listeners.len();
+            let Some(stream) = &mut connections[slot] else { continue };
             let open = match stream.read(&mut buffer) {
                 Ok(0) => false,
                 // One request at a time on a connection, without a body: a blank line ends it.
@@ -65,18 +65,18 @@
             };
             if !open {
                 poller.delete(&*stream)?;
-                connections[at] = None;
-                free_slots.push(at);
+                connections[slot] = None;
+                free_slots.push(slot);
             }
         }
     }
 }
 
-/// Whether the list keeps changing, and how many changes were sent. Each change drains a server or makes it active
-/// again.
+/// Whether discovery keeps changing the list, and how many changes it has sent. Each change drains a server or makes it
+/// active again.
 #[derive(Default)]
 pub struct Churn {
-    pub on: AtomicBool,
+    pub enabled: AtomicBool,
     pub changes_sent: AtomicU64,
 }
 
@@ -114,14 +114,15 @@
         }
         request.extend_from_slice(&buffer[..count]);
     }
-    let list: Vec<String> = servers.iter().enumerate().map(|(at, to)| entry(at, *to, "active")).collect();
+    let list: Vec<String> =
+        servers.iter().enumerate().map(|(number, address)| entry(number, *address, "active")).collect();
     let line = format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}\n", list.join(","));
     let chunk = |line: &str| format!("{:x}\r\n{line}\r\n", line.len());
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     stream.write_all(chunk(&line).as_bytes())?;
     let (mut index, mut last_sent) = (1, Instant::now());
     loop {
-        if churn.on.load(Ordering::Relaxed) && servers.len() > 4 {
+        if churn.enabled.load(Ordering::Relaxed) && servers.len() > 4 {
             index += 1;
             // Every other change makes the server active again that the previous one drained.
             let (number, status) = (index / 2 * 7 % servers.len(), ["leaving", "active"][index % 2]);
