--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -28,8 +28,8 @@
 //!   - Malformed: `conflicting-lengths` (two lengths that differ), `not-http`, `interim-only` (102 answers, no final
 //!     one)
 //!   - Unanswered: `silent` (never answers), `hold` (waits until the mode changes, then does what the new mode says)
-//!   - Not accepting: `not-listening`; `full-backlog` (the accept queue is full, so connections stay half open until
-//!     `accept-connections`); `address-of:OTHER` (a further name for the address of server OTHER)
+//!   - Not accepting: `not-listening`; `full-backlog` (the accept queue is full: connection attempts stay unanswered
+//!     until `accept-connections`); `address-of:OTHER` (a further name for the address of server OTHER)
 //! - `accept-connections NAME` ends `full-backlog`: the mode becomes `ok`, and a connection that was being opened
 //!   succeeds at the kernel's next retry (1 s after its first attempt, if that was the only one).
 //! - `expect-requests NAME COUNT` and `expect-connections NAME COUNT` wait until the server has had so many requests
@@ -105,13 +105,13 @@
 //! ## Discovery
 //!
 //! - `discovery send-full|send-update NAME[:STATUS] ...` sends a full list or an update on all open watches. STATUS is
-//!   `active` (if left out), `leaving` or `left`.
-//!   `discovery send-malformed`; `discovery send-line LINE`; `discovery send-partial BYTES` (without a line end);
-//!   `discovery close-watches`.
-//! - `discovery initial full|update NAME[:STATUS] ...` sets what a new watch is sent first. At the start that
-//!   is the full list.
+//!   `active` (if left out), `leaving` or `left`. On all open watches too: `discovery send-malformed` (a line that is
+//!   no list), `discovery send-line LINE`, `discovery send-partial BYTES` (without a line end).
+//! - `discovery close-watches` ends the open watches.
+//! - `discovery initial full|update NAME[:STATUS] ...` sets what a new watch is sent first. At the start that is the
+//!   full list.
 //! - How list requests are answered from then on: `discovery up`; `discovery unavailable` (by a 503);
-//!   `discovery refuse-connections` (nothing listens); `discovery full-backlog` (connections stay half open);
+//!   `discovery refuse-connections` (nothing listens); `discovery full-backlog` (connection attempts stay unanswered);
 //!   `discovery silent` (never); `discovery truncate-line` (by half a line and the end of the answer);
 //!   `discovery stall-line` (by the beginning of a long line, and no more); `discovery interim` (by a 103 and the
 //!   answer in one piece). `unavailable`, `refuse-connections` and `full-backlog` also end the open watches.
@@ -156,7 +156,7 @@
 }
 
 /// Whether a connection to this loopback address is being opened and has not been answered.
-fn has_half_open_connection(remote: SocketAddr) -> bool {
+fn has_pending_connect(remote: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of TCP connections");
     let remote = format!("0100007F:{:04X}", remote.port());
     // The third column is the remote address, the fourth the state: 02 is SYN_SENT.
@@ -1038,11 +1038,11 @@
             }
             ["expect-connecting"] => {
                 let address = self.discovery.lock().expect("discovery").address();
-                wait_until("a connection is being opened", || has_half_open_connection(address));
+                wait_until("a connection is being opened", || has_pending_connect(address));
             }
             ["expect-connecting", name] => {
                 let address = self.find_server(name).address;
-                wait_until("a connection is being opened", || has_half_open_connection(address));
+                wait_until("a connection is being opened", || has_pending_connect(address));
             }
             ["expect-ready", status] => wait_until("/ready has this status", || {
                 let mut stream = self.connect();
