--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -50,7 +50,8 @@
 //! (not repeatable). TIMEOUT is the request's time limit. Requests are numbered from 1, which gives their ids.
 //!
 //! - `send ID WORKLOAD TIMEOUT` sends a request on a new connection; `send-on ID OTHER WORKLOAD TIMEOUT` on the
-//!   connection of OTHER. `send-concurrently COUNT WORKLOAD TIMEOUT` sends several without waiting for answers.
+//!   connection of OTHER. `send-concurrently COUNT WORKLOAD TIMEOUT` sends several without waiting for answers, with
+//!   the ids `concurrent-0` and so on.
 //! - `send-raw ID BYTES` opens a connection and sends bytes; `send-more ID BYTES` sends more on it. In BYTES, `\r` and
 //!   `\n` are control characters, `_` is a space and `*N` is N times an `x`.
 //! - `upload ID WORKLOAD TIMEOUT BYTES whole|chunked|slow|truncated` sends a request with a body of so many bytes: as
