--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -19,7 +19,7 @@
 //!   - With a complete answer too long to be buffered: `large` (70 kB with a length), `large-chunked`,
 //!     `large-close-delimited`
 //!   - Echoing the request's id as the body: `echo-id`, `echo-id-twice` (two answers at once),
-//!     `echo-id-twice-delayed` (the second answer 4 ms after the first)
+//!     `echo-id-twice-delayed` (the second answer 4 ms after the first; none if it would come over 8 ms after it)
 //!   - With surplus bytes: `answer-twice` (`ok`, and the same answer once more)
 //!   - With an error status: `internal-error` (500), `unavailable` (a 503 that leaves open whether the request ran),
 //!     `refuse-not-started` (a 503 with `Not-Started: 1`, which proves that it did not run)
@@ -41,7 +41,8 @@
 //!   the last `accept-connections`.
 //! - `expect-cancelled NAME COUNT`: within a second, the program has closed the connections of at least COUNT requests
 //!   that came in mode `silent`. `expect-closed-idle NAME COUNT`: the same for connections on which the server was
-//!   waiting for a next request.
+//!   waiting for a next request. `expect-delayed-answers NAME COUNT`: within a second, it has sent at least COUNT second
+//!   answers in mode `echo-id-twice-delayed`.
 //! - `expect-connecting [NAME]` waits until a connection to the server, or to discovery, is being opened.
 //!
 //! ## Clients
@@ -164,6 +165,12 @@
     table.lines().any(|line| line.split_whitespace().skip(2).take(2).eq([remote.as_str(), "02"]))
 }
 
+/// How long after an answer the mode `echo-id-twice-delayed` sends the second one.
+const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(4);
+/// If this process is delayed for longer, the second answer is not sent: the program reuses a connection 10 ms after an
+/// answer, and could not tell the second one from the answer to the next request.
+const MAX_SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
+
 /// How long the program may take to apply a list.
 const LIST_DELAY: Duration = Duration::from_millis(100);
 
@@ -234,6 +241,8 @@
     cancelled: usize,
     /// Connections that the program closed while the server was waiting for a next request.
     closed_between_requests: usize,
+    /// Second answers sent in mode `echo-id-twice-delayed`.
+    delayed_answers: usize,
     last_request: String,
 }
 
@@ -292,6 +301,8 @@
 }
 
 fn serve(mut stream: TcpStream, server_state: &Mutex<ServerState>) {
+    // Otherwise the kernel holds a second answer back until the first one is acknowledged.
+    let _ = stream.set_nodelay(true);
     while let Some((request_head, request_body)) = read_message(&mut stream) {
         let (mode, answer_body) = {
             let mut state = server_state.lock().expect("server state");
@@ -345,8 +356,13 @@
                 let id = id.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("a Request-Id").to_string();
                 let echo = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
                 if mode == "echo-id-twice-delayed" {
+                    let first_sent_at = Instant::now();
                     let _ = stream.write_all(echo.as_bytes());
-                    thread::sleep(Duration::from_millis(4));
+                    thread::sleep(SECOND_ANSWER_DELAY);
+                    if first_sent_at.elapsed() > MAX_SECOND_ANSWER_DELAY {
+                        continue;
+                    }
+                    server_state.lock().expect("server state").delayed_answers += 1;
                 }
                 echo.repeat(if mode == "echo-id-twice" { 2 } else { 1 })
             }
@@ -960,6 +976,9 @@
             }
             ["expect-connections", name, count] => self.expect_count(name, count, |state| state.connections),
             ["expect-cancelled", name, minimum] => self.expect_soon(name, minimum, |state| state.cancelled),
+            ["expect-delayed-answers", name, minimum] => {
+                self.expect_soon(name, minimum, |state| state.delayed_answers)
+            }
             ["expect-closed-idle", name, minimum] => {
                 self.expect_soon(name, minimum, |state| state.closed_between_requests)
             }
