--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -1,7 +1,7 @@
 //! The chain's statistics and client, and a short run of a chain of two tiers with processes of the program.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::chain::client::{run_load, ClientResults, LoadPlan};
 use oakhollow_lab::chain::report::{self, RunSettings};
 use oakhollow_lab::chain::statistics::{amplification_bound, t_quantile, Interval};
--- a/lab/tests/crowd.rs
+++ b/lab/tests/discovery_recovery.rs
@@ -1,8 +1,8 @@
 //! A tier of hundreds whose discovery comes back with too little capacity for all at once: their list requests must not
 //! keep it from answering any of them.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::discovery_recovery::{run, Case, Report};
 use oakhollow_lab::harness::{run_until_conclusive, Capacity, RejectionTiming};
 use std::time::Duration;
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -1,8 +1,8 @@
 //! Behaviour of a process while its system calls fail, its disk is full or its wall clock is wrong. Each test runs one
 //! process of the program with the fault injection library preloaded.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_faults::{FaultKind, Faults, ALWAYS};
 use oakhollow_lab::fakes::{connect, read_head, send_request, serve_connections};
 use oakhollow_lab::harness::{
--- a/lab/tests/handover.rs
+++ b/lab/tests/handover.rs
@@ -1,8 +1,9 @@
 //! Handover to a successor: a change by the operator during it is in the snapshot or follows it.
-mod beside;
-mod turn;
+mod built_program;
+mod exclusive_run;
 
-use beside::program;
+use built_program::program;
+use exclusive_run::exclusive;
 use oakhollow_lab::fakes::{connect, send_request};
 use oakhollow_lab::harness::{
     config_json, wait_until_all_ready, ListedEndpoint, ProcessConfig, SharedDiscovery, TempDir,
@@ -14,7 +15,6 @@
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
-use turn::exclusive;
 
 /// A sidecar with a passed listener, and the path of its handover socket.
 struct Setup {
--- a/lab/tests/large_lists.rs
+++ b/lab/tests/large_lists.rs
@@ -1,7 +1,7 @@
 //! Lists of thousands of endpoints that arrive slowly, late, in part or never: no request goes to a removed endpoint.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::harness::run_until_conclusive;
 use oakhollow_lab::large_list::discovery::{Pace, ResponseMode};
 use oakhollow_lab::large_list::{run, Case, Report, WatchFault};
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -1,11 +1,11 @@
 //! Nine in ten restarted processes are ready within 10 s: 30 killed at once, discovery down for the first 4 s.
-mod beside;
-mod turn;
+mod built_program;
+mod exclusive_run;
 
-use beside::program;
+use built_program::program;
+use exclusive_run::exclusive;
 use oakhollow_lab::harness::{run_until_conclusive, Capacity, DiscoveryOutcome, OutageKind, RejectionTiming};
 use oakhollow_lab::restart::{run, Case, Report};
-use turn::exclusive;
 
 const CASE: Case = Case {
     name: "known list",
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The scale run: its arithmetic, and short runs with 14 instances.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::scale::catalogue::{Catalogue, FleetShape};
 use oakhollow_lab::scale::count::{Counts, InstanceSecond, TrafficCounts};
 use oakhollow_lab::scale::fit::Fit;
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -1,7 +1,7 @@
 //! Runs every scene in `lab/scenes` on processes of the program, as many concurrently as the machine has capacity for.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::admission::{available_capacity, busy_millicores, estimated_demand, Admission};
 use oakhollow_lab::reruns::run_admitted;
 use oakhollow_lab::scene::Scene;
--- a/lab/tests/ramp.rs
+++ b/lab/tests/slow_start.rs
@@ -1,13 +1,13 @@
 //! Slow start summed over processes: 20 and 30 processes of the program send to one cold server, which collapses if the
 //! sum of their requests exceeds what it can bear.
-mod beside;
-mod turn;
+mod built_program;
+mod exclusive_run;
 
-use beside::program;
+use built_program::program;
+use exclusive_run::exclusive;
 use oakhollow_lab::harness::run_until_conclusive;
 use oakhollow_lab::slow_start::{run, Case, Report};
 use oakhollow_lab::slow_start_limit::{fullest, Arrival, SlowStart, Window};
-use turn::exclusive;
 
 fn print_report(case: &Case, report: &Report) {
     let Report { incarnations, requests, late_requests, served, harness_delay_s } = report;
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Short soak runs with three fixed seeds have no findings, and a seed always gives the same timetable.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::soak::timetable::{FleetSize, Timetable};
 use oakhollow_lab::soak::trouble::Trouble;
 use oakhollow_lab::soak::{run, Plan};
--- a/lab/tests/waited_unread.rs
+++ b/lab/tests/time_left_of_queued_request.rs
@@ -1,7 +1,7 @@
 //! A request that waits in the kernel's queue until a process reads it has less time left than its header says.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::fakes::{connect, header, read_head, serve_connections};
 use oakhollow_lab::harness::{
     config_json, lock, view_request, ListedEndpoint, ProcessConfig, SharedDiscovery, TempDir,
