--- a/lab/src/stand_in.rs
+++ b/lab/src/fake_sidecar.rs
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How the stand-in behaves.
+/// How the fake sidecar behaves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, clap::ValueEnum)]
 pub enum Behaviour {
     /// Without a fault.
@@ -234,7 +234,7 @@
     }
 }
 
-/// Runs the stand-in until the process is killed.
+/// Runs the fake sidecar until the process is killed.
 pub fn run(path: &Path, operator: &Path, behaviour: Behaviour) -> Result<(), String> {
     let (config, local_settings, first) = read_instance_file(path)?;
     let accord = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -2,6 +2,7 @@
 use clap::{Parser, Subcommand};
 use oakhollow_lab::admission::{cpu_seconds_used, estimated_demand};
 use oakhollow_lab::chain;
+use oakhollow_lab::fake_sidecar::{run as run_fake_sidecar, Behaviour};
 use oakhollow_lab::scale::catalogue::FleetShape;
 use oakhollow_lab::scale::report;
 use oakhollow_lab::scale::run::{run_step, Plan};
@@ -10,7 +11,6 @@
 use oakhollow_lab::scene_runner::{self, run_scene, RunOptions};
 use oakhollow_lab::soak;
 use oakhollow_lab::soak::trouble::Trouble;
-use oakhollow_lab::stand_in::{run as run_stand_in, Behaviour};
 use oakhollow_lab::traffic::{measure, Report};
 use oakhollow_terms::Scope;
 use std::path::{Path, PathBuf};
@@ -104,8 +104,8 @@
         program: Option<PathBuf>,
     },
     /// Runs the stand-in for a sidecar, in a scene.
-    #[command(hide = true)]
-    StandIn {
+    #[command(name = "stand-in", hide = true)]
+    FakeSidecar {
         how: Behaviour,
         file: PathBuf,
         #[arg(long)]
@@ -328,8 +328,8 @@
 
 fn main() -> ExitCode {
     match Args::parse().command {
-        Command::StandIn { how, file, operator } => {
-            let why = run_stand_in(&file, &operator, how).err().unwrap_or_default();
+        Command::FakeSidecar { how, file, operator } => {
+            let why = run_fake_sidecar(&file, &operator, how).err().unwrap_or_default();
             eprintln!("oakhollow-lab: stand-in: {why}");
             ExitCode::FAILURE
         }
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -26,8 +26,8 @@
     program: PathBuf,
     folder: PathBuf,
     operator: bool,
-    /// The first arguments, where the program is the lab's stand-in. The stand-in rereads its file without a signal.
-    stand_in_arguments: Vec<String>,
+    /// The first arguments, if the program is the fake sidecar. It rereads its settings file without a signal.
+    fake_sidecar_arguments: Vec<String>,
     /// The listening socket that is passed to each process, where one replaces another.
     listener: Option<TcpListener>,
     child: Option<Child>,
@@ -65,7 +65,7 @@
             program: program.into(),
             folder,
             operator: false,
-            stand_in_arguments: Vec::new(),
+            fake_sidecar_arguments: Vec::new(),
             listener: None,
             child: None,
             first: None,
@@ -73,10 +73,10 @@
         })
     }
 
-    /// Runs the lab's stand-in, with this behaviour, instead of the program.
-    pub fn use_stand_in(&mut self, program: &Path, how: &str) {
-        self.program = program.into();
-        self.stand_in_arguments = vec!["stand-in".into(), how.into()];
+    /// Runs the fake sidecar of `oakhollow-lab`, with this behaviour, instead of the program.
+    pub fn use_fake_sidecar(&mut self, lab_program: &Path, behaviour: &str) {
+        self.program = lab_program.into();
+        self.fake_sidecar_arguments = vec!["stand-in".into(), behaviour.into()];
     }
 
     /// Passes the listening socket to processes started from now on, as a process supervisor does.
@@ -122,7 +122,7 @@
 
     /// Sends SIGHUP, by which it rereads its settings file.
     pub fn reload(&self) {
-        if self.stand_in_arguments.is_empty() {
+        if self.fake_sidecar_arguments.is_empty() {
             self.signal(Signal::HUP);
         }
     }
@@ -156,7 +156,7 @@
                 shell
             }
         };
-        command.args(&self.stand_in_arguments).arg(self.folder.join("sidecar.json"));
+        command.args(&self.fake_sidecar_arguments).arg(self.folder.join("sidecar.json"));
         if self.operator {
             command.arg("--operator").arg(self.folder.join("operator.toml"));
         }
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,10 +1,10 @@
 //! The real processes of a step: lease servers, and sidecars that carry requests, each with a fake discovery.
 use super::usage::{self, Usage};
+use crate::fake_sidecar::read_instance_file;
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
 use crate::scene::ListChange;
 use crate::scene_runner::{console_request, is_healthy};
-use crate::stand_in::read_instance_file;
 use oakhollow_accord::Document;
 use oakhollow_terms::Scope;
 use std::net::SocketAddr;
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -10,7 +10,7 @@
 //! - `version N NAME:KIND ...`: the workloads in version N of the settings, KIND one of read, once; all instances
 //!   start with the first version. Servers answer requests of a workload whose name begins with `fails` with an error
 //! - `load RATE`: requests a second of each workload at each sidecar
-//! - `stand-in A HOW`: replaces the program of A by the stand-in of [`crate::stand_in`], HOW its behaviour
+//! - `stand-in A HOW`: replaces the program of A by the fake sidecar of [`crate::fake_sidecar`], HOW its behaviour
 //! - `with KEY = VALUE`: one more line in the section `[accord]` of the operator's file
 //! - `until T`: the end of the scene
 //!
@@ -167,8 +167,8 @@
     pub unsure: String,
     /// Further lines of the section `[accord]`.
     pub accord_settings: Vec<String>,
-    /// The instance that the stand-in replaces, and how the stand-in behaves.
-    pub stand_in: Option<(usize, String)>,
+    /// The instance whose program the fake sidecar replaces, and the fake sidecar's behaviour.
+    pub fake_sidecar: Option<(usize, String)>,
     /// Requests a second of each workload at each sidecar.
     pub rate: f64,
     /// The workloads of each version of the settings.
@@ -224,7 +224,9 @@
             index.filter(|index| *index < SERVERS).ok_or_else(|| format!("there is no {word}"))
         };
         match words[..] {
-            ["stand-in", instance, how] => self.stand_in = Some((parse_instance(instance)?, how.into())),
+            ["stand-in", instance, behaviour] => {
+                self.fake_sidecar = Some((parse_instance(instance)?, behaviour.into()))
+            }
             ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
             ["sidecars", count, "keepers", lease_servers, "within", within, ref rest @ ..] => {
                 (self.sidecars, self.lease_servers) =
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -80,7 +80,7 @@
 pub struct RunOptions<'a> {
     /// The program under test.
     pub program: &'a Path,
-    /// The program `oakhollow-lab`, which has the stand-in.
+    /// The program `oakhollow-lab`, which contains the fake sidecar.
     pub lab_program: &'a Path,
     /// Whether the instances have a section `[accord]`; otherwise each acts on its own file alone.
     pub with_accord: bool,
@@ -135,8 +135,9 @@
         let first = *scene.versions.keys().next().unwrap_or(&1);
         for at in 0..scene.sidecars {
             let mut sidecar = Sidecar::new(options.program, &format!("n{at}"), &harness.folder)?;
-            if let Some((_, how)) = scene.stand_in.as_ref().filter(|(instance, _)| *instance == at) {
-                sidecar.use_stand_in(options.lab_program, how);
+            if let Some((_, behaviour)) = scene.fake_sidecar.as_ref().filter(|(instance, _)| *instance == at)
+            {
+                sidecar.use_fake_sidecar(options.lab_program, behaviour);
             }
             harness.discoveries.push(Discovery::start(&harness.servers[..LISTED])?);
             let relays: Vec<Relay> =
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -11,7 +11,7 @@
 use std::sync::LazyLock;
 use std::thread;
 
-/// The lab program, which contains the stand-in sidecar.
+/// The lab program, which contains the fake sidecar.
 const LAB_PROGRAM: &str = env!("CARGO_BIN_EXE_oakhollow-lab");
 
 /// Shared by both tests, which run concurrently.
@@ -61,7 +61,8 @@
     assert!(report.attempts > 100, "{}: {} attempts", file.display(), report.attempts);
 }
 
-/// Runs each scene with its faulty stand-in and with a correct one, so that only the fault can cause the finding.
+/// Runs each scene with its faulty sidecar and with a correct fake sidecar, so that only the fault can cause the
+/// finding.
 #[test]
 fn faulty_sidecars_are_found_and_named() {
     let (program, files) = (program(), files("faulty"));
@@ -70,18 +71,19 @@
         for file in &files {
             let (program, text) = (&program, std::fs::read_to_string(file).expect("text"));
             let faulty = Scene::parse(&text).expect("a scene");
-            let (who, how) = faulty.stand_in.clone().expect("a stand-in");
-            let honest = Scene { stand_in: Some((who, "honest".into())), ..faulty.clone() };
+            let (instance, behaviour) = faulty.fake_sidecar.clone().expect("a fake sidecar");
+            let honest = Scene { fake_sidecar: Some((instance, "honest".into())), ..faulty.clone() };
             let name = file.display().to_string();
-            let other = format!("honest, {name}");
+            let honest_name = format!("honest, {name}");
             scope.spawn(move || {
                 let report = run_admitted_scene(&faulty, program, &name);
-                let named = report.failures.iter().filter(|fault| fault.contains(&format!("n{who} sen")));
-                assert!(named.count() > 0, "{how} is not found: {:#?}", report.failures);
+                let named =
+                    report.failures.iter().filter(|fault| fault.contains(&format!("n{instance} sen")));
+                assert!(named.count() > 0, "{behaviour} is not found: {:#?}", report.failures);
             });
             scope.spawn(move || {
-                let report = run_admitted_scene(&honest, program, &other);
-                assert!(report.failures.is_empty(), "{other}: {:#?}", report.failures);
+                let report = run_admitted_scene(&honest, program, &honest_name);
+                assert!(report.failures.is_empty(), "{honest_name}: {:#?}", report.failures);
             });
         }
     });
