--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -10,7 +10,7 @@
 use oakhollow_lab::scene::Scene;
 use oakhollow_lab::scene_runner::{self, run_scene, RunOptions};
 use oakhollow_lab::soak;
-use oakhollow_lab::soak::trouble::Trouble;
+use oakhollow_lab::soak::disruption::Disruption;
 use oakhollow_lab::traffic::{measure, Report};
 use oakhollow_terms::Scope;
 use std::path::{Path, PathBuf};
@@ -197,10 +197,10 @@
     let program = args.program.clone().unwrap_or_else(sibling_program);
     let mut without = Vec::new();
     for name in &args.without {
-        match Trouble::from_name(name) {
-            Some(trouble) => without.push(trouble),
+        match Disruption::from_name(name) {
+            Some(disruption) => without.push(disruption),
             None => {
-                eprintln!("--without: no kind {name:?}; there are {}", soak::report::trouble_names());
+                eprintln!("--without: no kind {name:?}; there are {}", soak::report::disruption_names());
                 return ExitCode::FAILURE;
             }
         }
--- a/lab/src/soak/checker.rs
+++ b/lab/src/soak/checker.rs
@@ -22,7 +22,7 @@
 const SIGNIFICANT_PAUSE_S: f64 = 0.15;
 /// How long a process may take from its start until it is ready, in seconds.
 const READY_LIMIT_S: f64 = 10.0;
-/// A fresh connection that closes this close to the exit of its process was never accepted, in seconds.
+/// A new connection that is closed within this time of its process's exit was never accepted, in seconds.
 const EXIT_RACE_S: f64 = 0.1;
 
 /// A violation of a rule.
@@ -52,7 +52,7 @@
     pub excused: usize,
 }
 
-/// The history of one process, as spans of time and moments in seconds.
+/// The history of one process, as spans and points of time in seconds.
 #[derive(Default)]
 struct ProcessHistory {
     /// When it did not run, or was about to be killed.
@@ -84,8 +84,8 @@
 }
 
 /// Closes an open span, if there is one.
-fn close_span(open: &mut Option<f64>, at: f64, spans: &mut Vec<(f64, f64)>) {
-    spans.extend(open.take().map(|start| (start, at)));
+fn close_span(open: &mut Option<f64>, end: f64, spans: &mut Vec<(f64, f64)>) {
+    spans.extend(open.take().map(|start| (start, end)));
 }
 
 impl ProcessHistory {
@@ -95,18 +95,18 @@
         let (mut termination_requested, mut started) = (None, None);
         let (mut in_maintenance, mut draining): (HashMap<usize, f64>, HashMap<usize, f64>) =
             Default::default();
-        for (at, event) in events {
-            let at = *at;
+        for (time, event) in events {
+            let time = *time;
             match event {
                 Event::Started => {
-                    started = Some(at);
-                    close_span(&mut down, at, &mut history.down);
+                    started = Some(time);
+                    close_span(&mut down, time, &mut history.down);
                     for (server, since) in draining.drain() {
-                        history.draining.push((server, since, at));
+                        history.draining.push((server, since, time));
                     }
                 }
                 Event::Ready => {
-                    let took = started.take().map_or(0.0, |started| at - started);
+                    let took = started.take().map_or(0.0, |started| time - started);
                     if took > READY_LIMIT_S {
                         history.add_finding(
                             "ready-in-time",
@@ -115,45 +115,45 @@
                         );
                     }
                 }
-                Event::TerminationRequested => termination_requested = Some(at),
+                Event::TerminationRequested => termination_requested = Some(time),
                 Event::Killed => {
-                    down.get_or_insert(at - EXIT_RACE_S);
-                    history.exits.push(at);
+                    down.get_or_insert(time - EXIT_RACE_S);
+                    history.exits.push(time);
                 }
                 Event::KilledAfterGrace => {
                     termination_requested = None;
-                    down.get_or_insert(at);
-                    history.exits.push(at);
-                    history.grace_kills.push(at);
+                    down.get_or_insert(time);
+                    history.exits.push(time);
+                    history.grace_kills.push(time);
                 }
                 Event::Exited(code) => {
                     if termination_requested.take().is_none() || *code != Some(0) {
                         history.add_finding(
                             "ends-in-order",
                             process,
-                            format!("ended with {code:?} at {at:.3} s"),
+                            format!("ended with {code:?} at {time:.3} s"),
                         );
                     }
-                    down.get_or_insert(at);
-                    history.exits.push(at);
+                    down.get_or_insert(time);
+                    history.exits.push(time);
                 }
-                Event::Paused => _ = paused.get_or_insert(at),
-                Event::Resumed => close_span(&mut paused, at, &mut history.paused),
-                Event::ConnectionFaults(true) => _ = connection_faults.get_or_insert(at),
+                Event::Paused => _ = paused.get_or_insert(time),
+                Event::Resumed => close_span(&mut paused, time, &mut history.paused),
+                Event::ConnectionFaults(true) => _ = connection_faults.get_or_insert(time),
                 Event::ConnectionFaults(false) => {
-                    close_span(&mut connection_faults, at, &mut history.connection_faults)
+                    close_span(&mut connection_faults, time, &mut history.connection_faults)
                 }
-                Event::TakeOverActive(true) => _ = take_overs.get_or_insert(at),
-                Event::TakeOverActive(false) => close_span(&mut take_overs, at, &mut history.take_overs),
-                Event::MaintenanceConfirmed(server) => _ = in_maintenance.entry(*server).or_insert(at),
+                Event::TakeOverActive(true) => _ = take_overs.get_or_insert(time),
+                Event::TakeOverActive(false) => close_span(&mut take_overs, time, &mut history.take_overs),
+                Event::MaintenanceConfirmed(server) => _ = in_maintenance.entry(*server).or_insert(time),
                 Event::MaintenanceEnding(server) => {
                     history
                         .in_maintenance
-                        .extend(in_maintenance.remove(server).map(|since| (*server, since, at)));
+                        .extend(in_maintenance.remove(server).map(|since| (*server, since, time)));
                 }
-                Event::DrainAnnounced(server) => _ = draining.entry(*server).or_insert(at),
+                Event::DrainAnnounced(server) => _ = draining.entry(*server).or_insert(time),
                 Event::ReadyAnnounced(server) => {
-                    history.draining.extend(draining.remove(server).map(|since| (*server, since, at)));
+                    history.draining.extend(draining.remove(server).map(|since| (*server, since, time)));
                 }
             }
         }
@@ -180,8 +180,8 @@
 /// Checks all records of a run.
 pub fn check(records: &Records, shutdown: &ShutdownReport) -> Verdict {
     let mut by_process: HashMap<ProcessId, Vec<(f64, Event)>> = HashMap::new();
-    for (at, process, event) in lock(&records.events).iter() {
-        by_process.entry(*process).or_default().push((*at, *event));
+    for (time, process, event) in lock(&records.events).iter() {
+        by_process.entry(*process).or_default().push((*time, *event));
     }
     for events in by_process.values_mut() {
         events.sort_by(|(one, _), (other, _)| one.total_cmp(other));
@@ -348,7 +348,7 @@
         );
         verdict.findings.push(Finding { rule, process: attempt.process, details });
     };
-    let within = |spans: &[(usize, f64, f64)]| {
+    let excluded_since = |spans: &[(usize, f64, f64)]| {
         spans.iter().find_map(|(server, since, until)| {
             let slack =
                 PROPAGATION_S + HARNESS_SLACK_S + paused_for(&history.paused, *since, attempt.first_byte_at);
@@ -356,12 +356,12 @@
             (*server == attempt.server && inside).then_some(*since)
         })
     };
-    if let Some(since) = within(&history.in_maintenance) {
+    if let Some(since) = excluded_since(&history.in_maintenance) {
         add_finding("nothing-to-one-out-by-hand", since);
     }
     // During a take-over each of the two processes has its own watch and learns of a drain at its own time.
     let during_take_over = overlaps(&history.take_overs, attempt.first_byte_at - 3.0, attempt.first_byte_at);
-    if let Some(since) = within(&history.draining).filter(|_| !during_take_over) {
+    if let Some(since) = excluded_since(&history.draining).filter(|_| !during_take_over) {
         add_finding("nothing-to-one-drained", since);
     }
 }
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -167,8 +167,8 @@
         &self, mut stream: Connection, request: PreparedRequest, sent_at: f64, reused_connection: bool,
     ) -> Option<Connection> {
         let timeout_s = request.timeout_ms as f64 / 1_000.0;
-        let left = (sent_at + timeout_s + EXTRA_WAIT_S - self.records.now()).max(0.01);
-        let _ = stream.get_ref().set_read_timeout(Some(Duration::from_secs_f64(left)));
+        let remaining_s = (sent_at + timeout_s + EXTRA_WAIT_S - self.records.now()).max(0.01);
+        let _ = stream.get_ref().set_read_timeout(Some(Duration::from_secs_f64(remaining_s)));
         let (outcome, reusable) = match read_response(&mut stream) {
             Ok(Some((status, body, reusable))) => {
                 (RequestOutcome::Answered { status, own_body: status != 200 || body == request.id }, reusable)
@@ -205,7 +205,8 @@
             [&request, &followers[0], &followers[1]].iter().map(|request| request.text.as_str()).collect();
         stream.get_mut().write_all(text.as_bytes()).ok()?;
         let sent_at = self.records.now();
-        // The pipelined requests may stay unanswered: the client sends ahead at its own risk.
+        // The pipelined requests may stay unanswered: the connection may be closed after any answer, and a client
+        // that pipelines has to expect that.
         let mut stream = self.await_response(stream, request, sent_at, false)?;
         for _ in followers {
             let _ = stream.get_ref().set_read_timeout(Some(Duration::from_secs(2)));
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,5 +1,5 @@
 //! The fake discovery of a group, with faults. Each process gets an address of its own, so that the records
-//! show which process was told what.
+//! show what was announced to which process.
 use super::records::{Event, ProcessId, Records};
 use crate::fakes::{endpoint_json, read_head, reject, serve_connections};
 use crate::harness::{lock, unix_ms};
@@ -21,7 +21,7 @@
     /// Answers with the list after [`SLOW_RESPONSE_DELAY`].
     Slow,
     /// Rejects requests after [`REJECTION_DELAY`]; watches end.
-    Crowded,
+    Overloaded,
 }
 
 /// The status of a server in the list.
@@ -109,7 +109,7 @@
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.update(|state| {
             state.mode = mode;
-            state.incarnation += u64::from(matches!(mode, DiscoveryMode::Down | DiscoveryMode::Crowded));
+            state.incarnation += u64::from(matches!(mode, DiscoveryMode::Down | DiscoveryMode::Overloaded));
         });
     }
 
@@ -152,7 +152,7 @@
             let silent = |state: &mut State| state.mode == DiscoveryMode::Silent;
             drop(self.shared.1.wait_while(lock(&self.shared.0), silent));
         }
-        if mode == DiscoveryMode::Crowded {
+        if mode == DiscoveryMode::Overloaded {
             thread::sleep(REJECTION_DELAY);
             return reject(stream.get_mut());
         }
@@ -220,17 +220,18 @@
     }
 
     fn snapshot_json(&self) -> String {
-        let present = (0..self.servers.len()).filter(|at| self.servers[*at].status != ServerStatus::Absent);
-        let entries: Vec<String> = present.map(|at| self.entry_json(at)).collect();
+        let present =
+            (0..self.servers.len()).filter(|server| self.servers[*server].status != ServerStatus::Absent);
+        let entries: Vec<String> = present.map(|server| self.entry_json(server)).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
     fn update_json(&self, servers: &[usize]) -> String {
-        let entries: Vec<String> = servers.iter().map(|at| self.entry_json(*at)).collect();
+        let entries: Vec<String> = servers.iter().map(|server| self.entry_json(*server)).collect();
         format!(r#"{{"index":{},"snapshot":false,"endpoints":[{}]}}"#, self.index, entries.join(","))
     }
 
     fn statuses(&self, servers: &[usize]) -> Vec<(usize, ServerStatus)> {
-        servers.iter().map(|at| (*at, self.servers[*at].status)).collect()
+        servers.iter().map(|server| (*server, self.servers[*server].status)).collect()
     }
 }
--- a/lab/src/soak/trouble.rs
+++ b/lab/src/soak/disruption.rs
@@ -1,28 +1,29 @@
-//! The kinds of faults that a soak run injects.
+//! The kinds of disruptions that a soak run injects: faults of processes, servers, clients and discovery, and
+//! operators' actions.
 
-macro_rules! troubles {
+macro_rules! disruptions {
     ($($(#[$doc:meta])* $name:ident = $text:literal;)*) => {
-        /// A kind of fault, called a trouble.
+        /// A kind of disruption.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-        pub enum Trouble {
+        pub enum Disruption {
             $($(#[$doc])* $name,)*
         }
 
-        impl Trouble {
+        impl Disruption {
             /// All kinds, in the order in which they are drawn.
-            pub const ALL: &[Trouble] = &[$(Trouble::$name,)*];
+            pub const ALL: &[Disruption] = &[$(Disruption::$name,)*];
 
             /// The name in reports and for `--without`.
             pub fn name(self) -> &'static str {
                 match self {
-                    $(Trouble::$name => $text,)*
+                    $(Disruption::$name => $text,)*
                 }
             }
         }
     };
 }
 
-troubles! {
+disruptions! {
     /// A process gets SIGTERM, and is started again.
     Terminate = "terminate";
     /// A process gets SIGHUP three times and SIGTERM twice, and is started again.
@@ -50,11 +51,11 @@
     /// Discovery delays each answer.
     DiscoverySlow = "discovery-slow";
     /// Discovery is overloaded: it ends its watches, and rejects each request after a wait.
-    DiscoveryCrowded = "discovery-crowded";
+    DiscoveryOverloaded = "discovery-crowded";
     /// Discovery ends its watches in the middle of a line.
     DiscoveryCut = "discovery-cut";
     /// Discovery restarts, and its list index starts again at 1.
-    DiscoveryLower = "discovery-lower";
+    DiscoveryRestarts = "discovery-lower";
     /// A server drains, is removed from the list, and returns.
     ServerDrains = "server-drains";
     /// A server restarts cold.
@@ -92,14 +93,14 @@
     /// `accept4` fails.
     FailedAccepts = "failed-accepts";
     /// Writes to files fail with `ENOSPC`.
-    FolderFull = "folder-full";
+    DiskFull = "folder-full";
     /// Syncs and renames of files fail.
-    FolderFails = "folder-fails";
+    DiskFails = "folder-fails";
 }
 
-impl Trouble {
-    /// Looks a trouble up by its name.
-    pub fn from_name(name: &str) -> Option<Trouble> {
-        Trouble::ALL.iter().copied().find(|trouble| trouble.name() == name)
+impl Disruption {
+    /// Looks a kind up by its name.
+    pub fn from_name(name: &str) -> Option<Disruption> {
+        Disruption::ALL.iter().copied().find(|disruption| disruption.name() == name)
     }
 }
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -52,7 +52,7 @@
         [GroupSetup::Plain, GroupSetup::Pushed, GroupSetup::WithAccord, GroupSetup::PassedListener];
 }
 
-/// A slot for a process under test, whichever incarnation of it runs.
+/// A process under test, with its identity and addresses, which stay the same when it is restarted.
 pub struct Process {
     /// Identifies it.
     pub id: ProcessId,
@@ -206,9 +206,9 @@
     }
 
     /// Waits until the process reports that it is ready. Returns false if it does not do so in time or exits.
-    pub fn wait_ready(&self, within: Duration) -> bool {
+    pub fn wait_ready(&self, timeout: Duration) -> bool {
         let start = Instant::now();
-        while start.elapsed() < within && !lock(&self.sidecar).has_exited() {
+        while start.elapsed() < timeout && !lock(&self.sidecar).has_exited() {
             let ready = connect(self.listen).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
             if ready.is_some_and(|(status, _)| status == 200) {
                 self.records.record_event(self.id, Event::Ready);
@@ -221,9 +221,9 @@
 
     /// Asks its console to set or clear the maintenance of a server. Returns the HTTP status.
     pub fn set_maintenance(&self, server: usize, in_maintenance: bool) -> Option<u16> {
-        let word = if in_maintenance { "maint" } else { "ready" };
+        let command = if in_maintenance { "maint" } else { "ready" };
         let text =
-            format!("PUT /endpoints/s{server}/{word} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+            format!("PUT /endpoints/s{server}/{command} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
         connect(self.console)
             .and_then(|mut stream| send_request(&mut stream, &text))
             .map(|(status, _)| status)
@@ -257,21 +257,21 @@
 /// The settings of a process, as its configuration file has them.
 fn settings_json(setup: GroupSetup, me: usize, balancers: usize) -> String {
     let discovery = if setup == GroupSetup::Pushed { "pushed" } else { "on_request" };
-    let class = |name: &str, semantics: &str| {
+    let workload = |name: &str, semantics: &str| {
         format!(
             r#"{{"name":"{name}","semantics":{semantics},"quoted_time_s":0.5,"abandon_time_s":{},"payoff":1}}"#,
             LONGEST_DEADLINE_MS as f64 / 1_000.0
         )
     };
-    let save = r#""idempotency_key","group":"cell","memory_span_s":2"#;
+    let save_semantics = r#""idempotency_key","group":"cell","memory_span_s":2"#;
     format!(
         r#""settings":{{"me":{me},"balancers":{balancers},"zones":["a"],"discovery":"{discovery}",
         "bounds":{{"most_hops":3,"cancel":true,"parallel_tries":true,"retry_after":true,"max_retry_after_s":1.0,"connect_timeout_s":0.3,"idle_close_s":5}},
         "rules":{{"ask_within_s":5,"cold_from":0.3,"fall_s":1.5,"warm_within_s":4}},
         "workloads":[{},{},{}]}}"#,
-        class("view", r#""read_like""#),
-        class("save", save),
-        class("pay", r#""non_idempotent""#),
+        workload("view", r#""read_like""#),
+        workload("save", save_semantics),
+        workload("pay", r#""non_idempotent""#),
     )
 }
 
@@ -284,7 +284,7 @@
         let mut groups = Vec::new();
         for (group, setup) in GroupSetup::ALL.into_iter().enumerate() {
             let servers: Vec<Server> = (0..SERVERS_PER_GROUP)
-                .map(|at| Server::start(at, at % 2, records.clone()))
+                .map(|number| Server::start(number, number % 2, records.clone()))
                 .collect::<std::io::Result<_>>()?;
             let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
             let discovery = Discovery::new(&addresses, records.clone());
@@ -348,10 +348,10 @@
     }
 
     /// Waits until all processes are ready.
-    pub fn wait_until_all_ready(&self, within: Duration) -> Result<(), String> {
+    pub fn wait_until_all_ready(&self, timeout: Duration) -> Result<(), String> {
         let start = Instant::now();
         for process in self.processes() {
-            if !process.wait_ready(within.saturating_sub(start.elapsed())) {
+            if !process.wait_ready(timeout.saturating_sub(start.elapsed())) {
                 let log = lock(&process.sidecar).log_text();
                 return Err(format!("{:?} is not ready:\n{log}", process.id));
             }
@@ -362,9 +362,9 @@
     /// Starts two steady clients per process.
     pub fn start_clients(&self, seed: u64) -> ClientPool {
         let mut clients = ClientPool::default();
-        for (at, process) in self.processes().enumerate() {
+        for (index, process) in self.processes().enumerate() {
             for client in 0..2 {
-                let seed = seed.wrapping_mul(1_000).wrapping_add(2 * at as u64 + client);
+                let seed = seed.wrapping_mul(1_000).wrapping_add(2 * index as u64 + client);
                 clients.add(self.client(process), ClientBehaviour::Steady, seed);
             }
         }
@@ -402,7 +402,7 @@
 }
 
 fn reports_failure(line: &str) -> bool {
-    ["rule broken:", "panicked", "worker ended"].iter().any(|word| line.contains(word))
+    ["rule broken:", "panicked", "worker ended"].iter().any(|text| line.contains(text))
 }
 
 fn new_sidecar(program: &Path, folder: &Path, id: ProcessId, setup: GroupSetup) -> std::io::Result<Sidecar> {
--- a/lab/src/soak/injector.rs
+++ b/lab/src/soak/injector.rs
@@ -1,11 +1,11 @@
-//! Runs a timetable: injects each trouble at its time and ends it again.
+//! Runs a timetable: injects each disruption at its time and ends it again.
 use super::clients::{hold_idle_connections, ClientBehaviour, ClientPool};
 use super::discovery::{DiscoveryMode, ServerStatus};
+use super::disruption::Disruption;
 use super::fleet::{Fleet, Group, GroupSetup, Process, RestartGuard};
 use super::records::Event;
 use super::servers::ServerBehaviour;
 use super::timetable::{Entry, Timetable};
-use super::trouble::Trouble;
 use crate::harness::lock;
 use oakhollow_faults::{FaultKind, ALWAYS};
 use rustix::process::Signal;
@@ -19,9 +19,9 @@
 const TAKE_OVER_OVERLAP: Duration = Duration::from_millis(500);
 /// How long the first of two processes may take to exit.
 const FIRST_EXIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Clients per trouble that makes clients misbehave.
+/// Clients per disruption that makes clients misbehave.
 const MISBEHAVING_CLIENTS: u64 = 4;
-/// Idle connections of the trouble `clients-flood`.
+/// Idle connections of the disruption `clients-flood`.
 const FLOOD_CONNECTIONS: usize = 120;
 const HOUR_S: i64 = 3_600;
 /// One in this many system calls on a socket is short or fails.
@@ -32,7 +32,7 @@
     let fleet = &*fleet;
     thread::scope(|scope| {
         for entry in &timetable.entries {
-            thread::sleep((start + entry.at).saturating_duration_since(Instant::now()));
+            thread::sleep((start + entry.start).saturating_duration_since(Instant::now()));
             scope.spawn(move || inject(fleet, entry));
         }
     });
@@ -41,45 +41,49 @@
 fn inject(fleet: &Fleet, entry: &Entry) {
     let group = &fleet.groups[entry.target.group];
     let process = &group.processes[entry.target.process];
-    match entry.trouble {
-        Trouble::Terminate | Trouble::Kill | Trouble::SignalSeries => restart(process, entry),
-        Trouble::StopShort => pause(process, Duration::from_millis(20 + entry.random % 130)),
-        Trouble::StopLong => pause(process, Duration::from_millis(200 + entry.random % 800)),
-        Trouble::HangupTwice | Trouble::HangupBroken | Trouble::HangupMoved => reload(group, process, entry),
-        Trouble::TakeOver | Trouble::TakeOverKilled => take_over(process, entry),
-        Trouble::DiscoveryDown => set_discovery_mode(group, DiscoveryMode::Down, entry.duration),
-        Trouble::DiscoverySilent => set_discovery_mode(group, DiscoveryMode::Silent, entry.duration),
-        Trouble::DiscoverySlow => set_discovery_mode(group, DiscoveryMode::Slow, entry.duration),
-        Trouble::DiscoveryCrowded => set_discovery_mode(group, DiscoveryMode::Crowded, entry.duration),
-        Trouble::DiscoveryCut => group.discovery.cut_watches(),
-        Trouble::DiscoveryLower => group.discovery.restart(),
-        Trouble::ServerDrains => drain_server(group, entry),
-        Trouble::ServerRestarts => {
+    match entry.disruption {
+        Disruption::Terminate | Disruption::Kill | Disruption::SignalSeries => restart(process, entry),
+        Disruption::StopShort => pause(process, Duration::from_millis(20 + entry.random % 130)),
+        Disruption::StopLong => pause(process, Duration::from_millis(200 + entry.random % 800)),
+        Disruption::HangupTwice | Disruption::HangupBroken | Disruption::HangupMoved => {
+            reload(group, process, entry)
+        }
+        Disruption::TakeOver | Disruption::TakeOverKilled => take_over(process, entry),
+        Disruption::DiscoveryDown => set_discovery_mode(group, DiscoveryMode::Down, entry.duration),
+        Disruption::DiscoverySilent => set_discovery_mode(group, DiscoveryMode::Silent, entry.duration),
+        Disruption::DiscoverySlow => set_discovery_mode(group, DiscoveryMode::Slow, entry.duration),
+        Disruption::DiscoveryOverloaded => {
+            set_discovery_mode(group, DiscoveryMode::Overloaded, entry.duration)
+        }
+        Disruption::DiscoveryCut => group.discovery.cut_watches(),
+        Disruption::DiscoveryRestarts => group.discovery.restart(),
+        Disruption::ServerDrains => drain_server(group, entry),
+        Disruption::ServerRestarts => {
             group.servers[entry.target.server].restart();
             group.discovery.set_status(entry.target.server, ServerStatus::Active, true);
         }
-        Trouble::ServerHangs => misbehave_server(group, entry, ServerBehaviour::Hangs),
-        Trouble::ServerResets => misbehave_server(group, entry, ServerBehaviour::Resets),
-        Trouble::ServerFull => misbehave_server(group, entry, ServerBehaviour::Full),
-        Trouble::ServerAnswersTwice => misbehave_server(group, entry, ServerBehaviour::AnswersTwice),
-        Trouble::ServerClosesIdle => misbehave_server(group, entry, ServerBehaviour::ClosesIdle),
-        Trouble::ClientsLeave => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Leaves),
-        Trouble::ClientsStopHalfWay => {
+        Disruption::ServerHangs => misbehave_server(group, entry, ServerBehaviour::Hangs),
+        Disruption::ServerResets => misbehave_server(group, entry, ServerBehaviour::Resets),
+        Disruption::ServerFull => misbehave_server(group, entry, ServerBehaviour::Full),
+        Disruption::ServerAnswersTwice => misbehave_server(group, entry, ServerBehaviour::AnswersTwice),
+        Disruption::ServerClosesIdle => misbehave_server(group, entry, ServerBehaviour::ClosesIdle),
+        Disruption::ClientsLeave => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Leaves),
+        Disruption::ClientsStopHalfWay => {
             run_misbehaving_clients(fleet, process, entry, ClientBehaviour::StopsHalfWay)
         }
-        Trouble::ClientsPipeline => {
+        Disruption::ClientsPipeline => {
             run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Pipelines)
         }
-        Trouble::ClientsDrip => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Drips),
-        Trouble::ClientsRetry => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Retries),
-        Trouble::ClientsFlood => hold_idle_connections(process.listen, FLOOD_CONNECTIONS, entry.duration),
-        Trouble::Maintenance => set_and_clear_maintenance(process, entry),
-        Trouble::ClockStep => step_clock(process, entry),
-        Trouble::ShortTransfers => {
+        Disruption::ClientsDrip => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Drips),
+        Disruption::ClientsRetry => run_misbehaving_clients(fleet, process, entry, ClientBehaviour::Retries),
+        Disruption::ClientsFlood => hold_idle_connections(process.listen, FLOOD_CONNECTIONS, entry.duration),
+        Disruption::Maintenance => set_and_clear_maintenance(process, entry),
+        Disruption::ClockStep => step_clock(process, entry),
+        Disruption::ShortTransfers => {
             let kinds = [FaultKind::ShortReceive, FaultKind::ShortSend, FaultKind::Interrupted];
             inject_system_faults(process, &kinds, ALWAYS / FAULT_ONE_IN, entry.duration);
         }
-        Trouble::BrokenTransfers => {
+        Disruption::BrokenTransfers => {
             process.record_event(Event::ConnectionFaults(true));
             inject_system_faults(
                 process,
@@ -89,11 +93,11 @@
             );
             process.record_event(Event::ConnectionFaults(false));
         }
-        Trouble::FailedAccepts => {
+        Disruption::FailedAccepts => {
             inject_system_faults(process, &[FaultKind::FailedAccept], ALWAYS / 3, entry.duration)
         }
-        Trouble::FolderFull => inject_system_faults(process, &[FaultKind::FullDisk], ALWAYS, entry.duration),
-        Trouble::FolderFails => {
+        Disruption::DiskFull => inject_system_faults(process, &[FaultKind::FullDisk], ALWAYS, entry.duration),
+        Disruption::DiskFails => {
             let kinds = [FaultKind::FailedSync, FaultKind::FailedRename];
             inject_system_faults(process, &kinds, ALWAYS / 2, entry.duration);
         }
@@ -103,9 +107,9 @@
 /// Terminates or kills a process, and starts it again.
 fn restart(process: &Arc<Process>, entry: &Entry) {
     let Some(_guard) = RestartGuard::try_acquire(process) else { return };
-    match entry.trouble {
-        Trouble::Terminate => process.terminate(),
-        Trouble::SignalSeries => signal_series(process, entry),
+    match entry.disruption {
+        Disruption::Terminate => process.terminate(),
+        Disruption::SignalSeries => signal_series(process, entry),
         _ => process.kill(),
     }
     thread::sleep(Duration::from_millis(entry.random % 200));
@@ -142,7 +146,7 @@
 
 fn reload(group: &Group, process: &Process, entry: &Entry) {
     process.wait_for_handlers();
-    if entry.trouble == Trouble::HangupBroken {
+    if entry.disruption == Disruption::HangupBroken {
         let _ = process.truncate_config();
         process.signal(Signal::HUP);
         thread::sleep(Duration::from_millis(30));
@@ -152,7 +156,7 @@
         return;
     }
     process.signal(Signal::HUP);
-    if entry.trouble == Trouble::HangupTwice {
+    if entry.disruption == Disruption::HangupTwice {
         thread::sleep(Duration::from_millis(entry.random % 20));
         process.signal(Signal::HUP);
     }
@@ -164,7 +168,7 @@
     let Some(_guard) = RestartGuard::try_acquire(process).filter(|_| can_take_over) else { return };
     process.record_event(Event::TakeOverActive(true));
     if process.start_second().is_ok() {
-        if entry.trouble == Trouble::TakeOverKilled {
+        if entry.disruption == Disruption::TakeOverKilled {
             thread::sleep(Duration::from_millis(entry.random % 300));
             lock(&process.sidecar).kill_second();
         } else {
@@ -205,8 +209,8 @@
 
 fn run_misbehaving_clients(fleet: &Fleet, process: &Process, entry: &Entry, behaviour: ClientBehaviour) {
     let mut clients = ClientPool::default();
-    for at in 0..MISBEHAVING_CLIENTS {
-        clients.add(fleet.client(process), behaviour, entry.random.wrapping_add(at));
+    for number in 0..MISBEHAVING_CLIENTS {
+        clients.add(fleet.client(process), behaviour, entry.random.wrapping_add(number));
     }
     thread::sleep(entry.duration);
     clients.stop();
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,21 +1,22 @@
-//! A soak test: dozens of real processes of the program on loopback, with up to three faults injected at a
-//! time and checked against the records of clients and servers. The seed determines the timetable of faults.
+//! A soak test: dozens of real processes of the program on loopback, with up to three disruptions at a time.
+//! The records of clients and servers are then checked. The seed determines the timetable of disruptions.
 //!
-//! [`trouble`] lists the kinds of faults ("troubles"), [`timetable`] draws when and where each one happens,
+//! [`disruption`] lists the kinds of disruptions, [`timetable`] draws when and where each one happens,
 //! [`fleet`] starts the processes, [`servers`], [`clients`] and [`discovery`] are the fake peers that keep
 //! records, [`injector`] runs the timetable, and [`checker`] checks the records.
 pub mod checker;
 pub mod clients;
 pub mod discovery;
+pub mod disruption;
 pub mod fleet;
 pub mod injector;
 pub mod records;
 pub mod report;
 pub mod servers;
 pub mod timetable;
-pub mod trouble;
 
 use crate::harness::{DelayMonitor, TempDir};
+use disruption::Disruption;
 use fleet::Fleet;
 use records::Records;
 use report::Report;
@@ -24,17 +25,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use timetable::Timetable;
-use trouble::Trouble;
 
 /// How long all processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long open requests get to finish once the timetable is over.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// Seeds divisible by this run with a crowd: for the whole run, [`CROWD_CONNECTIONS`] idle clients, more than
-/// a process accepts, connect to the first process of each group.
-const CROWD_SEED_DIVISOR: u64 = 3;
-const CROWD_CONNECTIONS: usize = 520;
+/// With a seed divisible by this, [`EXCESS_CONNECTIONS`] idle clients, more than a process accepts, are
+/// connected to the first process of each group during the whole run.
+const EXCESS_CLIENTS_SEED_DIVISOR: u64 = 3;
+const EXCESS_CONNECTIONS: usize = 520;
 
 /// The parameters of a soak run.
 #[derive(Clone, Debug)]
@@ -43,10 +43,10 @@
     pub seed: u64,
     /// Processes of the program, at least four.
     pub processes: usize,
-    /// How long troubles are injected.
+    /// How long disruptions are injected.
     pub duration: Duration,
-    /// Kinds of troubles that are left out.
-    pub excluded: Vec<Trouble>,
+    /// Kinds of disruptions that are left out.
+    pub excluded: Vec<Disruption>,
 }
 
 /// Runs the soak of one seed. An error means that the harness could not be set up, so there is no verdict.
@@ -60,9 +60,9 @@
     let delay_monitor = DelayMonitor::start();
     let start = Instant::now();
     let clients = fleet.start_clients(plan.seed);
-    let crowd = start_crowd(&fleet, plan);
+    let excess_clients = start_excess_clients(&fleet, plan);
     injector::run_timetable(&mut fleet, &timetable, start);
-    crowd.into_iter().for_each(|holder| _ = holder.join());
+    excess_clients.into_iter().for_each(|holder| _ = holder.join());
     clients.stop();
     thread::sleep(SETTLE_TIME);
     let harness_delay_s = delay_monitor.max_delay_s();
@@ -71,20 +71,21 @@
     Ok(Report::new(plan, timetable, verdict, shutdown, harness_delay_s, &records))
 }
 
-fn start_crowd(fleet: &Fleet, plan: &Plan) -> Vec<JoinHandle<()>> {
-    let crowded = plan.seed.is_multiple_of(CROWD_SEED_DIVISOR);
-    let first_of_each = fleet.groups.iter().map(|group| group.processes[0].listen);
+fn start_excess_clients(fleet: &Fleet, plan: &Plan) -> Vec<JoinHandle<()>> {
+    let enabled = plan.seed.is_multiple_of(EXCESS_CLIENTS_SEED_DIVISOR);
+    let first_addresses = fleet.groups.iter().map(|group| group.processes[0].listen);
     let duration = plan.duration;
-    let spawn_holder =
-        |address| thread::spawn(move || clients::hold_idle_connections(address, CROWD_CONNECTIONS, duration));
-    first_of_each.filter(|_| crowded).map(spawn_holder).collect()
+    let spawn_holder = |address| {
+        thread::spawn(move || clients::hold_idle_connections(address, EXCESS_CONNECTIONS, duration))
+    };
+    first_addresses.filter(|_| enabled).map(spawn_holder).collect()
 }
 
-/// Reduces a failing plan: excludes each kind of trouble without which the run still has findings, and
+/// Reduces a failing plan: excludes each kind of disruption without which the run still has findings, and
 /// returns the command that runs what is left.
 pub fn shrink(program: &Path, plan: &Plan) -> String {
     let mut reduced = plan.clone();
-    for kind in Trouble::ALL.iter().filter(|kind| !plan.excluded.contains(kind)) {
+    for kind in Disruption::ALL.iter().filter(|kind| !plan.excluded.contains(kind)) {
         reduced.excluded.push(*kind);
         let still_fails = run(program, &reduced).is_ok_and(|report| !report.is_clean() && !report.is_late());
         if !still_fails {
--- a/lab/src/soak/report.rs
+++ b/lab/src/soak/report.rs
@@ -1,9 +1,9 @@
 //! The printed report of a soak run.
 use super::checker::Verdict;
+use super::disruption::Disruption;
 use super::fleet::ShutdownReport;
 use super::records::Records;
 use super::timetable::Timetable;
-use super::trouble::Trouble;
 use super::Plan;
 use crate::harness::lock;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 pub struct Report {
     /// Its seed.
     pub seed: u64,
-    /// The troubles that were injected.
+    /// The disruptions that were injected.
     pub timetable: Timetable,
     /// The result of the check.
     pub verdict: Verdict,
@@ -60,7 +60,7 @@
     }
 
     /// How often each pair of kinds overlapped.
-    pub fn pair_counts(&self) -> BTreeMap<(Trouble, Trouble), usize> {
+    pub fn pair_counts(&self) -> BTreeMap<(Disruption, Disruption), usize> {
         self.timetable.overlapping_pairs()
     }
 
@@ -70,8 +70,8 @@
             let target = entry.target;
             format!(
                 "  {:.3} s {} for {:.3} s at group {} process {} server {}\n",
-                entry.at.as_secs_f64(),
-                entry.trouble.name(),
+                entry.start.as_secs_f64(),
+                entry.disruption.name(),
                 entry.duration.as_secs_f64(),
                 target.group,
                 target.process,
@@ -125,7 +125,7 @@
 /// How often each pair of kinds overlapped, over many runs.
 #[derive(Default)]
 pub struct PairCounts {
-    counts: BTreeMap<(Trouble, Trouble), usize>,
+    counts: BTreeMap<(Disruption, Disruption), usize>,
     runs: usize,
 }
 
@@ -138,13 +138,13 @@
         }
     }
 
-    /// The pairs of kinds that overlapped fewer than `least` times.
-    pub fn rarer_than(&self, least: usize) -> Vec<(Trouble, Trouble)> {
-        let kinds = Trouble::ALL.iter().copied();
+    /// The pairs of kinds that overlapped fewer than `min_count` times.
+    pub fn rarer_than(&self, min_count: usize) -> Vec<(Disruption, Disruption)> {
+        let kinds = Disruption::ALL.iter().copied();
         let all = kinds
             .enumerate()
-            .flat_map(|(at, one)| Trouble::ALL[at + 1..].iter().map(move |other| (one, *other)));
-        all.filter(|pair| self.counts.get(pair).copied().unwrap_or(0) < least).collect()
+            .flat_map(|(index, one)| Disruption::ALL[index + 1..].iter().map(move |other| (one, *other)));
+        all.filter(|pair| self.counts.get(pair).copied().unwrap_or(0) < min_count).collect()
     }
 }
 
@@ -162,12 +162,12 @@
             out,
             "met fewer than {MIN_PAIR_COUNT} times: {} of {}",
             rare.len(),
-            Trouble::ALL.len() * (Trouble::ALL.len() - 1) / 2
+            Disruption::ALL.len() * (Disruption::ALL.len() - 1) / 2
         )
     }
 }
 
 /// The names of all kinds, separated by commas.
-pub fn trouble_names() -> String {
-    Trouble::ALL.iter().map(|kind| kind.name()).collect::<Vec<_>>().join(", ")
+pub fn disruption_names() -> String {
+    Disruption::ALL.iter().map(|kind| kind.name()).collect::<Vec<_>>().join(", ")
 }
--- a/lab/src/soak/servers.rs
+++ b/lab/src/soak/servers.rs
@@ -240,8 +240,8 @@
 
 /// Draws how long a server works on a request.
 fn service_time(rng: &mut WyRand) -> Duration {
-    let long = rng.generate_range(0..SLOW_REQUEST_ONE_IN) == 0;
-    Duration::from_millis(if long { rng.generate_range(40..160) } else { rng.generate_range(1..5) })
+    let slow = rng.generate_range(0..SLOW_REQUEST_ONE_IN) == 0;
+    Duration::from_millis(if slow { rng.generate_range(40..160) } else { rng.generate_range(1..5) })
 }
 
 /// The process that a request id names.
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -2,8 +2,8 @@
 mod built_program;
 
 use built_program::program;
+use oakhollow_lab::soak::disruption::Disruption;
 use oakhollow_lab::soak::timetable::{FleetSize, Timetable};
-use oakhollow_lab::soak::trouble::Trouble;
 use oakhollow_lab::soak::{run, Plan};
 use std::time::Duration;
 
@@ -47,9 +47,9 @@
     let whole = Timetable::draw(&plan(7), &size);
     assert_eq!(whole, Timetable::draw(&plan(7), &size));
     assert_ne!(whole, Timetable::draw(&plan(9), &size));
-    let kind = whole.entries[0].trouble;
+    let kind = whole.entries[0].disruption;
     let rest = Timetable::draw(&Plan { excluded: vec![kind], ..plan(7) }, &size);
-    let expected: Vec<_> = whole.entries.iter().filter(|entry| entry.trouble != kind).copied().collect();
+    let expected: Vec<_> = whole.entries.iter().filter(|entry| entry.disruption != kind).copied().collect();
     assert_eq!(rest.entries, expected);
 }
 
@@ -63,8 +63,8 @@
             *met.entry(pair).or_insert(0) += count;
         }
     }
-    for (at, one) in Trouble::ALL.iter().enumerate() {
-        for other in &Trouble::ALL[at + 1..] {
+    for (at, one) in Disruption::ALL.iter().enumerate() {
+        for other in &Disruption::ALL[at + 1..] {
             let count = met.get(&(*one.min(other), *one.max(other))).copied().unwrap_or(0);
             assert!(count >= 5, "{} and {} met {count} times", one.name(), other.name());
         }
