--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -33,11 +33,11 @@
 /// scene takes nearly twice its mean, all scenes start at once, and no request may wait.
 const USABLE_SHARE: (u64, u64) = (1, 4);
 
-/// How much scenes may take together on a machine where other processes keep `others` busy. At least half of the
+/// How much scenes may take together on a machine where other processes keep `used_by_others` busy. At least half of the
 /// cores count as free, since that is what the scheduler gives to one of two competing processes.
-pub fn available_capacity(cores: usize, others: Millicores) -> Millicores {
+pub fn available_capacity(cores: usize, used_by_others: Millicores) -> Millicores {
     let all = cores as u64 * 1000;
-    all.saturating_sub(others).max(all / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
+    all.saturating_sub(used_by_others).max(all / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
 }
 
 /// How much of the machine is busy, from two readings of its processor times; 0 where it does not show them.
--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct Attempt {
     /// When it arrived, in seconds from the start of the load.
-    pub at: f64,
+    pub received_at: f64,
     /// The instance that sent it.
     pub sidecar: usize,
     /// The server that received it.
@@ -23,7 +23,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct ResponseSeen {
     /// When the request was sent, in seconds from the start of the load.
-    pub at: f64,
+    pub sent_at: f64,
     /// The instance that it was sent to.
     pub sidecar: usize,
     /// The status of the answer; none where no answer came.
@@ -38,7 +38,7 @@
 /// An instance did what a later version of the settings forbids after another instance had acted on that version.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Contradiction {
-    /// How long after the other instance's first attempt by the later version.
+    /// How long after the other instance's first attempt by the later version, in seconds.
     pub duration_s: f64,
     /// The instance that acted on the later version, and the version.
     pub later: (usize, u64),
@@ -54,42 +54,44 @@
         let workload = workloads.iter().find(|(name, _)| *name == attempt.workload);
         workload.is_some_and(|(_, kind)| !repeat || *kind == WorkloadKind::ReadLike)
     };
-    let mut by = scene.versions.iter().filter(|(_, workloads)| allows(workloads)).map(|(number, _)| *number);
-    let first = by.next()?;
-    Some((first, by.next_back().unwrap_or(first)))
+    let mut allowing =
+        scene.versions.iter().filter(|(_, workloads)| allows(workloads)).map(|(number, _)| *number);
+    let first = allowing.next()?;
+    Some((first, allowing.next_back().unwrap_or(first)))
 }
 
 /// The longest contradiction; an error for an attempt that no version allows.
 pub fn longest_contradiction(scene: &Scene, attempts: &[Attempt]) -> Result<Option<Contradiction>, String> {
     let mut attempts: Vec<&Attempt> = attempts.iter().collect();
-    attempts.sort_by(|one, other| one.at.total_cmp(&other.at));
-    let mut seen: HashSet<&str> = HashSet::new();
+    attempts.sort_by(|one, other| one.received_at.total_cmp(&other.received_at));
+    let mut seen_ids: HashSet<&str> = HashSet::new();
     // When each instance first acted on a version. Kept by instance, since the instance that acted on a version first
     // may also be the one that goes back to an earlier one.
-    let mut since: BTreeMap<(u64, usize), f64> = BTreeMap::new();
+    let mut first_attempts: BTreeMap<(u64, usize), f64> = BTreeMap::new();
     let mut longest: Option<Contradiction> = None;
     for attempt in attempts {
-        let repeat = !seen.insert(&attempt.id);
+        let repeat = !seen_ids.insert(&attempt.id);
         let Some((earliest, latest)) = allowing_versions(scene, attempt, repeat) else {
-            let what = if repeat { "a repeat" } else { "a hop" };
+            let kind = if repeat { "a repeat" } else { "a hop" };
             return Err(format!(
-                "{what} of {} by n{} at {:.3} s that no version allows",
-                attempt.workload, attempt.sidecar, attempt.at
+                "{kind} of {} by n{} at {:.3} s that no version allows",
+                attempt.workload, attempt.sidecar, attempt.received_at
             ));
         };
-        let others = since.range((latest + 1, 0)..).filter(|((_, by), _)| *by != attempt.sidecar);
-        for ((version, by), from) in others {
-            let duration_s = attempt.at - from;
+        let others =
+            first_attempts.range((latest + 1, 0)..).filter(|((_, instance), _)| *instance != attempt.sidecar);
+        for ((version, instance), first_at) in others {
+            let duration_s = attempt.received_at - first_at;
             if longest.as_ref().is_none_or(|longest| duration_s > longest.duration_s) {
                 longest = Some(Contradiction {
                     duration_s,
-                    later: (*by, *version),
+                    later: (*instance, *version),
                     earlier: (attempt.sidecar, latest),
                     workload: attempt.workload.clone(),
                 });
             }
         }
-        since.entry((earliest, attempt.sidecar)).or_insert(attempt.at);
+        first_attempts.entry((earliest, attempt.sidecar)).or_insert(attempt.received_at);
     }
     Ok(longest)
 }
@@ -97,7 +99,7 @@
 /// An instance sent to a server after another instance, which serves, was told that the server drains.
 #[derive(Clone, PartialEq, Debug)]
 pub struct DrainViolation {
-    /// How long after the other instance was informed_at.
+    /// How long after the other instance was told, in seconds.
     pub duration_s: f64,
     /// The server that drains.
     pub server: usize,
@@ -117,45 +119,49 @@
 /// that the server drains. Where the other instance stopped serving meanwhile, the time counts from when it served
 /// again.
 pub fn longest_drain_violation(scene: &Scene, attempts: &[Attempt]) -> Option<DrainViolation> {
-    let mut times: Vec<Vec<f64>> = vec![Vec::new(); scene.sidecars];
+    let mut times_by_instance: Vec<Vec<f64>> = vec![Vec::new(); scene.sidecars];
     for attempt in attempts {
-        times.get_mut(attempt.sidecar).into_iter().for_each(|own| own.push(attempt.at));
+        times_by_instance
+            .get_mut(attempt.sidecar)
+            .into_iter()
+            .for_each(|own_times| own_times.push(attempt.received_at));
     }
-    times.iter_mut().for_each(|own| own.sort_by(f64::total_cmp));
+    times_by_instance.iter_mut().for_each(|own_times| own_times.sort_by(f64::total_cmp));
     // When the instance began to serve without a gap, if it serves at that moment.
-    let serving_since = |instance: usize, at: f64| {
-        let own = &times[instance];
-        let place = own.partition_point(|time| *time <= at);
-        let (before, after) = own.split_at(place);
-        let near = |time: Option<&f64>| time.is_some_and(|time| (time - at).abs() < MAX_ATTEMPT_GAP_S);
-        let breaks = |pair: &[f64]| pair[1] - pair[0] > 2.0 * MAX_ATTEMPT_GAP_S;
-        let first = before.windows(2).rposition(breaks).map_or(0, |place| place + 1);
-        before.get(first).filter(|_| near(before.last()) && near(after.first())).copied()
+    let serving_since = |instance: usize, moment: f64| {
+        let own_times = &times_by_instance[instance];
+        let index = own_times.partition_point(|time| *time <= moment);
+        let (before, after) = own_times.split_at(index);
+        let is_near = |time: Option<&f64>| time.is_some_and(|time| (time - moment).abs() < MAX_ATTEMPT_GAP_S);
+        let is_gap = |pair: &[f64]| pair[1] - pair[0] > 2.0 * MAX_ATTEMPT_GAP_S;
+        let first = before.windows(2).rposition(is_gap).map_or(0, |index| index + 1);
+        before.get(first).filter(|_| is_near(before.last()) && is_near(after.first())).copied()
     };
     let mut longest: Option<DrainViolation> = None;
     for attempt in attempts {
         // When each instance was told that each server drains, as of this attempt.
         let mut informed_at: Vec<[Option<f64>; SERVERS]> = vec![[None; SERVERS]; scene.sidecars];
         let mut down = vec![false; scene.sidecars];
-        for (at, instance, action) in scene.actions.iter().filter(|(at, ..)| *at < attempt.at) {
+        for (time, instance, action) in scene.actions.iter().filter(|(time, ..)| *time < attempt.received_at)
+        {
             match *action {
                 Action::ChangeList(ListChange::Draining | ListChange::Removed, server) => {
-                    informed_at[*instance][server] = Some(if down[*instance] { f64::MAX } else { *at });
+                    informed_at[*instance][server] = Some(if down[*instance] { f64::MAX } else { *time });
                 }
-                Action::SetMaintenance(true, server) => informed_at[*instance][server] = Some(*at),
+                Action::SetMaintenance(true, server) => informed_at[*instance][server] = Some(*time),
                 Action::ChangeList(ListChange::Ready, server) | Action::SetMaintenance(false, server) => {
                     informed_at[*instance][server] = None
                 }
-                // A new incarnation: facts about the one before no longer apply.
+                // A new incarnation: what was told about the previous one no longer applies.
                 Action::ChangeList(ListChange::Restarted, server) => {
                     informed_at.iter_mut().for_each(|servers| servers[server] = None)
                 }
                 Action::DiscoveryDown => down[*instance] = true,
                 Action::DiscoveryUp => {
                     down[*instance] = false;
-                    let unheard =
+                    let unknown_times =
                         informed_at[*instance].iter_mut().flatten().filter(|since| **since == f64::MAX);
-                    unheard.for_each(|since| *since = at + RECONNECT_S);
+                    unknown_times.for_each(|since| *since = time + RECONNECT_S);
                 }
                 _ => {}
             }
@@ -164,8 +170,8 @@
             informed_at.iter().enumerate().filter(|(instance, _)| *instance != attempt.sidecar)
         {
             let since = informed_at[attempt.server]
-                .and_then(|since| Some(since.max(serving_since(instance, attempt.at)?)));
-            let duration_s = since.map_or(0.0, |since| attempt.at - since);
+                .and_then(|since| Some(since.max(serving_since(instance, attempt.received_at)?)));
+            let duration_s = since.map_or(0.0, |since| attempt.received_at - since);
             let longer = longest.as_ref().is_none_or(|longest| duration_s > longest.duration_s);
             if duration_s > 0.0 && longer {
                 longest = Some(DrainViolation {
@@ -207,15 +213,16 @@
     let sent = |instance: usize, from: f64, to: f64| {
         attempts
             .iter()
-            .filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.at))
+            .filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.received_at))
             .count()
     };
     let sent_to = |instance: usize, server: usize, from: f64, to: f64| {
         let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.server == server);
-        own.filter(|attempt| (from..to).contains(&attempt.at)).count()
+        own.filter(|attempt| (from..to).contains(&attempt.received_at)).count()
     };
-    let first_attempt_by = |instance: usize, version: u64, by: f64| {
-        let mut own = attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.at <= by);
+    let first_attempt_by = |instance: usize, version: u64, until: f64| {
+        let mut own =
+            attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.received_at <= until);
         own.find(|attempt| {
             allowing_versions(scene, attempt, false).is_some_and(|(first, _)| first >= version)
         })
@@ -224,23 +231,23 @@
         let failure = match *expectation {
             Expectation::MaxContradiction(max) => {
                 contradiction.as_ref().filter(|found| found.duration_s > max).map(|found| {
-                    let ((later, on), (earlier, still)) = (found.later, found.earlier);
+                    let ((later, new_version), (earlier, old_version)) = (found.later, found.earlier);
                     format!(
-                    "contradiction of {:.3} s: n{earlier} sent {} by version {still}, n{later} acted on {on}",
+                    "contradiction of {:.3} s: n{earlier} sent {} by version {old_version}, n{later} acted on {new_version}",
                     found.duration_s, found.workload
                 )
                 })
             }
-            Expectation::ActsOnVersion(instance, version, by) => first_attempt_by(instance, version, by)
+            Expectation::ActsOnVersion(instance, version, until) => first_attempt_by(instance, version, until)
                 .is_none()
-                .then(|| format!("n{instance} does not act on version {version} by {by} s")),
+                .then(|| format!("n{instance} does not act on version {version} by {until} s")),
             Expectation::NotYetOnVersion(instance, version, until) => first_attempt_by(instance, version, until)
-                .map(|attempt| format!("n{instance} sends {} by version {version} at {:.3} s", attempt.workload, attempt.at)),
+                .map(|attempt| format!("n{instance} sends {} by version {version} at {:.3} s", attempt.workload, attempt.received_at)),
             Expectation::NoRepeats(instance, from, to) => {
-                let mut begun: HashSet<&str> = HashSet::new();
-                let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.at));
-                { own }.find(|attempt| !begun.insert(&attempt.id)).map(|attempt| {
-                    format!("n{instance} repeats {} at {:.3} s, first hops alone were expected", attempt.workload, attempt.at)
+                let mut seen_ids: HashSet<&str> = HashSet::new();
+                let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.received_at));
+                { own }.find(|attempt| !seen_ids.insert(&attempt.id)).map(|attempt| {
+                    format!("n{instance} repeats {} at {:.3} s, first hops alone were expected", attempt.workload, attempt.received_at)
                 })
             }
             Expectation::Logs(instance, ref text) => {
@@ -273,15 +280,17 @@
     // A killed or stopped instance answers neither the requests that it had open nor those until it has recovered.
     let excused = |response: &&ResponseSeen| {
         let own = scene.actions.iter().filter(|(_, instance, _)| *instance == response.sidecar);
-        let mut gone = false;
-        for (at, _, action) in own {
+        let mut unavailable = false;
+        for (time, _, action) in own {
             match action {
-                Action::Kill | Action::Stop if *at < response.at + MAX_OPEN_S => gone = true,
-                Action::Start | Action::Continue if *at + RECOVERY_S < response.at => gone = false,
+                Action::Kill | Action::Stop if *time < response.sent_at + MAX_OPEN_S => unavailable = true,
+                Action::Start | Action::Continue if *time + RECOVERY_S < response.sent_at => {
+                    unavailable = false
+                }
                 _ => {}
             }
         }
-        gone
+        unavailable
     };
     let lost = missing.iter().filter(|response| !excused(response)).count();
     if lost > 0 {
--- a/lab/src/discovery_recovery.rs
+++ b/lab/src/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! The discovery of a tier of hundreds goes down, ending all watches, and comes back with less capacity than all of
-//! them ask for at once. Measures how long each process takes to get the list again.
+//! The discovery of a tier of hundreds of instances goes down, which ends all watches, and comes back with less
+//! capacity than their requests would need at once. Measures how long each process takes to get the list again.
 use crate::harness::{
     config_json, wait_until_all_ready, Capacity, DelayMonitor, DiscoveryOutcome, ListedEndpoint, OutageKind,
     ProcessConfig, RunValidity, SharedDiscovery, TempDir,
@@ -9,21 +9,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Case {
     /// Its name in reports.
     pub name: &'static str,
     /// How many processes run.
     pub processes: usize,
-    /// How many instances each process is told that its tier has. The others do not run, and `capacity` is without
-    /// their share.
+    /// How many instances each process is told that its tier has. Those beyond `processes` do not run, and `capacity`
+    /// leaves out their share.
     pub tier_size: usize,
     /// How long discovery is down and rejects requests.
     pub outage: Duration,
-    /// Its capacity after its return.
+    /// Discovery's capacity after its return.
     pub capacity: Capacity,
-    /// How long after its return the run ends at the latest.
+    /// How long after discovery's return the run ends at the latest.
     pub time_limit: Duration,
 }
 
@@ -32,23 +32,23 @@
 pub struct Report {
     /// When each process that got the list again did so, in seconds from discovery's return, sorted.
     pub recovered_s: Vec<f64>,
-    /// How many requests were rejected after its return.
+    /// How many requests were rejected after discovery's return.
     pub rejected: usize,
 }
 
-/// A harness that was later than this makes a failure inconclusive, in seconds.
+/// If the harness ran later than this, in seconds, a failure is inconclusive.
 const MAX_DELAY_S: f64 = 0.2;
-/// How often the records are read.
+/// How often discovery's records are read.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn start(
     program: &Path, case: &Case, folder: &TempDir, discovery: &SharedDiscovery,
 ) -> std::io::Result<Vec<Sidecar>> {
-    let start = |at: usize| {
-        let mut sidecar = Sidecar::new(program, &format!("n{at}"), folder.path())?;
+    let start = |number: usize| {
+        let mut sidecar = Sidecar::new(program, &format!("n{number}"), folder.path())?;
         let config = ProcessConfig {
-            process: at,
-            me: at,
+            process: number,
+            me: number,
             balancers: case.tier_size,
             console: false,
             ..ProcessConfig::alone(discovery.address)
@@ -62,27 +62,27 @@
 
 /// Runs a case once.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let to_text = |error: std::io::Error| error.to_string();
+    let error_text = |error: std::io::Error| error.to_string();
     let listed = ListedEndpoint {
         name: "s0".into(),
-        address: crate::processes::reserve_address().map_err(to_text)?,
+        address: crate::processes::reserve_address().map_err(error_text)?,
         since_ms: 0,
     };
-    let discovery = SharedDiscovery::start(vec![listed]).map_err(to_text)?;
-    let folder = TempDir::new("crowd");
-    let mut sidecars = start(program, case, &folder, &discovery).map_err(to_text)?;
+    let discovery = SharedDiscovery::start(vec![listed]).map_err(error_text)?;
+    let folder = TempDir::new("discovery-recovery");
+    let mut sidecars = start(program, case, &folder, &discovery).map_err(error_text)?;
     wait_until_all_ready(&mut sidecars)?;
     let delay_monitor = DelayMonitor::start();
     discovery.go_down(OutageKind::Rejected);
     thread::sleep(case.outage);
-    discovery.come_back(Some(case.capacity)).map_err(to_text)?;
+    discovery.come_back(Some(case.capacity)).map_err(error_text)?;
     let returned_at = Instant::now();
     let recovered_s = || {
         let requests = discovery.requests();
         let served = requests
             .iter()
-            .filter(|(at, outcome)| *at >= returned_at && *outcome == DiscoveryOutcome::Served);
-        served.map(|(at, _)| (*at - returned_at).as_secs_f64()).collect::<Vec<_>>()
+            .filter(|(time, outcome)| *time >= returned_at && *outcome == DiscoveryOutcome::Served);
+        served.map(|(time, _)| (*time - returned_at).as_secs_f64()).collect::<Vec<_>>()
     };
     while recovered_s().len() < case.processes && returned_at.elapsed() < case.time_limit {
         thread::sleep(POLL_INTERVAL);
@@ -90,7 +90,7 @@
     let rejected = discovery
         .requests()
         .iter()
-        .filter(|(at, outcome)| *at >= returned_at && *outcome == DiscoveryOutcome::Rejected)
+        .filter(|(time, outcome)| *time >= returned_at && *outcome == DiscoveryOutcome::Rejected)
         .count();
     let validity = match delay_monitor.max_delay_s() {
         delay if delay > MAX_DELAY_S => {
--- a/lab/src/fake_sidecar.rs
+++ b/lab/src/fake_sidecar.rs
@@ -1,4 +1,4 @@
-//! A minimal sidecar of the lab. It takes part in the lease protocol as the program does and forwards requests in the
+//! A minimal sidecar for scenes. It takes part in the lease protocol as the program does and forwards requests in the
 //! simplest way, correctly or with one chosen fault. The faults test the scene checker, which must find each of them.
 use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
@@ -28,7 +28,7 @@
     AppliesLate,
     /// It goes on sending without a lease once it has had one.
     NoLease,
-    /// It counts a lease's duration from the answer instead of the request.
+    /// It counts a lease's duration from the grant's arrival instead of from its own request.
     #[value(name = "from-answer")]
     LeaseFromAnswer,
     /// It ignores servers that other instances report as draining.
@@ -55,7 +55,7 @@
 
 struct State {
     behaviour: Behaviour,
-    begun: Instant,
+    start_time: Instant,
     lease: Micros,
     lease_holder: LeaseHolder,
     local_settings: LocalSettings,
@@ -73,18 +73,18 @@
     lease_expires_at: Micros,
     /// The links to the lease servers.
     links: HashMap<InstanceId, Sender<Option<Message>>>,
-    /// How many attempts it has sent.
+    /// How many servers it has chosen for attempts, for the round robin.
     attempts_chosen: usize,
 }
 
-/// The state, and the signal that its next deadline may have changed.
+/// The state, and a condition variable that signals that its next deadline may have changed.
 type SharedState = Arc<(Mutex<State>, Condvar)>;
 
 fn lock(state: &SharedState) -> MutexGuard<'_, State> {
     state.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn workloads(local_settings: &LocalSettings, texts: &[&str]) -> Result<Workloads, String> {
+fn load_workloads(local_settings: &LocalSettings, texts: &[&str]) -> Result<Workloads, String> {
     let settings = local_settings.merge(texts)?;
     let repeatable =
         settings.balancer.workloads.iter().map(|workload| workload.idempotency == Idempotency::Idempotent);
@@ -103,18 +103,20 @@
 
 impl State {
     fn now(&self) -> Micros {
-        Micros(1 + self.begun.elapsed().as_micros() as u64)
+        Micros(1 + self.start_time.elapsed().as_micros() as u64)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, message) => _ = self.links.get(&to).map(|link| link.send(Some(message))),
+                Action::Send(lease_server, message) => {
+                    _ = self.links.get(&lease_server).map(|link| link.send(Some(message)))
+                }
                 Action::ApplyDocuments => {
                     let texts: Vec<Arc<str>> =
                         self.lease_holder.active_documents().map(|(_, text)| text.clone()).collect();
                     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
-                    let Ok(new_workloads) = workloads(&self.local_settings, &texts) else { continue };
+                    let Ok(new_workloads) = load_workloads(&self.local_settings, &texts) else { continue };
                     match self.behaviour {
                         Behaviour::AppliesLate if !self.workloads.is_empty() => {
                             self.delayed_workloads.push((Instant::now() + APPLY_DELAY, new_workloads));
@@ -145,7 +147,7 @@
         }
         let (before, mut actions) = (self.lease_holder.lease_valid_until(), Vec::new());
         self.lease_holder.handle_message(self.now(), from, message, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
         let lease_expires_at = self.lease_holder.lease_valid_until();
         match self.behaviour {
             Behaviour::LeaseFromAnswer if lease_expires_at > before => {
@@ -157,7 +159,7 @@
         }
     }
 
-    fn run_due(&mut self) {
+    fn run_due_work(&mut self) {
         let (now, mut actions) = (self.now(), Vec::new());
         if now >= self.lease_holder.next_wakeup() {
             self.lease_holder.handle_timer(now, &mut actions);
@@ -171,23 +173,27 @@
                 if !self.lease_holder.propose(now, document, &mut actions)
                     && self.behaviour == Behaviour::AppliesLowerVersion
                 {
-                    self.workloads = workloads(&self.local_settings, &[&text]).unwrap_or_default();
+                    self.workloads = load_workloads(&self.local_settings, &[&text]).unwrap_or_default();
                 }
             }
         }
-        self.carry_out(actions);
-        let due = self.delayed_workloads.iter().filter(|(at, _)| *at <= Instant::now()).count();
-        if let Some((_, new_workloads)) = self.delayed_workloads.drain(..due).next_back() {
+        self.execute(actions);
+        let due_count =
+            self.delayed_workloads.iter().filter(|(apply_at, _)| *apply_at <= Instant::now()).count();
+        if let Some((_, new_workloads)) = self.delayed_workloads.drain(..due_count).next_back() {
             self.workloads = new_workloads;
         }
     }
 
     /// How long it may wait until the next deadline.
     fn time_to_next_deadline(&self) -> Duration {
-        let due = Duration::from_micros((self.lease_holder.next_wakeup() - self.now()).0);
-        let delayed_workloads =
-            self.delayed_workloads.iter().map(|(at, _)| at.saturating_duration_since(Instant::now())).min();
-        due.min(delayed_workloads.unwrap_or(FILE_CHECK_INTERVAL)).min(FILE_CHECK_INTERVAL)
+        let until_wakeup = Duration::from_micros((self.lease_holder.next_wakeup() - self.now()).0);
+        let until_workloads = self
+            .delayed_workloads
+            .iter()
+            .map(|(apply_at, _)| apply_at.saturating_duration_since(Instant::now()))
+            .min();
+        until_wakeup.min(until_workloads.unwrap_or(FILE_CHECK_INTERVAL)).min(FILE_CHECK_INTERVAL)
     }
 
     fn apply_list(&mut self, list: &DiscoveryList) {
@@ -206,19 +212,18 @@
         let entries = list.endpoints.iter();
         let entries =
             entries.map(|entry| (entry.name.as_str().into(), (!entry.has_left()).then(|| fact(entry))));
-        let apply_list =
-            ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() };
+        let update = ListUpdate { index: list.index.0, snapshot: list.snapshot, entries: entries.collect() };
         let mut actions = Vec::new();
-        self.lease_holder.handle_list_update(self.now(), apply_list, &mut actions);
-        self.carry_out(actions);
+        self.lease_holder.handle_list_update(self.now(), update, &mut actions);
+        self.execute(actions);
     }
 
     fn has_lease(&self) -> bool {
         self.lease_expires_at > self.now()
     }
 
-    /// Chooses a server for an attempt of that workload, round robin, with whether the request may be repeated; else
-    /// the status of the refusal.
+    /// Chooses a server for an attempt of this workload, round robin. Returns its address and whether the request may
+    /// be repeated, or the status with which the request is refused.
     fn choose(&mut self, workload: &str) -> Result<(SocketAddr, bool), u16> {
         let repeat = *self.workloads.get(workload).ok_or(404_u16)?;
         if !self.has_lease() {
@@ -230,7 +235,7 @@
         let usable = self.servers.values().filter(|entry| entry.is_active() && !drains(entry));
         let usable: Vec<SocketAddr> = usable.map(|entry| entry.address).collect();
         self.attempts_chosen += 1;
-        usable.get(self.attempts_chosen % usable.len().max(1)).map(|to| (*to, repeat)).ok_or(503)
+        usable.get(self.attempts_chosen % usable.len().max(1)).map(|address| (*address, repeat)).ok_or(503)
     }
 }
 
@@ -239,22 +244,23 @@
     let (config, local_settings, first) = read_instance_file(path)?;
     let accord = OperatorConfig::from_file(operator, 8)?.accord.ok_or("accord: missing")?;
     let names: Vec<&String> = accord.instances.keys().collect();
-    let id = |name: &String| names.iter().position(|other| *other == name).map(|at| InstanceId(at as u32));
+    let id =
+        |name: &String| names.iter().position(|other| *other == name).map(|index| InstanceId(index as u32));
     let lease_servers: Vec<InstanceId> = accord.keepers.iter().filter_map(id).collect();
     let lease = lease_duration(micros_from_seconds(accord.max_divergence_s));
     let validator: Validator = {
-        let (local_settings, only) = (local_settings.clone(), first.text.clone());
+        let (local_settings, first_text) = (local_settings.clone(), first.text.clone());
         Arc::new(move |texts: &[Arc<str>]| {
-            if behaviour == Behaviour::RejectsNewSettings && texts.iter().any(|text| *text != only) {
+            if behaviour == Behaviour::RejectsNewSettings && texts.iter().any(|text| *text != first_text) {
                 return Err("settings: not known to this build".into());
             }
             let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
-            workloads(&local_settings, &texts).map(|_| ())
+            load_workloads(&local_settings, &texts).map(|_| ())
         })
     };
     let state = State {
         behaviour,
-        begun: Instant::now(),
+        start_time: Instant::now(),
         lease,
         lease_holder: LeaseHolder::new(lease_servers.clone(), lease, validator),
         local_settings,
@@ -275,14 +281,14 @@
     let mut actions = Vec::new();
     let now = lock(&state).now();
     lock(&state).lease_holder.propose(now, first, &mut actions);
-    lock(&state).carry_out(actions);
+    lock(&state).execute(actions);
     watch(&state, config.discovery);
-    let listener = |at: SocketAddr| TcpListener::bind(at).map_err(|error| error.to_string());
+    let listener = |address: SocketAddr| TcpListener::bind(address).map_err(|error| error.to_string());
     let shared = state.clone();
     serve_connections(listener(config.listen)?, move |stream| _ = serve(&shared, BufReader::new(stream)));
-    if let Some(at) = config.console {
+    if let Some(address) = config.console {
         let shared = state.clone();
-        serve_connections(listener(at)?, move |stream| {
+        serve_connections(listener(address)?, move |stream| {
             let status =
                 if lock(&shared).has_lease() && !lock(&shared).servers.is_empty() { 200 } else { 503 };
             let mut stream = BufReader::new(stream);
@@ -293,7 +299,7 @@
     }
     let mut locked = lock(&state);
     loop {
-        locked.run_due();
+        locked.run_due_work();
         let timeout = locked.time_to_next_deadline();
         locked = state.1.wait_timeout(locked, timeout).unwrap_or_else(PoisonError::into_inner).0;
     }
@@ -303,23 +309,24 @@
     format!("HTTP/1.1 {status} As told\r\nContent-Length: 0\r\n\r\n")
 }
 
-fn connect_to_lease_server(state: &SharedState, lease_server: InstanceId, at: SocketAddr, name: &str) {
+fn connect_to_lease_server(state: &SharedState, lease_server: InstanceId, address: SocketAddr, name: &str) {
     // A None wakes the writer when the link has broken.
     let (link, messages) = channel::<Option<Message>>();
     lock(state).links.insert(lease_server, link.clone());
     let (state, greeting) = (state.clone(), Greeting::new(name, u64::from(std::process::id())).to_json());
     thread::spawn(move || loop {
         thread::sleep(Duration::from_millis(50));
-        let Ok(mut stream) = TcpStream::connect(at) else { continue };
+        let Ok(mut stream) = TcpStream::connect(address) else { continue };
         while messages.try_recv().is_ok() {}
-        let (Ok(reads), Ok(())) = (stream.try_clone(), stream.write_all(format!("{greeting}\n").as_bytes()))
+        let (Ok(read_half), Ok(())) =
+            (stream.try_clone(), stream.write_all(format!("{greeting}\n").as_bytes()))
         else {
             continue;
         };
         let _ = stream.set_nodelay(true);
         let (state, link) = (state.clone(), link.clone());
         let reader = thread::spawn(move || {
-            for line in BufReader::new(reads).lines().map_while(Result::ok) {
+            for line in BufReader::new(read_half).lines().map_while(Result::ok) {
                 let Ok(message) = read_json::<Message>(line.as_bytes()) else { break };
                 lock(&state).receive(lease_server, message);
                 state.1.notify_all();
@@ -359,20 +366,20 @@
         let workload = head.split(' ').nth(1)?.trim_start_matches('/').to_string();
         let id = header(&head, "Request-Id")?.to_string();
         let mut status = 503;
-        for repeat in [false, true] {
+        for is_repeat in [false, true] {
             let choice = lock(state).choose(&workload);
-            let (to, may_repeat) = match choice {
+            let (address, may_repeat) = match choice {
                 Ok(choice) => choice,
-                Err(_) if repeat => break,
-                Err(refused) => {
-                    status = refused;
+                Err(_) if is_repeat => break,
+                Err(refusal_status) => {
+                    status = refusal_status;
                     break;
                 }
             };
-            if repeat && !may_repeat {
+            if is_repeat && !may_repeat {
                 break;
             }
-            status = send_attempt(&mut idle, to, &workload, &id).unwrap_or(502);
+            status = send_attempt(&mut idle, address, &workload, &id).unwrap_or(502);
             if status == 200 {
                 break;
             }
@@ -386,11 +393,11 @@
 /// expired.
 type IdleConnections = HashMap<SocketAddr, BufReader<TcpStream>>;
 
-fn send_attempt(idle: &mut IdleConnections, to: SocketAddr, workload: &str, id: &str) -> Option<u16> {
-    let mut stream = match idle.remove(&to) {
+fn send_attempt(idle: &mut IdleConnections, address: SocketAddr, workload: &str, id: &str) -> Option<u16> {
+    let mut stream = match idle.remove(&address) {
         Some(stream) => stream,
         None => {
-            let stream = TcpStream::connect(to).ok()?;
+            let stream = TcpStream::connect(address).ok()?;
             stream.set_nodelay(true).ok()?;
             BufReader::new(stream)
         }
@@ -398,6 +405,6 @@
     let request = format!("GET /{workload} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\n\r\n");
     stream.get_mut().write_all(request.as_bytes()).ok()?;
     let status = read_head(&mut stream)?.split(' ').nth(1)?.parse().ok()?;
-    idle.insert(to, stream);
+    idle.insert(address, stream);
     Some(status)
 }
--- a/lab/src/fakes.rs
+++ b/lab/src/fakes.rs
@@ -13,7 +13,7 @@
 pub struct Observations {
     /// Attempts that servers received.
     pub attempts: Mutex<Vec<Attempt>>,
-    /// The ends of the clients' requests.
+    /// How the clients' requests ended.
     pub responses: Mutex<Vec<ResponseSeen>>,
     /// How many requests went out more than 0.1 s later than they were due.
     pub late_requests: Mutex<usize>,
@@ -53,16 +53,16 @@
 }
 
 /// Opens a client connection, with a read timeout of 2 s.
-pub fn connect(to: SocketAddr) -> Option<BufReader<TcpStream>> {
-    let stream = TcpStream::connect(to).ok()?;
+pub fn connect(address: SocketAddr) -> Option<BufReader<TcpStream>> {
+    let stream = TcpStream::connect(address).ok()?;
     stream.set_nodelay(true).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
     Some(BufReader::new(stream))
 }
 
 /// Sends a request; returns the status of the answer, and whether the connection stays open.
-pub fn send_request(stream: &mut BufReader<TcpStream>, send: &str) -> Option<(u16, bool)> {
-    stream.get_mut().write_all(send.as_bytes()).ok()?;
+pub fn send_request(stream: &mut BufReader<TcpStream>, request: &str) -> Option<(u16, bool)> {
+    stream.get_mut().write_all(request.as_bytes()).ok()?;
     let head = read_head(stream)?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some((status, header(&head, "Connection") != Some("close")))
@@ -80,7 +80,7 @@
 
 /// Starts a server that answers at once: 500 to a workload whose name begins with `fails`, 200 to others.
 pub fn start_server(
-    number: usize, begun: Instant, observations: Arc<Observations>,
+    number: usize, start_time: Instant, observations: Arc<Observations>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -88,15 +88,15 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Some(head) = read_head(&mut stream) {
-            let at = begun.elapsed().as_secs_f64();
+            let received_at = start_time.elapsed().as_secs_f64();
             let workload = head.split(' ').nth(1).unwrap_or_default().trim_start_matches('/').to_string();
             let id = header(&head, "Request-Id").unwrap_or_default().to_string();
-            let sidecar = id.split('-').next().and_then(|at| at.parse().ok()).unwrap_or(usize::MAX);
+            let sidecar = id.split('-').next().and_then(|sidecar| sidecar.parse().ok()).unwrap_or(usize::MAX);
             let answer: &[u8] = match workload.starts_with("fails") {
                 true => b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
                 false => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             };
-            let attempt = Attempt { at, sidecar, server: number, workload, id };
+            let attempt = Attempt { received_at, sidecar, server: number, workload, id };
             observations.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
             if stream.get_mut().write_all(answer).is_err() {
                 return;
@@ -136,7 +136,7 @@
 struct ServerList {
     entries: Vec<ListedServer>,
     index: u64,
-    /// The lines sent since the discovery started.
+    /// The lines of all changes since the discovery started.
     lines: Vec<String>,
     down: bool,
     /// How often the discovery has gone down, come back or restarted; a watch of an earlier incarnation ends.
@@ -144,9 +144,9 @@
 }
 
 impl ServerList {
-    fn first(servers: &[SocketAddr]) -> ServerList {
-        let servers = servers.iter().enumerate().map(|(at, address)| ListedServer {
-            name: format!("s{at}"),
+    fn initial(servers: &[SocketAddr]) -> ServerList {
+        let servers = servers.iter().enumerate().map(|(number, address)| ListedServer {
+            name: format!("s{number}"),
             address: *address,
             leaving: false,
             since_ms: 0,
@@ -167,11 +167,11 @@
             let snapshot_json = self.snapshot_json();
             return self.lines.push(snapshot_json);
         }
-        let at = self.entries.iter().position(|entry| entry.name == name).unwrap_or_else(|| {
+        let index = self.entries.iter().position(|entry| entry.name == name).unwrap_or_else(|| {
             self.entries.push(ListedServer { name, address, leaving: false, since_ms: 0 });
             self.entries.len() - 1
         });
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         entry.leaving = change == ListChange::Draining;
         if change == ListChange::Restarted {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -185,7 +185,7 @@
 
 /// The full list that every discovery begins with.
 pub fn initial_list(servers: &[SocketAddr]) -> String {
-    ServerList::first(servers).snapshot_json()
+    ServerList::initial(servers).snapshot_json()
 }
 
 /// The discovery of one instance. It sends the changes that a scene orders, and an empty line after every second of
@@ -206,7 +206,7 @@
     /// Starts a discovery that lists these servers.
     pub fn start(servers: &[SocketAddr]) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let list = ServerList::first(servers);
+        let list = ServerList::initial(servers);
         let (address, list) = (listener.local_addr()?, Arc::new((Mutex::new(list), Condvar::new())));
         let discovery = Discovery { address, list: list.clone() };
         serve_connections(listener, move |stream| _ = watch(stream, &list));
@@ -229,7 +229,7 @@
         self.change(|list| (list.down, list.incarnation) = (down, list.incarnation + 1));
     }
 
-    /// Restarts: all watches end, and the versions of the list count from 1 again.
+    /// Simulates a restart: all watches end, and the versions of the list count from 1 again.
     pub fn restart(&self) {
         self.change(|list| {
             (list.index, list.incarnation) = (1, list.incarnation + 1);
@@ -242,17 +242,17 @@
     let lock = || list.lock().unwrap_or_else(PoisonError::into_inner);
     let mut stream = BufReader::new(stream);
     read_head(&mut stream)?;
-    let (incarnation, mut sent, first) = {
+    let (incarnation, mut sent, initial) = {
         let list = lock();
         if list.down {
             return None;
         }
         (list.incarnation, list.lines.len(), list.snapshot_json())
     };
-    let line = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+    let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let mut stream = stream.into_inner();
-    stream.write_all(format!("{head}{}", line(&first)).as_bytes()).ok()?;
+    stream.write_all(format!("{head}{}", chunk(&initial)).as_bytes()).ok()?;
     loop {
         let unchanged = |list: &mut ServerList| list.incarnation == incarnation && list.lines.len() == sent;
         let (list, _) = changed
@@ -261,10 +261,10 @@
         if list.incarnation != incarnation {
             return None;
         }
-        let new_lines: String = list.lines[sent..].iter().map(|new| line(new)).collect();
+        let new_lines: String = list.lines[sent..].iter().map(|new| chunk(new)).collect();
         sent = list.lines.len();
         drop(list);
-        let text = if new_lines.is_empty() { line("") } else { new_lines };
+        let text = if new_lines.is_empty() { chunk("") } else { new_lines };
         stream.write_all(text.as_bytes()).ok()?;
     }
 }
@@ -272,8 +272,8 @@
 /// Sends requests of one workload to one sidecar at a constant rate until the end, which may change meanwhile.
 /// Lateness is counted from when a request was due.
 pub fn run_client(
-    to: SocketAddr, (sidecar, workload): (usize, &str), rate: f64, begun: Instant, end: impl Fn() -> f64,
-    observations: &Observations,
+    address: SocketAddr, (sidecar, workload): (usize, &str), rate: f64, start_time: Instant,
+    end: impl Fn() -> f64, observations: &Observations,
 ) {
     let mut stream: Option<BufReader<TcpStream>> = None;
     for number in 0.. {
@@ -281,7 +281,7 @@
         if due >= end() {
             return;
         }
-        let now = begun.elapsed().as_secs_f64();
+        let now = start_time.elapsed().as_secs_f64();
         if due > now {
             thread::sleep(Duration::from_secs_f64(due - now));
         } else if now > due + 0.1 {
@@ -297,10 +297,12 @@
             send_request(stream, &text)
         };
         // The sidecar may have closed the idle connection; a failure within 0.05 s is retried on a new one.
-        let at = begun.elapsed().as_secs_f64();
+        let sent_at = start_time.elapsed().as_secs_f64();
         let mut answer = stream.as_mut().and_then(|stream| send(stream, ""));
-        if answer.is_none() && stream.take().is_none_or(|_| begun.elapsed().as_secs_f64() < at + 0.05) {
-            stream = connect(to);
+        if answer.is_none()
+            && stream.take().is_none_or(|_| start_time.elapsed().as_secs_f64() < sent_at + 0.05)
+        {
+            stream = connect(address);
             answer = stream.as_mut().and_then(|stream| send(stream, "b"));
         }
         if !answer.is_some_and(|(_, stays_open)| stays_open) {
@@ -308,6 +310,6 @@
         }
         let status = answer.map(|(status, _)| status);
         let mut responses = observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
-        responses.push(ResponseSeen { at, sidecar, status });
+        responses.push(ResponseSeen { sent_at, sidecar, status });
     }
 }
--- a/lab/src/harness.rs
+++ b/lab/src/harness.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests with dozens of processes: one discovery for all of them that may be down or overloaded, their
-//! settings files, and a monitor of how late the harness itself runs.
+//! Helpers for tests with dozens of processes: a shared discovery that may be down or overloaded, the settings files
+//! of the processes, and a monitor of how late the harness itself runs.
 use crate::fakes::{connect, endpoint_json, read_head, reject, send_request};
 use crate::processes::{reserve_address, Sidecar};
 use std::io::{BufReader, Write};
@@ -44,11 +44,11 @@
 pub enum OutageKind {
     /// It does not listen.
     Refused,
-    /// It accepts and records them, and closes the connection without an answer.
+    /// It accepts and records requests, and closes their connections without an answer.
     Closed,
-    /// It accepts and records them, and closes all connections without an answer when it is back.
+    /// It accepts and records requests, and closes their connections without an answer only when it is back.
     Held,
-    /// It accepts and records them, and answers 503 after 2 s.
+    /// It accepts and records requests, and answers 503 after 2 s.
     Rejected,
 }
 
@@ -90,13 +90,13 @@
 struct State {
     listed: Vec<ListedEndpoint>,
     index: u64,
-    /// The lines of all changes since the start.
+    /// The lines of all changes since the start, in order.
     changes: Vec<String>,
     down: Option<OutageKind>,
-    /// How often it went down; a watch of an earlier incarnation ends.
+    /// How often discovery went down; watches that began in an earlier incarnation end.
     incarnation: u64,
     capacity: Option<Capacity>,
-    /// When the waiting requests have been handled.
+    /// When all requests that wait now will have been handled.
     busy_until: Option<Instant>,
     requests: Vec<(Instant, DiscoveryOutcome)>,
 }
@@ -143,14 +143,14 @@
         Ok(())
     }
 
-    /// Sends an endpoint that is new or has restarted.
-    pub fn announce(&self, server: ListedEndpoint) {
+    /// Adds an endpoint that is new or has restarted to the list, and sends it on all watches.
+    pub fn announce(&self, endpoint: ListedEndpoint) {
         let mut state = lock(&self.server.state);
         state.index += 1;
-        let change = list_json(state.index, false, std::slice::from_ref(&server));
+        let change = list_json(state.index, false, std::slice::from_ref(&endpoint));
         state.changes.push(change);
-        state.listed.retain(|listed| listed.name != server.name);
-        state.listed.push(server);
+        state.listed.retain(|listed| listed.name != endpoint.name);
+        state.listed.push(endpoint);
         self.server.changed.notify_all();
     }
 
@@ -197,7 +197,7 @@
 
 impl DiscoveryServer {
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         let mut stream = BufReader::new(stream);
@@ -207,8 +207,8 @@
                 (Some(_), _) => (DiscoveryOutcome::Unanswered, Duration::ZERO),
                 (None, None) => (DiscoveryOutcome::Served, Duration::ZERO),
                 (None, Some(Capacity { requests_per_s, max_wait_s, rejection })) => {
-                    let start = state.busy_until.map_or(arrived, |until| until.max(arrived));
-                    let wait = start - arrived;
+                    let start = state.busy_until.map_or(arrived_at, |busy_until| busy_until.max(arrived_at));
+                    let wait = start - arrived_at;
                     let too_long = wait.as_secs_f64() > max_wait_s;
                     if !too_long || rejection == RejectionTiming::AfterMaxWait {
                         state.busy_until = Some(start + Duration::from_secs_f64(1.0 / requests_per_s));
@@ -222,7 +222,7 @@
                     }
                 }
             };
-            state.requests.push((arrived, outcome));
+            state.requests.push((arrived_at, outcome));
             (state.incarnation, wait, outcome, state.down)
         };
         match down {
@@ -275,7 +275,7 @@
     }
 }
 
-/// The part of a process's settings file that differs between tests.
+/// The settings of a process that differ between tests.
 pub struct ProcessConfig<'a> {
     /// Its number among the harness's processes, from which its seed is derived.
     pub process: usize,
@@ -344,11 +344,12 @@
 
 /// Waits until all processes answer 200 to `GET /ready`.
 pub fn wait_until_all_ready(sidecars: &mut [Sidecar]) -> Result<(), String> {
-    let begun = Instant::now();
+    let start_time = Instant::now();
     for sidecar in sidecars {
-        let ready = |to| connect(to).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
+        let ready =
+            |address| connect(address).and_then(|mut stream| send_request(&mut stream, READY_REQUEST));
         while ready(sidecar.listen).is_none_or(|(status, _)| status != 200) {
-            if sidecar.has_exited() || begun.elapsed() > START_TIMEOUT {
+            if sidecar.has_exited() || start_time.elapsed() > START_TIMEOUT {
                 return Err(format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text()));
             }
             thread::sleep(Duration::from_millis(20));
@@ -380,8 +381,8 @@
     }
 }
 
-/// Measures how late the harness's own threads run, by a thread that sleeps for 10 ms at a time and records by how
-/// much it overslept.
+/// Measures how late the harness's own threads run: a thread sleeps for 10 ms at a time and records by how much
+/// longer each sleep took.
 pub struct DelayMonitor {
     max_delay_us: Arc<AtomicU64>,
     stopped: Arc<AtomicBool>,
@@ -395,15 +396,16 @@
         let interval = Duration::from_millis(10);
         thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
-                let begun = Instant::now();
+                let start_time = Instant::now();
                 thread::sleep(interval);
-                max_delay_us.fetch_max((begun.elapsed() - interval).as_micros() as u64, Ordering::Relaxed);
+                max_delay_us
+                    .fetch_max((start_time.elapsed() - interval).as_micros() as u64, Ordering::Relaxed);
             }
         });
         delay_monitor
     }
 
-    /// The longest oversleep, in seconds.
+    /// The longest delay, in seconds.
     pub fn max_delay_s(&self) -> f64 {
         self.max_delay_us.load(Ordering::Relaxed) as f64 / 1e6
     }
@@ -418,9 +420,9 @@
 /// Whether the harness ran well enough for a run to count.
 #[derive(Clone, PartialEq, Debug)]
 pub enum RunValidity {
-    /// It did.
+    /// The run counts.
     Valid,
-    /// So late that it may have caused a failure; a success counts all the same.
+    /// The harness ran so late that it may have caused a failure; a success counts all the same.
     HarnessLate(String),
     /// The run was not what the test describes; it counts for nothing.
     Invalid(String),
@@ -433,15 +435,16 @@
 ) -> Result<R, String> {
     for number in 1..=MAX_RUNS {
         let (report, validity) = run()?;
-        let why = match (validity, check(&report)) {
+        let reason = match (validity, check(&report)) {
             (RunValidity::Valid | RunValidity::HarnessLate(_), Ok(())) => return Ok(report),
             (RunValidity::Valid, Err(failure)) => return Err(format!("{name}: {failure}")),
-            (RunValidity::HarnessLate(why), Err(failure)) => format!("{why}, {failure}"),
-            (RunValidity::Invalid(why), _) => why,
+            (RunValidity::HarnessLate(reason), Err(failure)) => format!("{reason}, {failure}"),
+            (RunValidity::Invalid(reason), _) => reason,
         };
-        println!("{name}: run {number} is inconclusive: {why}");
+        println!("{name}: run {number} is inconclusive: {reason}");
     }
     Err(format!("{name}: inconclusive in {MAX_RUNS} runs"))
 }
 
+/// How often [`run_until_conclusive`] runs a test at most.
 const MAX_RUNS: usize = 3;
--- a/lab/src/large_list/catalogue.rs
+++ b/lab/src/large_list/catalogue.rs
@@ -1,5 +1,5 @@
-//! The list of a discovery, version by version.
-use super::endpoints::EndpointNo;
+//! The endpoint list of a discovery and its versions.
+use super::endpoints::EndpointNumber;
 use crate::fakes::endpoint_json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 /// A list of endpoints and all changes since its first version.
 pub struct Catalogue {
-    listed: BTreeMap<EndpointNo, SocketAddr>,
+    listed: BTreeMap<EndpointNumber, SocketAddr>,
     versions: Vec<Version>,
 }
 
@@ -17,12 +17,12 @@
     /// When it was made.
     pub created_at: Instant,
     /// Endpoints that it removed.
-    pub removed: Vec<(EndpointNo, SocketAddr)>,
+    pub removed: Vec<(EndpointNumber, SocketAddr)>,
     /// Endpoints that it added.
-    pub added: Vec<(EndpointNo, SocketAddr)>,
+    pub added: Vec<(EndpointNumber, SocketAddr)>,
 }
 
-fn entry_json((endpoint, address): &(EndpointNo, SocketAddr), status: &str) -> String {
+fn entry_json((endpoint, address): &(EndpointNumber, SocketAddr), status: &str) -> String {
     endpoint_json(&format!("s-{:08x}", endpoint.0), *address, status, 0)
 }
 
@@ -32,7 +32,7 @@
 
 impl Catalogue {
     /// A list in its first version.
-    pub fn new(listed: impl Iterator<Item = (EndpointNo, SocketAddr)>) -> Catalogue {
+    pub fn new(listed: impl Iterator<Item = (EndpointNumber, SocketAddr)>) -> Catalogue {
         Catalogue { listed: listed.collect(), versions: Vec::new() }
     }
 
@@ -43,7 +43,7 @@
 
     /// Makes a new version that removes and adds endpoints.
     pub fn replace(
-        &mut self, removed: impl Iterator<Item = EndpointNo>, added: Vec<(EndpointNo, SocketAddr)>,
+        &mut self, removed: impl Iterator<Item = EndpointNumber>, added: Vec<(EndpointNumber, SocketAddr)>,
     ) {
         let removed: Vec<_> = removed.filter_map(|endpoint| self.listed.remove_entry(&endpoint)).collect();
         self.listed.extend(added.iter().copied());
@@ -53,7 +53,7 @@
     /// The full list as a line of JSON, without the line's end.
     pub fn snapshot_json(&self) -> String {
         let entries: Vec<String> =
-            self.listed.iter().map(|(no, at)| entry_json(&(*no, *at), "active")).collect();
+            self.listed.iter().map(|(number, address)| entry_json(&(*number, *address), "active")).collect();
         list_json(self.index(), true, &entries)
     }
 
--- a/lab/src/large_list/discovery.rs
+++ b/lab/src/large_list/discovery.rs
@@ -1,6 +1,6 @@
 //! A discovery with a large list and injected faults: it can be slow, late, silent, cut off, down or overloaded.
 use super::catalogue::Catalogue;
-use super::endpoints::EndpointNo;
+use super::endpoints::EndpointNumber;
 use crate::fakes::{read_head, reject, serve_connections};
 use crate::harness::lock;
 use rustix::net::sockopt;
@@ -19,7 +19,7 @@
     pub write_bytes: usize,
     /// How long the pause between two writes is.
     pub write_pause: Duration,
-    /// How many answers, the first ones with this pace, are cut off after one half.
+    /// How many answers, the first ones at this pace, are cut off after one half.
     pub truncated_answers: usize,
 }
 
@@ -36,8 +36,8 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct WrittenLine {
     /// When its last byte was written.
-    pub at: Instant,
-    /// The version of the list that it has.
+    pub written_at: Instant,
+    /// The version of the list that it brings the receiver to.
     pub index: usize,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ListRequest {
     /// When it arrived.
-    pub at: Instant,
+    pub received_at: Instant,
     /// The version in its `index`, after which it asks for changes.
     pub from: usize,
 }
@@ -100,7 +100,7 @@
     }
 
     /// Answers requests this way from now on.
-    pub fn set_conduct(&self, response_mode: ResponseMode) {
+    pub fn set_response_mode(&self, response_mode: ResponseMode) {
         self.change(|state| {
             state.response_mode = response_mode;
             if let ResponseMode::Serve(pace) = response_mode {
@@ -123,7 +123,9 @@
     }
 
     /// Makes a new version of the list.
-    pub fn replace(&self, removed: impl Iterator<Item = EndpointNo>, added: Vec<(EndpointNo, SocketAddr)>) {
+    pub fn replace(
+        &self, removed: impl Iterator<Item = EndpointNumber>, added: Vec<(EndpointNumber, SocketAddr)>,
+    ) {
         self.change(|state| state.catalogue.replace(removed, added));
     }
 
@@ -140,13 +142,13 @@
         let from = head.split("index=").nth(1)?.split(' ').next()?.parse().ok()?;
         let (response_mode, epoch) = {
             let mut state = lock(&self.shared.0);
-            state.requests.push(ListRequest { at: Instant::now(), from });
+            state.requests.push(ListRequest { received_at: Instant::now(), from });
             (state.response_mode, state.epoch)
         };
         let mut stream = stream.into_inner();
         match response_mode {
-            ResponseMode::Reject(after) => {
-                thread::sleep(after);
+            ResponseMode::Reject(delay) => {
+                thread::sleep(delay);
                 reject(&mut stream)
             }
             ResponseMode::Serve(pace) => self.watch(&mut stream, pace, epoch),
@@ -169,7 +171,7 @@
         if truncates {
             return None;
         }
-        self.note_written(sent);
+        self.record_written_line(sent);
         loop {
             let unchanged = |state: &mut State| state.epoch == epoch && state.catalogue.index() == sent;
             let waited = changed.wait_timeout_while(lock(state), HEARTBEAT_INTERVAL, unchanged);
@@ -186,12 +188,12 @@
             sent = locked.catalogue.index();
             drop(locked);
             stream.write_all(chunk(&changes).as_bytes()).ok()?;
-            self.note_written(sent);
+            self.record_written_line(sent);
         }
     }
 
-    fn note_written(&self, index: usize) {
-        self.change(|state| state.written_lines.push(WrittenLine { at: Instant::now(), index }));
+    fn record_written_line(&self, index: usize) {
+        self.change(|state| state.written_lines.push(WrittenLine { written_at: Instant::now(), index }));
     }
 }
 
@@ -202,8 +204,8 @@
 
 fn write_paced(stream: &mut TcpStream, bytes: &[u8], pace: Pace) -> Option<()> {
     let write_bytes = if pace.write_bytes == 0 { bytes.len() } else { pace.write_bytes };
-    for (at, part) in bytes.chunks(write_bytes).enumerate() {
-        if at > 0 {
+    for (index, part) in bytes.chunks(write_bytes).enumerate() {
+        if index > 0 {
             thread::sleep(pace.write_pause);
         }
         stream.write_all(part).ok()?;
--- a/lab/src/large_list/endpoints.rs
+++ b/lab/src/large_list/endpoints.rs
@@ -9,15 +9,15 @@
 
 /// The number of an endpoint, in the order in which they were created.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct EndpointNo(pub usize);
+pub struct EndpointNumber(pub usize);
 
 /// A request that an endpoint received.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Received {
     /// When its head had arrived.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Which endpoint received it.
-    pub endpoint: EndpointNo,
+    pub endpoint: EndpointNumber,
 }
 
 /// All endpoints of a run. Each answers until the end, also after the list has removed it.
@@ -39,13 +39,13 @@
         let records = received.clone();
         serve_connections(listener, move |stream| {
             let endpoint = match stream.local_addr().map(|address| address.ip()) {
-                Ok(IpAddr::V4(host)) => EndpointNo(u32::from(host).wrapping_sub(FIRST_HOST) as usize),
+                Ok(IpAddr::V4(host)) => EndpointNumber(u32::from(host).wrapping_sub(FIRST_HOST) as usize),
                 _ => return,
             };
             let _ = stream.set_nodelay(true);
             let mut stream = BufReader::new(stream);
             while read_head(&mut stream).is_some() {
-                lock(&records).push(Received { at: Instant::now(), endpoint });
+                lock(&records).push(Received { received_at: Instant::now(), endpoint });
                 let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
                 if stream.get_mut().write_all(answer).is_err() {
                     return;
@@ -56,7 +56,7 @@
     }
 
     /// The address of an endpoint.
-    pub fn address(&self, endpoint: EndpointNo) -> SocketAddr {
+    pub fn address(&self, endpoint: EndpointNumber) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::from(FIRST_HOST + endpoint.0 as u32), self.port))
     }
 
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the program with thousands of endpoints, while the list reaches it slowly, late or not at all. No
-//! request may go to a removed endpoint once the grace time after the notification of its removal is over.
+//! One process of the program with thousands of endpoints, while its list arrives slowly, late or not at all. No
+//! request may go to a removed endpoint after the grace time that follows the notification of its removal.
 pub mod catalogue;
 pub mod discovery;
 pub mod endpoints;
@@ -9,7 +9,7 @@
 use crate::processes::Sidecar;
 use catalogue::Catalogue;
 use discovery::{Discovery, ResponseMode};
-use endpoints::{EndpointNo, Endpoints};
+use endpoints::{EndpointNumber, Endpoints};
 use rustix::process::Signal;
 use std::collections::HashMap;
 use std::path::Path;
@@ -31,7 +31,7 @@
 const LEAD: Duration = Duration::from_secs(1);
 const CLIENTS: usize = 4;
 const REQUESTS_PER_S: f64 = 100.0;
-/// A harness that was later than this makes a failure inconclusive, in seconds.
+/// If the harness ran later than this, in seconds, a failure is inconclusive.
 const MAX_DELAY_S: f64 = 0.15;
 
 /// What happens to the open watch when the fault begins.
@@ -45,7 +45,7 @@
     None,
 }
 
-/// What is run. Times are counted from the beginning of the fault.
+/// The parameters of a run. Times are counted from the beginning of the fault.
 #[derive(Clone, Debug)]
 pub struct Case {
     /// Its name in reports.
@@ -66,11 +66,11 @@
     pub length: Duration,
 }
 
-/// A request to a removed endpoint after its grace time.
+/// A request to a removed endpoint after the grace time.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Violation {
-    /// When, in seconds from the beginning of the fault.
-    pub at: f64,
+    /// When it arrived, in seconds from the beginning of the fault.
+    pub received_at: f64,
     /// How much later than allowed, in seconds.
     pub late_s: f64,
 }
@@ -82,7 +82,8 @@
     pub violations: Vec<Violation>,
     /// How many requests endpoints received since the fault began.
     pub received: usize,
-    /// How many requests of clients ended, and how many of them with status 200, for each second of the fault.
+    /// For each second since the fault began: how many requests of clients were sent and ended, and how many of them
+    /// with status 200.
     pub answers: Vec<(usize, usize)>,
     /// Requests to discovery, in seconds from the beginning of the fault, each with the version after which it asked
     /// for changes.
@@ -95,24 +96,27 @@
 
 /// Runs a case once.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let to_text = |error: std::io::Error| error.to_string();
-    let endpoints = Endpoints::start().map_err(to_text)?;
-    let listed = (0..case.endpoints).map(EndpointNo).map(|endpoint| (endpoint, endpoints.address(endpoint)));
-    let discovery = Discovery::start(Catalogue::new(listed)).map_err(to_text)?;
+    let error_text = |error: std::io::Error| error.to_string();
+    let endpoints = Endpoints::start().map_err(error_text)?;
+    let listed =
+        (0..case.endpoints).map(EndpointNumber).map(|endpoint| (endpoint, endpoints.address(endpoint)));
+    let discovery = Discovery::start(Catalogue::new(listed)).map_err(error_text)?;
     let folder = TempDir::new("large-list");
-    let mut sidecar = Sidecar::new(program, "n0", folder.path()).map_err(to_text)?;
-    sidecar.write_config(&settings(&sidecar, &discovery)).map_err(to_text)?;
-    sidecar.start().map_err(to_text)?;
+    let mut sidecar = Sidecar::new(program, "n0", folder.path()).map_err(error_text)?;
+    sidecar.write_config(&settings(&sidecar, &discovery)).map_err(error_text)?;
+    sidecar.start().map_err(error_text)?;
     wait_until_all_ready(std::slice::from_mut(&mut sidecar))?;
-    let (delay_monitor, begun) = (DelayMonitor::start(), Instant::now());
+    let (delay_monitor, start_time) = (DelayMonitor::start(), Instant::now());
     let observations = Arc::<Observations>::default();
-    let fault_begin = begun + LEAD;
+    let fault_begin = start_time + LEAD;
     let length = (LEAD + case.length).as_secs_f64();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (observations, to) = (observations.clone(), sidecar.listen);
+            let (observations, address) = (observations.clone(), sidecar.listen);
             let rate = REQUESTS_PER_S / CLIENTS as f64;
-            scope.spawn(move || run_client(to, (client, "view"), rate, begun, || length, &observations));
+            scope.spawn(move || {
+                run_client(address, (client, "view"), rate, start_time, || length, &observations)
+            });
         }
         scope.spawn(|| begin_fault(case, &discovery, fault_begin));
         scope.spawn(|| replace_endpoints(case, &discovery, &endpoints, fault_begin));
@@ -124,13 +128,13 @@
         });
     });
     let report = report(case, &discovery, &endpoints, &observations, fault_begin, sidecar.log_text());
-    let ran = match delay_monitor.max_delay_s() {
+    let validity = match delay_monitor.max_delay_s() {
         delay if delay > MAX_DELAY_S => {
             RunValidity::HarnessLate(format!("the harness was {delay:.3} s late"))
         }
         _ => RunValidity::Valid,
     };
-    Ok((report, ran))
+    Ok((report, validity))
 }
 
 fn settings(sidecar: &Sidecar, discovery: &Discovery) -> String {
@@ -139,13 +143,13 @@
     text.replace(r#""rules":{"#, &grace)
 }
 
-fn sleep_until(moment: Instant) {
-    thread::sleep(moment.saturating_duration_since(Instant::now()));
+fn sleep_until(time: Instant) {
+    thread::sleep(time.saturating_duration_since(Instant::now()));
 }
 
-fn begin_fault(case: &Case, discovery: &Discovery, at: Instant) {
-    sleep_until(at);
-    discovery.set_conduct(case.response_mode);
+fn begin_fault(case: &Case, discovery: &Discovery, start: Instant) {
+    sleep_until(start);
+    discovery.set_response_mode(case.response_mode);
     match case.watch_fault {
         WatchFault::Reset => discovery.reset_watches(),
         WatchFault::Silence => discovery.silence_watches(),
@@ -154,34 +158,37 @@
 }
 
 fn replace_endpoints(case: &Case, discovery: &Discovery, endpoints: &Endpoints, fault_begin: Instant) {
-    let each = (case.endpoints as f64 * CHANGED_SHARE).ceil() as usize;
-    let mut at = case.replacing.0;
+    let count = (case.endpoints as f64 * CHANGED_SHARE).ceil() as usize;
+    let mut due = case.replacing.0;
     let mut step = 0;
-    while at < case.replacing.1 {
-        sleep_until(fault_begin + at);
-        let removed = (step * each..(step + 1) * each).map(EndpointNo);
-        let first = case.endpoints + step * each;
-        let added =
-            (first..first + each).map(EndpointNo).map(|endpoint| (endpoint, endpoints.address(endpoint)));
+    while due < case.replacing.1 {
+        sleep_until(fault_begin + due);
+        let removed = (step * count..(step + 1) * count).map(EndpointNumber);
+        let first = case.endpoints + step * count;
+        let added = (first..first + count)
+            .map(EndpointNumber)
+            .map(|endpoint| (endpoint, endpoints.address(endpoint)));
         discovery.replace(removed, added.collect());
-        (at, step) = (at + CHANGE_INTERVAL, step + 1);
+        (due, step) = (due + CHANGE_INTERVAL, step + 1);
     }
 }
 
 /// From when on each removed endpoint must get no more requests.
-fn forbidden_from(case: &Case, discovery: &Discovery, fault_begin: Instant) -> HashMap<EndpointNo, Instant> {
+fn forbidden_from(
+    case: &Case, discovery: &Discovery, fault_begin: Instant,
+) -> HashMap<EndpointNumber, Instant> {
     discovery.inspect(|catalogue, _, written_lines| {
-        let mut from = HashMap::new();
+        let mut forbidden = HashMap::new();
         for (version, index) in catalogue.versions().iter().zip(2..) {
             let reachable = version.created_at.max(fault_begin + case.unreachable_until);
             let first_sent =
-                written_lines.iter().filter(|line| line.index >= index).map(|line| line.at).min();
+                written_lines.iter().filter(|line| line.index >= index).map(|line| line.written_at).min();
             let notified = first_sent.unwrap_or(reachable + NOTIFIED_WITHIN).min(reachable + NOTIFIED_WITHIN);
             for (endpoint, _) in &version.removed {
-                from.insert(*endpoint, notified + GRACE + SLACK);
+                forbidden.insert(*endpoint, notified + GRACE + SLACK);
             }
         }
-        from
+        forbidden
     })
 }
 
@@ -194,28 +201,29 @@
     let mut violations: Vec<Violation> = received
         .iter()
         .filter_map(|request| {
-            let late_by = request.at.checked_duration_since(*forbidden.get(&request.endpoint)?)?;
-            let at = request.at.saturating_duration_since(fault_begin).as_secs_f64();
-            Some(Violation { at, late_s: late_by.as_secs_f64() })
+            let late = request.received_at.checked_duration_since(*forbidden.get(&request.endpoint)?)?;
+            let received_at = request.received_at.saturating_duration_since(fault_begin).as_secs_f64();
+            Some(Violation { received_at, late_s: late.as_secs_f64() })
         })
         .collect();
-    violations.sort_by(|one, other| one.at.total_cmp(&other.at));
+    violations.sort_by(|one, other| one.received_at.total_cmp(&other.received_at));
     let mut answers = vec![(0, 0); case.length.as_secs() as usize + 1];
-    for answered in crate::harness::lock(&observations.responses).iter() {
-        let second = answered.at - LEAD.as_secs_f64();
+    for response in crate::harness::lock(&observations.responses).iter() {
+        let second = response.sent_at - LEAD.as_secs_f64();
         if let Some((all, served)) = answers.get_mut(second as usize).filter(|_| second >= 0.0) {
             *all += 1;
-            *served += usize::from(answered.status == Some(200));
+            *served += usize::from(response.status == Some(200));
         }
     }
     let (discovery_requests, lines) = discovery.inspect(|_, discovery_requests, written_lines| {
-        let discovery_requests = discovery_requests.iter().filter(|request| request.at >= fault_begin);
+        let discovery_requests =
+            discovery_requests.iter().filter(|request| request.received_at >= fault_begin);
         let discovery_requests = discovery_requests
-            .map(|request| ((request.at - fault_begin).as_secs_f64(), request.from))
+            .map(|request| ((request.received_at - fault_begin).as_secs_f64(), request.from))
             .collect();
-        (discovery_requests, written_lines.iter().filter(|line| line.at >= fault_begin).count())
+        (discovery_requests, written_lines.iter().filter(|line| line.written_at >= fault_begin).count())
     });
-    let received = received.iter().filter(|request| request.at >= fault_begin).count();
+    let received = received.iter().filter(|request| request.received_at >= fault_begin).count();
     Report { violations, received, answers, discovery_requests, lines, log }
 }
 
@@ -226,7 +234,7 @@
         let first = self
             .violations
             .first()
-            .map_or(String::new(), |violation| format!(", the first at {:.1} s", violation.at));
+            .map_or(String::new(), |violation| format!(", the first at {:.1} s", violation.received_at));
         let discovery_requests: Vec<String> =
             self.discovery_requests.iter().map(|(at, from)| format!("{at:.1} (from {from})")).collect();
         let served: Vec<String> =
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -288,7 +288,7 @@
     let length = settings.max(drains);
     if json {
         let line = serde_json::json!({
-            "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.within, "hops": report.attempts,
+            "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.max_divergence_s, "hops": report.attempts,
             "answers": report.responses, "unanswered": report.unanswered, "faults": report.failures,
             "millicores": millicores.round(), "reckoned_millicores": estimated_demand(scene),
         });
@@ -299,7 +299,7 @@
         "{file}: {} hops, {} answers, {} calls without one",
         report.attempts, report.responses, report.unanswered
     );
-    println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.within);
+    println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.max_divergence_s);
     println!("{file}: took {millicores:.0} thousandths of a core, reckoned {}", estimated_demand(scene));
 }
 
@@ -398,7 +398,7 @@
 /// Runs one scene and prints its report; false if an expectation does not hold.
 fn run_one_scene(file: &Path, options: &RunOptions, json: bool, logs: bool) -> bool {
     let name = file.display().to_string();
-    let (cpu_before, begun) = (cpu_seconds_used(), Instant::now());
+    let (cpu_before, start_time) = (cpu_seconds_used(), Instant::now());
     let read = std::fs::read_to_string(file).map_err(|error| error.to_string());
     let result = read.and_then(|text| {
         let scene = Scene::parse(&text)?;
@@ -416,7 +416,7 @@
                 &name,
                 &scene,
                 &report,
-                1000.0 * millicores / begun.elapsed().as_secs_f64(),
+                1000.0 * millicores / start_time.elapsed().as_secs_f64(),
                 json,
             );
             report.failures.is_empty()
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -14,8 +14,8 @@
 /// The command that builds the fault injection library, for a release build.
 const LIBRARY_BUILD_COMMAND: &str = "cargo build --release -p oakhollow-faults --examples";
 
-/// One instance of the program, with a folder of its own. Where a second process replaces the first, both belong to
-/// it.
+/// One instance of the program, with a folder of its own. While a second process takes over from the first, the
+/// instance consists of both.
 pub struct Sidecar {
     /// The instance's name.
     pub name: String,
@@ -25,13 +25,13 @@
     pub console: SocketAddr,
     program: PathBuf,
     folder: PathBuf,
-    operator: bool,
+    has_operator_config: bool,
     /// The first arguments, if the program is the fake sidecar. It rereads its settings file without a signal.
     fake_sidecar_arguments: Vec<String>,
-    /// The listening socket that is passed to each process, where one replaces another.
+    /// The listening socket that is passed to each process, if one process may take over from another.
     listener: Option<TcpListener>,
     child: Option<Child>,
-    /// The process that is being replaced.
+    /// The process from which the latest one takes over.
     first: Option<Child>,
     /// The control of the faults in its processes, and the library that injects them.
     faults: Option<(Faults, PathBuf)>,
@@ -64,7 +64,7 @@
             console: reserve_address()?,
             program: program.into(),
             folder,
-            operator: false,
+            has_operator_config: false,
             fake_sidecar_arguments: Vec::new(),
             listener: None,
             child: None,
@@ -88,10 +88,10 @@
     /// Loads the fault injection library into processes started from now on.
     pub fn enable_faults(&mut self) -> std::io::Result<()> {
         let library = library_path(&self.program).ok_or_else(|| {
-            let beside = self.program.display();
-            let text =
-                format!("no fault injection library beside {beside}: {LIBRARY_BUILD_COMMAND} builds it");
-            std::io::Error::new(std::io::ErrorKind::NotFound, text)
+            let program = self.program.display();
+            let message =
+                format!("no fault injection library beside {program}: {LIBRARY_BUILD_COMMAND} builds it");
+            std::io::Error::new(std::io::ErrorKind::NotFound, message)
         })?;
         self.faults = Some((Faults::new(&self.folder)?, library));
         Ok(())
@@ -141,7 +141,7 @@
 
     /// Writes the operator's file, which processes started from now on read.
     pub fn write_operator_config(&mut self, text: &str) -> std::io::Result<()> {
-        self.operator = true;
+        self.has_operator_config = true;
         fs::write(self.folder.join("operator.toml"), text)
     }
 
@@ -151,13 +151,14 @@
         let mut command = match &self.listener {
             None => Command::new(&self.program),
             Some(_) => {
+                // The socket is passed as standard input; the shell moves it to descriptor 5.
                 let mut shell = Command::new("/bin/sh");
                 shell.args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" \"$@\""]).arg(&self.program);
                 shell
             }
         };
         command.args(&self.fake_sidecar_arguments).arg(self.folder.join("sidecar.json"));
-        if self.operator {
+        if self.has_operator_config {
             command.arg("--operator").arg(self.folder.join("operator.toml"));
         }
         command.env("TMPDIR", &self.folder).env_remove("RELAY_PASSED_SOCKET");
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Whether the first of two processes has exited; true also where there are not two.
+    /// Whether the first of two processes has exited; also true if there is only one process.
     pub fn first_has_exited(&mut self) -> bool {
         let ended = self.first.as_mut().is_none_or(|first| !matches!(first.try_wait(), Ok(None)));
         if ended {
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -14,13 +14,13 @@
     /// All data is dropped.
     cut: AtomicBool,
     delay_ms: AtomicU64,
-    /// The next read is forwarded to one half, and its link breaks.
+    /// Only the first half of the next read is forwarded, and the link breaks.
     truncate_next: AtomicBool,
-    /// How often a repetition was ordered.
+    /// How many replays have been ordered.
     replays: AtomicUsize,
 }
 
-/// How many of the last lines are kept for a repetition.
+/// How many of the last lines are kept for a replay.
 const MAX_REPLAYED_LINES: usize = 32;
 
 /// The links from one instance to one lease server.
@@ -35,7 +35,7 @@
 
 impl Relay {
     /// Starts a relay to the lease server at this address.
-    pub fn start(to: SocketAddr) -> std::io::Result<Relay> {
+    pub fn start(lease_server: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let relay = Relay {
             address: listener.local_addr()?,
@@ -49,11 +49,11 @@
         let refuse = relay.refuse.clone();
         thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
-                // The link breaks, as it does without a relay where the lease server is down.
+                // Dropping the connection breaks the link, as without a relay when the lease server is down.
                 if refuse.load(Ordering::Relaxed) {
                     continue;
                 }
-                let Ok(server) = TcpStream::connect(to) else { continue };
+                let Ok(server) = TcpStream::connect(lease_server) else { continue };
                 let _ = (client.set_nodelay(true), server.set_nodelay(true));
                 let pairs = [(&client, &server, &to_lease_server), (&server, &client, &from_lease_server)];
                 for (from, to, direction) in pairs {
@@ -69,7 +69,7 @@
         Ok(relay)
     }
 
-    /// Drops all data to the lease server, or back from it; with neither, ends this and a refusal.
+    /// Drops all data to the lease server, from it, or both. With both false, ends the cut and any refusal of links.
     pub fn cut(&self, to_lease_server: bool, from_lease_server: bool) {
         self.to_lease_server.cut.store(to_lease_server, Ordering::Relaxed);
         self.from_lease_server.cut.store(from_lease_server, Ordering::Relaxed);
@@ -81,9 +81,9 @@
     }
 
     /// Delays each read of either direction.
-    pub fn delay(&self, length: Duration) {
+    pub fn delay(&self, delay: Duration) {
         for direction in [&self.to_lease_server, &self.from_lease_server] {
-            direction.delay_ms.store(length.as_millis() as u64, Ordering::Relaxed);
+            direction.delay_ms.store(delay.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
@@ -117,7 +117,7 @@
 fn forward(mut from: TcpStream, mut to: TcpStream, direction: &Direction) {
     let mut buffer = [0; 16 * 1024];
     let (mut sent_lines, mut line, mut replayed): (VecDeque<Vec<u8>>, Vec<u8>, usize) = Default::default();
-    // A repetition that was ordered before this link opened does not apply to it.
+    // A replay that was ordered before this link opened does not apply to it.
     replayed += direction.replays.load(Ordering::Relaxed);
     while let Ok(count @ 1..) = from.read(&mut buffer) {
         let delay = direction.delay_ms.load(Ordering::Relaxed);
@@ -128,7 +128,7 @@
             let _ = to.write_all(&buffer[..count / 2]);
             break;
         }
-        // Repeats between two lines, not within one.
+        // Replays earlier lines between two lines, not within one.
         let mut sent = Vec::new();
         if line.is_empty() && replayed < direction.replays.load(Ordering::Relaxed) {
             replayed += 1;
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Case {
     /// Its name in reports.
@@ -46,9 +46,14 @@
 impl Report {
     /// The most requests to discovery within any 100 ms of this span.
     pub fn most_at_once(&self, from: f64, to: f64) -> usize {
-        let times: Vec<f64> =
-            self.discovery_requests.iter().map(|(at, _)| *at).filter(|at| (from..to).contains(at)).collect();
-        let within_100_ms = |from: &f64| times.iter().filter(|at| (*from..from + 0.1).contains(*at)).count();
+        let times: Vec<f64> = self
+            .discovery_requests
+            .iter()
+            .map(|(time, _)| *time)
+            .filter(|time| (from..to).contains(time))
+            .collect();
+        let within_100_ms =
+            |from: &f64| times.iter().filter(|time| (*from..from + 0.1).contains(*time)).count();
         times.iter().map(within_100_ms).max().unwrap_or(0)
     }
 
@@ -58,11 +63,11 @@
     }
 }
 
-/// A harness that was later than this, in seconds, may have delayed processes and bunched their requests.
+/// A harness that ran later than this, in seconds, may have delayed processes and bunched their requests.
 const MAX_DELAY_S: f64 = 0.1;
 /// How long a process may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it is asked.
+/// How often a process is asked whether it is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn start_server() -> std::io::Result<SocketAddr> {
@@ -93,20 +98,20 @@
 impl Harness {
     fn build(program: &Path, case: &Case) -> std::io::Result<Harness> {
         let endpoint =
-            |at| Ok(ListedEndpoint { name: format!("s{at}"), address: start_server()?, since_ms: 0 });
+            |number| Ok(ListedEndpoint { name: format!("s{number}"), address: start_server()?, since_ms: 0 });
         let listed: Vec<ListedEndpoint> = (0..3).map(endpoint).collect::<std::io::Result<_>>()?;
         let mut harness = Harness {
             sidecars: Vec::new(),
             discovery: SharedDiscovery::start(listed.clone())?,
             folder: TempDir::new("restart"),
         };
-        for at in 0..case.processes {
-            let mut sidecar = Sidecar::new(program, &format!("n{at}"), harness.folder.path())?;
+        for number in 0..case.processes {
+            let mut sidecar = Sidecar::new(program, &format!("n{number}"), harness.folder.path())?;
             sidecar.write_config(&config_json(
                 &sidecar,
                 &ProcessConfig {
-                    process: at,
-                    me: at,
+                    process: number,
+                    me: number,
                     balancers: case.processes,
                     discovery: harness.discovery.address,
                     console: false,
@@ -134,11 +139,11 @@
 }
 
 /// Waits until a process is ready; returns the seconds since its start.
-fn wait_until_ready(to: SocketAddr, started: Instant) -> f64 {
+fn wait_until_ready(address: SocketAddr, started: Instant) -> f64 {
     let mut connection = None;
     while started.elapsed() < READY_TIMEOUT {
         if connection.is_none() {
-            connection = connect(to);
+            connection = connect(address);
         }
         let answer = connection.as_mut().and_then(|connection| send_request(connection, READY_REQUEST));
         if answer.is_some_and(|(status, _)| status == 200) {
@@ -152,8 +157,8 @@
 
 /// Runs one case. The error is that the setup failed, or that not all processes served before the kill.
 pub fn run(program: &Path, case: &Case) -> Result<(Report, RunValidity), String> {
-    let to_text = |error: std::io::Error| error.to_string();
-    let mut harness = Harness::build(program, case).map_err(to_text)?;
+    let error_text = |error: std::io::Error| error.to_string();
+    let mut harness = Harness::build(program, case).map_err(error_text)?;
     wait_until_all_ready(&mut harness.sidecars)?;
     let serving_before = harness.count_serving();
     if serving_before < case.processes {
@@ -167,14 +172,14 @@
     let (ready_after_s, returned_at) = thread::scope(|scope| {
         let mut waiting = Vec::new();
         for sidecar in &mut harness.sidecars {
-            let (to, started) = (sidecar.listen, Instant::now());
-            sidecar.start().map_err(to_text)?;
-            waiting.push(scope.spawn(move || wait_until_ready(to, started)));
+            let (address, started) = (sidecar.listen, Instant::now());
+            sidecar.start().map_err(error_text)?;
+            waiting.push(scope.spawn(move || wait_until_ready(address, started)));
         }
         let due = killed_at + Duration::from_secs_f64(case.outage_s);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let returned_at = Instant::now();
-        harness.discovery.come_back(case.capacity).map_err(to_text)?;
+        harness.discovery.come_back(case.capacity).map_err(error_text)?;
         let ready_after_s = waiting.into_iter().map(|thread| thread.join().unwrap_or(f64::INFINITY));
         let mut ready_after_s: Vec<f64> = ready_after_s.collect();
         ready_after_s.sort_by(f64::total_cmp);
@@ -183,11 +188,11 @@
     // With a known list all processes are ready before discovery is back.
     let end = returned_at + Duration::from_secs(8);
     thread::sleep(end.saturating_duration_since(Instant::now()));
-    let since = |at: Instant| at.checked_duration_since(returned_at).map(|after| after.as_secs_f64());
-    let since_return = |at: Instant| since(at).unwrap_or_else(|| -(returned_at - at).as_secs_f64());
-    let discovery_requests = harness.discovery.requests().into_iter().filter(|(at, _)| *at >= killed_at);
+    let since = |time: Instant| time.checked_duration_since(returned_at).map(|after| after.as_secs_f64());
+    let since_return = |time: Instant| since(time).unwrap_or_else(|| -(returned_at - time).as_secs_f64());
+    let discovery_requests = harness.discovery.requests().into_iter().filter(|(time, _)| *time >= killed_at);
     let mut discovery_requests: Vec<(f64, DiscoveryOutcome)> =
-        discovery_requests.map(|(at, outcome)| (since_return(at), outcome)).collect();
+        discovery_requests.map(|(time, outcome)| (since_return(time), outcome)).collect();
     discovery_requests.sort_by(|(one, _), (other, _)| one.total_cmp(other));
     let harness_delay_s = delay_monitor.max_delay_s();
     let validity = match harness_delay_s > MAX_DELAY_S {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -555,13 +555,13 @@
     /// Sums up what the clients saw from `from` on, for `length` seconds of their clock.
     fn request_totals(&self, from: f64, length: f64) -> RequestTotals {
         let answers = self.observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
-        let max_divergence_s = answers.iter().filter(|answer| (from..from + length).contains(&answer.at));
+        let in_phase = answers.iter().filter(|answer| (from..from + length).contains(&answer.sent_at));
         let (mut totals, mut slots) = (RequestTotals::default(), BTreeSet::new());
-        for answer in max_divergence_s {
+        for answer in in_phase {
             totals.requests += 1;
             match answer.status {
                 Some(200) => totals.succeeded += 1,
-                _ => _ = slots.insert((answer.sidecar, (answer.at / REFUSAL_SLOT_S) as u64)),
+                _ => _ = slots.insert((answer.sidecar, (answer.sent_at / REFUSAL_SLOT_S) as u64)),
             }
         }
         totals.refused_s = slots.len() as f64 * REFUSAL_SLOT_S;
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -59,8 +59,7 @@
     NonIdempotent,
 }
 
-/// What a scene does to an instance, its links or its discovery. The module's documentation has the words of the
-/// file.
+/// What a scene does to an instance, its links or its discovery. The module's documentation describes each word.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// `tell`, with the version.
@@ -116,7 +115,7 @@
 pub enum ListChange {
     /// It drains.
     Draining,
-    /// It takes requests, with the start time that it had.
+    /// It takes requests; its start time is unchanged.
     Ready,
     /// It takes requests and has just started.
     Restarted,
@@ -162,7 +161,7 @@
     /// How many of them, the first ones, are lease servers.
     pub lease_servers: usize,
     /// The setting `within` of the operator's file, in seconds.
-    pub within: f64,
+    pub max_divergence_s: f64,
     /// The setting `unsure` of the operator's file.
     pub unsure: String,
     /// Further lines of the section `[accord]`.
@@ -196,7 +195,7 @@
         for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if !line.is_empty() {
-                scene.parse_line(line).map_err(|why| format!("line {}: {why}", index + 1))?;
+                scene.parse_line(line).map_err(|error| format!("line {}: {error}", index + 1))?;
             }
         }
         scene.actions.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -228,13 +227,13 @@
                 self.fake_sidecar = Some((parse_instance(instance)?, behaviour.into()))
             }
             ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
-            ["sidecars", count, "keepers", lease_servers, "within", within, ref rest @ ..] => {
+            ["sidecars", count, "keepers", lease_servers, "within", max_divergence, ref rest @ ..] => {
                 (self.sidecars, self.lease_servers) =
                     (parse_integer(count)? as usize, parse_integer(lease_servers)? as usize);
-                self.within = parse_number(within)?;
+                self.max_divergence_s = parse_number(max_divergence)?;
                 match rest {
                     [] => {}
-                    ["unsure", how] => self.unsure = how.to_string(),
+                    ["unsure", policy] => self.unsure = policy.to_string(),
                     _ => return Err(not_understood()),
                 }
             }
@@ -262,7 +261,7 @@
                     ("cut-to", []) => Action::CutTo,
                     ("cut-from", []) => Action::CutFrom,
                     ("heal", []) => Action::Heal,
-                    ("delay", [length]) => Action::Delay(parse_integer(length)?),
+                    ("delay", [delay_ms]) => Action::Delay(parse_integer(delay_ms)?),
                     ("reset", []) => Action::Reset,
                     ("refuse", []) => Action::Refuse,
                     ("half", []) => Action::TruncateMessage,
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -1,5 +1,5 @@
-//! Runs one scene: starts its processes and fakes, carries out its actions on time, and has the checker read the
-//! observations.
+//! Runs one scene: starts its processes and fakes, executes its actions on time, and checks what servers and clients
+//! observed.
 use crate::checker::{self, Contradiction, DrainViolation, Findings};
 use crate::fakes::{self, Discovery, Observations};
 use crate::processes::{reserve_address, Sidecar};
@@ -19,7 +19,7 @@
 
 /// How long the instances may take until all of them serve.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// By how much the seed delays an action at most, and how late an action may be carried out, in seconds.
+/// By how much the seed delays an action at most, and how late an action may be executed, in seconds.
 const MAX_JITTER_S: f64 = 0.1;
 
 /// The outcome of a scene.
@@ -70,7 +70,7 @@
             RunError::Inconclusive { reason, failed_expectations } => {
                 write!(out, "{reason}: no figure (it had: {})", failed_expectations.join("; "))
             }
-            RunError::Failed(why) => out.write_str(why),
+            RunError::Failed(reason) => out.write_str(reason),
         }
     }
 }
@@ -90,7 +90,7 @@
 
 struct Harness {
     sidecars: Vec<Sidecar>,
-    /// From each instance to each lease server.
+    /// The relay from each instance to each lease server.
     relays: Vec<Vec<Relay>>,
     /// The addresses of the lease servers.
     lease_servers: Vec<SocketAddr>,
@@ -112,13 +112,13 @@
 
 impl Harness {
     fn build(
-        scene: &Scene, options: &RunOptions, begun: Instant, observations: &Arc<Observations>,
+        scene: &Scene, options: &RunOptions, start_time: Instant, observations: &Arc<Observations>,
     ) -> std::io::Result<Harness> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let unique = format!("oakhollow-lab-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
         let servers: Vec<SocketAddr> = (0..SERVERS)
-            .map(|at| fakes::start_server(at, begun, observations.clone()))
+            .map(|number| fakes::start_server(number, start_time, observations.clone()))
             .collect::<std::io::Result<_>>()?;
         let mut harness = Harness {
             sidecars: Vec::new(),
@@ -132,22 +132,26 @@
             seed: options.seed,
             folder,
         };
-        let first = *scene.versions.keys().next().unwrap_or(&1);
-        for at in 0..scene.sidecars {
-            let mut sidecar = Sidecar::new(options.program, &format!("n{at}"), &harness.folder)?;
-            if let Some((_, behaviour)) = scene.fake_sidecar.as_ref().filter(|(instance, _)| *instance == at)
+        let first_version = *scene.versions.keys().next().unwrap_or(&1);
+        for instance in 0..scene.sidecars {
+            let mut sidecar = Sidecar::new(options.program, &format!("n{instance}"), &harness.folder)?;
+            if let Some((_, behaviour)) =
+                scene.fake_sidecar.as_ref().filter(|(replaced, _)| *replaced == instance)
             {
                 sidecar.use_fake_sidecar(options.lab_program, behaviour);
             }
             harness.discoveries.push(Discovery::start(&harness.servers[..LISTED])?);
-            let relays: Vec<Relay> =
-                harness.lease_servers.iter().map(|to| Relay::start(*to)).collect::<std::io::Result<_>>()?;
+            let relays: Vec<Relay> = harness
+                .lease_servers
+                .iter()
+                .map(|address| Relay::start(*address))
+                .collect::<std::io::Result<_>>()?;
             if options.with_accord {
                 let instances = (0..scene.sidecars).map(|other| {
-                    // It reaches its own lease server without a relay, and never connects to an instance that is
-                    // none.
+                    // An instance reaches its own lease server without a relay, and never connects to an instance
+                    // that is not a lease server.
                     let address = match harness.lease_servers.get(other) {
-                        Some(own) if other == at => *own,
+                        Some(own) if other == instance => *own,
                         Some(_) => relays[other].address,
                         None => SocketAddr::from(([127, 0, 0, 1], 1)),
                     };
@@ -158,7 +162,7 @@
                     (0..scene.lease_servers).map(|lease_server| format!("\"n{lease_server}\"")).collect();
                 sidecar.write_operator_config(&format!(
                     "[accord]\nwithin = {:?}\nunsure = \"{}\"\nkeepers = [{}]\n{}\n[accord.instances]\n{}\n",
-                    scene.within,
+                    scene.max_divergence_s,
                     scene.unsure,
                     names.join(", "),
                     scene.accord_settings.join("\n"),
@@ -167,13 +171,17 @@
             }
             harness.relays.push(relays);
             harness.sidecars.push(sidecar);
-            harness.sidecars[at].write_config(&harness.settings_file(scene, at, first))?;
+            harness.sidecars[instance].write_config(&harness.settings_file(
+                scene,
+                instance,
+                first_version,
+            ))?;
         }
-        for (at, sidecar) in harness.sidecars.iter_mut().enumerate() {
+        for (instance, sidecar) in harness.sidecars.iter_mut().enumerate() {
             if scene
                 .actions
                 .iter()
-                .any(|(_, instance, action)| *instance == at && *action == Action::StartSecond)
+                .any(|(_, target, action)| *target == instance && *action == Action::StartSecond)
             {
                 sidecar.pass_listener()?;
             }
@@ -182,7 +190,7 @@
         Ok(harness)
     }
 
-    fn settings_file(&self, scene: &Scene, at: usize, number: u64) -> String {
+    fn settings_file(&self, scene: &Scene, instance: usize, version: u64) -> String {
         let workload = |(name, kind): &(String, WorkloadKind)| {
             let semantics = match kind {
                 WorkloadKind::ReadLike => "read_like",
@@ -192,18 +200,18 @@
                 r#"{{"name":"{name}","semantics":"{semantics}","quoted_time_s":1,"abandon_time_s":2,"payoff":1}}"#
             )
         };
-        let workloads: Vec<String> = scene.versions[&number].iter().map(workload).collect();
-        let sidecar = &self.sidecars[at];
+        let workloads: Vec<String> = scene.versions[&version].iter().map(workload).collect();
+        let sidecar = &self.sidecars[instance];
         format!(
-            r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"{}","seed":"{:x}","version":{{"number":{number}}},
-            "known":{},"settings":{{"me":{at},"balancers":{},"zones":["a"],"discovery":"on_request",
+            r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"{}","seed":"{:x}","version":{{"number":{version}}},
+            "known":{},"settings":{{"me":{instance},"balancers":{},"zones":["a"],"discovery":"on_request",
             "bounds":{{"most_hops":3,"cancel":true,"parallel_tries":true,"retry_after":true,"max_retry_after_s":2.0}},
             "rules":{{"ask_within_s":10,"cold_from":0.3,"fall_s":1.5,"warm_within_s":8}},"workloads":[{}]}}}}"#,
             sidecar.name,
             sidecar.listen,
             sidecar.console,
-            self.discoveries[at].address,
-            self.seed.wrapping_mul(31).wrapping_add(at as u64),
+            self.discoveries[instance].address,
+            self.seed.wrapping_mul(31).wrapping_add(instance as u64),
             self.initial_list,
             scene.sidecars,
             workloads.join(",")
@@ -212,13 +220,13 @@
 
     /// Waits until all instances report at their consoles that they serve.
     fn wait_until_healthy(&mut self) -> Result<(), RunError> {
-        let begun = Instant::now();
-        for at in 0..self.sidecars.len() {
-            while !is_healthy(self.sidecars[at].console) {
-                let sidecar = &mut self.sidecars[at];
-                if sidecar.has_exited() || begun.elapsed() > START_TIMEOUT {
-                    let why = format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text());
-                    return Err(RunError::Failed(why));
+        let start_time = Instant::now();
+        for index in 0..self.sidecars.len() {
+            while !is_healthy(self.sidecars[index].console) {
+                let sidecar = &mut self.sidecars[index];
+                if sidecar.has_exited() || start_time.elapsed() > START_TIMEOUT {
+                    let reason = format!("{} does not serve:\n{}", sidecar.name, sidecar.log_text());
+                    return Err(RunError::Failed(reason));
                 }
                 thread::sleep(Duration::from_millis(20));
             }
@@ -232,14 +240,14 @@
         let outgoing = outgoing
             .filter(move |(lease_server, _)| *lease_server != instance)
             .map(|(_, relay)| (relay, true));
-        let others = self.relays.iter().enumerate().filter(move |(at, _)| *at != instance);
-        outgoing.chain(others.filter_map(move |(_, relays)| Some((relays.get(instance)?, false))))
+        let incoming = self.relays.iter().enumerate().filter(move |(other, _)| *other != instance);
+        outgoing.chain(incoming.filter_map(move |(_, relays)| Some((relays.get(instance)?, false))))
     }
 
-    fn carry_out(&mut self, scene: &Scene, instance: usize, action: &Action) -> std::io::Result<()> {
+    fn execute(&mut self, scene: &Scene, instance: usize, action: &Action) -> std::io::Result<()> {
         match action {
-            Action::WriteVersion(number) => {
-                self.sidecars[instance].write_config(&self.settings_file(scene, instance, *number))?;
+            Action::WriteVersion(version) => {
+                self.sidecars[instance].write_config(&self.settings_file(scene, instance, *version))?;
                 self.sidecars[instance].reload();
             }
             Action::TruncateFile => {
@@ -254,8 +262,8 @@
                 self.links(instance).for_each(|(relay, outgoing)| relay.cut(!outgoing, outgoing))
             }
             Action::Heal => self.links(instance).for_each(|(relay, _)| relay.cut(false, false)),
-            Action::Delay(length) => {
-                self.links(instance).for_each(|(relay, _)| relay.delay(Duration::from_millis(*length)));
+            Action::Delay(delay_ms) => {
+                self.links(instance).for_each(|(relay, _)| relay.delay(Duration::from_millis(*delay_ms)));
             }
             Action::Reset => self.links(instance).for_each(|(relay, _)| relay.reset()),
             Action::Refuse => self.links(instance).for_each(|(relay, _)| relay.refuse()),
@@ -274,8 +282,8 @@
             Action::DiscoveryDown => self.discoveries[instance].set_down(true),
             Action::DiscoveryUp => self.discoveries[instance].set_down(false),
             Action::RestartDiscovery => self.discoveries[instance].restart(),
-            Action::SetMaintenance(out, server) => {
-                let command = if *out { "maint" } else { "ready" };
+            Action::SetMaintenance(in_maintenance, server) => {
+                let command = if *in_maintenance { "maint" } else { "ready" };
                 console_request(
                     self.sidecars[instance].console,
                     "PUT",
@@ -294,15 +302,17 @@
 /// Connects to a lease server as an unknown instance, with a malformed message, and with a line that does not end.
 fn open_foreign_connections(lease_server: SocketAddr) {
     let greeting = Greeting::new("n0", 1).to_json();
-    let foreign = Greeting::new("stranger", 1).to_json();
-    let endless = "x".repeat(9 * 1024 * 1024);
-    for said in
-        [format!("{foreign}\n"), format!("{greeting}\n{{\"ask\":7}}\n"), format!("{greeting}\n{endless}")]
-    {
+    let foreign_greeting = Greeting::new("stranger", 1).to_json();
+    let endless_line = "x".repeat(9 * 1024 * 1024);
+    for payload in [
+        format!("{foreign_greeting}\n"),
+        format!("{greeting}\n{{\"ask\":7}}\n"),
+        format!("{greeting}\n{endless_line}"),
+    ] {
         thread::spawn(move || {
             let mut stream = TcpStream::connect(lease_server).ok()?;
             // The lease server may close the connection before all is written.
-            let _ = stream.write_all(said.as_bytes());
+            let _ = stream.write_all(payload.as_bytes());
             fakes::read_head(&mut BufReader::new(stream))
         });
     }
@@ -323,49 +333,57 @@
 
 /// Runs a scene.
 pub fn run_scene(scene: &Scene, options: &RunOptions) -> Result<Report, RunError> {
-    let (setup_begun, observations) = (Instant::now(), Arc::new(Observations::default()));
-    let mut harness = Harness::build(scene, options, setup_begun, &observations)?;
+    let (setup_start, observations) = (Instant::now(), Arc::new(Observations::default()));
+    let mut harness = Harness::build(scene, options, setup_start, &observations)?;
     harness.wait_until_healthy()?;
-    let setup_s = setup_begun.elapsed().as_secs_f64();
-    let begun = Instant::now();
+    let setup_s = setup_start.elapsed().as_secs_f64();
+    let start_time = Instant::now();
     let mut random = WyRand::new_seed(options.seed);
-    let carried_out = thread::scope(|scope| {
-        for (at, sidecar) in harness.sidecars.iter().enumerate() {
+    let executed = thread::scope(|scope| {
+        for (index, sidecar) in harness.sidecars.iter().enumerate() {
             for workload in scene.workloads() {
-                let (to, observations) = (sidecar.listen, &observations);
+                let (address, observations) = (sidecar.listen, &observations);
                 scope.spawn(move || {
-                    fakes::run_client(to, (at, workload), scene.rate, begun, || scene.end_s, observations);
+                    fakes::run_client(
+                        address,
+                        (index, workload),
+                        scene.rate,
+                        start_time,
+                        || scene.end_s,
+                        observations,
+                    );
                 });
             }
         }
         let harness = &mut harness;
         let (mut max_delay_s, mut done_actions): (f64, Vec<_>) = (0.0, Vec::new());
-        for (time, instance, action) in &scene.actions {
-            let due = time + if options.seed == 0 { 0.0 } else { random.generate::<f64>() * MAX_JITTER_S };
-            let now = begun.elapsed().as_secs_f64();
+        for (planned_at, instance, action) in &scene.actions {
+            let due =
+                planned_at + if options.seed == 0 { 0.0 } else { random.generate::<f64>() * MAX_JITTER_S };
+            let now = start_time.elapsed().as_secs_f64();
             max_delay_s = max_delay_s.max(now - due);
             thread::sleep(Duration::from_secs_f64((due - now).max(0.0)));
             // The checker needs the actual time.
-            done_actions.push((begun.elapsed().as_secs_f64(), *instance, action.clone()));
-            harness.carry_out(scene, *instance, action)?;
+            done_actions.push((start_time.elapsed().as_secs_f64(), *instance, action.clone()));
+            harness.execute(scene, *instance, action)?;
         }
         Ok::<_, std::io::Error>((max_delay_s, done_actions))
     });
-    let (max_action_delay_s, done_actions) = carried_out?;
+    let (max_action_delay_s, done_actions) = executed?;
     let scene = &Scene { actions: done_actions, ..scene.clone() };
     let mut failures = Vec::new();
-    let killed = |at: usize| {
-        scene.actions.iter().any(|(_, instance, action)| *instance == at && *action == Action::Kill)
+    let was_killed = |index: usize| {
+        scene.actions.iter().any(|(_, target, action)| *target == index && *action == Action::Kill)
     };
-    for (at, sidecar) in harness.sidecars.iter_mut().enumerate() {
-        if sidecar.has_exited() && !killed(at) {
+    for (index, sidecar) in harness.sidecars.iter_mut().enumerate() {
+        if sidecar.has_exited() && !was_killed(index) {
             failures.push(format!("{} has ended", sidecar.name));
         }
     }
     let attempts = std::mem::take(&mut *observations.attempts.lock().unwrap_or_else(PoisonError::into_inner));
     let attempts: Vec<_> = attempts
         .into_iter()
-        .map(|attempt| checker::Attempt { at: attempt.at - setup_s, ..attempt })
+        .map(|attempt| checker::Attempt { received_at: attempt.received_at - setup_s, ..attempt })
         .collect();
     let responses =
         std::mem::take(&mut *observations.responses.lock().unwrap_or_else(PoisonError::into_inner));
@@ -377,20 +395,22 @@
     let any_stopped =
         scene.actions.iter().any(|(_, _, action)| matches!(action, Action::Stop | Action::Kill));
     // Clients of a stopped process wait for it, and send their next requests late.
-    let why = if max_action_delay_s > MAX_JITTER_S {
+    let delay_reason = if max_action_delay_s > MAX_JITTER_S {
         Some(format!("the script ran {max_action_delay_s:.3} s late"))
     } else if late_requests * 10 > responses.len() && !any_stopped {
         Some(format!("{late_requests} of {} calls went out late", responses.len()))
     } else {
         None
     };
-    match why {
+    match delay_reason {
         None => failures.extend(failed_expectations),
-        Some(why) if failures.is_empty() => {
-            return Err(RunError::Inconclusive { reason: why, failed_expectations })
+        Some(delay_reason) if failures.is_empty() => {
+            return Err(RunError::Inconclusive { reason: delay_reason, failed_expectations })
         }
         // That a process exited by itself counts even where the harness ran late.
-        Some(why) => return Err(RunError::Failed(format!("{}; {why}", failures.join("; ")))),
+        Some(delay_reason) => {
+            return Err(RunError::Failed(format!("{}; {delay_reason}", failures.join("; "))))
+        }
     }
     Ok(Report {
         contradiction,
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What happens to the cold server and to the processes.
+/// The parameters of a run: what happens to the cold server and to the processes.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Case {
     /// Its name in reports.
@@ -25,9 +25,9 @@
     pub processes: usize,
     /// Whether one process has half of the traffic.
     pub uneven: bool,
-    /// Whether the server was there, and warm, before it starts; otherwise it is new.
+    /// Whether the server was listed, and warm, before its start; otherwise it is new.
     pub server_was_warm: bool,
-    /// How much later a third of the processes hears of each start, in seconds.
+    /// How much later discovery tells a third of the processes of each start, in seconds.
     pub announcement_delay_s: f64,
     /// When a third of the processes is killed and started again, in seconds from the server's start.
     pub process_restarts_s: &'static [f64],
@@ -84,7 +84,7 @@
 const RATE: f64 = 5.0;
 /// How long the processes run before the server starts, so that they know their own request rate by then.
 const LEAD_S: f64 = 3.0;
-/// A harness that was later than this, in seconds, may have bunched arrivals. Requests that went out later count as
+/// A harness that ran later than this, in seconds, may have bunched arrivals. Requests that went out later count as
 /// late.
 const MAX_DELAY_S: f64 = 0.1;
 /// At most one request in this many may be late.
@@ -156,8 +156,8 @@
             if incarnations.arrivals.len() != incarnation + 1 {
                 return None;
             }
-            let at = incarnations.started.elapsed().as_secs_f64();
-            incarnations.arrivals[incarnation].push(Arrival { at, process });
+            let received_at = incarnations.started.elapsed().as_secs_f64();
+            incarnations.arrivals[incarnation].push(Arrival { received_at, process });
         }
         thread::sleep(WORK);
         stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").ok()?;
@@ -166,7 +166,9 @@
 
 /// Sends requests to one process until the end, with exponentially distributed pauses: an open loop, as far as one
 /// connection allows.
-fn run_client(to: SocketAddr, (process, stream): (usize, usize), rate: f64, end: Instant, tally: &Tally) {
+fn run_client(
+    address: SocketAddr, (process, stream): (usize, usize), rate: f64, end: Instant, tally: &Tally,
+) {
     let mut random = WyRand::new_seed((process * 1000 + stream) as u64);
     let mut due = Instant::now();
     let mut connection = None;
@@ -185,7 +187,7 @@
             // Clients of a process that is restarting wait for it, each with a request.
             connection = None;
             while connection.is_none() && due.elapsed() < Duration::from_secs(1) {
-                connection = connect(to);
+                connection = connect(address);
                 if connection.is_none() {
                     thread::sleep(Duration::from_millis(10));
                 }
@@ -210,18 +212,18 @@
 struct Harness {
     sidecars: Vec<Sidecar>,
     servers: Vec<Server>,
-    /// The discovery of processes that hear of starts in time, and that of the others.
+    /// The discovery of processes that are told of starts in time, and that of the others.
     discoveries: [SharedDiscovery; 2],
     /// Last, so that it is dropped after the processes.
     folder: TempDir,
 }
 
-/// Whether a process hears of starts late, in a case where some do.
-fn hears_late(process: usize) -> bool {
+/// Whether a process is told of starts late, in a case where some are.
+fn is_told_late(process: usize) -> bool {
     process % 3 == 2
 }
 
-/// Whether a process is restarted in this round. None that hears of starts late is.
+/// Whether a process is restarted in this round. Those that are told of starts late are never restarted.
 fn is_restarted(process: usize, round: usize) -> bool {
     process % 3 == round % 2
 }
@@ -232,21 +234,21 @@
             (0..=WARM_SERVERS).map(|_| Server::start()).collect::<std::io::Result<_>>()?;
         let known_servers = servers.iter().enumerate().take(WARM_SERVERS + usize::from(case.server_was_warm));
         let listed: Vec<ListedEndpoint> =
-            known_servers.map(|(at, server)| list_entry(at, server, 0)).collect();
+            known_servers.map(|(number, server)| list_entry(number, server, 0)).collect();
         let discoveries = [SharedDiscovery::start(listed.clone())?, SharedDiscovery::start(listed.clone())?];
         let mut harness =
             Harness { sidecars: Vec::new(), servers, discoveries, folder: TempDir::new("ramp") };
         let slow_start = slow_start(case);
-        for at in 0..case.processes {
-            let mut sidecar = Sidecar::new(program, &format!("n{at}"), harness.folder.path())?;
+        for number in 0..case.processes {
+            let mut sidecar = Sidecar::new(program, &format!("n{number}"), harness.folder.path())?;
             let balancers = if case.told_alone { 1 } else { case.processes };
             sidecar.write_config(&config_json(
                 &sidecar,
                 &ProcessConfig {
-                    process: at,
-                    me: at % balancers,
+                    process: number,
+                    me: number % balancers,
                     balancers,
-                    discovery: harness.discoveries[usize::from(hears_late(at))].address,
+                    discovery: harness.discoveries[usize::from(is_told_late(number))].address,
                     console: false,
                     known: Some(&listed),
                     cold_from: slow_start.cold_from,
@@ -260,7 +262,7 @@
         Ok(harness)
     }
 
-    /// Starts the cold server and announces it to the processes that hear in time. Returns the time and its entry in
+    /// Starts the cold server and announces it to the processes that are told in time. Returns the time and its entry in
     /// the list.
     fn start_cold_server(&self) -> (Instant, ListedEndpoint) {
         let server = &self.servers[WARM_SERVERS];
@@ -271,8 +273,8 @@
     }
 }
 
-fn list_entry(at: usize, server: &Server, since_ms: u64) -> ListedEndpoint {
-    ListedEndpoint { name: format!("s{at}"), address: server.address, since_ms }
+fn list_entry(number: usize, server: &Server, since_ms: u64) -> ListedEndpoint {
+    ListedEndpoint { name: format!("s{number}"), address: server.address, since_ms }
 }
 
 enum Step {
@@ -286,15 +288,17 @@
     let mut harness = Harness::build(program, case).map_err(|error| error.to_string())?;
     wait_until_all_ready(&mut harness.sidecars)?;
     let (slow_start, tally, delay_monitor) = (slow_start(case), Tally::default(), DelayMonitor::start());
-    let begun = Instant::now();
+    let start_time = Instant::now();
     let mut steps = Vec::new();
     for start in std::iter::once(0.0).chain(case.second_start_s) {
         steps.extend([(start, Step::Start), (start + case.announcement_delay_s, Step::AnnounceLate)]);
     }
-    steps.extend(case.process_restarts_s.iter().zip(0..).map(|(at, round)| (*at, Step::Restart(round))));
+    steps.extend(
+        case.process_restarts_s.iter().zip(0..).map(|(delay_s, round)| (*delay_s, Step::Restart(round))),
+    );
     steps.sort_by(|(one, _), (other, _)| one.total_cmp(other));
     let end = LEAD_S + case.second_start_s.unwrap_or(0.0) + slow_start.warm_within_s + slow_start.fall_s;
-    let end = begun + Duration::from_secs_f64(end);
+    let end = start_time + Duration::from_secs_f64(end);
     // For each incarnation of the server its start, and when each process was told of it, in seconds after the start.
     let mut informed_at: Vec<(Instant, Vec<f64>)> = Vec::new();
     let mut entry = None;
@@ -309,19 +313,20 @@
             // A client waits for each answer, so there are enough clients that none falls behind.
             let clients = (rate / RATE).ceil() as usize;
             for stream in 0..clients {
-                let (to, tally) = (sidecar.listen, &tally);
-                scope.spawn(move || run_client(to, (process, stream), rate / clients as f64, end, tally));
+                let (address, tally) = (sidecar.listen, &tally);
+                scope
+                    .spawn(move || run_client(address, (process, stream), rate / clients as f64, end, tally));
             }
         }
-        for (at, step) in &steps {
-            let due = begun + Duration::from_secs_f64(LEAD_S + at);
+        for (delay_s, step) in &steps {
+            let due = start_time + Duration::from_secs_f64(LEAD_S + delay_s);
             thread::sleep(due.saturating_duration_since(Instant::now()));
             match step {
                 Step::Start => {
-                    let (started, now_listed) = harness.start_cold_server();
-                    let announced = |process| if hears_late(process) { f64::INFINITY } else { 0.0 };
+                    let (started, listed) = harness.start_cold_server();
+                    let announced = |process| if is_told_late(process) { f64::INFINITY } else { 0.0 };
                     informed_at.push((started, (0..case.processes).map(announced).collect()));
-                    entry = Some(now_listed);
+                    entry = Some(listed);
                 }
                 Step::AnnounceLate => {
                     entry.iter().for_each(|entry| harness.discoveries[1].announce(entry.clone()));
--- a/lab/src/slow_start_limit.rs
+++ b/lab/src/slow_start_limit.rs
@@ -18,8 +18,8 @@
 /// A request that the server received.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Arrival {
-    /// When, in seconds from the server's start.
-    pub at: f64,
+    /// When it arrived, in seconds from the server's start.
+    pub received_at: f64,
     /// The process that sent it.
     pub process: usize,
 }
@@ -53,8 +53,8 @@
 impl SlowStart {
     /// How many requests a window may have that begins this long after the start. It uses the capacity at the
     /// window's beginning, the lowest within it.
-    pub fn limit(&self, begins: f64) -> f64 {
-        let share = self.cold_from + (1.0 - self.cold_from) * begins / self.warm_within_s;
+    pub fn limit(&self, begin_s: f64) -> f64 {
+        let share = self.cold_from + (1.0 - self.cold_from) * begin_s / self.warm_within_s;
         let allowed = self.fall_multiple * self.capacity * share * self.fall_s;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
@@ -63,22 +63,25 @@
     /// start, in seconds after the start.
     pub fn windows(&self, arrivals: &[Arrival], informed_at: &[f64]) -> Vec<Window> {
         let mut arrivals = arrivals.to_vec();
-        arrivals.sort_by(|one, other| one.at.total_cmp(&other.at));
+        arrivals.sort_by(|one, other| one.received_at.total_cmp(&other.received_at));
         let (mut first, mut windows) = (0, Vec::new());
         for (last, arrival) in arrivals.iter().enumerate() {
-            let begins = (arrival.at - self.fall_s).max(0.0);
-            if begins >= self.warm_within_s {
+            let begin_s = (arrival.received_at - self.fall_s).max(0.0);
+            if begin_s >= self.warm_within_s {
                 break;
             }
-            while arrivals[first].at + self.fall_s <= arrival.at {
+            while arrivals[first].received_at + self.fall_s <= arrival.received_at {
                 first += 1;
             }
             let inside = &arrivals[first..=last];
-            let informed =
-                |arrival: &&Arrival| informed_at.get(arrival.process).is_some_and(|told| *told <= arrival.at);
-            let limit = self.limit(begins);
+            let informed = |arrival: &&Arrival| {
+                informed_at
+                    .get(arrival.process)
+                    .is_some_and(|informed_at| *informed_at <= arrival.received_at)
+            };
+            let limit = self.limit(begin_s);
             let sent_by_informed = inside.iter().filter(informed).count();
-            windows.push(Window { end_s: arrival.at, sent: inside.len(), sent_by_informed, limit });
+            windows.push(Window { end_s: arrival.received_at, sent: inside.len(), sent_by_informed, limit });
         }
         windows
     }
--- a/lab/tests/scene_checker.rs
+++ b/lab/tests/scene_checker.rs
@@ -18,7 +18,7 @@
     let attempt = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         Attempt {
-            at: words[0].parse().expect("a time"),
+            received_at: words[0].parse().expect("a time"),
             sidecar: words[1].parse().expect("a sidecar"),
             server: words.get(4).map_or(0, |server| server.parse().expect("a server")),
             workload: words[2].into(),
@@ -56,8 +56,13 @@
     // Sends to a server that another serving sidecar was told is draining.
     let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 2 drain n0 s1\nexpect drains 1"))
         .expect("a scene");
-    let sent =
-        |at, sidecar, server| Attempt { at, sidecar, server, workload: "view".into(), id: format!("{at}") };
+    let sent = |received_at, sidecar, server| Attempt {
+        received_at,
+        sidecar,
+        server,
+        workload: "view".into(),
+        id: format!("{received_at}"),
+    };
     let goes_on = |from: f64, to: f64| {
         let own = (0..100).map(move |at| from + 0.1 * f64::from(at)).take_while(move |at| *at < to);
         own.map(|at| sent(at, 0, 0)).chain([sent(2.5, 1, 1), sent(3.5, 1, 1)]).collect::<Vec<_>>()
@@ -80,7 +85,7 @@
 #[test]
 fn a_request_without_an_answer_is_a_failure_unless_its_sidecar_was_killed() {
     let scene = Scene::parse(&SCENE.replace("until 9", "until 9\nat 6 kill n1")).expect("a scene");
-    let missing = |sidecar, at| vec![ResponseSeen { at, sidecar, status: None }];
+    let missing = |sidecar, sent_at| vec![ResponseSeen { sent_at, sidecar, status: None }];
     assert_eq!(failed_expectations(&scene, &[], &missing(0, 6.5), &[]), ["1 calls without an answer"]);
     assert!(failed_expectations(&scene, &[], &missing(1, 6.5), &[]).is_empty());
     assert_eq!(failed_expectations(&scene, &[], &missing(1, 1.0), &[]).len(), 1);
--- a/lab/tests/slow_start.rs
+++ b/lab/tests/slow_start.rs
@@ -96,8 +96,8 @@
 const SLOW_START: SlowStart =
     SlowStart { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
 
-fn burst(at: f64, count: usize, process: usize) -> Vec<Arrival> {
-    (0..count).map(|one| Arrival { at: at + 0.001 * one as f64, process }).collect()
+fn burst(start: f64, count: usize, process: usize) -> Vec<Arrival> {
+    (0..count).map(|index| Arrival { received_at: start + 0.001 * index as f64, process }).collect()
 }
 
 fn first_violation(arrivals: &[Arrival], informed_at: &[f64]) -> Option<Window> {
@@ -118,11 +118,12 @@
     assert_eq!((found.sent, found.sent_by_informed), (31, 31));
     // Across the border between whole seconds, by many processes that sent one request each, and recorded out of order.
     let mut spread: Vec<Arrival> =
-        (0..33).map(|process| Arrival { at: 0.7 + 0.02 * process as f64, process }).collect();
+        (0..33).map(|process| Arrival { received_at: 0.7 + 0.02 * process as f64, process }).collect();
     spread.reverse();
     assert!(first_violation(&spread, &[0.0; 33]).is_some());
     // As many requests are allowed if spread over slightly more than the window, or later in the slow start.
-    let thin: Vec<Arrival> = (0..31).map(|one| Arrival { at: 0.034 * one as f64, process: 0 }).collect();
+    let thin: Vec<Arrival> =
+        (0..31).map(|index| Arrival { received_at: 0.034 * index as f64, process: 0 }).collect();
     assert_eq!(first_violation(&thin, &[0.0]), None);
     assert_eq!(first_violation(&burst(6.0, 42, 0), &[0.0]), None);
     assert!(first_violation(&burst(6.0, 45, 0), &[0.0]).is_some());
