--- a/lab/src/chain/client.rs
+++ b/lab/src/chain/client.rs
@@ -78,7 +78,7 @@
     address: SocketAddr,
     clock: Clock,
     poller: Poller,
-    /// By key; with when the open request was due, if one is open.
+    /// The connections by key, each with when its open request was due, if one is open.
     connections: HashMap<usize, (Connection, Option<u64>)>,
     /// Idle connections, with when each was last used.
     idle: Vec<(usize, u64)>,
@@ -88,7 +88,7 @@
 
 /// Sends the requests of a round to `address`, beginning at `begin_ns` of the clock, and waits for their
 /// responses.
-pub fn run_load(address: SocketAddr, load: &LoadPlan, begin: u64, clock: Clock) -> Result<ClientResults> {
+pub fn run_load(address: SocketAddr, load: &LoadPlan, begin_ns: u64, clock: Clock) -> Result<ClientResults> {
     let results = ClientResults {
         sent: 0,
         responses: HashMap::new(),
@@ -108,22 +108,22 @@
         last_key: 0,
         results,
     };
-    client.run(load, begin)?;
+    client.run(load, begin_ns)?;
     Ok(client.results)
 }
 
 impl Client {
-    fn run(&mut self, load: &LoadPlan, begin: u64) -> Result<()> {
+    fn run(&mut self, load: &LoadPlan, begin_ns: u64) -> Result<()> {
         let (mut events, count) = (Events::new(), load.request_count());
-        let (measured_from, end) =
-            (begin + load.warm_up.as_nanos() as u64, begin + load.due_ns(count) + DRAIN_TIME_NS);
+        let (measured_from, end_ns) =
+            (begin_ns + load.warm_up.as_nanos() as u64, begin_ns + load.due_ns(count) + DRAIN_TIME_NS);
         loop {
             let now = self.clock.now();
-            if self.results.sent == count && (self.open_requests() == 0 || now >= end) {
+            if self.results.sent == count && (self.open_requests() == 0 || now >= end_ns) {
                 self.results.unanswered = self.open_requests() as u64;
                 return Ok(());
             }
-            let due_at = begin + load.due_ns(self.results.sent);
+            let due_at = begin_ns + load.due_ns(self.results.sent);
             if self.results.sent < count && now >= due_at {
                 self.send_request(load.first_id + self.results.sent, due_at)?;
                 if due_at >= measured_from {
@@ -132,7 +132,7 @@
                 }
                 continue;
             }
-            let until = if self.results.sent < count { due_at } else { end };
+            let until = if self.results.sent < count { due_at } else { end_ns };
             events.clear();
             self.poller.wait(&mut events, Some(Duration::from_nanos(until - now)))?;
             for event in events.iter() {
--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -63,7 +63,7 @@
     pub attempts: u64,
     /// Distinct requests of the client among the attempts.
     pub requests: u64,
-    /// Attempts whose request id had come before: retries and hedges by this tier's sidecar.
+    /// Attempts with a request id that the tier had received before: retries and hedges by its sidecar.
     pub repeats: u64,
     pub cancelled: u64,
     pub broken_connections: u64,
@@ -204,17 +204,17 @@
         self.tiers.iter().for_each(|tier| _ = tier.take_counters());
         let (address, clock, begin_ns) =
             (self.entry_address, self.clock, self.clock.now() + SETUP_TIME.as_nanos() as u64);
-        let (client, early, before, from) = thread::scope(|scope| {
+        let (client, warm_up_counters, usage_before, measured_since) = thread::scope(|scope| {
             let client_thread = scope.spawn(move || run_load(address, &load, begin_ns, clock));
             let measured_from = clock.instant(begin_ns) + warm_up;
             thread::sleep(measured_from.saturating_duration_since(Instant::now()));
             // The client thread goes on sending meanwhile.
-            let early: Vec<_> = self.tiers.iter().map(Tier::take_counters).collect();
-            let (before, from) = (self.read_usage(), Instant::now());
-            (client_thread.join(), early, before, from)
+            let warm_up_counters: Vec<_> = self.tiers.iter().map(Tier::take_counters).collect();
+            let (usage_before, measured_since) = (self.read_usage(), Instant::now());
+            (client_thread.join(), warm_up_counters, usage_before, measured_since)
         });
-        let usage = self.read_usage().zip(before).map(|(after, before)| after - before);
-        let usage_s = from.elapsed().as_secs_f64();
+        let usage = self.read_usage().zip(usage_before).map(|(after, before)| after - before);
+        let usage_s = measured_since.elapsed().as_secs_f64();
         let client = client.map_err(|_| "the client panicked")?.map_err(|error| error.to_string())?;
         let (mut request_transit, mut response_transit) = (histogram(), histogram());
         let add = |sum: &mut Histogram<u64>, other: &Histogram<u64>| {
@@ -222,18 +222,19 @@
         };
         add(&mut response_transit, &client.response_transit);
         let (mut tiers, mut usage_attempts) = (Vec::new(), 0);
-        for (tier, mut early) in self.tiers.iter().zip(early) {
-            let late = tier.take_counters();
-            add(&mut request_transit, &late.request_transit);
-            add(&mut response_transit, &late.response_transit);
-            usage_attempts += late.attempts;
-            early.requests.extend(&late.requests);
+        for (tier, mut warm_up_counters) in self.tiers.iter().zip(warm_up_counters) {
+            let measured_counters = tier.take_counters();
+            add(&mut request_transit, &measured_counters.request_transit);
+            add(&mut response_transit, &measured_counters.response_transit);
+            usage_attempts += measured_counters.attempts;
+            warm_up_counters.requests.extend(&measured_counters.requests);
             tiers.push(TierResults {
-                attempts: early.attempts + late.attempts,
-                requests: early.requests.len() as u64,
-                repeats: early.repeats + late.repeats,
-                cancelled: early.cancelled + late.cancelled,
-                broken_connections: early.broken_connections + late.broken_connections,
+                attempts: warm_up_counters.attempts + measured_counters.attempts,
+                requests: warm_up_counters.requests.len() as u64,
+                repeats: warm_up_counters.repeats + measured_counters.repeats,
+                cancelled: warm_up_counters.cancelled + measured_counters.cancelled,
+                broken_connections: warm_up_counters.broken_connections
+                    + measured_counters.broken_connections,
             });
         }
         Ok(Round { client, tiers, request_transit, response_transit, usage, usage_attempts, usage_s })
--- a/lab/src/chain/statistics.rs
+++ b/lab/src/chain/statistics.rs
@@ -6,7 +6,7 @@
 /// The two-sided 95 % quantile of Student's t-distribution. Beyond the table it is computed from the first
 /// terms of the expansion in the degrees of freedom, which are exact to about a thousandth there.
 pub fn t_quantile(degrees_of_freedom: usize) -> f64 {
-    match degrees_of_freedom.checked_sub(1).and_then(|at| T_95.get(at)) {
+    match degrees_of_freedom.checked_sub(1).and_then(|index| T_95.get(index)) {
         Some(quantile) => *quantile,
         None => {
             let degrees_of_freedom = degrees_of_freedom as f64;
@@ -32,7 +32,7 @@
             return None;
         }
         let mean = samples.iter().sum::<f64>() / count as f64;
-        let squares: f64 = samples.iter().map(|figure| (figure - mean).powi(2)).sum();
+        let squares: f64 = samples.iter().map(|sample| (sample - mean).powi(2)).sum();
         let error = (squares / (count - 1) as f64 / count as f64).sqrt();
         Some(Interval { mean, half_width: t_quantile(count - 1) * error, count })
     }
--- a/lab/src/chain/tiers.rs
+++ b/lab/src/chain/tiers.rs
@@ -21,15 +21,15 @@
 
 /// A histogram of nanoseconds with three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    let made = Histogram::new_with_bounds(1, 60_000_000_000, 3);
-    made.unwrap_or_else(|fault| unreachable!("valid bounds: {fault}"))
+    let histogram = Histogram::new_with_bounds(1, 60_000_000_000, 3);
+    histogram.unwrap_or_else(|error| unreachable!("valid bounds: {error}"))
 }
 
 /// What one tier received since the counters were last taken.
 pub struct TierCounters {
     /// Requests that reached it, repeats included.
     pub attempts: u64,
-    /// Attempts whose request id had come before.
+    /// Attempts with a request id that this tier had received before.
     pub repeats: u64,
     /// Requests whose connection the sender closed before the response.
     pub cancelled: u64,
@@ -105,8 +105,8 @@
         };
         let end = stopping.clone();
         let thread = std::thread::Builder::new().name(format!("tier {number}")).spawn(move || {
-            if let Err(fault) = event_loop.run(&end) {
-                eprintln!("oakhollow-lab: tier {number}: {fault}");
+            if let Err(error) = event_loop.run(&end) {
+                eprintln!("oakhollow-lab: tier {number}: {error}");
             }
         })?;
         Ok(Tier { addresses, counters, response_delay_ns, stopping, poller, thread: Some(thread) })
@@ -165,8 +165,9 @@
     fn run(&mut self, stopping: &AtomicBool) -> Result<()> {
         let mut events = Events::new();
         loop {
-            let next = self.due_responses.first().map(|(at, _)| *at);
-            let timeout = next.map(|at| Duration::from_nanos(at.saturating_sub(self.clock.now())));
+            let next_due_at = self.due_responses.first().map(|(due_at, _)| *due_at);
+            let timeout =
+                next_due_at.map(|due_at| Duration::from_nanos(due_at.saturating_sub(self.clock.now())));
             events.clear();
             self.poller.wait(&mut events, timeout)?;
             if stopping.load(Ordering::SeqCst) {
@@ -191,8 +192,8 @@
         self.last_key
     }
 
-    fn accept(&mut self, at: usize) -> Result<()> {
-        while let Ok((stream, _)) = self.listeners[at].accept() {
+    fn accept(&mut self, listener: usize) -> Result<()> {
+        while let Ok((stream, _)) = self.listeners[listener].accept() {
             let key = self.next_key();
             let connection = Connection::accepted(stream, &self.poller, key)?;
             self.connections.insert(key, (connection, ConnectionRole::Incoming { waiting_on: None }));
@@ -301,8 +302,8 @@
         let now = self.clock.now();
         while let Some(key) = self.idle.pop() {
             let Some((connection, role)) = self.connections.get_mut(&key) else { continue };
-            let good = matches!(role, ConnectionRole::Outgoing { idle_since, .. } if now - *idle_since < IDLE_LIMIT_NS);
-            if good && connection.write(request).is_ok() {
+            let usable = matches!(role, ConnectionRole::Outgoing { idle_since, .. } if now - *idle_since < IDLE_LIMIT_NS);
+            if usable && connection.write(request).is_ok() {
                 *role = ConnectionRole::Outgoing { request_key: Some(request_key), idle_since: now };
                 return Some(key);
             }
@@ -351,8 +352,10 @@
     }
 
     fn send_due_responses(&mut self) {
-        while let Some(&(at, key)) = self.due_responses.first().filter(|(at, _)| *at <= self.clock.now()) {
-            self.due_responses.remove(&(at, key));
+        while let Some(&(due_at, key)) =
+            self.due_responses.first().filter(|(due_at, _)| *due_at <= self.clock.now())
+        {
+            self.due_responses.remove(&(due_at, key));
             let response = encode_response(200, None, "ok", self.clock);
             self.reply(key, &response);
         }
--- a/lab/src/chain/wire.rs
+++ b/lab/src/chain/wire.rs
@@ -21,9 +21,9 @@
         self.0.elapsed().as_nanos() as u64
     }
 
-    /// The instant of a time of this clock.
-    pub fn instant(&self, at: u64) -> Instant {
-        self.0 + Duration::from_nanos(at)
+    /// The instant of a time on this clock, in nanoseconds.
+    pub fn instant(&self, time_ns: u64) -> Instant {
+        self.0 + Duration::from_nanos(time_ns)
     }
 }
 
@@ -78,8 +78,8 @@
                 }
                 self.bytes.extend_from_slice(&buffer[..count]);
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(fault) => return Err(fault),
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
+            Err(error) => return Err(error),
         }
         let message = take_message(&mut self.bytes)?;
         Ok(message.map(|(head, body)| Message { head, body, first_byte_at: self.first_byte_at }))
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -195,21 +195,20 @@
 
 fn soak(args: &Soak) -> ExitCode {
     let program = args.program.clone().unwrap_or_else(sibling_program);
-    let mut without = Vec::new();
+    let mut excluded = Vec::new();
     for name in &args.without {
         match Disruption::from_name(name) {
-            Some(disruption) => without.push(disruption),
+            Some(disruption) => excluded.push(disruption),
             None => {
                 eprintln!("--without: no kind {name:?}; there are {}", soak::report::disruption_names());
                 return ExitCode::FAILURE;
             }
         }
     }
-    let length = Duration::from_secs_f64(args.seconds);
-    let (mut pairs, mut clean) = (soak::report::PairCounts::default(), true);
+    let duration = Duration::from_secs_f64(args.seconds);
+    let (mut pairs, mut all_clean) = (soak::report::PairCounts::default(), true);
     for seed in args.seed..args.seed + args.seeds {
-        let plan =
-            soak::Plan { seed, processes: args.processes, duration: length, excluded: without.clone() };
+        let plan = soak::Plan { seed, processes: args.processes, duration, excluded: excluded.clone() };
         match soak::run(&program, &plan) {
             Ok(report) => {
                 print!("{report}");
@@ -217,21 +216,21 @@
                     print!("{}", report.timetable_text());
                 }
                 pairs.add(&report);
-                clean &= report.is_clean();
+                all_clean &= report.is_clean();
                 if args.shrink && !report.is_clean() {
                     println!("shrunk: {}", soak::shrink(&program, &plan));
                 }
             }
-            Err(why) => {
-                clean = false;
-                println!("seed {seed}: not played: {why}");
+            Err(error) => {
+                all_clean = false;
+                println!("seed {seed}: not played: {error}");
             }
         }
     }
     if args.pairs {
         print!("{pairs}");
     }
-    ExitCode::from(u8::from(!clean))
+    ExitCode::from(u8::from(!all_clean))
 }
 
 fn scale(args: &Scale) -> ExitCode {
@@ -253,22 +252,22 @@
         threads: args.threads,
         max_resident_bytes: (args.memory * 1e9) as u64,
     };
-    let (mut steps, mut whole) = (Vec::new(), true);
+    let (mut steps, mut all_valid) = (Vec::new(), true);
     for instances in &args.steps {
-        match run_step(&plan, *instances, &mut |what| eprintln!("{instances}: {what}")) {
+        match run_step(&plan, *instances, &mut |progress| eprintln!("{instances}: {progress}")) {
             Ok(report) => {
                 match args.json {
                     true => report::step_json(&report).iter().for_each(|object| println!("{object}")),
                     false => report::step_text(&report).iter().for_each(|line| println!("{line}")),
                 }
-                whole &= report.phases.iter().all(|phase| phase.is_valid());
+                all_valid &= report.phases.iter().all(|phase| phase.is_valid());
                 steps.push(report);
             }
-            Err(why) => {
-                whole = false;
+            Err(error) => {
+                all_valid = false;
                 match args.json {
-                    true => println!("{}", serde_json::json!({"instances": instances, "no_figure": why})),
-                    false => println!("{instances} instances: no figure: {why}"),
+                    true => println!("{}", serde_json::json!({"instances": instances, "no_figure": error})),
+                    false => println!("{instances} instances: no figure: {error}"),
                 }
             }
         }
@@ -279,27 +278,27 @@
             false => println!("{}", slope.text()),
         }
     }
-    ExitCode::from(u8::from(!whole))
+    ExitCode::from(u8::from(!all_valid))
 }
 
 fn print_scene_report(file: &str, scene: &Scene, report: &scene_runner::Report, millicores: f64, json: bool) {
-    let settings = report.contradiction.as_ref().map_or(0.0, |found| found.duration_s);
-    let drains = report.drain_violation.as_ref().map_or(0.0, |found| found.duration_s);
-    let length = settings.max(drains);
+    let settings_s = report.contradiction.as_ref().map_or(0.0, |found| found.duration_s);
+    let drains_s = report.drain_violation.as_ref().map_or(0.0, |found| found.duration_s);
+    let longest_s = settings_s.max(drains_s);
     if json {
         let line = serde_json::json!({
-            "scene": file, "longest_contradiction_s": length, "of_settings_s": settings, "of_drains_s": drains, "within_s": scene.max_divergence_s, "hops": report.attempts,
+            "scene": file, "longest_contradiction_s": longest_s, "of_settings_s": settings_s, "of_drains_s": drains_s, "within_s": scene.max_divergence_s, "hops": report.attempts,
             "answers": report.responses, "unanswered": report.unanswered, "faults": report.failures,
             "millicores": millicores.round(), "reckoned_millicores": estimated_demand(scene),
         });
         return println!("{line}");
     }
-    report.failures.iter().for_each(|fault| println!("{file}: {fault}"));
+    report.failures.iter().for_each(|failure| println!("{file}: {failure}"));
     println!(
         "{file}: {} hops, {} answers, {} calls without one",
         report.attempts, report.responses, report.unanswered
     );
-    println!("{file}: longest contradiction {length:.3} s of {:.3} s", scene.max_divergence_s);
+    println!("{file}: longest contradiction {longest_s:.3} s of {:.3} s", scene.max_divergence_s);
     println!("{file}: took {millicores:.0} thousandths of a core, reckoned {}", estimated_demand(scene));
 }
 
@@ -318,8 +317,8 @@
     match chain::report::run(config, settings) {
         Ok(report) if json => report.json(settings).iter().for_each(|line| println!("{line}")),
         Ok(report) => print!("{}", report.text(settings)),
-        Err(why) => {
-            eprintln!("oakhollow-lab: depth {}: {why}", config.depth);
+        Err(error) => {
+            eprintln!("oakhollow-lab: depth {}: {error}", config.depth);
             return false;
         }
     }
@@ -329,8 +328,8 @@
 fn main() -> ExitCode {
     match Args::parse().command {
         Command::FakeSidecar { how, file, operator } => {
-            let why = run_fake_sidecar(&file, &operator, how).err().unwrap_or_default();
-            eprintln!("oakhollow-lab: stand-in: {why}");
+            let error = run_fake_sidecar(&file, &operator, how).err().unwrap_or_default();
+            eprintln!("oakhollow-lab: stand-in: {error}");
             ExitCode::FAILURE
         }
         Command::Traffic { instances, within, seed } => {
@@ -376,17 +375,19 @@
             };
             let config =
                 |depth| chain::ChainConfig { program: &program, depth, servers: servers.into(), seed };
-            let whole = depth.into_iter().all(|depth| measure_chain(&config(depth.into()), &settings, json));
-            if whole {
+            let all_measured =
+                depth.into_iter().all(|depth| measure_chain(&config(depth.into()), &settings, json));
+            if all_measured {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             }
         }
         Command::Play { files, seed, json, alone, program, logs } => {
-            let own = std::env::current_exe().unwrap_or_default();
+            let lab_program = std::env::current_exe().unwrap_or_default();
             let program = program.unwrap_or_else(sibling_program);
-            let options = RunOptions { program: &program, lab_program: &own, with_accord: !alone, seed };
+            let options =
+                RunOptions { program: &program, lab_program: &lab_program, with_accord: !alone, seed };
             match files.iter().filter(|file| !run_one_scene(file, &options, json, logs)).count() {
                 0 => ExitCode::SUCCESS,
                 _ => ExitCode::FAILURE,
@@ -402,7 +403,7 @@
     let read = std::fs::read_to_string(file).map_err(|error| error.to_string());
     let result = read.and_then(|text| {
         let scene = Scene::parse(&text)?;
-        let report = run_scene(&scene, options).map_err(|why| why.to_string())?;
+        let report = run_scene(&scene, options).map_err(|error| error.to_string())?;
         Ok((scene, report))
     });
     match result {
@@ -410,19 +411,19 @@
             if logs {
                 report.logs.iter().for_each(|(name, log)| println!("--- {name}\n{log}"));
             }
-            let millicores =
+            let cpu_s =
                 cpu_before.zip(cpu_seconds_used()).map_or(0.0, |(cpu_before, after)| after - cpu_before);
             print_scene_report(
                 &name,
                 &scene,
                 &report,
-                1000.0 * millicores / start_time.elapsed().as_secs_f64(),
+                1000.0 * cpu_s / start_time.elapsed().as_secs_f64(),
                 json,
             );
             report.failures.is_empty()
         }
-        Err(why) => {
-            eprintln!("oakhollow-lab: {name}: {why}");
+        Err(error) => {
+            eprintln!("oakhollow-lab: {name}: {error}");
             false
         }
     }
--- a/lab/src/reruns.rs
+++ b/lab/src/reruns.rs
@@ -27,7 +27,7 @@
     result
 }
 
-fn report<T>(name: &str, result: &Result<T, RunError>, then: &str) {
-    let why = result.as_ref().err().map(RunError::to_string).unwrap_or_default();
-    let _ = writeln!(std::io::stderr(), "{name}: {why}; {then}");
+fn report<T>(name: &str, result: &Result<T, RunError>, next_step: &str) {
+    let reason = result.as_ref().err().map(RunError::to_string).unwrap_or_default();
+    let _ = writeln!(std::io::stderr(), "{name}: {reason}; {next_step}");
 }
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -24,7 +24,8 @@
 
 impl Catalogue {
     pub fn new(shape: FleetShape) -> Catalogue {
-        let names = (0..shape.services * shape.servers).map(|at| Arc::from(format!("s{at}"))).collect();
+        let names =
+            (0..shape.services * shape.servers).map(|number| Arc::from(format!("s{number}"))).collect();
         Catalogue { names, shape }
     }
 
@@ -59,12 +60,16 @@
             }
         }
         services.sort_unstable();
-        services.into_iter().flat_map(|service| self.servers_of(service)).map(|at| at as u32).collect()
+        services
+            .into_iter()
+            .flat_map(|service| self.servers_of(service))
+            .map(|server| server as u32)
+            .collect()
     }
 
     /// Builds the list update that reports these states of the servers.
     pub fn list_update(
-        &self, index: u64, whole: bool, servers: impl Iterator<Item = (usize, ServerState)>,
+        &self, index: u64, snapshot: bool, servers: impl Iterator<Item = (usize, ServerState)>,
     ) -> ListUpdate {
         let fact = |state: ServerState| Fact {
             since: state.started_at_ms,
@@ -73,7 +78,7 @@
             entry: None,
         };
         let entries = servers.map(|(server, state)| (self.names[server].clone(), Some(fact(state))));
-        ListUpdate { index, snapshot: whole, entries: entries.collect() }
+        ListUpdate { index, snapshot, entries: entries.collect() }
     }
 }
 
--- a/lab/src/scale/count.rs
+++ b/lab/src/scale/count.rs
@@ -88,27 +88,27 @@
         }
     }
 
-    fn second(&mut self, at: usize) -> &mut SecondCounts {
-        let at = at.saturating_sub(self.first_second);
+    fn second(&mut self, second: usize) -> &mut SecondCounts {
+        let index = second.saturating_sub(self.first_second);
         let empty = SecondCounts {
             lease_servers: vec![TrafficCounts::default(); self.lease_servers],
             max_instance_bytes: 0,
         };
-        if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, empty);
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, empty);
         }
-        &mut self.seconds[at]
+        &mut self.seconds[index]
     }
 
     /// Counts the traffic between one instance and one lease server in the given second of the run.
     pub fn record(
-        &mut self, at: usize, lease_server: usize, traffic: TrafficCounts,
+        &mut self, second: usize, lease_server: usize, traffic: TrafficCounts,
         current_second: &mut InstanceSecond,
     ) {
-        self.second(at).lease_servers[lease_server].add(traffic);
-        if current_second.second != at {
+        self.second(second).lease_servers[lease_server].add(traffic);
+        if current_second.second != second {
             self.finish_second(current_second);
-            current_second.second = at;
+            current_second.second = second;
         }
         current_second.bytes += traffic.bytes();
     }
@@ -124,13 +124,13 @@
 
     /// Adds the counts of another thread, which carries other instances.
     pub fn merge(&mut self, other: &Counts) {
-        for (at, theirs) in other.seconds.iter().enumerate() {
-            let second = self.second(at + other.first_second);
-            second.max_instance_bytes = second.max_instance_bytes.max(theirs.max_instance_bytes);
+        for (index, other_second) in other.seconds.iter().enumerate() {
+            let second = self.second(index + other.first_second);
+            second.max_instance_bytes = second.max_instance_bytes.max(other_second.max_instance_bytes);
             second
                 .lease_servers
                 .iter_mut()
-                .zip(&theirs.lease_servers)
+                .zip(&other_second.lease_servers)
                 .for_each(|(own, traffic)| own.add(*traffic));
         }
         self.lease_holder_cpu_us += other.lease_holder_cpu_us;
--- a/lab/src/scale/fit.rs
+++ b/lab/src/scale/fit.rs
@@ -35,7 +35,7 @@
         let count = points.len() as f64;
         let degrees_of_freedom =
             points.len().checked_sub(2).filter(|degrees_of_freedom| *degrees_of_freedom > 0)?;
-        let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
+        let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
         let sum_of_squares_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
         let sum_of_products: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -16,7 +16,7 @@
 pub const LEASE_SERVERS: usize = 3;
 /// How long a process may take to start, in addition to the lease durations that it waits for.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Workloads in the settings: the first is called, the others bring the text to a realistic size.
+/// Workloads in the settings: requests are sent to the first, the others bring the text to a realistic size.
 const WORKLOAD_COUNT: usize = 20;
 /// The workload to which the fake clients send.
 pub const CALLED_WORKLOAD: &str = "w0";
@@ -62,22 +62,22 @@
     pub fn start(
         spec: &FleetSpec, started: Instant, observations: &Arc<Observations>,
     ) -> Result<Fleet, String> {
-        Fleet::build(spec, started, observations).map_err(|fault| fault.to_string())
+        Fleet::build(spec, started, observations).map_err(|error| error.to_string())
     }
 
     fn build(spec: &FleetSpec, started: Instant, observations: &Arc<Observations>) -> std::io::Result<Fleet> {
         static RUNS: AtomicU32 = AtomicU32::new(0);
-        let unique =
+        let folder_name =
             format!("oakhollow-scale-{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
-        let folder = std::env::temp_dir().join(unique);
+        let folder = std::env::temp_dir().join(folder_name);
         let servers: Vec<SocketAddr> = (0..spec.servers)
-            .map(|at| fakes::start_server(at, started, observations.clone()))
+            .map(|number| fakes::start_server(number, started, observations.clone()))
             .collect::<std::io::Result<_>>()?;
         let lease_servers: Vec<SocketAddr> =
             (0..LEASE_SERVERS).map(|_| reserve_address()).collect::<std::io::Result<_>>()?;
         let names: Vec<String> = (0..LEASE_SERVERS)
-            .map(|at| format!("n{at}"))
-            .chain((0..spec.sidecars).map(|at| format!("r{at}")))
+            .map(|number| format!("n{number}"))
+            .chain((0..spec.sidecars).map(|number| format!("r{number}")))
             .collect();
         let operator = operator_config(spec, &names, &lease_servers);
         let mut fleet = Fleet {
@@ -95,11 +95,11 @@
             started: Instant::now(),
             folder,
         };
-        for (at, name) in names.iter().enumerate() {
+        for (index, name) in names.iter().enumerate() {
             let mut process = Sidecar::new(spec.program, name, &fleet.folder)?;
             let discovery = Discovery::start(&fleet.servers)?;
             process.write_operator_config(&operator)?;
-            process.write_config(&config_json(spec, at, &process, &discovery, &fleet.servers))?;
+            process.write_config(&config_json(spec, index, &process, &discovery, &fleet.servers))?;
             fleet.discoveries.push(discovery);
             fleet.processes.push(process);
         }
@@ -147,8 +147,8 @@
     }
 
     pub fn usage(&self) -> Vec<Usage> {
-        let of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
-        self.processes.iter().map(of).collect()
+        let usage_of = |process: &Sidecar| process.pid().and_then(Usage::of).unwrap_or_default();
+        self.processes.iter().map(usage_of).collect()
     }
 
     /// Resident memory of all processes together, in bytes.
@@ -177,34 +177,35 @@
         },
         names[..LEASE_SERVERS].iter().map(|name| format!("{name:?}")).collect::<Vec<_>>().join(", ")
     );
-    // Nothing connects to instances that are no lease servers, but their addresses have the usual length.
-    let unused_address = |at: usize| SocketAddr::from(([127, 128, (at >> 8) as u8, at as u8], 7_071));
-    for (at, name) in names.iter().chain(spec.simulated_names).enumerate() {
-        let address = lease_servers.get(at).copied().unwrap_or_else(|| unused_address(at));
+    // Nothing connects to instances that are not lease servers, but their addresses have the usual length.
+    let unused_address =
+        |index: usize| SocketAddr::from(([127, 128, (index >> 8) as u8, index as u8], 7_071));
+    for (index, name) in names.iter().chain(spec.simulated_names).enumerate() {
+        let address = lease_servers.get(index).copied().unwrap_or_else(|| unused_address(index));
         text += &format!("{name} = \"{address}\"\n");
     }
     text
 }
 
 fn config_json(
-    spec: &FleetSpec, at: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
+    spec: &FleetSpec, index: usize, process: &Sidecar, discovery: &Discovery, servers: &[SocketAddr],
 ) -> String {
-    let workload = |at: usize| {
+    let workload = |number: usize| {
         format!(
-            r#"{{"name":"w{at}","semantics":"read_like","quoted_time_s":1,"abandon_time_s":2,"payoff":1}}"#
+            r#"{{"name":"w{number}","semantics":"read_like","quoted_time_s":1,"abandon_time_s":2,"payoff":1}}"#
         )
     };
     let workloads: Vec<String> = (0..WORKLOAD_COUNT).map(workload).collect();
     format!(
         r#"{{"name":"{}","listen":"{}","console":"{}","discovery":"{}","seed":"{:x}","version":{{"number":1}},
-        "limits":{{"sockets":{}}},"known":{},"settings":{{"me":{at},"balancers":{},"zones":["a"],"discovery":"on_request",
+        "limits":{{"sockets":{}}},"known":{},"settings":{{"me":{index},"balancers":{},"zones":["a"],"discovery":"on_request",
         "bounds":{{"most_hops":3,"cancel":true,"parallel_tries":true,"retry_after":true,"max_retry_after_s":2.0}},
         "rules":{{"ask_within_s":10,"cold_from":0.3,"fall_s":1.5,"warm_within_s":8}},"workloads":[{}]}}}}"#,
         process.name,
         process.listen,
         process.console,
         discovery.address,
-        spec.seed.wrapping_mul(31).wrapping_add(at as u64),
+        spec.seed.wrapping_mul(31).wrapping_add(index as u64),
         // A lease server reserves two links for each instance, in addition to the default limit.
         1_024 + 2 * (spec.simulated_names.len() + LEASE_SERVERS + spec.sidecars),
         fakes::initial_list(servers),
--- a/lab/src/scale/link.rs
+++ b/lab/src/scale/link.rs
@@ -47,14 +47,14 @@
 
 impl Link {
     /// Starts to connect and drops what was queued for an earlier connection.
-    pub fn connect(&mut self, epoll: &OwnedFd, token: u64, to: SocketAddr) -> Result<()> {
+    pub fn connect(&mut self, epoll: &OwnedFd, token: u64, address: SocketAddr) -> Result<()> {
         self.close();
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
         let _ = net::sockopt::set_tcp_nodelay(&socket, true);
-        match net::connect(&socket, &to) {
+        match net::connect(&socket, &address) {
             Ok(()) | Err(Errno::INPROGRESS) => {}
-            Err(fault) => return Err(fault.into()),
+            Err(error) => return Err(error.into()),
         }
         epoll::add(epoll, &socket, EventData::new_u64(token), EventFlags::IN | EventFlags::OUT)?;
         self.wants_write = true;
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -9,39 +9,42 @@
 /// A figure of a phase through which slopes are fitted. The names are keys of the JSON output.
 struct Figure {
     name: &'static str,
-    of: fn(&PhaseReport) -> f64,
+    value: fn(&PhaseReport) -> f64,
 }
 
 const FIGURES: [Figure; 11] = [
-    Figure { name: "keeper, core", of: |phase| phase.lease_server.cpu },
-    Figure { name: "keeper, microseconds of work a word", of: cpu_us_per_message },
-    Figure { name: "keeper, resident MB", of: |phase| phase.lease_server.resident as f64 / 1e6 },
-    Figure { name: "keeper, descriptors", of: |phase| phase.lease_server.descriptors as f64 },
+    Figure { name: "keeper, core", value: |phase| phase.lease_server.cpu },
+    Figure { name: "keeper, microseconds of work a word", value: cpu_us_per_message },
+    Figure { name: "keeper, resident MB", value: |phase| phase.lease_server.resident as f64 / 1e6 },
+    Figure { name: "keeper, descriptors", value: |phase| phase.lease_server.descriptors as f64 },
     Figure {
         name: "keeper, bytes a second",
-        of: |phase| lease_server_rate(phase, |traffic| traffic.bytes() as f64),
+        value: |phase| lease_server_rate(phase, |traffic| traffic.bytes() as f64),
     },
-    Figure { name: "keeper, bytes in its worst second", of: |phase| phase.max_lease_server_bytes() as f64 },
-    Figure { name: "instance, core for the member alone", of: lease_holder_cpu },
+    Figure {
+        name: "keeper, bytes in its worst second",
+        value: |phase| phase.max_lease_server_bytes() as f64,
+    },
+    Figure { name: "instance, core for the member alone", value: lease_holder_cpu },
     Figure {
         name: "instance, words a second",
-        of: |phase| instance_rate(phase, |traffic| traffic.messages() as f64),
+        value: |phase| instance_rate(phase, |traffic| traffic.messages() as f64),
     },
     Figure {
         name: "instance, bytes a second",
-        of: |phase| instance_rate(phase, |traffic| traffic.bytes() as f64),
+        value: |phase| instance_rate(phase, |traffic| traffic.bytes() as f64),
     },
-    Figure { name: "instance, bytes in its worst second", of: |phase| phase.max_instance_bytes() as f64 },
-    Figure { name: "answer, ms at p99", of: |phase| grant_latency_ms(phase, 0.99) },
+    Figure { name: "instance, bytes in its worst second", value: |phase| phase.max_instance_bytes() as f64 },
+    Figure { name: "answer, ms at p99", value: |phase| grant_latency_ms(phase, 0.99) },
 ];
 
-fn lease_server_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
+fn lease_server_rate(phase: &PhaseReport, value: fn(&super::count::TrafficCounts) -> f64) -> f64 {
     let lease_servers = phase.counts.seconds.first().map_or(1, |second| second.lease_servers.len());
-    of(&phase.total_traffic()) / phase.length_s / lease_servers.max(1) as f64
+    value(&phase.total_traffic()) / phase.length_s / lease_servers.max(1) as f64
 }
 
-fn instance_rate(phase: &PhaseReport, of: fn(&super::count::TrafficCounts) -> f64) -> f64 {
-    of(&phase.total_traffic()) / phase.length_s / phase.alive.max(1) as f64
+fn instance_rate(phase: &PhaseReport, value: fn(&super::count::TrafficCounts) -> f64) -> f64 {
+    value(&phase.total_traffic()) / phase.length_s / phase.alive.max(1) as f64
 }
 
 /// Processor time per message exchanged with simulated instances. Messages of the few real processes are not counted,
@@ -84,14 +87,14 @@
     let head = format!("  {instances} {} {:.0} s", phase.name, phase.length_s);
     if !phase.is_valid() {
         let late = phase.late_timers as f64 / phase.timers_handled.max(1) as f64;
-        let why = phase.aborted.clone().unwrap_or_else(|| {
+        let reason = phase.aborted.clone().unwrap_or_else(|| {
             format!("{:.1} % of the rig's turns came late, {:.3} s at most", 100.0 * late, phase.max_delay_s)
         });
         let (lease_servers, harness) =
             (phase.lease_server.peak_resident as f64 / 1e6, phase.harness.resident as f64 / 1e6);
         let limit = MAX_LATE_SHARE * 100.0;
         return vec![format!(
-            "{head}: no figure: {why} (over {limit} % late is too much); real processes had {lease_servers:.0} MB at most, \
+            "{head}: no figure: {reason} (over {limit} % late is too much); real processes had {lease_servers:.0} MB at most, \
              the rig {harness:.0} MB; {} of {} act; the rig's threads had {:.1} core-seconds, of which the members took {:.1}",
             phase.with_lease,
             phase.alive,
@@ -158,18 +161,18 @@
     ];
     if let Some(propagation) = &phase.propagation {
         let (changes, completed) = (propagation.changes, propagation.completed());
-        let at = |part: usize| {
+        let delay_text = |part: usize| {
             propagation.delays_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"))
         };
-        let how = format!(
+        let propagation_text = format!(
             "told {changes} times, came {completed} times to all who are to hear it while that could be seen: in {} at the middle, {} at most; \
              at last {} of {} had not heard it",
-            at(completed / 2),
-            at(completed.saturating_sub(1)),
+            delay_text(completed / 2),
+            delay_text(completed.saturating_sub(1)),
             propagation.missing,
             propagation.recipients
         );
-        lines.push(format!("{head}: {how}"));
+        lines.push(format!("{head}: {propagation_text}"));
     }
     lines
 }
@@ -184,17 +187,17 @@
 /// Describes a step as JSON, with an object for each phase.
 pub fn step_json(step: &StepReport) -> Vec<Value> {
     let object = |phase: &PhaseReport| {
-        let (counts, sound) = (&phase.counts, phase.is_valid());
+        let (counts, valid) = (&phase.counts, phase.is_valid());
         let mut object = json!({
-            "instances": step.instances, "phase": phase.name, "length_s": phase.length_s, "sound": sound,
+            "instances": step.instances, "phase": phase.name, "length_s": phase.length_s, "sound": valid,
             "operator_bytes": step.operator_bytes, "answers_s": step.time_to_answer_s, "serves_s": step.time_to_serve_s,
             "acting_s": step.time_to_leases_s, "broken_off": phase.aborted, "turns": phase.timers_handled, "late": phase.late_timers,
             "latest_s": phase.max_delay_s, "alive": phase.alive, "acted": phase.had_lease, "acting": phase.with_lease,
             "resident_peak_real": phase.lease_server.peak_resident,
         });
-        if sound {
+        if valid {
             let figures: serde_json::Map<String, Value> =
-                FIGURES.iter().map(|figure| (figure.name.into(), json!((figure.of)(phase)))).collect();
+                FIGURES.iter().map(|figure| (figure.name.into(), json!((figure.value)(phase)))).collect();
             let traffic = phase.total_traffic();
             object["figures"] = figures.into();
             object["said"] = json!({
@@ -229,12 +232,12 @@
 pub struct Slope {
     pub phase: &'static str,
     pub figure: &'static str,
-    /// Fits through the logarithms, and through the figures themselves: a constant part and one per instance.
+    /// A fit through the logarithms, and one through the figures themselves: a constant part and a part per instance.
     pub power: Fit,
     pub linear: Fit,
-    /// The requested size, whether it lies beyond the last step, and what each fit predicts there.
+    /// The requested size, whether it exceeds that of the largest step, and what each fit predicts for it.
     pub size: usize,
-    pub beyond: bool,
+    pub is_extrapolated: bool,
     pub by_power: Prediction,
     pub by_line: Prediction,
 }
@@ -247,7 +250,7 @@
             names.push(phase.name);
         }
     }
-    let sound: Vec<(f64, &PhaseReport)> = steps
+    let valid_phases: Vec<(f64, &PhaseReport)> = steps
         .iter()
         .flat_map(|step| step.phases.iter().map(|phase| (step.instances as f64, phase)))
         .filter(|(_, phase)| phase.is_valid())
@@ -255,9 +258,10 @@
     let mut slopes = Vec::new();
     for name in names {
         for figure in &FIGURES {
-            let own = sound.iter().filter(|(_, phase)| phase.name == name);
-            let points: Vec<(f64, f64)> = own.map(|(size, phase)| (*size, (figure.of)(phase))).collect();
-            let last = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+            let phase_figures = valid_phases.iter().filter(|(_, phase)| phase.name == name);
+            let points: Vec<(f64, f64)> =
+                phase_figures.map(|(size, phase)| (*size, (figure.value)(phase))).collect();
+            let largest_size = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
             if let Some((power, linear)) = Fit::power(&points).zip(Fit::linear(&points)) {
                 slopes.push(Slope {
                     phase: name,
@@ -265,7 +269,7 @@
                     power,
                     linear,
                     size,
-                    beyond: size as f64 > last,
+                    is_extrapolated: size as f64 > largest_size,
                     by_power: power.predict_power(size as f64),
                     by_line: linear.predict(size as f64),
                 });
@@ -296,7 +300,7 @@
             linear.slope,
             linear.slope_error,
             power.points,
-            if self.beyond { "reckoned" } else { "fitted" },
+            if self.is_extrapolated { "reckoned" } else { "fitted" },
             self.size,
             prediction(&self.by_power),
             prediction(&self.by_line)
@@ -309,7 +313,7 @@
             "phase": self.phase, "figure": self.figure, "steps": self.power.points,
             "power": self.power.slope, "power_error": self.power.slope_error,
             "line_at_0": self.linear.intercept, "line": self.linear.slope, "line_error": self.linear.slope_error,
-            "size": self.size, "reckoned": self.beyond,
+            "size": self.size, "reckoned": self.is_extrapolated,
             "by_power": prediction(&self.by_power), "by_line": prediction(&self.by_line),
         })
     }
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -180,22 +180,23 @@
 /// Runs one step. Returns an error if the harness can't be set up or the instances don't get their leases in time.
 pub fn run_step(plan: &Plan, instances: usize, progress: &mut dyn FnMut(&str)) -> Result<StepReport, String> {
     // Each instance has a link to each lease server. Fails early instead of running out of sockets half way.
-    let (needs, has) = (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
-    if has.is_some_and(|has| needs as u64 > has) {
-        return Err(format!("{needs} descriptors are needed, and the limit is {}", has.unwrap_or(0)));
+    let (needed, limit) =
+        (instances * LEASE_SERVERS + SPARE_DESCRIPTORS, getrlimit(Resource::Nofile).current);
+    if limit.is_some_and(|limit| needed as u64 > limit) {
+        return Err(format!("{needed} descriptors are needed, and the limit is {}", limit.unwrap_or(0)));
     }
     let clock = Clock(Instant::now());
     let catalogue = Arc::new(Catalogue::new(plan.shape));
     let mut random = WyRand::new_seed(plan.seed);
     let specs: Vec<InstanceSpec> = (0..instances)
-        .map(|at| InstanceSpec {
-            name: format!("h{at}"),
-            zone: at % plan.shape.zones,
+        .map(|index| InstanceSpec {
+            name: format!("h{index}"),
+            zone: index % plan.shape.zones,
             list: catalogue.list_of(&mut random),
-            start_at: Micros((at * 1_000_000 / STARTS_PER_SECOND) as u64),
+            start_at: Micros((index * 1_000_000 / STARTS_PER_SECOND) as u64),
         })
         .collect();
-    let simulated_names: Vec<String> = specs.iter().map(|one| one.name.clone()).collect();
+    let simulated_names: Vec<String> = specs.iter().map(|spec| spec.name.clone()).collect();
     let observations = Arc::new(Observations::default());
     let spec = FleetSpec {
         program: plan.program,
@@ -215,19 +216,26 @@
         document: fleet.document.clone(),
         scope: plan.scope,
     };
-    let begun = clock.now();
-    let mut parts: Vec<Vec<InstanceSpec>> = vec![Vec::new(); plan.threads.max(1)];
-    for (at, one) in specs.iter().enumerate() {
-        let later = InstanceSpec { start_at: one.start_at + begun, ..one.clone() };
-        parts[at % plan.threads.max(1)].push(later);
+    let start_time = clock.now();
+    let mut specs_by_thread: Vec<Vec<InstanceSpec>> = vec![Vec::new(); plan.threads.max(1)];
+    for (index, spec) in specs.iter().enumerate() {
+        let delayed_spec = InstanceSpec { start_at: spec.start_at + start_time, ..spec.clone() };
+        specs_by_thread[index % plan.threads.max(1)].push(delayed_spec);
     }
-    let shards = parts.into_iter().enumerate().map(|(at, part)| {
+    let shards = specs_by_thread.into_iter().enumerate().map(|(index, thread_specs)| {
         let (common, lease_servers) = (common.clone(), fleet.lease_servers.clone());
-        Shard::start(part, common, catalogue.clone(), lease_servers, clock, plan.seed.wrapping_add(at as u64))
+        Shard::start(
+            thread_specs,
+            common,
+            catalogue.clone(),
+            lease_servers,
+            clock,
+            plan.seed.wrapping_add(index as u64),
+        )
     });
-    let shards = shards.collect::<std::io::Result<_>>().map_err(|fault| fault.to_string())?;
+    let shards = shards.collect::<std::io::Result<_>>().map_err(|error| error.to_string())?;
     let started_at_ms = vec![0; plan.shape.services * plan.shape.servers];
-    let mut harness = StepRun {
+    let mut step_run = StepRun {
         plan,
         clock,
         fleet,
@@ -239,24 +247,24 @@
         peak_resident: 0,
     };
     let lease = Duration::from_micros(lease.0);
-    harness.fleet.wait_until_serving(lease)?;
-    harness.wait_for_leases(lease)?;
-    let time_to_leases_s = (clock.now() - begun).secs();
+    step_run.fleet.wait_until_serving(lease)?;
+    step_run.wait_for_leases(lease)?;
+    let time_to_leases_s = (clock.now() - start_time).secs();
     progress(&format!("{instances} instances act after {time_to_leases_s:.1} s"));
-    let phases = harness.run_phases(lease, progress);
+    let phases = step_run.run_phases(lease, progress);
     Ok(StepReport {
         instances,
-        operator_bytes: harness.fleet.operator_bytes,
-        time_to_answer_s: harness.fleet.time_to_answer_s,
-        time_to_serve_s: harness.fleet.time_to_serve_s,
+        operator_bytes: step_run.fleet.operator_bytes,
+        time_to_answer_s: step_run.fleet.time_to_answer_s,
+        time_to_serve_s: step_run.fleet.time_to_serve_s,
         time_to_leases_s,
         phases,
     })
 }
 
 impl StepRun<'_> {
-    fn sum(&self, of: impl Fn(&Shard) -> usize) -> usize {
-        self.shards.iter().map(of).sum()
+    fn sum(&self, count_of: impl Fn(&Shard) -> usize) -> usize {
+        self.shards.iter().map(count_of).sum()
     }
 
     fn with_lease(&self) -> usize {
@@ -276,13 +284,13 @@
     }
 
     fn wait_for_leases(&mut self, lease: Duration) -> Result<(), String> {
-        let (begun, most) = (Instant::now(), START_TIMEOUT + 4 * lease);
+        let (start_time, timeout) = (Instant::now(), START_TIMEOUT + 4 * lease);
         while self.had_lease() < self.specs.len() {
             let aborted = self.fleet.exited_process().or_else(|| self.check_memory());
-            let timed_out = (begun.elapsed() > most).then(|| "timed out".to_string());
-            if let Some(why) = aborted.or(timed_out) {
+            let timed_out = (start_time.elapsed() > timeout).then(|| "timed out".to_string());
+            if let Some(reason) = aborted.or(timed_out) {
                 return Err(format!(
-                    "{why}: {} of {} instances have had leases",
+                    "{reason}: {} of {} instances have had leases",
                     self.had_lease(),
                     self.specs.len()
                 ));
@@ -302,30 +310,38 @@
 
     /// Runs the phases of the scenario while clients send requests.
     fn run_phases(&mut self, lease: Duration, progress: &mut dyn FnMut(&str)) -> Vec<PhaseReport> {
-        let (over, offset) = (AtomicBool::new(false), Instant::now());
-        let begun = self.clock.0;
+        let (finished, clients_start) = (AtomicBool::new(false), Instant::now());
+        let clock_start = self.clock.0;
         std::thread::scope(|scope| {
-            for (at, process) in self.fleet.processes.iter().enumerate().skip(LEASE_SERVERS) {
-                let (to, observations, rate, over) =
-                    (process.listen, self.observations.clone(), self.plan.rate, &over);
-                let end = move || if over.load(Ordering::Relaxed) { 0.0 } else { f64::INFINITY };
+            for (index, process) in self.fleet.processes.iter().enumerate().skip(LEASE_SERVERS) {
+                let (address, observations, rate, finished) =
+                    (process.listen, self.observations.clone(), self.plan.rate, &finished);
+                let end = move || if finished.load(Ordering::Relaxed) { 0.0 } else { f64::INFINITY };
                 scope.spawn(move || {
-                    fakes::run_client(to, (at, CALLED_WORKLOAD), rate, offset, end, &observations)
+                    fakes::run_client(
+                        address,
+                        (index, CALLED_WORKLOAD),
+                        rate,
+                        clients_start,
+                        end,
+                        &observations,
+                    )
                 });
             }
             let mut reports = Vec::new();
             for phase in self.plan.scenario.phases() {
                 progress(phase.name);
-                let report = self.run_phase(phase, lease, offset.duration_since(begun), progress);
-                let aborted = report.aborted.is_some();
-                if phase.measured || aborted {
+                let report =
+                    self.run_phase(phase, lease, clients_start.duration_since(clock_start), progress);
+                let is_aborted = report.aborted.is_some();
+                if phase.measured || is_aborted {
                     reports.push(report);
                 }
-                if aborted {
+                if is_aborted {
                     break;
                 }
             }
-            over.store(true, Ordering::Relaxed);
+            finished.store(true, Ordering::Relaxed);
             reports
         })
     }
@@ -344,103 +360,105 @@
     /// Waits for this second of the run. Returns a reason to abort if something fails before.
     fn wait_until(&mut self, second: f64) -> Option<String> {
         loop {
-            if let Some(why) = self.fleet.exited_process().or_else(|| self.check_memory()) {
-                return Some(why);
+            if let Some(reason) = self.fleet.exited_process().or_else(|| self.check_memory()) {
+                return Some(reason);
             }
-            let left = Micros((second * 1e6) as u64) - self.clock.now();
-            if left.0 == 0 {
+            let remaining = Micros((second * 1e6) as u64) - self.clock.now();
+            if remaining.0 == 0 {
                 return None;
             }
-            std::thread::sleep(POLL_INTERVAL.min(Duration::from_micros(left.0)));
+            std::thread::sleep(POLL_INTERVAL.min(Duration::from_micros(remaining.0)));
         }
     }
 
-    /// Collects the counts of all shards; the next counts begin with the second `next`.
-    fn collect(&self, next: usize, from: usize) -> Counts {
-        let mut all = Counts::new(LEASE_SERVERS, from);
-        let (to, counts) = channel();
-        self.broadcast(&Command::Collect(next, to.clone()));
-        drop(to);
+    /// Collects the counts of all shards; the next counts begin with `next_second`.
+    fn collect(&self, next_second: usize, first_second: usize) -> Counts {
+        let mut all = Counts::new(LEASE_SERVERS, first_second);
+        let (sender, counts) = channel();
+        self.broadcast(&Command::Collect(next_second, sender.clone()));
+        drop(sender);
         counts.iter().for_each(|counts| all.merge(&counts));
         all
     }
 
     /// Waits until all commands sent so far have been handled.
     fn barrier(&self) {
-        let (to, done) = channel();
-        self.broadcast(&Command::Barrier(to.clone()));
-        drop(to);
+        let (sender, done) = channel();
+        self.broadcast(&Command::Barrier(sender.clone()));
+        drop(sender);
         done.iter().for_each(|()| {});
     }
 
     fn baseline(&self, second: usize) -> Baseline {
-        let timers_handled = |of: fn(&Shard) -> u64| self.shards.iter().map(of).sum();
+        let timer_sum = |count_of: fn(&Shard) -> u64| self.shards.iter().map(count_of).sum();
         self.shards.iter().for_each(|shard| shard.status.max_delay_us.store(0, Ordering::Relaxed));
         Baseline {
             second,
             usage: self.fleet.usage(),
             harness: Usage::of(std::process::id()).unwrap_or_default(),
             timers_handled: (
-                timers_handled(|shard| shard.status.timers_handled.load(Ordering::Relaxed)),
-                timers_handled(|shard| shard.status.late_timers.load(Ordering::Relaxed)),
+                timer_sum(|shard| shard.status.timers_handled.load(Ordering::Relaxed)),
+                timer_sum(|shard| shard.status.late_timers.load(Ordering::Relaxed)),
             ),
         }
     }
 
     fn run_phase(
-        &mut self, phase: &Phase, lease: Duration, offset: Duration, progress: &mut dyn FnMut(&str),
+        &mut self, phase: &Phase, lease: Duration, clients_start_offset: Duration,
+        progress: &mut dyn FnMut(&str),
     ) -> PhaseReport {
-        let from = self.clock.now().secs() as usize + 1;
-        let mut aborted = self.wait_until(from as f64);
-        self.collect(from, from);
+        let first_second = self.clock.now().secs() as usize + 1;
+        let mut aborted = self.wait_until(first_second as f64);
+        self.collect(first_second, first_second);
         self.peak_resident = 0;
-        let before = self.baseline(from);
-        let length = (phase.lease_durations * lease.as_secs_f64()).ceil().max(1.0) as usize;
+        let baseline = self.baseline(first_second);
+        let planned_s = (phase.lease_durations * lease.as_secs_f64()).ceil().max(1.0) as usize;
         let (mut propagation, mut actions) = (Propagation::default(), 0);
         let mut changed_at = Micros(0);
-        let mut next = Some(from as f64);
-        for second in from + 1..=from + length {
-            while let Some(due) = next.filter(|due| *due < second as f64 && aborted.is_none()) {
+        let mut next_action_at = Some(first_second as f64);
+        for second in first_second + 1..=first_second + planned_s {
+            while let Some(due) = next_action_at.filter(|due| *due < second as f64 && aborted.is_none()) {
                 aborted = self.wait_until(due);
                 if actions > 0 {
                     self.record_propagation(changed_at, &mut propagation);
                 }
                 (changed_at, propagation.recipients) = self.perform(phase.action, actions);
                 actions += 1;
-                next = (phase.repeat_every_s > 0.0).then_some(due + phase.repeat_every_s);
+                next_action_at = (phase.repeat_every_s > 0.0).then_some(due + phase.repeat_every_s);
             }
             aborted = aborted.or_else(|| self.wait_until(second as f64));
             if aborted.is_some() {
                 break;
             }
-            if (second - from).is_multiple_of(10) {
+            if (second - first_second).is_multiple_of(10) {
                 progress(&format!(
-                    "{}: {} of {length} s, {} act",
+                    "{}: {} of {planned_s} s, {} act",
                     phase.name,
-                    second - from,
+                    second - first_second,
                     self.with_lease()
                 ));
             }
         }
-        let length_s = (self.clock.now() - Micros(from as u64 * 1_000_000)).secs();
+        let length_s = (self.clock.now() - Micros(first_second as u64 * 1_000_000)).secs();
         let propagation = (phase.action != PhaseAction::Nothing).then(|| {
             self.record_propagation(changed_at, &mut propagation);
             propagation.delays_s.sort_by(f64::total_cmp);
             propagation
         });
-        let mut report = self.report(phase, &before, length_s);
-        report.requests = self.request_totals(from as f64 - offset.as_secs_f64(), length_s);
+        let mut report = self.report(phase, &baseline, length_s);
+        report.requests =
+            self.request_totals(first_second as f64 - clients_start_offset.as_secs_f64(), length_s);
         (report.propagation, report.aborted) = (propagation, aborted);
         report
     }
 
-    fn report(&self, phase: &Phase, before: &Baseline, length_s: f64) -> PhaseReport {
+    fn report(&self, phase: &Phase, baseline: &Baseline, length_s: f64) -> PhaseReport {
         let max_delay_us =
             self.shards.iter().map(|shard| shard.status.max_delay_us.load(Ordering::Relaxed)).max();
         let after = self.baseline(0);
-        let used: Vec<(Usage, Usage)> = before.usage.iter().copied().zip(after.usage).collect();
+        let used: Vec<(Usage, Usage)> = baseline.usage.iter().copied().zip(after.usage).collect();
         let (lease_servers, sidecars) = used.split_at(LEASE_SERVERS);
-        let next = self.clock.now().secs() as usize + 1;
+        let next_second = self.clock.now().secs() as usize + 1;
         PhaseReport {
             name: phase.name,
             length_s,
@@ -449,15 +467,15 @@
                 ..role_usage(lease_servers, length_s)
             },
             sidecar: role_usage(sidecars, length_s),
-            harness: role_usage(&[(before.harness, after.harness)], length_s),
+            harness: role_usage(&[(baseline.harness, after.harness)], length_s),
             with_lease: self.with_lease(),
             had_lease: self.had_lease(),
             alive: self.sum(|shard| shard.status.alive.load(Ordering::Relaxed)),
-            counts: self.collect(next, before.second),
+            counts: self.collect(next_second, baseline.second),
             propagation: None,
             requests: RequestTotals::default(),
-            timers_handled: after.timers_handled.0 - before.timers_handled.0,
-            late_timers: after.timers_handled.1 - before.timers_handled.1,
+            timers_handled: after.timers_handled.0 - baseline.timers_handled.0,
+            late_timers: after.timers_handled.1 - baseline.timers_handled.1,
             max_delay_s: Micros(max_delay_us.unwrap_or(0)).secs(),
             aborted: None,
         }
@@ -467,12 +485,13 @@
     fn perform(&mut self, action: PhaseAction, repetition: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
         let all = self.plan.shape.services * self.plan.shape.servers;
-        let affected = Arc::new((0..all).map(|at| self.catalogue.zone_of(at) == zone).collect::<Vec<bool>>());
+        let affected =
+            Arc::new((0..all).map(|server| self.catalogue.zone_of(server) == zone).collect::<Vec<bool>>());
         match action {
             PhaseAction::Nothing => (self.clock.now(), 0),
             PhaseAction::DrainOnOneList => {
                 let server = self.specs[0].list[0] as usize;
-                let only = Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
+                let only = Arc::new((0..all).map(|other| other == server).collect::<Vec<bool>>());
                 let recipients = self.expect_change(AwaitedChange::Servers(only, true));
                 let now = self.clock.now();
                 self.shards[0].send(Command::UpdateOneList(
@@ -508,18 +527,19 @@
                 let servers = self.catalogue.servers_of(0);
                 let (draining, previous) =
                     (repetition % servers.len(), (repetition + servers.len() - 1) % servers.len());
-                let one = |server: usize| Arc::new((0..all).map(|at| at == server).collect::<Vec<bool>>());
-                let recipients = self.expect_change(AwaitedChange::Servers(one(draining), true));
+                let only =
+                    |server: usize| Arc::new((0..all).map(|other| other == server).collect::<Vec<bool>>());
+                let recipients = self.expect_change(AwaitedChange::Servers(only(draining), true));
                 let now = self.clock.now();
                 self.broadcast(&Command::UpdateAllLists(
-                    one(draining),
+                    only(draining),
                     ServerState { started_at_ms: self.started_at_ms[draining], excluded: true },
                 ));
                 self.fleet.announce(draining, scene::ListChange::Draining);
                 if repetition > 0 {
                     self.started_at_ms[previous] = unix_ms();
                     self.broadcast(&Command::UpdateAllLists(
-                        one(previous),
+                        only(previous),
                         ServerState { started_at_ms: self.started_at_ms[previous], excluded: false },
                     ));
                     self.fleet.announce(previous, scene::ListChange::Restarted);
@@ -552,10 +572,10 @@
         self.awaiting()
     }
 
-    /// Sums up what the clients saw from `from` on, for `length` seconds of their clock.
-    fn request_totals(&self, from: f64, length: f64) -> RequestTotals {
+    /// Sums up the requests that clients sent from `from` on, for `length_s` seconds of their clock.
+    fn request_totals(&self, from: f64, length_s: f64) -> RequestTotals {
         let answers = self.observations.responses.lock().unwrap_or_else(PoisonError::into_inner);
-        let in_phase = answers.iter().filter(|answer| (from..from + length).contains(&answer.sent_at));
+        let in_phase = answers.iter().filter(|answer| (from..from + length_s).contains(&answer.sent_at));
         let (mut totals, mut slots) = (RequestTotals::default(), BTreeSet::new());
         for answer in in_phase {
             totals.requests += 1;
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -1,5 +1,5 @@
 //! One thread of the harness with its simulated instances: an event loop over epoll events, due timers and commands.
-//! Only commands visit all instances, so that the cost of a turn does not grow with their number.
+//! Only commands visit all instances, so that the cost of a loop iteration does not grow with their number.
 use super::catalogue::{Catalogue, ServerState};
 use super::count::{Counts, TrafficCounts};
 use super::link::LinkChange;
@@ -32,7 +32,7 @@
 /// Interval of the empty list updates that keep a watch alive.
 const KEEPALIVE_INTERVAL: Micros = Micros::millis(2_000);
 const WAKE_TOKEN: u64 = u64::MAX;
-const MAX_EVENTS_PER_TURN: usize = 256;
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 const READ_BUFFER_BYTES: usize = 256 * 1024;
 
 /// The start of a run, from which all its times are counted; the first time is 1 µs, not 0.
@@ -110,12 +110,12 @@
         let server_states =
             vec![ServerState::default(); catalogue.shape().services * catalogue.shape().servers];
         let mut timers = BinaryHeap::new();
-        for (at, one) in specs.iter().enumerate() {
-            timers.push(Reverse((one.start_at, at, Timer::Start)));
+        for (index, spec) in specs.iter().enumerate() {
+            timers.push(Reverse((spec.start_at, index, Timer::Start)));
         }
         let event_loop = EventLoop {
             epoll,
-            instances: specs.into_iter().map(|one| SimulatedInstance::new(one, &common)).collect(),
+            instances: specs.into_iter().map(|spec| SimulatedInstance::new(spec, &common)).collect(),
             counts: Counts::new(lease_servers.len(), 0),
             common,
             catalogue,
@@ -179,10 +179,10 @@
 
 impl EventLoop {
     fn run(mut self, commands: &Receiver<Command>, wake_fd: &OwnedFd) {
-        let mut events = [const { MaybeUninit::<Event>::uninit() }; MAX_EVENTS_PER_TURN];
+        let mut events = [const { MaybeUninit::<Event>::uninit() }; MAX_EVENTS_PER_ITERATION];
         loop {
             let now = self.clock.now();
-            let wait = self.timers.peek().map(|Reverse((at, ..))| *at - now);
+            let wait = self.timers.peek().map(|Reverse((due, ..))| *due - now);
             let wait = wait.map(|wait| Timespec {
                 tv_sec: (wait.0 / 1_000_000) as _,
                 tv_nsec: (wait.0 % 1_000_000 * 1_000) as _,
@@ -209,8 +209,8 @@
         }
     }
 
-    fn token(&self, at: usize, lease_server: usize) -> u64 {
-        (at * self.lease_servers.len() + lease_server) as u64
+    fn token(&self, index: usize, lease_server: usize) -> u64 {
+        (index * self.lease_servers.len() + lease_server) as u64
     }
 
     fn second(&self, now: Micros) -> usize {
@@ -219,10 +219,10 @@
 
     /// Handles an epoll event of a link.
     fn handle_link_event(&mut self, token: u64, flags: EventFlags) {
-        let (at, lease_server) =
+        let (index, lease_server) =
             (token as usize / self.lease_servers.len(), token as usize % self.lease_servers.len());
         let (now, mut traffic, mut messages) = (self.clock.now(), TrafficCounts::default(), Vec::new());
-        let instance = &mut self.instances[at];
+        let instance = &mut self.instances[index];
         if !instance.alive {
             return;
         }
@@ -239,41 +239,43 @@
         self.counts.record(now.secs() as usize, lease_server, traffic, &mut instance.current_second);
         for message in messages {
             let now = self.clock.now();
-            self.record_grant_latency(at, lease_server, now, &message);
-            self.run_lease_holder(at, |instance, actions| {
+            self.record_grant_latency(index, lease_server, now, &message);
+            self.run_lease_holder(index, |instance, actions| {
                 instance.lease_holder.handle_message(now, InstanceId(lease_server as u32), message, actions);
             });
         }
         if change == LinkChange::Broken {
             self.counts.broken_links += 1;
-            self.instances[at].links[lease_server].close();
-            self.timers.push(Reverse((now + RECONNECT_DELAY, at, Timer::Connect(lease_server))));
+            self.instances[index].links[lease_server].close();
+            self.timers.push(Reverse((now + RECONNECT_DELAY, index, Timer::Connect(lease_server))));
         }
     }
 
     /// Runs a step of one instance's lease holder, counts its processor time and executes the resulting actions.
-    fn run_lease_holder(&mut self, at: usize, work: impl FnOnce(&mut SimulatedInstance, &mut Vec<Action>)) {
+    fn run_lease_holder(
+        &mut self, index: usize, work: impl FnOnce(&mut SimulatedInstance, &mut Vec<Action>),
+    ) {
         let (began, mut actions) = (thread_cpu_time(), Vec::new());
-        work(&mut self.instances[at], &mut actions);
+        work(&mut self.instances[index], &mut actions);
         self.counts.lease_holder_cpu_us += (thread_cpu_time() - began).0;
-        self.execute(at, actions);
+        self.execute(index, actions);
     }
 
     /// Records the latency of a lease grant that answers the last request.
-    fn record_grant_latency(&mut self, at: usize, lease_server: usize, now: Micros, message: &Message) {
+    fn record_grant_latency(&mut self, index: usize, lease_server: usize, now: Micros, message: &Message) {
         let Message::LeaseGrant { sequence, .. } = message else { return };
-        let (last_sequence, since) = self.instances[at].last_request[lease_server];
+        let (last_sequence, since) = self.instances[index].last_request[lease_server];
         if last_sequence == *sequence {
             self.counts.grant_latency.saturating_record((now - since).0.max(1));
         }
     }
 
-    fn execute(&mut self, at: usize, actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, actions: Vec<Action>) {
         let (now, mut may_have_learned) = (self.clock.now(), false);
         for action in actions {
             match action {
                 Action::Send(lease_server, message) => {
-                    self.send_message(at, lease_server.0 as usize, now, &message)
+                    self.send_message(index, lease_server.0 as usize, now, &message)
                 }
                 Action::ApplyLists | Action::ApplyDocuments => may_have_learned = true,
                 // A committed version shows only as a log line.
@@ -282,9 +284,9 @@
             }
         }
         for lease_server in 0..self.lease_servers.len() {
-            self.flush(at, lease_server, now);
+            self.flush(index, lease_server, now);
         }
-        let instance = &mut self.instances[at];
+        let instance = &mut self.instances[index];
         let had_lease = instance.has_lease;
         instance.update_lease_state(now, &mut self.counts);
         if instance.has_lease && !std::mem::replace(&mut instance.had_lease, true) {
@@ -299,15 +301,15 @@
             self.status.last_learned_at.fetch_max(now.0, Ordering::Relaxed);
             self.status.awaiting.fetch_sub(1, Ordering::Relaxed);
         }
-        let due = self.instances[at].lease_holder.next_wakeup();
-        if due < self.instances[at].next_timer {
-            self.instances[at].next_timer = due;
-            self.timers.push(Reverse((due, at, Timer::LeaseHolder)));
+        let due = self.instances[index].lease_holder.next_wakeup();
+        if due < self.instances[index].next_timer {
+            self.instances[index].next_timer = due;
+            self.timers.push(Reverse((due, index, Timer::LeaseHolder)));
         }
     }
 
-    fn send_message(&mut self, at: usize, lease_server: usize, now: Micros, message: &Message) {
-        let instance = &mut self.instances[at];
+    fn send_message(&mut self, index: usize, lease_server: usize, now: Micros, message: &Message) {
+        let instance = &mut self.instances[index];
         if let Message::LeaseRequest { sequence, .. } = message {
             instance.last_request[lease_server] = (*sequence, now);
         }
@@ -318,9 +320,9 @@
         self.counts.max_queue_len = self.counts.max_queue_len.max(link.queue_len());
     }
 
-    fn flush(&mut self, at: usize, lease_server: usize, now: Micros) {
-        let (token, second) = (self.token(at, lease_server), self.second(now));
-        let (instance, mut traffic) = (&mut self.instances[at], TrafficCounts::default());
+    fn flush(&mut self, index: usize, lease_server: usize, now: Micros) {
+        let (token, second) = (self.token(index, lease_server), self.second(now));
+        let (instance, mut traffic) = (&mut self.instances[index], TrafficCounts::default());
         let link = &mut instance.links[lease_server];
         // If the link broke, epoll reports it too.
         if link.queue_len() > 0 && link.write(&self.epoll, token, &mut traffic) == LinkChange::Unchanged {
@@ -328,11 +330,12 @@
         }
     }
 
-    /// Handles due timers, at most `MAX_EVENTS_PER_TURN` at a time so that epoll events are not starved.
+    /// Handles due timers, at most `MAX_EVENTS_PER_ITERATION` at a time so that epoll events are not starved.
     fn run_due_timers(&mut self) {
-        for _ in 0..MAX_EVENTS_PER_TURN {
+        for _ in 0..MAX_EVENTS_PER_ITERATION {
             let now = self.clock.now();
-            let Some(Reverse((due, at, timer))) = self.timers.peek().copied().filter(|next| next.0 .0 <= now)
+            let Some(Reverse((due, index, timer))) =
+                self.timers.peek().copied().filter(|next| next.0 .0 <= now)
             else {
                 return;
             };
@@ -342,16 +345,18 @@
             self.status.late_timers.fetch_add(u64::from(delay > LATE_THRESHOLD), Ordering::Relaxed);
             self.status.max_delay_us.fetch_max(delay.0, Ordering::Relaxed);
             match timer {
-                Timer::Start => self.start(at, now),
-                Timer::Connect(lease_server) => self.connect(at, lease_server, now),
-                Timer::LeaseHolder => self.handle_timer(at, now),
+                Timer::Start => self.start(index, now),
+                Timer::Connect(lease_server) => self.connect(index, lease_server, now),
+                Timer::LeaseHolder => self.handle_timer(index, now),
                 Timer::ListChange(number) => {
                     let (affected, state) = self.list_changes[number].clone();
-                    self.apply_list_change(at, now, &affected, state);
+                    self.apply_list_change(index, now, &affected, state);
                 }
-                Timer::ListKeepalive if self.instances[at].next_keepalive_at == due => {
-                    self.run_lease_holder(at, |instance, actions| instance.apply_empty_update(now, actions));
-                    self.schedule_keepalive(at, now);
+                Timer::ListKeepalive if self.instances[index].next_keepalive_at == due => {
+                    self.run_lease_holder(index, |instance, actions| {
+                        instance.apply_empty_update(now, actions)
+                    });
+                    self.schedule_keepalive(index, now);
                 }
                 // Scheduled before the last restart.
                 Timer::ListKeepalive => {}
@@ -359,42 +364,44 @@
         }
     }
 
-    fn start(&mut self, at: usize, now: Micros) {
-        let actions = self.instances[at].start(now, &self.common, &self.catalogue, &self.server_states);
+    fn start(&mut self, index: usize, now: Micros) {
+        let actions = self.instances[index].start(now, &self.common, &self.catalogue, &self.server_states);
         self.status.alive.fetch_add(1, Ordering::Relaxed);
-        self.execute(at, actions);
-        self.schedule_keepalive(at, now);
-        (0..self.lease_servers.len()).for_each(|lease_server| self.connect(at, lease_server, now));
+        self.execute(index, actions);
+        self.schedule_keepalive(index, now);
+        (0..self.lease_servers.len()).for_each(|lease_server| self.connect(index, lease_server, now));
     }
 
-    fn schedule_keepalive(&mut self, at: usize, since: Micros) {
-        self.instances[at].next_keepalive_at = since + KEEPALIVE_INTERVAL;
-        self.timers.push(Reverse((since + KEEPALIVE_INTERVAL, at, Timer::ListKeepalive)));
+    fn schedule_keepalive(&mut self, index: usize, since: Micros) {
+        self.instances[index].next_keepalive_at = since + KEEPALIVE_INTERVAL;
+        self.timers.push(Reverse((since + KEEPALIVE_INTERVAL, index, Timer::ListKeepalive)));
     }
 
-    fn connect(&mut self, at: usize, lease_server: usize, now: Micros) {
-        let (token, instance) = (self.token(at, lease_server), &mut self.instances[at]);
+    fn connect(&mut self, index: usize, lease_server: usize, now: Micros) {
+        let (token, instance) = (self.token(index, lease_server), &mut self.instances[index]);
         // Guards against a link that broke before the last restart.
         if !instance.alive || !instance.links[lease_server].is_disconnected() {
             return;
         }
         if instance.links[lease_server].connect(&self.epoll, token, self.lease_servers[lease_server]).is_err()
         {
-            self.timers.push(Reverse((now + RECONNECT_DELAY, at, Timer::Connect(lease_server))));
+            self.timers.push(Reverse((now + RECONNECT_DELAY, index, Timer::Connect(lease_server))));
         }
     }
 
-    fn handle_timer(&mut self, at: usize, now: Micros) {
-        self.instances[at].next_timer = Micros::NEVER;
-        if self.instances[at].alive {
-            self.run_lease_holder(at, |instance, actions| instance.lease_holder.handle_timer(now, actions));
+    fn handle_timer(&mut self, index: usize, now: Micros) {
+        self.instances[index].next_timer = Micros::NEVER;
+        if self.instances[index].alive {
+            self.run_lease_holder(index, |instance, actions| {
+                instance.lease_holder.handle_timer(now, actions)
+            });
         }
     }
 
-    fn apply_list_change(&mut self, at: usize, now: Micros, affected: &[bool], state: ServerState) {
-        if self.instances[at].alive {
+    fn apply_list_change(&mut self, index: usize, now: Micros, affected: &[bool], state: ServerState) {
+        if self.instances[index].alive {
             let catalogue = self.catalogue.clone();
-            self.run_lease_holder(at, |instance, actions| {
+            self.run_lease_holder(index, |instance, actions| {
                 instance.apply_list_change(now, &catalogue, affected, state, actions)
             });
         }
@@ -407,18 +414,24 @@
                 let servers = self.server_states.iter_mut().zip(affected.iter());
                 servers.filter(|(_, affected)| **affected).for_each(|(known, _)| *known = state);
                 self.list_changes.push((affected, state));
-                for at in 0..self.instances.len() {
+                for index in 0..self.instances.len() {
                     let start_at = now + Micros(self.random.generate_range(0..LIST_SPREAD.0));
-                    self.timers.push(Reverse((start_at, at, Timer::ListChange(self.list_changes.len() - 1))));
+                    self.timers.push(Reverse((
+                        start_at,
+                        index,
+                        Timer::ListChange(self.list_changes.len() - 1),
+                    )));
                 }
             }
-            Command::UpdateOneList(at, server, state) => {
+            Command::UpdateOneList(index, server, state) => {
                 let affected: Vec<bool> =
                     (0..self.server_states.len()).map(|other| other == server).collect();
-                self.apply_list_change(at, now, &affected, state);
+                self.apply_list_change(index, now, &affected, state);
             }
             Command::LoseZone(zone) => {
-                for instance in self.instances.iter_mut().filter(|one| one.alive && one.spec.zone == zone) {
+                for instance in
+                    self.instances.iter_mut().filter(|instance| instance.alive && instance.spec.zone == zone)
+                {
                     self.status.alive.fetch_sub(1, Ordering::Relaxed);
                     self.status.with_lease.fetch_sub(usize::from(instance.has_lease), Ordering::Relaxed);
                     self.status.had_lease.fetch_sub(usize::from(instance.had_lease), Ordering::Relaxed);
@@ -428,18 +441,19 @@
                 }
             }
             Command::RestoreZone(zone) => {
-                let gone = |at: &usize| !self.instances[*at].alive && self.instances[*at].spec.zone == zone;
-                for at in (0..self.instances.len()).filter(gone).collect::<Vec<_>>() {
+                let is_lost =
+                    |index: &usize| !self.instances[*index].alive && self.instances[*index].spec.zone == zone;
+                for index in (0..self.instances.len()).filter(is_lost).collect::<Vec<_>>() {
                     let start_at = now + Micros(self.random.generate_range(0..LIST_SPREAD.0));
-                    self.timers.push(Reverse((start_at, at, Timer::Start)));
+                    self.timers.push(Reverse((start_at, index, Timer::Start)));
                 }
             }
-            Command::WriteSettings(who, document) => {
+            Command::WriteSettings(proposer, document) => {
                 self.common.document = document.clone();
-                for at in who.map_or(0..self.instances.len(), |who| who..who + 1) {
+                for index in proposer.map_or(0..self.instances.len(), |proposer| proposer..proposer + 1) {
                     let document = document.clone();
-                    if self.instances[at].alive {
-                        self.run_lease_holder(at, |instance, actions| {
+                    if self.instances[index].alive {
+                        self.run_lease_holder(index, |instance, actions| {
                             instance.lease_holder.propose(now, document, actions);
                         });
                     }
@@ -447,19 +461,19 @@
             }
             Command::Await(awaited) => {
                 let mut awaiting = 0;
-                for instance in self.instances.iter_mut().filter(|one| one.alive) {
+                for instance in self.instances.iter_mut().filter(|instance| instance.alive) {
                     awaiting += usize::from(instance.expect_change(&awaited, &self.catalogue));
                 }
                 self.status.awaiting.store(awaiting, Ordering::Relaxed);
                 self.status.last_learned_at.store(now.0, Ordering::Relaxed);
             }
-            Command::Collect(from, to) => {
+            Command::Collect(first_second, sender) => {
                 for instance in &mut self.instances {
                     instance.count_time_without_lease(now, &mut self.counts);
                     self.counts.finish_second(&mut instance.current_second);
                 }
-                let fresh = Counts::new(self.lease_servers.len(), from);
-                let _ = to.send(std::mem::replace(&mut self.counts, fresh));
+                let fresh = Counts::new(self.lease_servers.len(), first_second);
+                let _ = sender.send(std::mem::replace(&mut self.counts, fresh));
             }
             Command::Barrier(_) | Command::Stop => {}
         }
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -30,7 +30,7 @@
 
 impl CommonConfig {
     fn new_lease_holder(&self) -> LeaseHolder {
-        let lease_servers = (0..self.lease_servers).map(|at| InstanceId(at as u32)).collect();
+        let lease_servers = (0..self.lease_servers).map(|number| InstanceId(number as u32)).collect();
         // Accepts any settings: the instance carries no requests by them.
         let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let lease_holder = LeaseHolder::new(lease_servers, self.lease_duration, validator);
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -63,7 +63,7 @@
     cut_off: Option<usize>,
 }
 
-/// The bytes of settings of an ordinary size.
+/// The size of the settings text in bytes, an ordinary one.
 const SETTINGS_BYTES: usize = 4_000;
 /// How many instances are lease servers.
 const LEASE_SERVERS: usize = 3;
@@ -72,19 +72,21 @@
 
 impl Fleet {
     fn new(
-        instances: usize, within: Micros, seed: u64, scope: Scope, listed: impl Fn(usize) -> ListUpdate,
+        instances: usize, max_divergence: Micros, seed: u64, scope: Scope,
+        listed: impl Fn(usize) -> ListUpdate,
     ) -> Fleet {
         let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
-        let names: Vec<InstanceId> = (0..LEASE_SERVERS as u32).map(InstanceId).collect();
-        let all = || LeaseHolder::new(names.clone(), lease_duration(within), validator.clone());
-        let member = || match scope {
-            Scope::All => all(),
-            Scope::Listed => all().with_subscription(),
+        let lease_server_ids: Vec<InstanceId> = (0..LEASE_SERVERS as u32).map(InstanceId).collect();
+        let unsubscribed =
+            || LeaseHolder::new(lease_server_ids.clone(), lease_duration(max_divergence), validator.clone());
+        let new_holder = || match scope {
+            Scope::All => unsubscribed(),
+            Scope::Listed => unsubscribed().with_subscription(),
         };
         let mut fleet = Fleet {
             now: Micros(1),
-            holders: (0..instances).map(|_| member()).collect(),
-            lease_servers: vec![LeaseServer::new(Micros(1), lease_duration(within)); LEASE_SERVERS],
+            holders: (0..instances).map(|_| new_holder()).collect(),
+            lease_servers: vec![LeaseServer::new(Micros(1), lease_duration(max_divergence)); LEASE_SERVERS],
             events: BinaryHeap::new(),
             sequence: 0,
             random: WyRand::new_seed(seed),
@@ -92,30 +94,30 @@
             lease_server_traffic: Traffic::default(),
             cut_off: None,
         };
-        for at in 0..instances {
-            fleet.write(at, 1);
-            fleet.list(at, listed(at));
+        for instance in 0..instances {
+            fleet.propose(instance, 1);
+            fleet.update_list(instance, listed(instance));
         }
         fleet
     }
 
-    fn at(&mut self, after: Micros, event: Event) {
+    fn schedule(&mut self, delay: Micros, event: Event) {
         self.sequence += 1;
-        self.events.push(Reverse((self.now + after, self.sequence, event)));
+        self.events.push(Reverse((self.now + delay, self.sequence, event)));
     }
 
-    fn write(&mut self, at: usize, number: u64) {
+    fn propose(&mut self, instance: usize, number: u64) {
         let version = Version { epoch: 0, number, hash: number };
         let (mut actions, document) =
             (Vec::new(), Document { version, text: "x".repeat(SETTINGS_BYTES).into() });
-        self.holders[at].propose(self.now, document, &mut actions);
-        self.act(at, actions);
+        self.holders[instance].propose(self.now, document, &mut actions);
+        self.execute(instance, actions);
     }
 
-    fn list(&mut self, at: usize, listed: ListUpdate) {
+    fn update_list(&mut self, instance: usize, update: ListUpdate) {
         let mut actions = Vec::new();
-        self.holders[at].handle_list_update(self.now, listed, &mut actions);
-        self.act(at, actions);
+        self.holders[instance].handle_list_update(self.now, update, &mut actions);
+        self.execute(instance, actions);
     }
 
     fn is_cut_off(&self, instance: usize, lease_server: usize) -> bool {
@@ -137,155 +139,155 @@
         Micros(self.random.generate_range(500_u64..2_000))
     }
 
-    fn act(&mut self, at: usize, actions: Vec<Action>) {
+    fn execute(&mut self, instance: usize, actions: Vec<Action>) {
         for action in actions {
             if let Action::Send(lease_server, message) = action {
                 let lease_server = lease_server.0 as usize;
-                self.count(at, lease_server, &message);
+                self.count(instance, lease_server, &message);
                 let delay = self.delay();
-                if !self.is_cut_off(at, lease_server) {
-                    self.at(delay, Event::ToLeaseServer(lease_server, at, message));
+                if !self.is_cut_off(instance, lease_server) {
+                    self.schedule(delay, Event::ToLeaseServer(lease_server, instance, message));
                 }
             }
         }
-        let due = self.holders[at].next_wakeup() - self.now;
-        self.at(due, Event::HolderTimer(at));
+        let due = self.holders[instance].next_wakeup() - self.now;
+        self.schedule(due, Event::HolderTimer(instance));
     }
 
-    fn lease_server_sends(&mut self, at: usize, out: Vec<(HolderId, Message)>) {
-        for (holder, message) in out {
-            let to = holder.instance.0 as usize;
-            self.count(to, at, &message);
+    fn send_from_lease_server(&mut self, lease_server: usize, messages: Vec<(HolderId, Message)>) {
+        for (holder, message) in messages {
+            let instance = holder.instance.0 as usize;
+            self.count(instance, lease_server, &message);
             let delay = self.delay();
-            if !self.is_cut_off(to, at) {
-                self.at(delay, Event::ToHolder(to, at, message));
+            if !self.is_cut_off(instance, lease_server) {
+                self.schedule(delay, Event::ToHolder(instance, lease_server, message));
             }
         }
-        if let Some(due) = self.lease_servers[at].next_wakeup(self.now) {
-            self.at(due - self.now, Event::LeaseServerTimer(at));
+        if let Some(due) = self.lease_servers[lease_server].next_wakeup(self.now) {
+            self.schedule(due - self.now, Event::LeaseServerTimer(lease_server));
         }
     }
 
-    /// Runs until the time is over, or until all instances but the one that is cut off are done; returns the seconds
-    /// it took.
-    fn run(&mut self, limit: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
-        let (begun, end) = (self.now, self.now + limit);
-        let is_waiting = |at: &usize| self.cut_off != Some(*at) && !done(&self.holders[*at]);
+    /// Runs until `time_limit` is over, or until all instances but the one that is cut off are done. Returns the
+    /// simulated seconds that it took.
+    fn run(&mut self, time_limit: Micros, done: impl Fn(&LeaseHolder) -> bool) -> f64 {
+        let (start, end) = (self.now, self.now + time_limit);
+        let is_waiting = |holder: &usize| self.cut_off != Some(*holder) && !done(&self.holders[*holder]);
         let mut waiting: BTreeSet<usize> = (0..self.holders.len()).filter(is_waiting).collect();
-        while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > end {
-                self.events.push(Reverse((at, 0, event)));
+        while let Some(Reverse((due, _, event))) = self.events.pop() {
+            if due > end {
+                self.events.push(Reverse((due, 0, event)));
                 break;
             }
-            self.now = at;
+            self.now = due;
             let changed_holder = match &event {
-                Event::ToHolder(at, ..) | Event::HolderTimer(at) => Some(*at),
+                Event::ToHolder(holder, ..) | Event::HolderTimer(holder) => Some(*holder),
                 Event::ToLeaseServer(..) | Event::LeaseServerTimer(_) => None,
             };
             match event {
-                Event::ToLeaseServer(lease_server, from, message) => {
-                    let mut out = Vec::new();
-                    let from = HolderId { instance: InstanceId(from as u32), incarnation: 1 };
-                    self.lease_servers[lease_server].handle_message(self.now, from, message, &mut out);
-                    self.lease_server_sends(lease_server, out);
+                Event::ToLeaseServer(lease_server, instance, message) => {
+                    let mut messages = Vec::new();
+                    let holder = HolderId { instance: InstanceId(instance as u32), incarnation: 1 };
+                    self.lease_servers[lease_server].handle_message(self.now, holder, message, &mut messages);
+                    self.send_from_lease_server(lease_server, messages);
                 }
-                Event::ToHolder(to, lease_server, message) => {
+                Event::ToHolder(holder, lease_server, message) => {
                     let mut actions = Vec::new();
-                    self.holders[to].handle_message(
+                    self.holders[holder].handle_message(
                         self.now,
                         InstanceId(lease_server as u32),
                         message,
                         &mut actions,
                     );
-                    self.act(to, actions);
+                    self.execute(holder, actions);
                 }
-                Event::HolderTimer(at) if self.now >= self.holders[at].next_wakeup() => {
+                Event::HolderTimer(holder) if self.now >= self.holders[holder].next_wakeup() => {
                     let mut actions = Vec::new();
-                    self.holders[at].handle_timer(self.now, &mut actions);
-                    self.act(at, actions);
+                    self.holders[holder].handle_timer(self.now, &mut actions);
+                    self.execute(holder, actions);
                 }
                 Event::HolderTimer(_) => {}
-                Event::LeaseServerTimer(at) => {
-                    let mut out = Vec::new();
-                    self.lease_servers[at].handle_timer(self.now, &mut out);
-                    self.lease_server_sends(at, out);
+                Event::LeaseServerTimer(lease_server) => {
+                    let mut messages = Vec::new();
+                    self.lease_servers[lease_server].handle_timer(self.now, &mut messages);
+                    self.send_from_lease_server(lease_server, messages);
                 }
             }
-            if let Some(at) = changed_holder.filter(|at| done(&self.holders[*at])) {
-                waiting.remove(&at);
+            if let Some(holder) = changed_holder.filter(|holder| done(&self.holders[*holder])) {
+                waiting.remove(&holder);
             }
             if waiting.is_empty() {
-                return (self.now - begun).secs();
+                return (self.now - start).secs();
             }
         }
         self.now = end;
-        limit.secs()
+        time_limit.secs()
     }
 
     /// The mean traffic of an instance and of a lease server since the last call.
     fn take_traffic(&mut self) -> (Traffic, Traffic) {
         let (traffic, sum) =
             (std::mem::take(&mut self.traffic), std::mem::take(&mut self.lease_server_traffic));
-        let part = |traffic: Traffic, by: usize| Traffic {
-            messages: traffic.messages / by as f64,
-            bytes: traffic.bytes / by as f64,
+        let mean = |traffic: Traffic, count: usize| Traffic {
+            messages: traffic.messages / count as f64,
+            bytes: traffic.bytes / count as f64,
         };
-        (part(traffic, self.holders.len()), part(sum, LEASE_SERVERS))
+        (mean(traffic, self.holders.len()), mean(sum, LEASE_SERVERS))
     }
 }
 
-fn fact(out: bool) -> Fact {
-    Fact { since: 7, excluded: out, first_hand: true, entry: None }
+fn fact(excluded: bool) -> Fact {
+    Fact { since: 7, excluded, first_hand: true, entry: None }
 }
 
 /// Simulates an idle fleet, a change of the settings, a server that drains, and a change while one instance is cut
 /// off.
-pub fn measure(instances: usize, within_s: f64, seed: u64) -> Report {
-    let within = Micros((within_s * 1e6) as u64);
-    let mut fleet = Fleet::new(instances, within, seed, Scope::All, |_| {
+pub fn measure(instances: usize, max_divergence_s: f64, seed: u64) -> Report {
+    let max_divergence = Micros((max_divergence_s * 1e6) as u64);
+    let mut fleet = Fleet::new(instances, max_divergence, seed, Scope::All, |_| {
         let fact = |server| (Arc::from(format!("s-{server:08x}")), Some(fact(false)));
         ListUpdate { index: 1, snapshot: true, entries: (0..SERVERS).map(fact).collect() }
     });
     let never = |_: &LeaseHolder| false;
-    fleet.run(within.times(3.0), never);
+    fleet.run(max_divergence.times(3.0), never);
     fleet.take_traffic();
-    let length = within.times(5.0);
-    fleet.run(length, never);
-    let (all, lease_server_traffic) = fleet.take_traffic();
+    let duration = max_divergence.times(5.0);
+    fleet.run(duration, never);
+    let (instance_traffic, lease_server_traffic) = fleet.take_traffic();
     let rate = |traffic: Traffic| Traffic {
-        messages: traffic.messages / length.secs(),
-        bytes: traffic.bytes / length.secs(),
+        messages: traffic.messages / duration.secs(),
+        bytes: traffic.bytes / duration.secs(),
     };
-    let (idle_instance, idle_lease_server) = (rate(all), rate(lease_server_traffic));
+    let (idle_instance, idle_lease_server) = (rate(instance_traffic), rate(lease_server_traffic));
     let beyond_idle = |traffic: Traffic| Traffic {
-        messages: traffic.messages - idle_instance.messages * within.secs(),
-        bytes: traffic.bytes - idle_instance.bytes * within.secs(),
+        messages: traffic.messages - idle_instance.messages * max_divergence.secs(),
+        bytes: traffic.bytes - idle_instance.bytes * max_divergence.secs(),
     };
     let has_version = |number: u64| {
-        move |member: &LeaseHolder| member.committed().is_some_and(|base| base.number == number)
+        move |holder: &LeaseHolder| holder.committed().is_some_and(|version| version.number == number)
     };
-    let run_rest = |fleet: &mut Fleet, took: f64| {
-        fleet.run(within - Micros((took * 1e6) as u64), |_: &LeaseHolder| false);
+    let run_rest = |fleet: &mut Fleet, elapsed_s: f64| {
+        fleet.run(max_divergence - Micros((elapsed_s * 1e6) as u64), |_: &LeaseHolder| false);
     };
     let last = instances - 1;
-    fleet.write(last, 2);
-    let change_s = fleet.run(within, has_version(2));
+    fleet.propose(last, 2);
+    let change_s = fleet.run(max_divergence, has_version(2));
     run_rest(&mut fleet, change_s);
     let change = beyond_idle(fleet.take_traffic().0);
     let drains = |index, server: &str| {
         let entries = vec![(server.into(), Some(fact(true)))];
         ListUpdate { index, snapshot: false, entries }
     };
-    fleet.list(last, drains(2, "s-00000003"));
-    let drain_s = fleet.run(within, |member| !member.excluded_servers().is_empty());
+    fleet.update_list(last, drains(2, "s-00000003"));
+    let drain_s = fleet.run(max_divergence, |holder| !holder.excluded_servers().is_empty());
     run_rest(&mut fleet, drain_s);
     fleet.take_traffic();
-    (0..instances).for_each(|at| fleet.list(at, drains(3, "s-00000004")));
-    fleet.run(within, never);
+    (0..instances).for_each(|instance| fleet.update_list(instance, drains(3, "s-00000004")));
+    fleet.run(max_divergence, never);
     let drain = beyond_idle(fleet.take_traffic().0);
     fleet.cut_off = Some(last);
-    fleet.write(0, 3);
-    let change_while_cut_off_s = fleet.run(within.times(2.0), has_version(3));
+    fleet.propose(0, 3);
+    let change_while_cut_off_s = fleet.run(max_divergence.times(2.0), has_version(3));
     Report {
         instances,
         idle_instance,
@@ -332,8 +334,8 @@
 
 /// Counts the costs of a fleet with one instance for each server. It measures no time, so that one seed gives the
 /// same counts on any machine.
-pub fn costs(instances: usize, within_s: f64, seed: u64, scope: Scope) -> Costs {
-    let within = Micros((within_s * 1e6) as u64);
+pub fn costs(instances: usize, max_divergence_s: f64, seed: u64, scope: Scope) -> Costs {
+    let max_divergence = Micros((max_divergence_s * 1e6) as u64);
     let shape = FleetShape {
         services: instances.div_ceil(SERVERS_PER_SERVICE),
         servers: SERVERS_PER_SERVICE,
@@ -342,37 +344,39 @@
     };
     let (catalogue, mut random) = (Catalogue::new(shape), WyRand::new_seed(seed));
     let lists: Vec<Vec<u32>> = (0..instances).map(|_| catalogue.list_of(&mut random)).collect();
-    let update = |at: usize, index: u64, out: bool, includes: &dyn Fn(usize) -> bool| {
-        let servers = lists[at].iter().map(|server| *server as usize).filter(|server| includes(*server));
+    let update = |instance: usize, index: u64, excluded: bool, includes: &dyn Fn(usize) -> bool| {
+        let servers =
+            lists[instance].iter().map(|server| *server as usize).filter(|server| includes(*server));
         catalogue.list_update(
             index,
             index == 1,
-            servers.map(|server| (server, ServerState { started_at_ms: 7, excluded: out })),
+            servers.map(|server| (server, ServerState { started_at_ms: 7, excluded })),
         )
     };
-    let mut fleet = Fleet::new(instances, within, seed, scope, |at| update(at, 1, false, &|_| true));
+    let mut fleet =
+        Fleet::new(instances, max_divergence, seed, scope, |instance| update(instance, 1, false, &|_| true));
     let never = |_: &LeaseHolder| false;
-    fleet.run(within.times(3.0), never);
-    let mut cost_of = |length: Micros, begin: &mut dyn FnMut(&mut Fleet)| {
+    fleet.run(max_divergence.times(3.0), never);
+    let mut cost_of = |duration: Micros, trigger: &mut dyn FnMut(&mut Fleet)| {
         fleet.take_traffic();
         let steps =
             |fleet: &Fleet| fleet.lease_servers.iter().map(LeaseServer::entries_examined).sum::<u64>() as f64;
         let before = steps(&fleet);
-        begin(&mut fleet);
-        fleet.run(length, never);
+        trigger(&mut fleet);
+        fleet.run(duration, never);
         let (instance, lease_server) = fleet.take_traffic();
         let steps_per_message = (steps(&fleet) - before) / (LEASE_SERVERS as f64 * lease_server.messages);
         Cost { instance, lease_server, steps_per_message }
     };
-    let scaled = |cost: Cost, by: f64| {
+    let scaled = |cost: Cost, factor: f64| {
         let traffic =
-            |traffic: Traffic| Traffic { messages: traffic.messages * by, bytes: traffic.bytes * by };
+            |traffic: Traffic| Traffic { messages: traffic.messages * factor, bytes: traffic.bytes * factor };
         Cost { instance: traffic(cost.instance), lease_server: traffic(cost.lease_server), ..cost }
     };
-    let length = within.times(4.0);
-    let idle = scaled(cost_of(length, &mut |_| {}), 1.0 / length.secs());
+    let duration = max_divergence.times(4.0);
+    let idle = scaled(cost_of(duration, &mut |_| {}), 1.0 / duration.secs());
     let beyond_idle = |cost: Cost| {
-        let idle = scaled(idle, within.secs());
+        let idle = scaled(idle, max_divergence.secs());
         let difference = |one: Traffic, other: Traffic| Traffic {
             messages: one.messages - other.messages,
             bytes: one.bytes - other.bytes,
@@ -383,14 +387,18 @@
             ..cost
         }
     };
-    let change = beyond_idle(cost_of(within, &mut |fleet| fleet.write(instances - 1, 2)));
+    let change = beyond_idle(cost_of(max_divergence, &mut |fleet| fleet.propose(instances - 1, 2)));
     let server = lists[0][0] as usize;
-    let drain = beyond_idle(cost_of(within, &mut |fleet| {
-        (0..instances).for_each(|at| fleet.list(at, update(at, 2, true, &|other| other == server)));
+    let drain = beyond_idle(cost_of(max_divergence, &mut |fleet| {
+        (0..instances).for_each(|instance| {
+            fleet.update_list(instance, update(instance, 2, true, &|other| other == server))
+        });
     }));
     let zone_of = |server: usize| catalogue.zone_of(server);
-    let zone = beyond_idle(cost_of(within, &mut |fleet| {
-        (0..instances).for_each(|at| fleet.list(at, update(at, 3, true, &|other| zone_of(other) == 0)));
+    let zone = beyond_idle(cost_of(max_divergence, &mut |fleet| {
+        (0..instances).for_each(|instance| {
+            fleet.update_list(instance, update(instance, 3, true, &|other| zone_of(other) == 0))
+        });
     }));
     Costs { idle, change, drain, zone }
 }
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -206,8 +206,8 @@
         core.text()
     );
     assert!(core.text().contains("reckoned at 6500: 6.500"), "{}", core.text());
-    let max_divergence_s = report::slopes(&steps, 1_000);
-    assert!(max_divergence_s.iter().all(|slope| slope.text().contains("fitted at 1000") && !slope.beyond));
+    let fitted = report::slopes(&steps, 1_000);
+    assert!(fitted.iter().all(|slope| slope.text().contains("fitted at 1000") && !slope.is_extrapolated));
 }
 
 #[test]
