--- a/lab/faults/examples/faulty_calls.rs
+++ b/lab/faults/examples/faulty_calls.rs
@@ -49,10 +49,10 @@
     }
 }
 
-fn word(at: usize) -> Option<&'static AtomicU64> {
+fn word(index: usize) -> Option<&'static AtomicU64> {
     let block = CONTROL_BLOCK.load(Ordering::Acquire);
     // SAFETY: the mapping has `WORD_COUNT` words, is never unmapped and is accessed only atomically.
-    (!block.is_null()).then(|| unsafe { &*block.add(at) })
+    (!block.is_null()).then(|| unsafe { &*block.add(index) })
 }
 
 /// The next random 64-bit number (splitmix64).
@@ -163,8 +163,8 @@
 ) -> c_int {
     let rate = word(FaultKind::FailedAccept.rate_word()).map_or(0, |rate| rate.load(Ordering::Relaxed));
     if rate > 0 && next_random() % ALWAYS < rate {
-        let before = count_fault(FaultKind::FailedAccept) as usize;
-        return fail_with(ACCEPT_ERRORS[before % ACCEPT_ERRORS.len()]) as c_int;
+        let count = count_fault(FaultKind::FailedAccept) as usize;
+        return fail_with(ACCEPT_ERRORS[count % ACCEPT_ERRORS.len()]) as c_int;
     }
     libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int
 }
--- a/lab/faults/tests/arrivals.rs
+++ b/lab/faults/tests/fault_injection.rs
@@ -24,24 +24,28 @@
 
 impl Control {
     fn new(name: &str) -> Control {
-        let folder = std::env::temp_dir().join(format!("oakhollow-arrivals-{}-{name}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
-        let faults = Faults::new(&folder).expect("a control block");
+        let folder =
+            std::env::temp_dir().join(format!("oakhollow-fault-injection-{}-{name}", std::process::id()));
+        fs::create_dir_all(&folder).expect("the folder is created");
+        let faults = Faults::new(&folder).expect("the control block is created");
         Control { folder, faults }
     }
 
     fn set(&self, kind: FaultKind) {
-        self.faults.set_rate(kind, ALWAYS).expect("set");
+        self.faults.set_rate(kind, ALWAYS).expect("the rate is set");
     }
 
     /// Runs a child process that makes one call. Returns its report, or the signal that killed it.
     fn run_child(&self, call: &str) -> Result<String, i32> {
         let mut child = Command::new(std::env::current_exe().expect("this test"));
-        child.args(["--exact", "child", "--nocapture"]).env(CHILD_VARIABLE, call).env("TMPDIR", &self.folder);
+        child
+            .args(["--exact", "child_process", "--nocapture"])
+            .env(CHILD_VARIABLE, call)
+            .env("TMPDIR", &self.folder);
         child.env("LD_PRELOAD", preload_library()).env(CONTROL_VARIABLE, self.faults.path());
         let output = child.output().expect("started");
         let text = String::from_utf8(output.stdout).expect("text");
-        let child_output = text.lines().find_map(|line| Some(line.split_once("said: ")?.1.to_string()));
+        let child_output = text.lines().find_map(|line| Some(line.split_once("result: ")?.1.to_string()));
         child_output.ok_or(output.status.signal().unwrap_or_default())
     }
 }
@@ -59,7 +63,7 @@
 }
 
 fn error_code<T>(result: std::io::Result<T>) -> String {
-    result.err().and_then(|fault| fault.raw_os_error()).map_or("none".into(), |error| error.to_string())
+    result.err().and_then(|error| error.raw_os_error()).map_or("none".into(), |code| code.to_string())
 }
 
 fn make_call(call: &str, folder: &Path) -> String {
@@ -69,20 +73,20 @@
             let (mut client, mut accepted) = connected_pair();
             client.write_all(&[1; 64]).expect("sent");
             drop(client);
-            let mut sizes = Vec::new();
+            let mut lengths = Vec::new();
             loop {
                 match accepted.read(&mut [0; 64]) {
                     Ok(0) => break,
-                    Ok(size) => sizes.push(size),
+                    Ok(length) => lengths.push(length),
                     Err(_) => return "an error".into(),
                 }
             }
-            format!("{} of {}", sizes.iter().filter(|size| **size <= 7).count(), sizes.len())
+            format!("{} of {}", lengths.iter().filter(|length| **length <= 7).count(), lengths.len())
         }
         "send" => connected_pair()
             .0
             .write(&[1; 64])
-            .map_or_else(|fault| fault.to_string(), |size| (size <= 7).to_string()),
+            .map_or_else(|error| error.to_string(), |length| (length <= 7).to_string()),
         "error" => error_code(connected_pair().0.write(&[1; 64])),
         "accept" => {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -105,9 +109,9 @@
 }
 
 #[test]
-fn child() {
+fn child_process() {
     if let Ok(call) = std::env::var(CHILD_VARIABLE) {
-        println!("said: {}", make_call(&call, &std::env::temp_dir()));
+        println!("result: {}", make_call(&call, &std::env::temp_dir()));
     }
 }
 
@@ -163,9 +167,9 @@
     for hours in [1_i64, -1] {
         let control = Control::new(&format!("clock{hours}"));
         control.faults.step_clock(hours * 3_600).expect("stepped");
-        let child_output: i64 = control.run_child("clock").expect("a time").parse().expect("seconds");
+        let child_time: i64 = control.run_child("clock").expect("a time").parse().expect("seconds");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("later").as_secs() as i64;
-        assert!((child_output - now - hours * 3_600).abs() < 60, "{child_output} at {now}");
+        assert!((child_time - now - hours * 3_600).abs() < 60, "{child_time} at {now}");
         assert!(control.faults.clock_readings() > 0);
     }
 }
--- a/lab/tests/admission.rs
+++ b/lab/tests/admission.rs
@@ -18,15 +18,15 @@
 fn estimated_demand_grows_with_everything_that_a_scene_starts() {
     let plain = demand_of(SCENE);
     assert!(plain > 0);
-    let more = [
+    let replacements = [
         ("sidecars 4", "sidecars 5"),
         ("keepers 3", "keepers 4"),
         ("load 20", "load 40"),
         ("old:read", "old:read mid:read"),
         ("load 20", "version 2 new:read\nload 20"),
     ];
-    for (one, other) in more {
-        assert!(demand_of(&SCENE.replace(one, other)) > plain, "{other}");
+    for (old, new) in replacements {
+        assert!(demand_of(&SCENE.replace(old, new)) > plain, "{new}");
     }
 }
 
@@ -69,13 +69,13 @@
     thread::scope(|scope| {
         let first = admission.admit(600);
         // The large request waits, and the small one waits behind it although it would fit.
-        for (at, demand) in [900, 300].into_iter().enumerate() {
+        for (number, demand) in [900, 300].into_iter().enumerate() {
             let (admission, order) = (&admission, order.clone());
             scope.spawn(move || {
                 let _admitted = admission.admit(demand);
-                order.send(at).expect("sent");
+                order.send(number).expect("sent");
             });
-            wait_until_requested(admission, at as u64 + 2);
+            wait_until_requested(admission, number as u64 + 2);
         }
         assert!(entered.try_recv().is_err());
         drop(first);
@@ -110,19 +110,19 @@
 
 #[test]
 fn an_inconclusive_scene_runs_again() {
-    let (result, runs) = run_with(|at| if at < 2 { Err(inconclusive()) } else { Ok(()) });
+    let (result, runs) = run_with(|run| if run < 2 { Err(inconclusive()) } else { Ok(()) });
     assert!(result.is_ok());
     assert_eq!(runs, 3);
 }
 
 #[test]
 fn a_failed_scene_does_not_run_again() {
-    let fault = || Err(RunError::Failed("n0 has ended".into()));
-    let (result, runs) = run_with(|_| fault());
+    let failure = || Err(RunError::Failed("n0 has ended".into()));
+    let (result, runs) = run_with(|_| failure());
     assert!(matches!(result, Err(RunError::Failed(_))));
     assert_eq!(runs, 1);
     // Nor does one that fails in its second run.
-    let (result, runs) = run_with(|at| if at == 0 { Err(inconclusive()) } else { fault() });
+    let (result, runs) = run_with(|run| if run == 0 { Err(inconclusive()) } else { failure() });
     assert!(matches!(result, Err(RunError::Failed(_))));
     assert_eq!(runs, 2);
     // A conclusive scene does not run again either; the caller checks its report.
@@ -145,8 +145,8 @@
             });
         }
         let result = run_admitted(&admission, 300, "a scene", || {
-            let again = runs.fetch_add(1, Ordering::SeqCst) > 0;
-            for _ in 0..if again { 10 } else { 0 } {
+            let is_rerun = runs.fetch_add(1, Ordering::SeqCst) > 0;
+            for _ in 0..if is_rerun { 10 } else { 0 } {
                 assert_eq!(others.load(Ordering::SeqCst), 0);
                 thread::sleep(Duration::from_millis(1));
             }
--- a/lab/tests/chain.rs
+++ b/lab/tests/chain.rs
@@ -91,7 +91,7 @@
         let mut sent = 0;
         for slow_latency in [Duration::ZERO, Duration::from_millis(20)] {
             chain.slow_down(slow_latency);
-            let round = chain.run(100.0, warm_up, duration).expect("played");
+            let round = chain.run(100.0, warm_up, duration).expect("the round runs");
             let client = &round.client;
             assert!(
                 round.all_answered_once() && client.sent == 100,
@@ -144,11 +144,11 @@
         slow_duration: duration,
         max_extra_share: 0.05,
     };
-    let report = report::run(&config, &settings).expect("played");
+    let report = report::run(&config, &settings).expect("the pairs run");
     // Figures that are not measured from when requests were due are reported nevertheless.
-    let told: Vec<bool> = report.added().iter().map(|(_, interval)| interval.is_some()).collect();
+    let has_interval: Vec<bool> = report.added().iter().map(|(_, interval)| interval.is_some()).collect();
     let served = report.pairs.iter().filter(|pair| pair.incomplete_reason.is_none()).count() >= 2;
-    assert_eq!(told, [false, false, served, served, served, served]);
+    assert_eq!(has_interval, [false, false, served, served, served, served]);
     assert!(report
         .pairs
         .iter()
--- a/lab/tests/discovery_recovery.rs
+++ b/lab/tests/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! A tier of hundreds whose discovery comes back with too little capacity for all at once: their list requests must not
-//! keep it from answering any of them.
+//! The discovery of a tier of hundreds of instances comes back with too little capacity to answer all of them at once:
+//! their repeated list requests must not overload it so far that some instances never get an answer.
 mod built_program;
 
 use built_program::program;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const PROCESSES: usize = 24;
-/// How long discovery would take to answer all processes if they called at once.
+/// How long discovery would take to answer all processes if they asked at once, in seconds.
 const ALL_ANSWERED_S: f64 = 6.8;
 
 /// This discovery also spends its capacity on requests that it has already rejected, as an unbounded queue does.
@@ -20,7 +20,7 @@
         rejection: RejectionTiming::AfterMaxWait,
     };
     let case = Case {
-        name: "crowd",
+        name: "overloaded discovery",
         processes: PROCESSES,
         tier_size: 300,
         outage: Duration::from_secs(6),
@@ -39,7 +39,7 @@
             recovered => Err(format!("{recovered} of {PROCESSES} have recovered 16 s after its return")),
         }
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program(), &case), check) {
-        panic!("{fault}");
+    if let Err(failure) = run_until_conclusive(case.name, || run(&program(), &case), check) {
+        panic!("{failure}");
     }
 }
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -98,19 +98,19 @@
     /// Sends a PUT request to the console and returns the status of the answer.
     fn console_put(&self, path: &str) -> u16 {
         let request = format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-        let to = self.sidecar.console;
-        let answer = connect(to).and_then(|mut stream| send_request(&mut stream, &request));
+        let console = self.sidecar.console;
+        let answer = connect(console).and_then(|mut stream| send_request(&mut stream, &request));
         answer.expect("an answer").0
     }
 
     /// Sends 100 requests a second for this long and returns the share of them that the server received.
-    fn traffic_share(&mut self, server: usize, length: Duration) -> f64 {
+    fn traffic_share(&mut self, server: usize, duration: Duration) -> f64 {
         let received = |setup: &Setup| {
             setup.servers.iter().map(|server| server.received.load(Ordering::Relaxed)).collect()
         };
-        let (before, begun): (Vec<usize>, Instant) = (received(self), Instant::now());
+        let (before, start_time): (Vec<usize>, Instant) = (received(self), Instant::now());
         let mut stream = connect(self.sidecar.listen);
-        while begun.elapsed() < length {
+        while start_time.elapsed() < duration {
             self.sent_requests += 1;
             let answer = stream
                 .as_mut()
@@ -135,25 +135,25 @@
     }
 }
 
-/// The durations of requests sent by concurrent clients, `each` per client; `None` for no answer within 1.7 s.
-fn request_durations(to: SocketAddr, clients: usize, each: usize) -> Vec<Option<Duration>> {
-    let call = move |client: usize, call: usize, stream: &mut Option<BufReader<std::net::TcpStream>>| {
-        let begun = Instant::now();
-        let id = format!("a{client}-{call}-{}", to.port());
+/// The durations of requests sent by concurrent clients, `per_client` by each; `None` for no answer within 1.7 s.
+fn request_durations(address: SocketAddr, clients: usize, per_client: usize) -> Vec<Option<Duration>> {
+    let send = move |client: usize, number: usize, stream: &mut Option<BufReader<std::net::TcpStream>>| {
+        let start_time = Instant::now();
+        let id = format!("a{client}-{number}-{}", address.port());
         let answered = stream.as_mut().and_then(|stream| send_request(stream, &view_request(&id)));
         if !answered.is_some_and(|(_, keep_alive)| keep_alive) {
-            *stream = connect(to);
+            *stream = connect(address);
         }
-        answered.map(|_| begun.elapsed())
+        answered.map(|_| start_time.elapsed())
     };
     let clients: Vec<_> = (0..clients)
         .map(|client| {
             thread::spawn(move || {
-                let mut stream = connect(to);
+                let mut stream = connect(address);
                 if let Some(stream) = &stream {
                     let _ = stream.get_ref().set_read_timeout(Some(Duration::from_millis(1_700)));
                 }
-                (0..each).map(|number| call(client, number, &mut stream)).collect::<Vec<_>>()
+                (0..per_client).map(|number| send(client, number, &mut stream)).collect::<Vec<_>>()
             })
         })
         .collect();
@@ -179,16 +179,16 @@
     for kind in [FaultKind::ShortReceive, FaultKind::ShortSend, FaultKind::Interrupted] {
         setup.set(kind, ALWAYS / 20);
     }
-    let took = request_durations(setup.sidecar.listen, 6, 150);
-    let lost = took.iter().filter(|took| took.is_none()).count();
-    let slow = took.iter().flatten().filter(|took| **took > Duration::from_millis(500)).count();
+    let durations = request_durations(setup.sidecar.listen, 6, 150);
+    let lost = durations.iter().filter(|duration| duration.is_none()).count();
+    let slow = durations.iter().flatten().filter(|duration| **duration > Duration::from_millis(500)).count();
     let short = setup.faults().injected_count(FaultKind::ShortReceive);
     assert!(short > 20, "{short} reads were short");
     assert_eq!(
         (lost, slow),
         (0, 0),
         "of {} requests: without an answer, and after more than 0.5 s",
-        took.len()
+        durations.len()
     );
 }
 
@@ -199,13 +199,13 @@
     let mut idle = connect(setup.sidecar.listen).expect("connected");
     assert_eq!(send_request(&mut idle, &view_request("first")).map(|(status, _)| status), Some(200));
     setup.set(FaultKind::FailedAccept, ALWAYS / 3);
-    let mut worst = Duration::ZERO;
-    for call in 0..60 {
-        let begun = Instant::now();
+    let mut slowest = Duration::ZERO;
+    for number in 0..60 {
+        let start_time = Instant::now();
         let mut stream = connect(setup.sidecar.listen).expect("connected");
-        let answered = send_request(&mut stream, &view_request(&format!("accept{call}")));
+        let answered = send_request(&mut stream, &view_request(&format!("accept{number}")));
         assert_eq!(answered.map(|(status, _)| status), Some(200));
-        worst = worst.max(begun.elapsed());
+        slowest = slowest.max(start_time.elapsed());
     }
     let injected = setup.faults().injected_count(FaultKind::FailedAccept);
     assert!(injected > 10, "{injected} accepts failed");
@@ -214,7 +214,7 @@
         Some(200),
         "the idle connection was closed"
     );
-    assert!(worst < Duration::from_millis(45), "a request took {worst:?}");
+    assert!(slowest < Duration::from_millis(45), "a request took {slowest:?}");
 }
 
 #[test]
--- a/lab/tests/handover.rs
+++ b/lab/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Handover to a successor: a change by the operator during it is in the snapshot or follows it.
+//! Handover to a successor: a change that the operator makes during the handover is in the snapshot or is sent after it.
 mod built_program;
 mod exclusive_run;
 
@@ -28,13 +28,16 @@
     /// Starts one process with a passed listener and this many servers; `prepare` gets the path of the handover socket.
     fn start(servers: usize, prepare: impl FnOnce(&PathBuf)) -> Setup {
         let unused_address = "127.0.0.1:9".parse().expect("an address");
-        let named =
-            |at| ListedEndpoint { name: format!("server-{at}"), address: unused_address, since_ms: 0 };
-        let discovery = SharedDiscovery::start((0..servers).map(named).collect()).expect("a discovery");
+        let listed = |number| ListedEndpoint {
+            name: format!("server-{number}"),
+            address: unused_address,
+            since_ms: 0,
+        };
+        let discovery = SharedDiscovery::start((0..servers).map(listed).collect()).expect("a discovery");
         let folder = TempDir::new("handover");
         let mut sidecar = Sidecar::new(&program(), "n0", folder.path()).expect("a folder");
-        let received = ProcessConfig::alone(discovery.address);
-        sidecar.write_config(&config_json(&sidecar, &received)).expect("written");
+        let config = ProcessConfig::alone(discovery.address);
+        sidecar.write_config(&config_json(&sidecar, &config)).expect("written");
         sidecar.pass_listener().expect("a socket");
         let name = format!("oakhollow-{}.sock", sidecar.listen.to_string().replace(':', "_"));
         let socket = sidecar.folder().join(name);
@@ -46,8 +49,8 @@
 
     /// Connects to the handover socket as a successor does.
     fn connect_successor(&self) -> Option<UnixStream> {
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(3) {
+        let start_time = Instant::now();
+        while start_time.elapsed() < Duration::from_secs(3) {
             if let Ok(stream) = UnixStream::connect(&self.socket) {
                 stream.set_read_timeout(Some(Duration::from_secs(2))).expect("a time");
                 return Some(stream);
@@ -71,10 +74,10 @@
     let _guard = exclusive();
     // So many servers that the snapshot exceeds the socket buffer: later messages wait until it is read.
     let setup = Setup::start(6_000, |_| {});
-    let connect_successor = setup.connect_successor().expect("a predecessor");
+    let successor = setup.connect_successor().expect("a predecessor");
     thread::sleep(Duration::from_millis(600));
     assert_eq!(setup.set_maintenance("server-7"), 200);
-    let mut received = BufReader::new(connect_successor);
+    let mut received = BufReader::new(successor);
     let (mut snapshot, mut next) = (String::new(), String::new());
     received.read_line(&mut snapshot).expect("a snapshot");
     let in_snapshot = snapshot.contains(r#""out":["server-7"]"#);
@@ -85,9 +88,10 @@
 #[test]
 fn a_handover_socket_that_could_not_be_created_is_created_later() {
     let _guard = exclusive();
-    let setup = Setup::start(4, |socket| std::fs::create_dir(socket).expect("in the way"));
+    let setup =
+        Setup::start(4, |socket| std::fs::create_dir(socket).expect("a directory at the socket's path"));
     thread::sleep(Duration::from_millis(300));
-    std::fs::remove_dir(&setup.socket).expect("out of the way");
+    std::fs::remove_dir(&setup.socket).expect("the directory is removed");
     assert!(setup.connect_successor().is_some(), "no successor can connect any more");
 }
 
--- a/lab/tests/large_lists.rs
+++ b/lab/tests/large_lists.rs
@@ -31,9 +31,9 @@
 }
 
 /// A pace of this many bytes per second.
-fn at_pace(bytes_a_second: f64) -> Pace {
+fn bytes_per_second(bytes_per_s: f64) -> Pace {
     let write_bytes = 4 * 1024;
-    Pace { write_bytes, write_pause: seconds(write_bytes as f64 / bytes_a_second), ..Pace::default() }
+    Pace { write_bytes, write_pause: seconds(write_bytes as f64 / bytes_per_s), ..Pace::default() }
 }
 
 fn with_pauses(write_pause: f64) -> Pace {
@@ -51,21 +51,21 @@
 /// Runs all cases concurrently, each with a process of its own, and fails on any finding.
 fn check_cases(cases: &[Case]) {
     let program = program();
-    let faults: Vec<String> = thread::scope(|scope| {
-        let plays = cases.iter().map(|case| {
+    let failures: Vec<String> = thread::scope(|scope| {
+        let runs = cases.iter().map(|case| {
             let program = &program;
             scope.spawn(move || run_until_conclusive(case.name, || run(program, case), no_violations))
         });
-        let plays: Vec<_> = plays.collect();
-        plays.into_iter().filter_map(|play| play.join().expect("played").err()).collect()
+        let runs: Vec<_> = runs.collect();
+        runs.into_iter().filter_map(|run| run.join().expect("the run ends").err()).collect()
     });
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 fn a_slow_or_late_list_is_applied() {
     let late = Pace { first_byte_delay: seconds(5.2), ..Pace::default() };
-    let truncated_answers = Pace { truncated_answers: 2, ..at_pace(150_000.0) };
+    let truncated_answers = Pace { truncated_answers: 2, ..bytes_per_second(150_000.0) };
     check_cases(&[
         case("pauses of 0.75 s in the line", with_pauses(0.75)),
         case("pauses of 0.9 s in the line", with_pauses(0.9)),
@@ -73,15 +73,15 @@
         case("two answers end half way", truncated_answers),
         Case {
             watch_fault: WatchFault::Silence,
-            ..case("silence, then 150 kB a second", at_pace(150_000.0))
+            ..case("silence, then 150 kB a second", bytes_per_second(150_000.0))
         },
     ]);
 }
 
 #[test]
 fn a_reload_without_changes_does_not_restart_the_list_request() {
-    let reloads = (1..6).map(|at| seconds(2.5 * f64::from(at) - 0.5)).collect();
-    check_cases(&[Case { reloads, ..case("SIGHUP five times", at_pace(150_000.0)) }]);
+    let reloads = (1..6).map(|number| seconds(2.5 * f64::from(number) - 0.5)).collect();
+    check_cases(&[Case { reloads, ..case("SIGHUP five times", bytes_per_second(150_000.0)) }]);
 }
 
 /// Discovery is down for 8 s and overloaded from then on.
@@ -92,6 +92,6 @@
         unreachable_until: seconds(8.0),
         replacing: (seconds(8.2), seconds(13.0)),
         length: seconds(22.0),
-        ..case("down for 8 s, then crowded", Pace::default())
+        ..case("down for 8 s, then overloaded", Pace::default())
     }]);
 }
--- a/lab/tests/lease_protocol_costs.rs
+++ b/lab/tests/lease_protocol_costs.rs
@@ -14,9 +14,10 @@
 /// Largest allowed growth where the whole fleet learns of what happens to a share of it.
 const LINEAR: f64 = 4.0 * CONSTANT;
 
-fn compare(scope: Scope, zone: f64) {
-    let of = |instances| (1..=SEEDS).map(|seed| costs(instances, 13.0, seed, scope)).collect::<Vec<Costs>>();
-    let (few, many) = (of(100), of(400));
+fn compare(scope: Scope, max_zone_growth: f64) {
+    let costs_of =
+        |instances| (1..=SEEDS).map(|seed| costs(instances, 13.0, seed, scope)).collect::<Vec<Costs>>();
+    let (small, large) = (costs_of(100), costs_of(400));
     let messages = |cost: &Cost| cost.instance.messages;
     let bytes = |cost: &Cost| cost.instance.bytes;
     let steps = |cost: &Cost| cost.steps_per_message;
@@ -26,20 +27,21 @@
         ("lease server steps per message", steps),
     ];
     let mut exceeded = Vec::new();
-    for (name, of) in figures {
+    for (name, figure) in figures {
         let phases: [(&str, Phase, f64); 4] = [
             ("rest", |costs| &costs.idle, CONSTANT),
             ("change", |costs| &costs.change, CONSTANT),
             ("drain", |costs| &costs.drain, CONSTANT),
-            ("zone", |costs| &costs.zone, zone),
+            ("zone", |costs| &costs.zone, max_zone_growth),
         ];
-        for (what, phase, max_growth) in phases {
-            let mean = |all: &[Costs]| all.iter().map(|costs| of(phase(costs))).sum::<f64>() / SEEDS as f64;
-            let (few, many) = (mean(&few), mean(&many));
-            println!("{scope:?}: {what}: {name}: {few:.2} at 100, {many:.2} at 400");
-            if many > few * max_growth {
+        for (phase_name, phase, max_growth) in phases {
+            let mean =
+                |all: &[Costs]| all.iter().map(|costs| figure(phase(costs))).sum::<f64>() / SEEDS as f64;
+            let (small, large) = (mean(&small), mean(&large));
+            println!("{scope:?}: {phase_name}: {name}: {small:.2} at 100, {large:.2} at 400");
+            if large > small * max_growth {
                 exceeded.push(format!(
-                    "{what}: {name}: {few:.2} at 100, {many:.2} at 400, {max_growth:.2} times at most"
+                    "{phase_name}: {name}: {small:.2} at 100, {large:.2} at 400, {max_growth:.2} times at most"
                 ));
             }
         }
--- a/lab/tests/orphaned_processes.rs
+++ b/lab/tests/orphaned_processes.rs
@@ -7,30 +7,30 @@
 
 /// The child processes of `parent`, without zombies.
 fn children(parent: u32) -> Vec<u32> {
-    let living = |folder: PathBuf| -> Option<(u32, u32)> {
+    let read_process = |folder: PathBuf| -> Option<(u32, u32)> {
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
         let mut rest = stat.rsplit(") ").next()?.split(' ');
         let (state, parent) = (rest.next()?, rest.next()?.parse().ok()?);
-        let own = folder.file_name()?.to_str()?.parse().ok()?;
-        (state != "Z").then_some((own, parent))
+        let pid = folder.file_name()?.to_str()?.parse().ok()?;
+        (state != "Z").then_some((pid, parent))
     };
-    let all = std::fs::read_dir("/proc").expect("processes").filter_map(Result::ok);
-    let all = all.filter_map(|entry| living(entry.path()));
-    all.filter(|(_, of)| *of == parent).map(|(own, _)| own).collect()
+    let processes = std::fs::read_dir("/proc").expect("processes").filter_map(Result::ok);
+    let processes = processes.filter_map(|entry| read_process(entry.path()));
+    processes.filter(|(_, its_parent)| *its_parent == parent).map(|(pid, _)| pid).collect()
 }
 
-fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let begun = Instant::now();
+fn wait_until(condition: &str, holds: impl Fn() -> bool) {
+    let start_time = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(10), "{what}");
+        assert!(start_time.elapsed() < Duration::from_secs(10), "{condition}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn start_scene() -> Child {
-    let own = Path::new(env!("CARGO_BIN_EXE_oakhollow-lab"));
+    let lab_program = Path::new(env!("CARGO_BIN_EXE_oakhollow-lab"));
     let scene = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenes/accord/replaced.txt");
-    let mut command = Command::new(own);
+    let mut command = Command::new(lab_program);
     command.arg("play").arg(scene).stdout(Stdio::null()).stderr(Stdio::null());
     command.spawn().expect("the lab program")
 }
@@ -43,7 +43,7 @@
         let started = children(lab.id());
         kill_process(Pid::from_raw(lab.id() as i32).expect("an id"), signal).expect("signalled");
         lab.wait().expect("ended");
-        let gone = |id: &u32| !Path::new(&format!("/proc/{id}")).exists();
-        wait_until("all have ended", || started.iter().all(gone));
+        let has_ended = |id: &u32| !Path::new(&format!("/proc/{id}")).exists();
+        wait_until("all have ended", || started.iter().all(has_ended));
     }
 }
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -17,17 +17,17 @@
 };
 
 fn print_report(case: &Case, report: &Report) {
-    let at = |part: f64| {
-        report.ready_after_s[((report.ready_after_s.len() as f64 * part).ceil() as usize).max(1) - 1]
+    let ready_quantile = |share: f64| {
+        report.ready_after_s[((report.ready_after_s.len() as f64 * share).ceil() as usize).max(1) - 1]
     };
     println!(
         "{}: ready after {:.2} s (first), {:.2} (half), {:.2} (nine in ten), {:.2} (last); requests to discovery: {} while down, \
          {} served, {} rejected, at most {} in 100 ms after its return; the harness was {:.3} s late",
         case.name,
-        at(0.0),
-        at(0.5),
-        at(0.9),
-        at(1.0),
+        ready_quantile(0.0),
+        ready_quantile(0.5),
+        ready_quantile(0.9),
+        ready_quantile(1.0),
         report.count(DiscoveryOutcome::Unanswered),
         report.count(DiscoveryOutcome::Served),
         report.count(DiscoveryOutcome::Rejected),
@@ -40,7 +40,7 @@
             report
                 .discovery_requests
                 .iter()
-                .filter(|(at, _)| (from..from + 0.1).contains(at))
+                .filter(|(time, _)| (from..from + 0.1).contains(time))
                 .count()
                 .to_string()
         };
@@ -66,8 +66,8 @@
             _ => Ok(()),
         }
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), check) {
-        panic!("{fault}");
+    if let Err(failure) = run_until_conclusive(case.name, || run(&program, &case), check) {
+        panic!("{failure}");
     }
 }
 
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -21,11 +21,11 @@
 const INSTANCES: usize = 14;
 
 /// Runs one step with three real lease servers. The phases bound its length; the tests check no times.
-fn run_small(day: Scenario, instances: usize, scope: Scope) -> Result<StepReport, String> {
+fn run_small(scenario: Scenario, instances: usize, scope: Scope) -> Result<StepReport, String> {
     let program = program();
     let plan = Plan {
         program: &program as &Path,
-        scenario: day,
+        scenario,
         max_divergence_s: 2.0,
         scope,
         seed: 3,
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_step_that_needs_too_many_descriptors_fails_immediately() {
-    let why = run_small(Scenario::Rest, 1_000_000_000, Scope::All).expect_err("a line");
+    let why = run_small(Scenario::Rest, 1_000_000_000, Scope::All).expect_err("too few descriptors");
     assert!(why.starts_with("3000000300 descriptors are needed"), "{why}");
 }
 
@@ -97,10 +97,10 @@
     assert_eq!((&lost.aborted, &back.aborted), (&None, &None));
     // A seventh of the instances is gone, and all others learn of it from the lease servers.
     assert_eq!((lost.alive, lost.had_lease), (INSTANCES / 7 * 6, INSTANCES / 7 * 6));
-    let (out, again) =
+    let (loss, recovery) =
         (lost.propagation.clone().expect("changes"), back.propagation.clone().expect("changes"));
-    assert_eq!((out.recipients, out.missing), (INSTANCES / 7 * 6, 0));
-    assert_eq!((again.recipients, again.missing), (INSTANCES / 7 * 6, 0));
+    assert_eq!((loss.recipients, loss.missing), (INSTANCES / 7 * 6, 0));
+    assert_eq!((recovery.recipients, recovery.missing), (INSTANCES / 7 * 6, 0));
     // The instances that have come back hold leases again.
     assert_eq!((back.alive, back.had_lease), (INSTANCES, INSTANCES));
 }
@@ -199,13 +199,15 @@
 fn a_slope_beyond_the_last_step_is_reported_as_a_prediction() {
     let steps: Vec<StepReport> = [250, 500, 1_000].map(|size| reported(size, 0)).into();
     let slopes = report::slopes(&steps, 6_500);
-    let core = slopes.iter().find(|slope| slope.figure == "keeper, core").expect("of processor time");
+    let core_slope = slopes.iter().find(|slope| slope.figure == "keeper, core").expect("of processor time");
     assert!(
-        near(core.power.slope, 1.0) && near(core.by_power.value, 6.5) && near(core.by_line.value, 6.5),
+        near(core_slope.power.slope, 1.0)
+            && near(core_slope.by_power.value, 6.5)
+            && near(core_slope.by_line.value, 6.5),
         "{}",
-        core.text()
+        core_slope.text()
     );
-    assert!(core.text().contains("reckoned at 6500: 6.500"), "{}", core.text());
+    assert!(core_slope.text().contains("reckoned at 6500: 6.500"), "{}", core_slope.text());
     let fitted = report::slopes(&steps, 1_000);
     assert!(fitted.iter().all(|slope| slope.text().contains("fitted at 1000") && !slope.is_extrapolated));
 }
@@ -214,9 +216,9 @@
 fn a_phase_with_a_late_harness_gives_no_figures() {
     let steps: Vec<StepReport> =
         [(250, 0), (500, 51), (1_000, 50)].map(|(size, late)| reported(size, late)).into();
-    let says =
+    let reports_no_figure =
         |step: &StepReport| report::step_text(step).iter().any(|line| line.contains("no figure: 5.1 %"));
-    assert_eq!(steps.iter().map(says).collect::<Vec<_>>(), [false, true, false]);
+    assert_eq!(steps.iter().map(reports_no_figure).collect::<Vec<_>>(), [false, true, false]);
     assert_eq!(report::step_json(&steps[1])[0].get("figures"), None);
     assert!(report::step_json(&steps[2])[0]["figures"].is_object());
     // Two valid steps are left, which is too few for a fit.
@@ -230,7 +232,7 @@
     const NAMES: usize = 4_000;
     const LINKS: usize = 300;
     let program = program();
-    let simulated_names: Vec<String> = (0..NAMES).map(|at| format!("h{at}")).collect();
+    let simulated_names: Vec<String> = (0..NAMES).map(|number| format!("h{number}")).collect();
     let spec = FleetSpec {
         program: &program,
         sidecars: 0,
@@ -251,9 +253,9 @@
             link
         })
         .collect();
-    let begun = Instant::now();
+    let start_time = Instant::now();
     while fleet.usage()[0].descriptors < before.descriptors + links.len() {
-        assert!(begun.elapsed() < Duration::from_secs(30), "links are not accepted");
+        assert!(start_time.elapsed() < Duration::from_secs(30), "links are not accepted");
         std::thread::sleep(Duration::from_millis(20));
     }
     let grown = fleet.usage()[0].resident.saturating_sub(before.resident);
--- a/lab/tests/scene_checker.rs
+++ b/lab/tests/scene_checker.rs
@@ -26,16 +26,16 @@
         }
     };
     let attempts: Vec<Attempt> = attempts.split(';').map(|line| attempt(line.trim())).collect();
-    let length = longest_contradiction(&scene, &attempts).ok().flatten().map(|found| found.duration_s);
-    (length, failed_expectations(&scene, &attempts, &[], &[]))
+    let duration_s = longest_contradiction(&scene, &attempts).ok().flatten().map(|found| found.duration_s);
+    (duration_s, failed_expectations(&scene, &attempts, &[], &[]))
 }
 
 #[test]
 fn a_normal_change_is_no_contradiction() {
-    let (length, failures) = check_attempts(
+    let (duration_s, failures) = check_attempts(
         "1 0 old a; 1.5 1 old b; 2 0 view c; 3 0 new d; 3.1 1 fails e; 3.2 1 view f; 6 2 new g",
     );
-    assert_eq!((length, failures), (None, vec![]));
+    assert_eq!((duration_s, failures), (None, vec![]));
     // A contradiction takes two sidecars; one that does both is none.
     assert_eq!(check_attempts("1 0 new a; 2 0 old b").0, None);
 }
@@ -43,8 +43,8 @@
 #[test]
 fn faulty_sidecars_are_found() {
     // Acts on the old settings after another has acted on the new ones: late, or by going back to a lower version.
-    let (length, failures) = check_attempts("1 0 old a; 2 1 new b; 3.5 0 old c");
-    assert_eq!(length, Some(1.5));
+    let (duration_s, failures) = check_attempts("1 0 old a; 2 1 new b; 3.5 0 old c");
+    assert_eq!(duration_s, Some(1.5));
     assert!(
         failures[0].starts_with("contradiction of 1.500 s: n0 sent old by version 1, n1 acted on 2"),
         "{failures:?}"
@@ -63,17 +63,17 @@
         workload: "view".into(),
         id: format!("{received_at}"),
     };
-    let goes_on = |from: f64, to: f64| {
-        let own = (0..100).map(move |at| from + 0.1 * f64::from(at)).take_while(move |at| *at < to);
-        own.map(|at| sent(at, 0, 0)).chain([sent(2.5, 1, 1), sent(3.5, 1, 1)]).collect::<Vec<_>>()
+    let keeps_serving = |from: f64, to: f64| {
+        let own = (0..100).map(move |time| from + 0.1 * f64::from(time)).take_while(move |time| *time < to);
+        own.map(|time| sent(time, 0, 0)).chain([sent(2.5, 1, 1), sent(3.5, 1, 1)]).collect::<Vec<_>>()
     };
     assert_eq!(
-        failed_expectations(&scene, &goes_on(1.05, 4.0), &[], &[]),
+        failed_expectations(&scene, &keeps_serving(1.05, 4.0), &[], &[]),
         ["n1 sends to s1 1.500 s after n0, which serves, was told that it drains"]
     );
     // No finding if the sidecar that was told has stopped serving by then, or did not serve in between.
-    assert!(failed_expectations(&scene, &goes_on(1.05, 3.0), &[], &[]).is_empty());
-    assert!(failed_expectations(&scene, &goes_on(2.95, 4.0), &[], &[]).is_empty());
+    assert!(failed_expectations(&scene, &keeps_serving(1.05, 3.0), &[], &[]).is_empty());
+    assert!(failed_expectations(&scene, &keeps_serving(2.95, 4.0), &[], &[]).is_empty());
     // Ignores that its lease has expired.
     assert_eq!(check_attempts("4.5 2 view a").1, ["n2 sends 1 hops from 4 s to 5 s, none were expected"]);
     // Sends what no version allows.
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -17,17 +17,20 @@
 /// Shared by both tests, which run concurrently.
 static ADMISSION: LazyLock<Admission> = LazyLock::new(|| {
     let cores = thread::available_parallelism().map_or(1, usize::from);
-    let others = busy_millicores(cores);
-    let room = available_capacity(cores, others);
-    let _ = writeln!(std::io::stderr(), "{cores} cores, {others} thousandths busy: scenes have {room}");
-    Admission::new(room)
+    let used_by_others = busy_millicores(cores);
+    let capacity = available_capacity(cores, used_by_others);
+    let _ = writeln!(
+        std::io::stderr(),
+        "{cores} cores, {used_by_others} thousandths busy: scenes have {capacity}"
+    );
+    Admission::new(capacity)
 });
 
 /// Runs the scene as soon as there is capacity for it.
 fn run_admitted_scene(scene: &Scene, program: &Path, name: &str) -> Report {
     let options = RunOptions { program, lab_program: Path::new(LAB_PROGRAM), with_accord: true, seed: 0 };
-    let played = run_admitted(&ADMISSION, estimated_demand(scene), name, || run_scene(scene, &options));
-    played.unwrap_or_else(|why| panic!("{name}: {why}"))
+    let result = run_admitted(&ADMISSION, estimated_demand(scene), name, || run_scene(scene, &options));
+    result.unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
 fn files(folder: &str) -> Vec<PathBuf> {
@@ -78,7 +81,7 @@
             scope.spawn(move || {
                 let report = run_admitted_scene(&faulty, program, &name);
                 let named =
-                    report.failures.iter().filter(|fault| fault.contains(&format!("n{instance} sen")));
+                    report.failures.iter().filter(|failure| failure.contains(&format!("n{instance} sen")));
                 assert!(named.count() > 0, "{behaviour} is not found: {:#?}", report.failures);
             });
             scope.spawn(move || {
--- a/lab/tests/slow_start.rs
+++ b/lab/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start summed over processes: 20 and 30 processes of the program send to one cold server, which collapses if the
-//! sum of their requests exceeds what it can bear.
+//! Slow start with many processes: 20 or 30 processes of the program send to one cold server, which collapses if the
+//! total of their requests exceeds its limit.
 mod built_program;
 mod exclusive_run;
 
@@ -28,12 +28,12 @@
         print_report(&case, report);
         check(report)
     };
-    if let Err(fault) = run_until_conclusive(case.name, || run(&program, &case), check) {
-        panic!("{fault}");
+    if let Err(failure) = run_until_conclusive(case.name, || run(&program, &case), check) {
+        panic!("{failure}");
     }
 }
 
-/// The sum stays within the limit, and the server is used meanwhile.
+/// Checks that the total traffic stays within the limit, and that the server is used meanwhile.
 fn check_limit(case: Case) {
     run_case(case, |Report { incarnations, requests, served, .. }| {
         let violation = incarnations.iter().find_map(|incarnation| incarnation.violation);
@@ -52,22 +52,22 @@
 }
 
 #[test]
-fn the_sum_stays_within_the_slow_start_with_even_traffic() {
+fn total_traffic_stays_within_the_limit_with_even_traffic() {
     check_limit(Case::EVEN);
 }
 
 #[test]
-fn the_sum_stays_within_the_slow_start_if_one_process_has_half_of_the_traffic() {
+fn total_traffic_stays_within_the_limit_if_one_process_has_half_of_it() {
     check_limit(Case { name: "uneven", processes: 20, uneven: true, ..Case::EVEN });
 }
 
 #[test]
-fn the_sum_stays_within_the_slow_start_if_a_third_of_the_processes_gets_the_list_late() {
+fn total_traffic_stays_within_the_limit_if_a_third_of_the_processes_gets_the_list_late() {
     check_limit(Case { name: "late", server_was_warm: true, announcement_delay_s: 1.5, ..Case::EVEN });
 }
 
 #[test]
-fn the_sum_stays_within_the_slow_start_while_processes_restart() {
+fn total_traffic_stays_within_the_limit_while_processes_restart() {
     check_limit(Case {
         name: "restarts",
         server_was_warm: true,
@@ -77,22 +77,23 @@
 }
 
 #[test]
-fn the_sum_stays_within_the_slow_start_if_the_server_restarts() {
-    check_limit(Case { name: "again", processes: 20, second_start_s: Some(3.0), ..Case::EVEN });
+fn total_traffic_stays_within_the_limit_if_the_server_restarts() {
+    check_limit(Case { name: "server restarts", processes: 20, second_start_s: Some(3.0), ..Case::EVEN });
 }
 
-/// Processes that are each configured as the only one stay within their own limits, but their sum does not.
+/// Processes that are each configured as the only one stay within their own limits, but their total does not.
 #[test]
-fn a_sum_over_the_limit_is_found() {
+fn total_traffic_over_the_limit_is_found() {
     run_case(Case { name: "each alone", told_alone: true, ..Case::EVEN }, |report| {
         report.incarnations[0]
             .violation
             .map(|_| ())
-            .ok_or_else(|| "the excess of the sum is not found".into())
+            .ok_or_else(|| "that the total is over the limit was not found".into())
     });
 }
 
-/// At the start N is 20 and 30.9 requests are allowed; half way 30 and 42.9; at the end 40 and 54.6.
+/// The mean N of the requests in a window, and how many are allowed with the margin: at the start 20 and 30.9, half way
+/// 30 and 42.9, at the end 40 and 54.6.
 const SLOW_START: SlowStart =
     SlowStart { capacity: 20.0, cold_from: 0.5, warm_within_s: 10.0, fall_multiple: 2.0, fall_s: 1.0 };
 
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn the_limit_is_the_allowed_mean_plus_a_margin_for_its_scatter() {
+fn the_limit_is_the_allowed_mean_plus_a_margin_for_random_variation() {
     assert_eq!(SLOW_START.limit(0.0), 20.0 + 2.0 * 20.0_f64.sqrt() + 2.0);
     let later = SLOW_START.limit(5.0) - (30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
     assert!(later.abs() < 1e-9);
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -56,17 +56,17 @@
 #[test]
 fn each_pair_of_kinds_overlaps_in_some_timetables() {
     let size = FleetSize { groups: 4, processes: 9, servers: 4 };
-    let mut met = std::collections::BTreeMap::new();
+    let mut overlaps = std::collections::BTreeMap::new();
     for seed in 0..200 {
         let plan = Plan { duration: Duration::from_secs(8), ..plan(seed) };
         for (pair, count) in Timetable::draw(&plan, &size).overlapping_pairs() {
-            *met.entry(pair).or_insert(0) += count;
+            *overlaps.entry(pair).or_insert(0) += count;
         }
     }
-    for (at, one) in Disruption::ALL.iter().enumerate() {
-        for other in &Disruption::ALL[at + 1..] {
-            let count = met.get(&(*one.min(other), *one.max(other))).copied().unwrap_or(0);
-            assert!(count >= 5, "{} and {} met {count} times", one.name(), other.name());
+    for (index, one) in Disruption::ALL.iter().enumerate() {
+        for other in &Disruption::ALL[index + 1..] {
+            let count = overlaps.get(&(*one.min(other), *one.max(other))).copied().unwrap_or(0);
+            assert!(count >= 5, "{} and {} overlapped {count} times", one.name(), other.name());
         }
     }
 }
--- a/lab/tests/soak_checker.rs
+++ b/lab/tests/soak_checker.rs
@@ -41,12 +41,12 @@
     let records = Records::new();
     lock(&records.requests).push(request);
     lock(&records.attempts).extend_from_slice(attempts);
-    lock(&records.events).extend(events.iter().map(|(at, event)| (*at, PROCESS, *event)));
+    lock(&records.events).extend(events.iter().map(|(time, event)| (*time, PROCESS, *event)));
     check(&records, &ShutdownReport::default()).findings.iter().map(|finding| finding.rule).collect()
 }
 
-fn ended_with(outcome: RequestOutcome, at: f64) -> Request {
-    Request { outcome, ended_at: at, ..request() }
+fn ended_with(outcome: RequestOutcome, ended_at: f64) -> Request {
+    Request { outcome, ended_at, ..request() }
 }
 
 #[test]
@@ -82,8 +82,8 @@
     assert_eq!(rules_broken(ended_with(RequestOutcome::NoResponse, 11.4), &[], &[]), ["answered"]);
     let served = RequestOutcome::Answered { status: 200, own_body: true };
     assert_eq!(rules_broken(ended_with(served, 11.2), &[attempt()], &[]), ["answered"]);
-    let strange = RequestOutcome::Answered { status: 200, own_body: false };
-    assert_eq!(rules_broken(ended_with(strange, 10.1), &[attempt()], &[]), ["own-answer"]);
+    let foreign = RequestOutcome::Answered { status: 200, own_body: false };
+    assert_eq!(rules_broken(ended_with(foreign, 10.1), &[attempt()], &[]), ["own-answer"]);
 }
 
 #[test]
@@ -135,7 +135,7 @@
 fn rules_broken_by_guard(events: &[(f64, Event)]) -> Vec<&'static str> {
     let records = Records::new();
     lock(&records.requests).push(request());
-    lock(&records.events).extend(events.iter().map(|(at, event)| (*at, PROCESS, *event)));
+    lock(&records.events).extend(events.iter().map(|(time, event)| (*time, PROCESS, *event)));
     let log_errors = vec!["g0p0: rule broken: answer_in_time: request g0p0-1 (7): 0.000s accepted".into()];
     let shutdown = ShutdownReport { log_errors, ..ShutdownReport::default() };
     check(&records, &shutdown).findings.iter().map(|finding| finding.rule).collect()
