--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -10,9 +10,9 @@
 pub type Millicores = u64;
 
 // The three costs are fitted, and rounded up, to what `oakhollow-lab play` printed for twelve scenes in the build of
-// the tests: `stopped` 197 (640 requests a second), `deaf` 123 (240), `behind` 110 (160), `strangers` 98 (120, four
-// links instead of twelve), `links` 143 and `cut-off` 110 (five processes, 250 and 200). Servers have no cost of
-// their own beyond that of the requests.
+// the tests: `process-stopped` 197 (640 requests a second), `change-not-acknowledged` 123 (240), `lists-behind` 110
+// (160), `unknown-peers` 98 (120, four links instead of twelve), `broken-links` 143 and `discovery-down` 110 (five
+// processes, 250 and 200). Servers have no cost of their own beyond that of the requests.
 
 /// The cost of one process of the program and its discovery.
 const PROCESS: Millicores = 20;
--- a/lab/tests/orphaned_processes.rs
+++ b/lab/tests/orphaned_processes.rs
@@ -29,7 +29,7 @@
 
 fn start_scene() -> Child {
     let lab_program = Path::new(env!("CARGO_BIN_EXE_oakhollow-lab"));
-    let scene = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenes/accord/replaced.txt");
+    let scene = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenes/leases/process-replaced.txt");
     let mut command = Command::new(lab_program);
     command.arg("play").arg(scene).stdout(Stdio::null()).stderr(Stdio::null());
     command.spawn().expect("the lab program")
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn accord_scenes_meet_their_expectations() {
+fn lease_protocol_scenes_meet_their_expectations() {
     let program = program();
-    let files = files("accord");
+    let files = files("leases");
     assert!(files.len() >= 3);
     thread::scope(|scope| {
         for file in &files {
