--- a/lab/src/admission.rs
+++ b/lab/src/admission.rs
@@ -36,8 +36,8 @@
 /// How much scenes may take together on a machine where other processes keep `used_by_others` busy. At least half of the
 /// cores count as free, since that is what the scheduler gives to one of two competing processes.
 pub fn available_capacity(cores: usize, used_by_others: Millicores) -> Millicores {
-    let all = cores as u64 * 1000;
-    all.saturating_sub(used_by_others).max(all / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
+    let total = cores as u64 * 1000;
+    total.saturating_sub(used_by_others).max(total / 2) * USABLE_SHARE.0 / USABLE_SHARE.1
 }
 
 /// How much of the machine is busy, from two readings of its processor times; 0 where it does not show them.
@@ -49,8 +49,8 @@
     let Some(after) = fs::read_to_string("/proc/stat").ok().and_then(|text| parse_cpu_times(&text)) else {
         return 0;
     };
-    let (busy, all) = (after.0.saturating_sub(before.0), after.1.saturating_sub(before.1));
-    (cores as u64 * 1000 * busy).checked_div(all).unwrap_or(0)
+    let (busy, total) = (after.0.saturating_sub(before.0), after.1.saturating_sub(before.1));
+    (cores as u64 * 1000 * busy).checked_div(total).unwrap_or(0)
 }
 
 /// The time between the two readings.
@@ -70,8 +70,8 @@
     let line = stat.lines().next()?.strip_prefix("cpu ")?;
     let times: Vec<u64> = line.split_whitespace().map_while(|time| time.parse().ok()).collect();
     // user, nice, system, idle, iowait, irq, softirq, steal; the later fields are part of user and nice.
-    let all: u64 = times.iter().take(8).sum();
-    Some((all.checked_sub(times.get(3)? + times.get(4)?)?, all))
+    let total: u64 = times.iter().take(8).sum();
+    Some((total.checked_sub(times.get(3)? + times.get(4)?)?, total))
 }
 
 #[derive(Default)]
--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -138,11 +138,11 @@
     }
 
     fn build(&mut self, config: &ChainConfig, sidecars: bool) -> std::io::Result<()> {
-        let mut next = None;
+        let mut next_address = None;
         for number in (1..=config.depth).rev() {
             let seed = config.seed.wrapping_mul(31).wrapping_add(number as u64);
-            let tier = Tier::start(number, config.servers, next, self.clock, seed)?;
-            next = tier.addresses.first().copied();
+            let tier = Tier::start(number, config.servers, next_address, self.clock, seed)?;
+            next_address = tier.addresses.first().copied();
             if sidecars {
                 let mut sidecar = Sidecar::new(config.program, &format!("n{number}"), &self.folder)?;
                 sidecar.write_config(&config_json(
@@ -151,12 +151,12 @@
                     seed,
                 ))?;
                 sidecar.start()?;
-                next = Some(sidecar.listen);
+                next_address = Some(sidecar.listen);
                 self.sidecars.insert(0, sidecar);
             }
             self.tiers.insert(0, tier);
         }
-        self.entry_address = next.ok_or(std::io::ErrorKind::InvalidInput)?;
+        self.entry_address = next_address.ok_or(std::io::ErrorKind::InvalidInput)?;
         Ok(())
     }
 
@@ -180,8 +180,8 @@
 
     /// The summed usage of all sidecars; none without sidecars, or if the usage of one can't be read.
     pub fn read_usage(&self) -> Option<Usage> {
-        let each = self.sidecars.iter().map(|sidecar| read_usage(sidecar.pid()?));
-        each.reduce(|sum, other| {
+        let usages = self.sidecars.iter().map(|sidecar| read_usage(sidecar.pid()?));
+        usages.reduce(|sum, other| {
             let (sum, other) = (sum?, other?);
             Some(Usage {
                 wake_ups: sum.wake_ups + other.wake_ups,
--- a/lab/src/chain/report.rs
+++ b/lab/src/chain/report.rs
@@ -153,7 +153,7 @@
 
     fn summary_line(&self) -> String {
         match self.exclusion_reason() {
-            Some(why) => format!("no figure: {why}"),
+            Some(reason) => format!("no figure: {reason}"),
             None => {
                 let quantile = |round: &Round, quantile| quantile_ms(&round.client.latency, quantile);
                 format!(
--- a/lab/src/chain/tiers.rs
+++ b/lab/src/chain/tiers.rs
@@ -72,10 +72,10 @@
 }
 
 impl Tier {
-    /// Starts a tier that listens at `servers` addresses, and forwards requests to `next` or answers them
-    /// itself if there is none.
+    /// Starts a tier that listens at `servers` addresses, and forwards requests to `next_tier` or answers
+    /// them itself if there is none.
     pub fn start(
-        number: usize, servers: usize, next: Option<SocketAddr>, clock: Clock, seed: u64,
+        number: usize, servers: usize, next_tier: Option<SocketAddr>, clock: Clock, seed: u64,
     ) -> Result<Tier> {
         let poller = Arc::new(Poller::new()?);
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
@@ -91,7 +91,7 @@
             <(Arc<Mutex<TierCounters>>, Arc<AtomicU64>, Arc<AtomicBool>)>::default();
         let mut event_loop = EventLoop {
             number,
-            next,
+            next_tier,
             clock,
             poller: poller.clone(),
             last_key: listeners.len(),
@@ -145,7 +145,7 @@
 
 struct EventLoop {
     number: usize,
-    next: Option<SocketAddr>,
+    next_tier: Option<SocketAddr>,
     clock: Clock,
     poller: Arc<Poller>,
     listeners: Vec<TcpListener>,
@@ -269,7 +269,7 @@
                 false => counters.repeats += 1,
             }
         });
-        let Some(next) = self.next else { return self.schedule_response(key) };
+        let Some(next_tier) = self.next_tier else { return self.schedule_response(key) };
         let time_left_ms: u64 = message
             .header("Request-Timeout-Ms")
             .and_then(|time_left_ms| time_left_ms.parse().ok())
@@ -283,7 +283,7 @@
             time_left_ms.saturating_sub(elapsed_ms).max(1),
             self.clock,
         );
-        match self.send_request(next, onward_key, key, &request) {
+        match self.send_request(next_tier, onward_key, key, &request) {
             Some(waiting_on) => {
                 _ = self
                     .connections
@@ -297,7 +297,7 @@
     /// Sends a request on an idle connection that is still usable, or on a new one under `new_key`. Returns
     /// the connection's key.
     fn send_request(
-        &mut self, next: SocketAddr, new_key: usize, request_key: usize, request: &str,
+        &mut self, next_tier: SocketAddr, new_key: usize, request_key: usize, request: &str,
     ) -> Option<usize> {
         let now = self.clock.now();
         while let Some(key) = self.idle.pop() {
@@ -309,7 +309,7 @@
             }
             self.close(key);
         }
-        let mut connection = Connection::connect(next, &self.poller, new_key).ok()?;
+        let mut connection = Connection::connect(next_tier, &self.poller, new_key).ok()?;
         connection.write(request).ok()?;
         self.connections.insert(
             new_key,
--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -217,13 +217,14 @@
             .count()
     };
     let sent_to = |instance: usize, server: usize, from: f64, to: f64| {
-        let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.server == server);
-        own.filter(|attempt| (from..to).contains(&attempt.received_at)).count()
+        let own_attempts =
+            attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.server == server);
+        own_attempts.filter(|attempt| (from..to).contains(&attempt.received_at)).count()
     };
     let first_attempt_by = |instance: usize, version: u64, until: f64| {
-        let mut own =
+        let mut own_attempts =
             attempts.iter().filter(|attempt| attempt.sidecar == instance && attempt.received_at <= until);
-        own.find(|attempt| {
+        own_attempts.find(|attempt| {
             allowing_versions(scene, attempt, false).is_some_and(|(first, _)| first >= version)
         })
     };
@@ -245,8 +246,8 @@
                 .map(|attempt| format!("n{instance} sends {} by version {version} at {:.3} s", attempt.workload, attempt.received_at)),
             Expectation::NoRepeats(instance, from, to) => {
                 let mut seen_ids: HashSet<&str> = HashSet::new();
-                let own = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.received_at));
-                { own }.find(|attempt| !seen_ids.insert(&attempt.id)).map(|attempt| {
+                let own_attempts = attempts.iter().filter(|attempt| attempt.sidecar == instance && (from..to).contains(&attempt.received_at));
+                { own_attempts }.find(|attempt| !seen_ids.insert(&attempt.id)).map(|attempt| {
                     format!("n{instance} repeats {} at {:.3} s, first hops alone were expected", attempt.workload, attempt.received_at)
                 })
             }
@@ -279,9 +280,9 @@
     let missing: Vec<&ResponseSeen> = responses.iter().filter(|response| response.status.is_none()).collect();
     // A killed or stopped instance answers neither the requests that it had open nor those until it has recovered.
     let excused = |response: &&ResponseSeen| {
-        let own = scene.actions.iter().filter(|(_, instance, _)| *instance == response.sidecar);
+        let own_actions = scene.actions.iter().filter(|(_, instance, _)| *instance == response.sidecar);
         let mut unavailable = false;
-        for (time, _, action) in own {
+        for (time, _, action) in own_actions {
             match action {
                 Action::Kill | Action::Stop if *time < response.sent_at + MAX_OPEN_S => unavailable = true,
                 Action::Start | Action::Continue if *time + RECOVERY_S < response.sent_at => {
--- a/lab/src/fake_sidecar.rs
+++ b/lab/src/fake_sidecar.rs
@@ -138,19 +138,19 @@
         }
     }
 
-    fn receive(&mut self, from: InstanceId, message: Message) {
+    fn receive(&mut self, lease_server: InstanceId, message: Message) {
         if self.behaviour == Behaviour::ReceivesNoSettings
             && matches!(message, Message::Documents(_))
             && self.lease_expires_at > Micros(0)
         {
             return;
         }
-        let (before, mut actions) = (self.lease_holder.lease_valid_until(), Vec::new());
-        self.lease_holder.handle_message(self.now(), from, message, &mut actions);
+        let (previous_expiry, mut actions) = (self.lease_holder.lease_valid_until(), Vec::new());
+        self.lease_holder.handle_message(self.now(), lease_server, message, &mut actions);
         self.execute(actions);
         let lease_expires_at = self.lease_holder.lease_valid_until();
         match self.behaviour {
-            Behaviour::LeaseFromAnswer if lease_expires_at > before => {
+            Behaviour::LeaseFromAnswer if lease_expires_at > previous_expiry => {
                 self.lease_expires_at = self.now() + self.lease
             }
             Behaviour::LeaseFromAnswer => {}
--- a/lab/src/large_list/discovery.rs
+++ b/lab/src/large_list/discovery.rs
@@ -46,8 +46,8 @@
 pub struct ListRequest {
     /// When it arrived.
     pub received_at: Instant,
-    /// The version in its `index`, after which it asks for changes.
-    pub from: usize,
+    /// The version in its `index`: it asks for the changes after this one.
+    pub after_version: usize,
 }
 
 struct State {
@@ -139,10 +139,10 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         let head = read_head(&mut stream)?;
-        let from = head.split("index=").nth(1)?.split(' ').next()?.parse().ok()?;
+        let after_version = head.split("index=").nth(1)?.split(' ').next()?.parse().ok()?;
         let (response_mode, epoch) = {
             let mut state = lock(&self.shared.0);
-            state.requests.push(ListRequest { received_at: Instant::now(), from });
+            state.requests.push(ListRequest { received_at: Instant::now(), after_version });
             (state.response_mode, state.epoch)
         };
         let mut stream = stream.into_inner();
--- a/lab/src/large_list/mod.rs
+++ b/lab/src/large_list/mod.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// A change counts as notified at the latest this long after discovery had it and could be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 /// How long after the notification the settings still allow requests to a removed endpoint.
 const GRACE: Duration = Duration::from_millis(1_500);
 /// How long processes and this harness may be delayed on top of that.
@@ -28,7 +28,7 @@
 /// The share of the endpoints that each change replaces.
 const CHANGED_SHARE: f64 = 0.02;
 /// How long the clients run before the fault begins.
-const LEAD: Duration = Duration::from_secs(1);
+const LEAD_TIME: Duration = Duration::from_secs(1);
 const CLIENTS: usize = 4;
 const REQUESTS_PER_S: f64 = 100.0;
 /// If the harness ran later than this, in seconds, a failure is inconclusive.
@@ -108,8 +108,8 @@
     wait_until_all_ready(std::slice::from_mut(&mut sidecar))?;
     let (delay_monitor, start_time) = (DelayMonitor::start(), Instant::now());
     let observations = Arc::<Observations>::default();
-    let fault_begin = start_time + LEAD;
-    let length = (LEAD + case.length).as_secs_f64();
+    let fault_begin = start_time + LEAD_TIME;
+    let length = (LEAD_TIME + case.length).as_secs_f64();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
             let (observations, address) = (observations.clone(), sidecar.listen);
@@ -183,7 +183,9 @@
             let reachable = version.created_at.max(fault_begin + case.unreachable_until);
             let first_sent =
                 written_lines.iter().filter(|line| line.index >= index).map(|line| line.written_at).min();
-            let notified = first_sent.unwrap_or(reachable + NOTIFIED_WITHIN).min(reachable + NOTIFIED_WITHIN);
+            let notified = first_sent
+                .unwrap_or(reachable + MAX_NOTIFICATION_DELAY)
+                .min(reachable + MAX_NOTIFICATION_DELAY);
             for (endpoint, _) in &version.removed {
                 forbidden.insert(*endpoint, notified + GRACE + SLACK);
             }
@@ -209,7 +211,7 @@
     violations.sort_by(|one, other| one.received_at.total_cmp(&other.received_at));
     let mut answers = vec![(0, 0); case.length.as_secs() as usize + 1];
     for response in crate::harness::lock(&observations.responses).iter() {
-        let second = response.sent_at - LEAD.as_secs_f64();
+        let second = response.sent_at - LEAD_TIME.as_secs_f64();
         if let Some((all, served)) = answers.get_mut(second as usize).filter(|_| second >= 0.0) {
             *all += 1;
             *served += usize::from(response.status == Some(200));
@@ -219,7 +221,7 @@
         let discovery_requests =
             discovery_requests.iter().filter(|request| request.received_at >= fault_begin);
         let discovery_requests = discovery_requests
-            .map(|request| ((request.received_at - fault_begin).as_secs_f64(), request.from))
+            .map(|request| ((request.received_at - fault_begin).as_secs_f64(), request.after_version))
             .collect();
         (discovery_requests, written_lines.iter().filter(|line| line.written_at >= fault_begin).count())
     });
@@ -235,8 +237,11 @@
             .violations
             .first()
             .map_or(String::new(), |violation| format!(", the first at {:.1} s", violation.received_at));
-        let discovery_requests: Vec<String> =
-            self.discovery_requests.iter().map(|(at, from)| format!("{at:.1} (from {from})")).collect();
+        let discovery_requests: Vec<String> = self
+            .discovery_requests
+            .iter()
+            .map(|(time, version)| format!("{time:.1} (from {version})"))
+            .collect();
         let served: Vec<String> =
             self.answers.iter().map(|(all, served)| format!("{served}/{all}")).collect();
         format!(
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -161,8 +161,8 @@
         let exited =
             self.processes.iter_mut().find_map(|process| process.has_exited().then_some(&*process))?;
         let log = exited.log_text();
-        let last: Vec<&str> = log.lines().rev().take(3).collect();
-        Some(format!("{} has exited: {}", exited.name, last.join(" | ")))
+        let last_lines: Vec<&str> = log.lines().rev().take(3).collect();
+        Some(format!("{} has exited: {}", exited.name, last_lines.join(" | ")))
     }
 }
 
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -162,7 +162,7 @@
     if let Some(propagation) = &phase.propagation {
         let (changes, completed) = (propagation.changes, propagation.completed());
         let delay_text = |part: usize| {
-            propagation.delays_s.get(part).map_or("never".into(), |after| format!("{after:.3} s"))
+            propagation.delays_s.get(part).map_or("never".into(), |delay| format!("{delay:.3} s"))
         };
         let propagation_text = format!(
             "told {changes} times, came {completed} times to all who are to hear it while that could be seen: in {} at the middle, {} at most; \
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -134,8 +134,8 @@
 
     /// Bytes in both directions in the busiest second of a single lease server.
     pub fn max_lease_server_bytes(&self) -> u64 {
-        let each = self.counts.seconds.iter().flat_map(|second| &second.lease_servers);
-        each.map(TrafficCounts::bytes).max().unwrap_or(0)
+        let lease_servers = self.counts.seconds.iter().flat_map(|second| &second.lease_servers);
+        lease_servers.map(TrafficCounts::bytes).max().unwrap_or(0)
     }
 
     /// Bytes in both directions in the busiest second of a single instance.
@@ -302,10 +302,11 @@
 
     /// Returns a reason to abort if all processes together use too much memory.
     fn check_memory(&mut self) -> Option<String> {
-        let all = self.fleet.resident() + usage::resident(std::process::id()).unwrap_or(0);
+        let total_bytes = self.fleet.resident() + usage::resident(std::process::id()).unwrap_or(0);
         self.peak_resident = self.peak_resident.max(self.fleet.resident());
-        let over = all > self.plan.max_resident_bytes;
-        over.then(|| format!("all processes together use {:.1} GB of memory", all as f64 / 1e9))
+        let exceeds_limit = total_bytes > self.plan.max_resident_bytes;
+        exceeds_limit
+            .then(|| format!("all processes together use {:.1} GB of memory", total_bytes as f64 / 1e9))
     }
 
     /// Runs the phases of the scenario while clients send requests.
@@ -484,14 +485,15 @@
     /// Performs a phase's action; `repetition` counts from 0. Returns when, and how many instances are to learn of it.
     fn perform(&mut self, action: PhaseAction, repetition: usize) -> (Micros, usize) {
         let zone = self.plan.seed as usize % self.plan.shape.zones;
-        let all = self.plan.shape.services * self.plan.shape.servers;
-        let affected =
-            Arc::new((0..all).map(|server| self.catalogue.zone_of(server) == zone).collect::<Vec<bool>>());
+        let server_count = self.plan.shape.services * self.plan.shape.servers;
+        let affected = Arc::new(
+            (0..server_count).map(|server| self.catalogue.zone_of(server) == zone).collect::<Vec<bool>>(),
+        );
         match action {
             PhaseAction::Nothing => (self.clock.now(), 0),
             PhaseAction::DrainOnOneList => {
                 let server = self.specs[0].list[0] as usize;
-                let only = Arc::new((0..all).map(|other| other == server).collect::<Vec<bool>>());
+                let only = Arc::new((0..server_count).map(|other| other == server).collect::<Vec<bool>>());
                 let recipients = self.expect_change(AwaitedChange::Servers(only, true));
                 let now = self.clock.now();
                 self.shards[0].send(Command::UpdateOneList(
@@ -527,8 +529,9 @@
                 let servers = self.catalogue.servers_of(0);
                 let (draining, previous) =
                     (repetition % servers.len(), (repetition + servers.len() - 1) % servers.len());
-                let only =
-                    |server: usize| Arc::new((0..all).map(|other| other == server).collect::<Vec<bool>>());
+                let only = |server: usize| {
+                    Arc::new((0..server_count).map(|other| other == server).collect::<Vec<bool>>())
+                };
                 let recipients = self.expect_change(AwaitedChange::Servers(only(draining), true));
                 let now = self.clock.now();
                 self.broadcast(&Command::UpdateAllLists(
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -177,10 +177,11 @@
 
     /// Updates whether the instance holds leases of a majority, and counts expiries and the time without leases.
     pub fn update_lease_state(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.lease_valid_until, self.lease_holder.lease_valid_until());
-        if self.has_lease && before <= now {
+        let previous_expiry =
+            std::mem::replace(&mut self.lease_valid_until, self.lease_holder.lease_valid_until());
+        if self.has_lease && previous_expiry <= now {
             self.has_lease = false;
-            self.without_lease_since = Some(before);
+            self.without_lease_since = Some(previous_expiry);
             counts.lease_expiries += 1;
         }
         if !self.has_lease && self.lease_valid_until > now {
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -238,16 +238,16 @@
                 }
             }
             ["version", number, ref workloads @ ..] => {
-                let mut all = Vec::new();
+                let mut parsed_workloads = Vec::new();
                 for workload in workloads {
                     let (name, kind) = match workload.split_once(':') {
                         Some((name, "read")) => (name, WorkloadKind::ReadLike),
                         Some((name, "once")) => (name, WorkloadKind::NonIdempotent),
                         _ => return Err(not_understood()),
                     };
-                    all.push((name.to_string(), kind));
+                    parsed_workloads.push((name.to_string(), kind));
                 }
-                self.versions.insert(parse_integer(number)?, all);
+                self.versions.insert(parse_integer(number)?, parsed_workloads);
             }
             ["load", rate] => self.rate = parse_number(rate)?,
             ["until", time] => self.end_s = parse_number(time)?,
--- a/lab/src/slow_start.rs
+++ b/lab/src/slow_start.rs
@@ -304,10 +304,10 @@
     let mut entry = None;
     thread::scope(|scope| {
         for (process, sidecar) in harness.sidecars.iter().enumerate() {
-            let all = case.processes as f64 * RATE;
+            let total_rate = case.processes as f64 * RATE;
             let rate = match (case.uneven, process) {
-                (true, 0) => all / 2.0,
-                (true, _) => all / 2.0 / (case.processes - 1) as f64,
+                (true, 0) => total_rate / 2.0,
+                (true, _) => total_rate / 2.0 / (case.processes - 1) as f64,
                 (false, _) => RATE,
             };
             // A client waits for each answer, so there are enough clients that none falls behind.
--- a/lab/src/soak/checker.rs
+++ b/lab/src/soak/checker.rs
@@ -316,16 +316,16 @@
         }
     }
     for attempt in attempts {
-        let left = deadline - attempt.first_byte_at;
+        let remaining_s = deadline - attempt.first_byte_at;
         if attempt
             .announced_timeout_s
-            .is_some_and(|announced| announced > left + TIMEOUT_SLACK_S + HARNESS_SLACK_S)
+            .is_some_and(|announced| announced > remaining_s + TIMEOUT_SLACK_S + HARNESS_SLACK_S)
         {
             let excused = paused_for(&history.paused, sent_at, attempt.first_byte_at) > SIGNIFICANT_PAUSE_S;
             if !excused {
                 add_finding(
                     "told-time-left",
-                    format!("told {:?} s of {left:.3} s", attempt.announced_timeout_s),
+                    format!("told {:?} s of {remaining_s:.3} s", attempt.announced_timeout_s),
                 );
             }
         }
@@ -352,8 +352,8 @@
         spans.iter().find_map(|(server, since, until)| {
             let slack =
                 PROPAGATION_S + HARNESS_SLACK_S + paused_for(&history.paused, *since, attempt.first_byte_at);
-            let inside = attempt.first_byte_at > since + slack && attempt.first_byte_at < *until;
-            (*server == attempt.server && inside).then_some(*since)
+            let is_excluded = attempt.first_byte_at > since + slack && attempt.first_byte_at < *until;
+            (*server == attempt.server && is_excluded).then_some(*since)
         })
     };
     if let Some(since) = excluded_since(&history.in_maintenance) {
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -167,8 +167,8 @@
         let (state, changed_signal) = &*self.shared;
         let (mut line, incarnation, mut sent_changes, mut unrecorded) = {
             let state = lock(state);
-            let all: Vec<usize> = (0..state.servers.len()).collect();
-            (state.snapshot_json(), state.incarnation, state.changes.len(), state.statuses(&all))
+            let all_servers: Vec<usize> = (0..state.servers.len()).collect();
+            (state.snapshot_json(), state.incarnation, state.changes.len(), state.statuses(&all_servers))
         };
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         loop {
--- a/lab/src/soak/fleet.rs
+++ b/lab/src/soak/fleet.rs
@@ -159,11 +159,11 @@
         }
         self.records.record_event(self.id, Event::Exited(None));
         let log = lock(&self.sidecar).log_text();
-        let last: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINES).collect();
+        let last_lines: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINES).collect();
         eprintln!(
             "{:?} did not exit; its last log lines, newest first:\n{}\n{}",
             self.id,
-            last.join("\n"),
+            last_lines.join("\n"),
             self.thread_states()
         );
         self.kill();
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -269,8 +269,8 @@
     let run_rest = |fleet: &mut Fleet, elapsed_s: f64| {
         fleet.run(max_divergence - Micros((elapsed_s * 1e6) as u64), |_: &LeaseHolder| false);
     };
-    let last = instances - 1;
-    fleet.propose(last, 2);
+    let last_instance = instances - 1;
+    fleet.propose(last_instance, 2);
     let change_s = fleet.run(max_divergence, has_version(2));
     run_rest(&mut fleet, change_s);
     let change = beyond_idle(fleet.take_traffic().0);
@@ -278,14 +278,14 @@
         let entries = vec![(server.into(), Some(fact(true)))];
         ListUpdate { index, snapshot: false, entries }
     };
-    fleet.update_list(last, drains(2, "s-00000003"));
+    fleet.update_list(last_instance, drains(2, "s-00000003"));
     let drain_s = fleet.run(max_divergence, |holder| !holder.excluded_servers().is_empty());
     run_rest(&mut fleet, drain_s);
     fleet.take_traffic();
     (0..instances).for_each(|instance| fleet.update_list(instance, drains(3, "s-00000004")));
     fleet.run(max_divergence, never);
     let drain = beyond_idle(fleet.take_traffic().0);
-    fleet.cut_off = Some(last);
+    fleet.cut_off = Some(last_instance);
     fleet.propose(0, 3);
     let change_while_cut_off_s = fleet.run(max_divergence.times(2.0), has_version(3));
     Report {
