--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// Nine in ten are ready within 10 s and the last soon after, and never do half of them call discovery at once.
+/// Nine in ten are ready within 10 s and the last soon after, and never do more than half of them send discovery a
+/// request within 100 ms.
 fn check_case(case: Case) {
     let _guard = exclusive();
     let program = program();
