--- a/lab/src/fake_sidecar.rs
+++ b/lab/src/fake_sidecar.rs
@@ -28,7 +28,7 @@
     AppliesLate,
     /// It goes on sending without a lease once it has had one.
     NoLease,
-    /// It counts a lease's duration from the grant's arrival instead of from its own request.
+    /// It counts a lease's duration from the answer instead of the request.
     #[value(name = "from-answer")]
     LeaseFromAnswer,
     /// It ignores servers that other instances report as draining.
