--- a/lab/src/chain/mod.rs
+++ b/lab/src/chain/mod.rs
@@ -63,7 +63,7 @@
     pub attempts: u64,
     /// Distinct requests of the client among the attempts.
     pub requests: u64,
-    /// Attempts whose request id had come before: retries and hedges by this tier's sidecar.
+    /// Attempts with a request id that the tier had received before: retries and hedges by its sidecar.
     pub repeats: u64,
     pub cancelled: u64,
     pub broken_connections: u64,
@@ -138,11 +138,11 @@
     }
 
     fn build(&mut self, config: &ChainConfig, sidecars: bool) -> std::io::Result<()> {
-        let mut next = None;
+        let mut next_address = None;
         for number in (1..=config.depth).rev() {
             let seed = config.seed.wrapping_mul(31).wrapping_add(number as u64);
-            let tier = Tier::start(number, config.servers, next, self.clock, seed)?;
-            next = tier.addresses.first().copied();
+            let tier = Tier::start(number, config.servers, next_address, self.clock, seed)?;
+            next_address = tier.addresses.first().copied();
             if sidecars {
                 let mut sidecar = Sidecar::new(config.program, &format!("n{number}"), &self.folder)?;
                 sidecar.write_config(&config_json(
@@ -151,12 +151,12 @@
                     seed,
                 ))?;
                 sidecar.start()?;
-                next = Some(sidecar.listen);
+                next_address = Some(sidecar.listen);
                 self.sidecars.insert(0, sidecar);
             }
             self.tiers.insert(0, tier);
         }
-        self.entry_address = next.ok_or(std::io::ErrorKind::InvalidInput)?;
+        self.entry_address = next_address.ok_or(std::io::ErrorKind::InvalidInput)?;
         Ok(())
     }
 
@@ -180,8 +180,8 @@
 
     /// The summed usage of all sidecars; none without sidecars, or if the usage of one can't be read.
     pub fn read_usage(&self) -> Option<Usage> {
-        let each = self.sidecars.iter().map(|sidecar| read_usage(sidecar.pid()?));
-        each.reduce(|sum, other| {
+        let usages = self.sidecars.iter().map(|sidecar| read_usage(sidecar.pid()?));
+        usages.reduce(|sum, other| {
             let (sum, other) = (sum?, other?);
             Some(Usage {
                 wake_ups: sum.wake_ups + other.wake_ups,
@@ -204,17 +204,17 @@
         self.tiers.iter().for_each(|tier| _ = tier.take_counters());
         let (address, clock, begin_ns) =
             (self.entry_address, self.clock, self.clock.now() + SETUP_TIME.as_nanos() as u64);
-        let (client, early, before, from) = thread::scope(|scope| {
+        let (client, warm_up_counters, usage_before, measured_since) = thread::scope(|scope| {
             let client_thread = scope.spawn(move || run_load(address, &load, begin_ns, clock));
             let measured_from = clock.instant(begin_ns) + warm_up;
             thread::sleep(measured_from.saturating_duration_since(Instant::now()));
             // The client thread goes on sending meanwhile.
-            let early: Vec<_> = self.tiers.iter().map(Tier::take_counters).collect();
-            let (before, from) = (self.read_usage(), Instant::now());
-            (client_thread.join(), early, before, from)
+            let warm_up_counters: Vec<_> = self.tiers.iter().map(Tier::take_counters).collect();
+            let (usage_before, measured_since) = (self.read_usage(), Instant::now());
+            (client_thread.join(), warm_up_counters, usage_before, measured_since)
         });
-        let usage = self.read_usage().zip(before).map(|(after, before)| after - before);
-        let usage_s = from.elapsed().as_secs_f64();
+        let usage = self.read_usage().zip(usage_before).map(|(after, before)| after - before);
+        let usage_s = measured_since.elapsed().as_secs_f64();
         let client = client.map_err(|_| "the client panicked")?.map_err(|error| error.to_string())?;
         let (mut request_transit, mut response_transit) = (histogram(), histogram());
         let add = |sum: &mut Histogram<u64>, other: &Histogram<u64>| {
@@ -222,18 +222,19 @@
         };
         add(&mut response_transit, &client.response_transit);
         let (mut tiers, mut usage_attempts) = (Vec::new(), 0);
-        for (tier, mut early) in self.tiers.iter().zip(early) {
-            let late = tier.take_counters();
-            add(&mut request_transit, &late.request_transit);
-            add(&mut response_transit, &late.response_transit);
-            usage_attempts += late.attempts;
-            early.requests.extend(&late.requests);
+        for (tier, mut warm_up_counters) in self.tiers.iter().zip(warm_up_counters) {
+            let measured_counters = tier.take_counters();
+            add(&mut request_transit, &measured_counters.request_transit);
+            add(&mut response_transit, &measured_counters.response_transit);
+            usage_attempts += measured_counters.attempts;
+            warm_up_counters.requests.extend(&measured_counters.requests);
             tiers.push(TierResults {
-                attempts: early.attempts + late.attempts,
-                requests: early.requests.len() as u64,
-                repeats: early.repeats + late.repeats,
-                cancelled: early.cancelled + late.cancelled,
-                broken_connections: early.broken_connections + late.broken_connections,
+                attempts: warm_up_counters.attempts + measured_counters.attempts,
+                requests: warm_up_counters.requests.len() as u64,
+                repeats: warm_up_counters.repeats + measured_counters.repeats,
+                cancelled: warm_up_counters.cancelled + measured_counters.cancelled,
+                broken_connections: warm_up_counters.broken_connections
+                    + measured_counters.broken_connections,
             });
         }
         Ok(Round { client, tiers, request_transit, response_transit, usage, usage_attempts, usage_s })
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -30,7 +30,7 @@
 
 impl CommonConfig {
     fn new_lease_holder(&self) -> LeaseHolder {
-        let lease_servers = (0..self.lease_servers).map(|at| InstanceId(at as u32)).collect();
+        let lease_servers = (0..self.lease_servers).map(|number| InstanceId(number as u32)).collect();
         // Accepts any settings: the instance carries no requests by them.
         let validator: Validator = Arc::new(|_: &[Arc<str>]| Ok(()));
         let lease_holder = LeaseHolder::new(lease_servers, self.lease_duration, validator);
@@ -177,10 +177,11 @@
 
     /// Updates whether the instance holds leases of a majority, and counts expiries and the time without leases.
     pub fn update_lease_state(&mut self, now: Micros, counts: &mut Counts) {
-        let before = std::mem::replace(&mut self.lease_valid_until, self.lease_holder.lease_valid_until());
-        if self.has_lease && before <= now {
+        let previous_expiry =
+            std::mem::replace(&mut self.lease_valid_until, self.lease_holder.lease_valid_until());
+        if self.has_lease && previous_expiry <= now {
             self.has_lease = false;
-            self.without_lease_since = Some(before);
+            self.without_lease_since = Some(previous_expiry);
             counts.lease_expiries += 1;
         }
         if !self.has_lease && self.lease_valid_until > now {
--- a/lab/src/scene.rs
+++ b/lab/src/scene.rs
@@ -10,7 +10,7 @@
 //! - `version N NAME:KIND ...`: the workloads in version N of the settings, KIND one of read, once; all instances
 //!   start with the first version. Servers answer requests of a workload whose name begins with `fails` with an error
 //! - `load RATE`: requests a second of each workload at each sidecar
-//! - `stand-in A HOW`: replaces the program of A by the stand-in of [`crate::stand_in`], HOW its behaviour
+//! - `stand-in A HOW`: replaces the program of A by the fake sidecar of [`crate::fake_sidecar`], HOW its behaviour
 //! - `with KEY = VALUE`: one more line in the section `[accord]` of the operator's file
 //! - `until T`: the end of the scene
 //!
@@ -59,8 +59,7 @@
     NonIdempotent,
 }
 
-/// What a scene does to an instance, its links or its discovery. The module's documentation has the words of the
-/// file.
+/// What a scene does to an instance, its links or its discovery. The module's documentation describes each word.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// `tell`, with the version.
@@ -116,7 +115,7 @@
 pub enum ListChange {
     /// It drains.
     Draining,
-    /// It takes requests, with the start time that it had.
+    /// It takes requests; its start time is unchanged.
     Ready,
     /// It takes requests and has just started.
     Restarted,
@@ -162,13 +161,13 @@
     /// How many of them, the first ones, are lease servers.
     pub lease_servers: usize,
     /// The setting `within` of the operator's file, in seconds.
-    pub within: f64,
+    pub max_divergence_s: f64,
     /// The setting `unsure` of the operator's file.
     pub unsure: String,
     /// Further lines of the section `[accord]`.
     pub accord_settings: Vec<String>,
-    /// The instance that the stand-in replaces, and how the stand-in behaves.
-    pub stand_in: Option<(usize, String)>,
+    /// The instance whose program the fake sidecar replaces, and the fake sidecar's behaviour.
+    pub fake_sidecar: Option<(usize, String)>,
     /// Requests a second of each workload at each sidecar.
     pub rate: f64,
     /// The workloads of each version of the settings.
@@ -196,7 +195,7 @@
         for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if !line.is_empty() {
-                scene.parse_line(line).map_err(|why| format!("line {}: {why}", index + 1))?;
+                scene.parse_line(line).map_err(|error| format!("line {}: {error}", index + 1))?;
             }
         }
         scene.actions.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -224,29 +223,31 @@
             index.filter(|index| *index < SERVERS).ok_or_else(|| format!("there is no {word}"))
         };
         match words[..] {
-            ["stand-in", instance, how] => self.stand_in = Some((parse_instance(instance)?, how.into())),
+            ["stand-in", instance, behaviour] => {
+                self.fake_sidecar = Some((parse_instance(instance)?, behaviour.into()))
+            }
             ["with", ref rest @ ..] => self.accord_settings.push(rest.join(" ")),
-            ["sidecars", count, "keepers", lease_servers, "within", within, ref rest @ ..] => {
+            ["sidecars", count, "keepers", lease_servers, "within", max_divergence, ref rest @ ..] => {
                 (self.sidecars, self.lease_servers) =
                     (parse_integer(count)? as usize, parse_integer(lease_servers)? as usize);
-                self.within = parse_number(within)?;
+                self.max_divergence_s = parse_number(max_divergence)?;
                 match rest {
                     [] => {}
-                    ["unsure", how] => self.unsure = how.to_string(),
+                    ["unsure", policy] => self.unsure = policy.to_string(),
                     _ => return Err(not_understood()),
                 }
             }
             ["version", number, ref workloads @ ..] => {
-                let mut all = Vec::new();
+                let mut parsed_workloads = Vec::new();
                 for workload in workloads {
                     let (name, kind) = match workload.split_once(':') {
                         Some((name, "read")) => (name, WorkloadKind::ReadLike),
                         Some((name, "once")) => (name, WorkloadKind::NonIdempotent),
                         _ => return Err(not_understood()),
                     };
-                    all.push((name.to_string(), kind));
+                    parsed_workloads.push((name.to_string(), kind));
                 }
-                self.versions.insert(parse_integer(number)?, all);
+                self.versions.insert(parse_integer(number)?, parsed_workloads);
             }
             ["load", rate] => self.rate = parse_number(rate)?,
             ["until", time] => self.end_s = parse_number(time)?,
@@ -260,7 +261,7 @@
                     ("cut-to", []) => Action::CutTo,
                     ("cut-from", []) => Action::CutFrom,
                     ("heal", []) => Action::Heal,
-                    ("delay", [length]) => Action::Delay(parse_integer(length)?),
+                    ("delay", [delay_ms]) => Action::Delay(parse_integer(delay_ms)?),
                     ("reset", []) => Action::Reset,
                     ("refuse", []) => Action::Refuse,
                     ("half", []) => Action::TruncateMessage,
--- a/lab/tests/scenes.rs
+++ b/lab/tests/scenes.rs
@@ -1,7 +1,7 @@
 //! Runs every scene in `lab/scenes` on processes of the program, as many concurrently as the machine has capacity for.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
 use oakhollow_lab::admission::{available_capacity, busy_millicores, estimated_demand, Admission};
 use oakhollow_lab::reruns::run_admitted;
 use oakhollow_lab::scene::Scene;
@@ -11,23 +11,26 @@
 use std::sync::LazyLock;
 use std::thread;
 
-/// The lab program, which contains the stand-in sidecar.
+/// The lab program, which contains the fake sidecar.
 const LAB_PROGRAM: &str = env!("CARGO_BIN_EXE_oakhollow-lab");
 
 /// Shared by both tests, which run concurrently.
 static ADMISSION: LazyLock<Admission> = LazyLock::new(|| {
     let cores = thread::available_parallelism().map_or(1, usize::from);
-    let others = busy_millicores(cores);
-    let room = available_capacity(cores, others);
-    let _ = writeln!(std::io::stderr(), "{cores} cores, {others} thousandths busy: scenes have {room}");
-    Admission::new(room)
+    let used_by_others = busy_millicores(cores);
+    let capacity = available_capacity(cores, used_by_others);
+    let _ = writeln!(
+        std::io::stderr(),
+        "{cores} cores, {used_by_others} thousandths busy: scenes have {capacity}"
+    );
+    Admission::new(capacity)
 });
 
 /// Runs the scene as soon as there is capacity for it.
 fn run_admitted_scene(scene: &Scene, program: &Path, name: &str) -> Report {
     let options = RunOptions { program, lab_program: Path::new(LAB_PROGRAM), with_accord: true, seed: 0 };
-    let played = run_admitted(&ADMISSION, estimated_demand(scene), name, || run_scene(scene, &options));
-    played.unwrap_or_else(|why| panic!("{name}: {why}"))
+    let result = run_admitted(&ADMISSION, estimated_demand(scene), name, || run_scene(scene, &options));
+    result.unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
 fn files(folder: &str) -> Vec<PathBuf> {
@@ -39,9 +42,9 @@
 }
 
 #[test]
-fn accord_scenes_meet_their_expectations() {
+fn lease_protocol_scenes_meet_their_expectations() {
     let program = program();
-    let files = files("accord");
+    let files = files("leases");
     assert!(files.len() >= 3);
     thread::scope(|scope| {
         for file in &files {
@@ -61,7 +64,8 @@
     assert!(report.attempts > 100, "{}: {} attempts", file.display(), report.attempts);
 }
 
-/// Runs each scene with its faulty stand-in and with a correct one, so that only the fault can cause the finding.
+/// Runs each scene with its faulty sidecar and with a correct fake sidecar, so that only the fault can cause the
+/// finding.
 #[test]
 fn faulty_sidecars_are_found_and_named() {
     let (program, files) = (program(), files("faulty"));
@@ -70,18 +74,19 @@
         for file in &files {
             let (program, text) = (&program, std::fs::read_to_string(file).expect("text"));
             let faulty = Scene::parse(&text).expect("a scene");
-            let (who, how) = faulty.stand_in.clone().expect("a stand-in");
-            let honest = Scene { stand_in: Some((who, "honest".into())), ..faulty.clone() };
+            let (instance, behaviour) = faulty.fake_sidecar.clone().expect("a fake sidecar");
+            let honest = Scene { fake_sidecar: Some((instance, "honest".into())), ..faulty.clone() };
             let name = file.display().to_string();
-            let other = format!("honest, {name}");
+            let honest_name = format!("honest, {name}");
             scope.spawn(move || {
                 let report = run_admitted_scene(&faulty, program, &name);
-                let named = report.failures.iter().filter(|fault| fault.contains(&format!("n{who} sen")));
-                assert!(named.count() > 0, "{how} is not found: {:#?}", report.failures);
+                let named =
+                    report.failures.iter().filter(|failure| failure.contains(&format!("n{instance} sen")));
+                assert!(named.count() > 0, "{behaviour} is not found: {:#?}", report.failures);
             });
             scope.spawn(move || {
-                let report = run_admitted_scene(&honest, program, &other);
-                assert!(report.failures.is_empty(), "{other}: {:#?}", report.failures);
+                let report = run_admitted_scene(&honest, program, &honest_name);
+                assert!(report.failures.is_empty(), "{honest_name}: {:#?}", report.failures);
             });
         }
     });
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -1,9 +1,9 @@
 //! Short soak runs with three fixed seeds have no findings, and a seed always gives the same timetable.
-mod beside;
+mod built_program;
 
-use beside::program;
+use built_program::program;
+use oakhollow_lab::soak::disruption::Disruption;
 use oakhollow_lab::soak::timetable::{FleetSize, Timetable};
-use oakhollow_lab::soak::trouble::Trouble;
 use oakhollow_lab::soak::{run, Plan};
 use std::time::Duration;
 
@@ -47,26 +47,26 @@
     let whole = Timetable::draw(&plan(7), &size);
     assert_eq!(whole, Timetable::draw(&plan(7), &size));
     assert_ne!(whole, Timetable::draw(&plan(9), &size));
-    let kind = whole.entries[0].trouble;
+    let kind = whole.entries[0].disruption;
     let rest = Timetable::draw(&Plan { excluded: vec![kind], ..plan(7) }, &size);
-    let expected: Vec<_> = whole.entries.iter().filter(|entry| entry.trouble != kind).copied().collect();
+    let expected: Vec<_> = whole.entries.iter().filter(|entry| entry.disruption != kind).copied().collect();
     assert_eq!(rest.entries, expected);
 }
 
 #[test]
 fn each_pair_of_kinds_overlaps_in_some_timetables() {
     let size = FleetSize { groups: 4, processes: 9, servers: 4 };
-    let mut met = std::collections::BTreeMap::new();
+    let mut overlaps = std::collections::BTreeMap::new();
     for seed in 0..200 {
         let plan = Plan { duration: Duration::from_secs(8), ..plan(seed) };
         for (pair, count) in Timetable::draw(&plan, &size).overlapping_pairs() {
-            *met.entry(pair).or_insert(0) += count;
+            *overlaps.entry(pair).or_insert(0) += count;
         }
     }
-    for (at, one) in Trouble::ALL.iter().enumerate() {
-        for other in &Trouble::ALL[at + 1..] {
-            let count = met.get(&(*one.min(other), *one.max(other))).copied().unwrap_or(0);
-            assert!(count >= 5, "{} and {} met {count} times", one.name(), other.name());
+    for (index, one) in Disruption::ALL.iter().enumerate() {
+        for other in &Disruption::ALL[index + 1..] {
+            let count = overlaps.get(&(*one.min(other), *one.max(other))).copied().unwrap_or(0);
+            assert!(count >= 5, "{} and {} overlapped {count} times", one.name(), other.name());
         }
     }
 }
