--- a/sidecar/src/accord.rs
+++ b/sidecar/src/agreement.rs
@@ -1,7 +1,7 @@
-//! The agreement of instances on settings, on sockets. Each instance connects to the keepers, exchanges one line of
-//! JSON per message, and keeps renewing its leases. Agreed settings are applied before the instance reports that it
-//! knows them. The protocol itself is in the package `oakhollow_accord`; without `[accord]` in the operator's file
-//! nothing here runs.
+//! The agreement of instances on settings: runs the lease protocol of the package `oakhollow_accord` on sockets. Each
+//! instance is a lease holder: it connects to all lease servers, exchanges one line of JSON per message, and keeps
+//! renewing its leases. The instances that `accord.keepers` names are lease servers as well. Agreed settings are
+//! applied before the instance reports that it knows them. Without `[accord]` in the operator's file nothing here runs.
 use crate::endpoint_list::PeerDrains;
 use crate::endpoint_registry::{lock, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
@@ -47,24 +47,25 @@
 /// How long a new connection may take to send its greeting.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The number of links that a keeper accepts: one for each instance, two while one process replaces another, and some
-/// that have not sent their greeting yet.
+/// The number of links that a lease server accepts: one for each instance, two while one process replaces another, and
+/// some that have not sent their greeting yet.
 fn max_links(instances: usize) -> usize {
     2 * instances + 8
 }
 
-/// The descriptors that an instance needs for this: a link to each keeper and, on a keeper, its listener and the
-/// links that it accepts.
+/// The descriptors that an instance needs for the agreement: a link to each lease server and, if it is one itself, its
+/// listener and the links that it accepts.
 pub fn descriptors_needed(config: &AccordConfig, name: &str) -> usize {
-    let is_keeper = config.keepers.iter().any(|keeper| keeper == name);
-    config.keepers.len() + if is_keeper { 1 + max_links(config.instances.len()) } else { 0 }
+    let is_lease_server = config.keepers.iter().any(|server| server == name);
+    config.keepers.len() + if is_lease_server { 1 + max_links(config.instances.len()) } else { 0 }
 }
 
 /// What the agreement's task handles.
 enum Input {
     /// This instance's configuration file was read. The sender reports why it is rejected, if it is.
     ConfigRead(Box<SidecarConfig>, Sender<String>),
-    /// Discovery has sent something. The sender, if any, is notified once that is applied.
+    /// Discovery has sent a list, or said that nothing has changed. The sender, if any, is notified once that is
+    /// applied.
     ListReceived(Arc<DiscoveryList>, Option<Sender<()>>),
     /// The list can't be obtained from discovery.
     ListUnavailable,
@@ -74,27 +75,27 @@
     StatusRequested(Sender<String>),
     /// A lease holder has connected to this instance's lease server; messages to it go to the sender.
     HolderConnected(HolderId, Sender<Message>),
-    /// Its link is closed.
+    /// The link from a lease holder is closed.
     HolderDisconnected(HolderId),
     /// A message from a lease holder to this instance's lease server.
     ToLeaseServer(HolderId, Message),
-    /// A message from a keeper to this instance's lease holder.
+    /// A message from a lease server to this instance's lease holder.
     ToLeaseHolder(InstanceId, Message),
 }
 
 /// How the console, the watch of the list and the reload of the configuration reach the agreement.
 #[derive(Clone)]
-pub struct AccordHandle {
+pub struct AgreementHandle {
     inputs: Sender<Input>,
     scope: Scope,
 }
 
-impl AccordHandle {
+impl AgreementHandle {
     /// Proposes the settings of a configuration file. On an error the previous settings stay.
     pub async fn propose(&self, config: SidecarConfig) -> Result<(), String> {
         split_settings(&config)?;
-        let (to, rejection) = bounded(1);
-        let _ = self.inputs.send(Input::ConfigRead(Box::new(config), to)).await;
+        let (rejection_sender, rejection) = bounded(1);
+        let _ = self.inputs.send(Input::ConfigRead(Box::new(config), rejection_sender)).await;
         rejection.recv().await.map_or(Ok(()), Err)
     }
 
@@ -103,15 +104,16 @@
         let _ = self.inputs.send(Input::ListReceived(list, None)).await;
     }
 
-    /// Reports a list before the workers get it, and waits until the entries that no keeper has confirmed yet are
-    /// held back. Returns false where that is not needed; the workers then get the list first.
+    /// Reports a list before the workers get it, and waits until the workers would send nothing to the entries that a
+    /// majority of lease servers has not confirmed yet. Returns false where that is not needed; the workers then get
+    /// the list first.
     pub async fn apply_list_before_workers(&self, list: &Arc<DiscoveryList>) -> bool {
         if self.scope == Scope::All {
             return false;
         }
-        let (to, done) = bounded(1);
-        let _ = self.inputs.send(Input::ListReceived(list.clone(), Some(to))).await;
-        let _ = done.recv().await;
+        let (done, applied) = bounded(1);
+        let _ = self.inputs.send(Input::ListReceived(list.clone(), Some(done))).await;
+        let _ = applied.recv().await;
         true
     }
 
@@ -127,21 +129,21 @@
 
     /// The status as text, a line for each version and each instance.
     pub async fn status(&self) -> String {
-        let (to, status) = bounded(1);
-        let _ = self.inputs.send(Input::StatusRequested(to)).await;
+        let (reply_to, status) = bounded(1);
+        let _ = self.inputs.send(Input::StatusRequested(reply_to)).await;
         status.recv().await.unwrap_or_default()
     }
 }
 
 /// Splits the settings of a configuration file into this instance's own part and the common part, as a document.
 fn split_settings(config: &SidecarConfig) -> Result<(LocalSettings, Document), String> {
-    let number = config.settings_version.ok_or("version: missing, and instances agree on settings")?;
+    let stated = config.settings_version.ok_or("version: missing, and instances agree on settings")?;
     let (local_settings, common) =
         LocalSettings::split(&config.settings_text).map_err(|error| format!("settings.{error}"))?;
     if common.text.len() > MAX_DOCUMENT_BYTES {
         return Err(format!("settings: over {MAX_DOCUMENT_BYTES} bytes, the most that is passed on"));
     }
-    let version = Version { epoch: number.epoch, number: number.number, hash: common.hash };
+    let version = Version { epoch: stated.epoch, number: stated.number, hash: common.hash };
     Ok((local_settings, Document { version, text: common.text.into() }))
 }
 
@@ -166,11 +168,11 @@
     lease_holder: LeaseHolder,
     local_settings: Arc<Mutex<LocalSettings>>,
     lease_server: Option<LeaseServer>,
-    /// The queues to the keepers, and to the lease holders connected to this instance's lease server.
-    to_keepers: HashMap<InstanceId, Sender<Message>>,
+    /// The queues to the lease servers, and to the lease holders connected to this instance's lease server.
+    to_lease_servers: HashMap<InstanceId, Sender<Message>>,
     to_holders: HashMap<HolderId, Sender<Message>>,
-    /// Whether it was last logged that this instance may act.
-    was_acting: bool,
+    /// Whether this instance could act on the agreed settings when that was last logged.
+    could_act: bool,
     /// The agreed settings can't be read.
     settings_unreadable: bool,
     /// Discovery does not deliver the list.
@@ -182,17 +184,18 @@
 /// Starts the agreement. The future returned runs for as long as the process.
 pub fn start(
     config: &SidecarConfig, known_list: Arc<DiscoveryList>, parts: Parts,
-) -> Result<(AccordHandle, impl Future<Output = ()>), String> {
+) -> Result<(AgreementHandle, impl Future<Output = ()>), String> {
     let (local_settings, document) = split_settings(config)?;
     // Shared by all links to this lease server: a copy for each would grow with the square of the number of
     // instances.
     let instance_names: Arc<[String]> = parts.config.instances.keys().cloned().collect();
-    let id =
-        |name: &String| instance_names.iter().position(|other| other == name).map(|at| InstanceId(at as u32));
+    let id = |name: &String| {
+        instance_names.iter().position(|other| other == name).map(|index| InstanceId(index as u32))
+    };
     let own_id =
         id(&config.name).ok_or_else(|| format!("name: {:?} is not in accord.instances", config.name))?;
-    let keepers: Vec<InstanceId> = parts.config.keepers.iter().filter_map(id).collect();
-    let lease_length =
+    let server_ids: Vec<InstanceId> = parts.config.keepers.iter().filter_map(id).collect();
+    let lease_duration =
         oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(parts.config.max_divergence_s));
     let local_settings = Arc::new(Mutex::new(local_settings));
     let validator: Validator = {
@@ -201,29 +204,33 @@
     };
     let (inputs, incoming) = bounded(MAX_QUEUED_INPUTS);
     let agreement = Agreement {
-        lease_server: keepers.contains(&own_id).then(|| LeaseServer::new(parts.clock.now(), lease_length)),
+        lease_server: server_ids
+            .contains(&own_id)
+            .then(|| LeaseServer::new(parts.clock.now(), lease_duration)),
         lease_holder: match (parts.config.list_sharing, parts.config.scope) {
             (ListSharing::Whole, _) => {
-                LeaseHolder::new(keepers.clone(), lease_length, validator).with_full_lists()
+                LeaseHolder::new(server_ids.clone(), lease_duration, validator).with_full_lists()
+            }
+            (ListSharing::Drains, Scope::All) => {
+                LeaseHolder::new(server_ids.clone(), lease_duration, validator)
             }
-            (ListSharing::Drains, Scope::All) => LeaseHolder::new(keepers.clone(), lease_length, validator),
             (ListSharing::Drains, Scope::Listed) => {
-                LeaseHolder::new(keepers.clone(), lease_length, validator).with_subscription()
+                LeaseHolder::new(server_ids.clone(), lease_duration, validator).with_subscription()
             }
         },
         instance_names,
         own_id,
         local_settings,
-        to_keepers: HashMap::new(),
+        to_lease_servers: HashMap::new(),
         to_holders: HashMap::new(),
-        was_acting: false,
+        could_act: false,
         settings_unreadable: false,
         list_unavailable: false,
         peer_drains: PeerDrains::new(),
         parts,
     };
-    let accord = AccordHandle { inputs: inputs.clone(), scope: agreement.parts.config.scope };
-    Ok((accord, agreement.run((document, known_list), keepers, (inputs, incoming))))
+    let handle = AgreementHandle { inputs: inputs.clone(), scope: agreement.parts.config.scope };
+    Ok((handle, agreement.run((document, known_list), server_ids, (inputs, incoming))))
 }
 
 /// A list as facts for the agreement. The entries' own JSON is included only where whole lists are shared.
@@ -253,7 +260,7 @@
 
 impl Agreement {
     async fn run(
-        mut self, first: (Document, Arc<DiscoveryList>), keepers: Vec<InstanceId>,
+        mut self, initial: (Document, Arc<DiscoveryList>), server_ids: Vec<InstanceId>,
         inputs: (Sender<Input>, Receiver<Input>),
     ) {
         let (inputs, incoming) = inputs;
@@ -261,12 +268,12 @@
             Greeting::new(&self.instance_names[self.own_id.0 as usize], self.parts.clock.now().0).to_json();
         let silence_limit = Duration::from_secs_f64(self.parts.config.max_divergence_s.max(1.0));
         let mut links = Vec::new();
-        for keeper in keepers {
-            let (to, messages) = bounded(MAX_QUEUED_MESSAGES);
-            self.to_keepers.insert(keeper, to);
-            let address = self.parts.config.instances[&self.instance_names[keeper.0 as usize]];
+        for server in server_ids {
+            let (sender, messages) = bounded(MAX_QUEUED_MESSAGES);
+            self.to_lease_servers.insert(server, sender);
+            let address = self.parts.config.instances[&self.instance_names[server.0 as usize]];
             links.push(keep_connected(
-                keeper,
+                server,
                 address,
                 greeting.clone(),
                 messages,
@@ -277,27 +284,27 @@
         let executor = async_executor::LocalExecutor::new();
         links.into_iter().for_each(|link| executor.spawn(link).detach());
         if self.lease_server.is_some() {
-            let at = self.parts.config.instances[&self.instance_names[self.own_id.0 as usize]];
+            let address = self.parts.config.instances[&self.instance_names[self.own_id.0 as usize]];
             let listening = accept_links(
-                at,
+                address,
                 self.instance_names.clone(),
                 inputs,
                 self.parts.log.clone(),
                 silence_limit * 4,
                 &executor,
             );
-            future::or(listening, executor.run(self.run_events(first, incoming))).await;
+            future::or(listening, executor.run(self.run_events(initial, incoming))).await;
         } else {
-            executor.run(self.run_events(first, incoming)).await;
+            executor.run(self.run_events(initial, incoming)).await;
         }
     }
 
     /// Handles inputs and timers for as long as the process lives.
     async fn run_events(
-        &mut self, (first, known_list): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>,
+        &mut self, (document, known_list): (Document, Arc<DiscoveryList>), incoming: Receiver<Input>,
     ) {
         let (mut actions, now) = (Vec::new(), self.parts.clock.now());
-        self.lease_holder.propose(now, first, &mut actions);
+        self.lease_holder.propose(now, document, &mut actions);
         if !known_list.endpoints.is_empty() {
             self.lease_holder.handle_list_update(
                 now,
@@ -331,7 +338,7 @@
     /// Handles an input, or a timer if there is none.
     async fn handle(&mut self, input: Option<Input>) {
         let (now, mut actions, mut outgoing) = (self.parts.clock.now(), Vec::new(), Vec::new());
-        let mut applied = None;
+        let mut list_applied = None;
         match input {
             None => {
                 self.lease_holder.handle_timer(now, &mut actions);
@@ -340,7 +347,7 @@
                 }
             }
             Some(Input::ListReceived(list, done)) => {
-                (self.list_unavailable, applied) = (false, done);
+                (self.list_unavailable, list_applied) = (false, done);
                 self.lease_holder.handle_list_update(
                     now,
                     list_update(&list, self.parts.config.list_sharing),
@@ -359,7 +366,7 @@
                 );
             }
             Some(Input::MaintenanceChanged(_)) => {}
-            Some(Input::StatusRequested(to)) => _ = to.try_send(self.status()),
+            Some(Input::StatusRequested(reply_to)) => _ = reply_to.try_send(self.status()),
             // Always succeeds: the sender has made the same check.
             Some(Input::ConfigRead(config, rejection)) => {
                 if let Ok((local_settings, document)) = split_settings(&config) {
@@ -373,15 +380,15 @@
                     } else {
                         *lock() = previous;
                         // The lease holder logs a rejection only once, but every reload reports the reason.
-                        let why = actions.iter().position(|action| matches!(action, Action::Log(_)));
-                        let _ = rejection.try_send(match why.map(|at| actions.remove(at)) {
-                            Some(Action::Log(why)) => why,
+                        let logged = actions.iter().position(|action| matches!(action, Action::Log(_)));
+                        let _ = rejection.try_send(match logged.map(|index| actions.remove(index)) {
+                            Some(Action::Log(reason)) => reason,
                             _ => "version: refused before, see the log".into(),
                         });
                     }
                 }
             }
-            Some(Input::HolderConnected(holder, to)) => _ = self.to_holders.insert(holder, to),
+            Some(Input::HolderConnected(holder, sender)) => _ = self.to_holders.insert(holder, sender),
             Some(Input::HolderDisconnected(holder)) => {
                 // Unless it has connected again in the meantime.
                 if self.to_holders.get(&holder).is_some_and(Sender::is_closed) {
@@ -393,19 +400,19 @@
                     server.handle_message(now, holder, message, &mut outgoing);
                 }
             }
-            Some(Input::ToLeaseHolder(keeper, message)) => {
-                self.lease_holder.handle_message(now, keeper, message, &mut actions)
+            Some(Input::ToLeaseHolder(server, message)) => {
+                self.lease_holder.handle_message(now, server, message, &mut actions)
             }
         }
         self.send_to_holders(outgoing);
         self.execute_actions(actions).await;
-        applied.map(|done| done.try_send(()));
+        list_applied.map(|done| done.try_send(()));
     }
 
     /// Sends the lease server's messages.
     fn send_to_holders(&self, outgoing: Vec<(HolderId, Message)>) {
         for (holder, message) in outgoing {
-            self.to_holders.get(&holder).map(|to| to.try_send(message));
+            self.to_holders.get(&holder).map(|sender| sender.try_send(message));
         }
     }
 
@@ -414,8 +421,8 @@
     async fn execute_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(keeper, message) => {
-                    self.to_keepers.get(&keeper).map(|to| to.try_send(message));
+                Action::Send(server, message) => {
+                    self.to_lease_servers.get(&server).map(|sender| sender.try_send(message));
                 }
                 Action::ApplyDocuments => {
                     let texts: Vec<Arc<str>> =
@@ -454,8 +461,8 @@
         self.parts.lease.set(until);
         // Logged also by an instance that goes on without a lease.
         let may_act = until.min(self.lease_holder.lease_valid_until()) > self.parts.clock.now();
-        if may_act != self.was_acting {
-            self.was_acting = may_act;
+        if may_act != self.could_act {
+            self.could_act = may_act;
             lock(&self.parts.registry).lease_ok =
                 may_act || self.parts.config.no_lease_policy != NoLeasePolicy::Refuse;
             match may_act {
@@ -475,15 +482,15 @@
         }
     }
 
-    /// Applies what other instances' lists say: which endpoints drain and, while discovery does not deliver the own
-    /// list, which endpoints it lacks.
+    /// Applies other instances' lists: which endpoints drain and, while discovery does not deliver the list to this
+    /// instance, which endpoints it does not know.
     async fn apply_peer_lists(&mut self) {
         let mut drains = PeerDrains::new();
         for (name, since) in
             self.lease_holder.unconfirmed_servers().chain(self.lease_holder.excluded_servers())
         {
-            let known = drains.entry(name.to_string()).or_insert(since);
-            *known = since.max(*known);
+            let latest = drains.entry(name.to_string()).or_insert(since);
+            *latest = since.max(*latest);
         }
         if self.peer_drains != drains {
             let (excluded, unconfirmed) =
@@ -583,8 +590,8 @@
                     known_versions.join(" ")
                 );
             }
-            for waiting in server.pending_version(now).iter().flat_map(|(version, waiting)| {
-                waiting.iter().map(move |blocking| {
+            for line in server.pending_version(now).iter().flat_map(|(version, waiting_for)| {
+                waiting_for.iter().map(move |blocking| {
                     let how = if blocking.rejects { "which refuses it" } else { "or its lease" };
                     format!(
                         "pending: {version} waits for {}, {how}, {}\n",
@@ -593,31 +600,32 @@
                     )
                 })
             }) {
-                text += &waiting;
+                text += &line;
             }
         }
         text
     }
 }
 
-/// Exchanges messages until the link breaks, falls silent or delivers a malformed message; returns the error of that.
+/// Exchanges messages until the link breaks, is silent for `silence_limit` or delivers a malformed message. Returns the
+/// error of a malformed message.
 async fn exchange_messages(
     stream: Async<TcpStream>, messages: &Receiver<Message>, silence_limit: Duration, inputs: &Sender<Input>,
     to_input: impl Fn(Message) -> Input,
 ) -> Option<String> {
-    let (reads, mut writes) = io::split(Uninterrupted(stream));
-    let mut reads = BufReader::new(reads);
-    let receives = async {
-        let (mut since, mut count) = (Instant::now(), 0);
+    let (reader, mut writer) = io::split(Uninterrupted(stream));
+    let mut reader = BufReader::new(reader);
+    let receiving = async {
+        let (mut second_began, mut count) = (Instant::now(), 0);
         loop {
-            let line = within(silence_limit, read_line(&mut reads, MAX_LINE_BYTES)).await?;
-            if since.elapsed() > Duration::from_secs(1) {
-                (since, count) = (Instant::now(), 0);
+            let line = within(silence_limit, read_line(&mut reader, MAX_LINE_BYTES)).await?;
+            if second_began.elapsed() > Duration::from_secs(1) {
+                (second_began, count) = (Instant::now(), 0);
             }
             count += 1;
             // Limits a link that floods this instance, so that the messages of the others are not delayed.
             if count > MAX_MESSAGES_PER_SECOND {
-                Timer::at(since + Duration::from_secs(1)).await;
+                Timer::at(second_began + Duration::from_secs(1)).await;
             }
             match read_json::<Message>(line.trim().as_bytes()) {
                 Ok(message) => _ = inputs.send(to_input(message)).await,
@@ -625,33 +633,33 @@
             }
         }
     };
-    let sends = async {
+    let sending = async {
         while let Ok(message) = messages.recv().await {
-            if !write_line(&mut writes, &oakhollow_terms::to_json(&message)).await {
+            if !write_line(&mut writer, &oakhollow_terms::to_json(&message)).await {
                 break;
             }
         }
         None
     };
-    future::or(receives, sends).await
+    future::or(receiving, sending).await
 }
 
-/// Keeps a link to a keeper, and connects again whenever it breaks.
+/// Keeps a link to a lease server, and connects again whenever it breaks.
 async fn keep_connected(
-    keeper: InstanceId, at: SocketAddr, greeting: String, messages: Receiver<Message>, inputs: Sender<Input>,
-    silence_limit: Duration,
+    server: InstanceId, address: SocketAddr, greeting: String, messages: Receiver<Message>,
+    inputs: Sender<Input>, silence_limit: Duration,
 ) {
     loop {
-        let linked = async {
-            let mut stream = Async::<TcpStream>::connect(at).await.ok()?;
+        let connected = async {
+            let mut stream = Async::<TcpStream>::connect(address).await.ok()?;
             let _ = stream.get_ref().set_nodelay(true);
             // Messages queued for a link that broke are outdated.
             while messages.try_recv().is_ok() {}
             write_line(&mut stream, &greeting).await.then_some(stream)
         };
-        if let Some(stream) = within(silence_limit, linked).await {
+        if let Some(stream) = within(silence_limit, connected).await {
             exchange_messages(stream, &messages, silence_limit, &inputs, |message| {
-                Input::ToLeaseHolder(keeper, message)
+                Input::ToLeaseHolder(server, message)
             })
             .await;
         }
@@ -661,27 +669,28 @@
 
 /// Accepts the links of lease holders to this instance's lease server.
 async fn accept_links(
-    at: SocketAddr, instance_names: Arc<[String]>, inputs: Sender<Input>, log: Logger,
+    address: SocketAddr, instance_names: Arc<[String]>, inputs: Sender<Input>, log: Logger,
     silence_limit: Duration, executor: &async_executor::LocalExecutor<'_>,
 ) {
     let mut logged = false;
     let listener = loop {
         // The predecessor may still have the address; until it ends, its lease server serves this instance too.
-        match Async::<TcpListener>::bind(at) {
+        match Async::<TcpListener>::bind(address) {
             Ok(listener) => break listener,
             Err(error) if !std::mem::replace(&mut logged, true) => {
-                warn!(log, "accord: {}: {}, retrying", at, error);
+                warn!(log, "accord: {}: {}, retrying", address, error);
             }
             Err(_) => {}
         }
         Timer::after(RETRY_DELAY).await;
     };
     let mut logged_causes = BTreeSet::new();
-    let open = Arc::new(());
+    // Each open link holds a clone, so the strong count is one more than the number of open links.
+    let open_links = Arc::new(());
     let (rejections, rejected) = bounded::<String>(MAX_QUEUED_MESSAGES);
     loop {
         // Links must not use up the descriptors that clients and endpoints need.
-        if Arc::strong_count(&open) > max_links(instance_names.len()) {
+        if Arc::strong_count(&open_links) > max_links(instance_names.len()) {
             Timer::after(RETRY_DELAY).await;
             continue;
         }
@@ -695,15 +704,15 @@
             Timer::after(RETRY_DELAY).await;
             continue;
         };
-        let (instance_names, inputs, rejections, open) =
-            (instance_names.clone(), inputs.clone(), rejections.clone(), open.clone());
+        let (instance_names, inputs, rejections, open_link) =
+            (instance_names.clone(), inputs.clone(), rejections.clone(), open_links.clone());
         executor
             .spawn(async move {
-                let _open = open;
+                let _open_link = open_link;
                 let _ = stream.get_ref().set_nodelay(true);
                 match serve_link(stream, &instance_names, &inputs, silence_limit).await {
                     Ok(()) => {}
-                    Err(why) => _ = rejections.try_send(why),
+                    Err(cause) => _ = rejections.try_send(cause),
                 }
             })
             .detach();
@@ -726,16 +735,16 @@
         }
         Some(())
     };
-    // Closed or silent before a greeting: ignored.
+    // A link that is closed or silent before its greeting is not an error.
     if within(GREETING_TIMEOUT, read_greeting).await.is_none() {
         return Ok(());
     }
     let greeting = Greeting::read(greeting.trim_ascii())?;
-    let at = instance_names.iter().position(|name| *name == greeting.name);
-    let at = at.ok_or_else(|| format!("name: {:?} is not in accord.instances", greeting.name))?;
-    let holder = HolderId { instance: InstanceId(at as u32), incarnation: greeting.incarnation };
-    let (to, messages) = bounded(MAX_QUEUED_MESSAGES);
-    let _ = inputs.send(Input::HolderConnected(holder, to)).await;
+    let index = instance_names.iter().position(|name| *name == greeting.name);
+    let index = index.ok_or_else(|| format!("name: {:?} is not in accord.instances", greeting.name))?;
+    let holder = HolderId { instance: InstanceId(index as u32), incarnation: greeting.incarnation };
+    let (sender, messages) = bounded(MAX_QUEUED_MESSAGES);
+    let _ = inputs.send(Input::HolderConnected(holder, sender)).await;
     let malformed = exchange_messages(stream, &messages, silence_limit, inputs, |message| {
         Input::ToLeaseServer(holder, message)
     })
--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -1,7 +1,7 @@
 //! The console, a second HTTP address for operators: it reports health, metrics and the agreement's status, and puts
 //! endpoints into maintenance or takes them out of it. It has its own thread, reactor and descriptors, so that it
 //! answers however busy the workers are.
-use crate::accord::AccordHandle;
+use crate::agreement::AgreementHandle;
 use crate::endpoint_registry::{lock, MaintenanceError, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
@@ -45,7 +45,7 @@
     pub log: Logger,
     pub store: Option<Arc<MaintenanceStore>>,
     pub handover_links: HandoverLinks,
-    pub accord: Option<AccordHandle>,
+    pub agreement: Option<AgreementHandle>,
     pub metrics: Arc<Metrics>,
     /// The gauges of each worker.
     pub gauges: Vec<workers::WorkerGauges>,
@@ -53,7 +53,7 @@
 
 /// The paths of the requests.
 const HEALTH_PATH: &str = "/healthcheck";
-const ACCORD_PATH: &str = "/accord";
+const AGREEMENT_PATH: &str = "/accord";
 const METRICS_PATH: &str = "/metrics";
 /// How often a bind is tried again, such as to an address that another process still has.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Request<'a> {
     Health,
-    Accord,
+    AgreementStatus,
     Metrics,
     Maintenance { name: &'a str, in_maintenance: bool },
 }
@@ -77,7 +77,7 @@
                 (Request::Maintenance { name, in_maintenance: word == "maint" }, "PUT")
             }
             _ if path == HEALTH_PATH => (Request::Health, "GET"),
-            _ if path == ACCORD_PATH => (Request::Accord, "GET"),
+            _ if path == AGREEMENT_PATH => (Request::AgreementStatus, "GET"),
             _ if path == METRICS_PATH => (Request::Metrics, "GET"),
             _ => return Err(not_found),
         };
@@ -177,8 +177,8 @@
         match parse_request(method, target.split('?').next().unwrap_or_default())? {
             Request::Health if lock(&self.registry).is_serving() => Ok(Answer::plain(200, "serving")),
             Request::Health => Ok(Answer::plain(503, "not serving")),
-            Request::Accord => match &self.accord {
-                Some(accord) => Ok(Answer::plain(200, accord.status().await)),
+            Request::AgreementStatus => match &self.agreement {
+                Some(agreement) => Ok(Answer::plain(200, agreement.status().await)),
                 None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
             },
             Request::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauge_values()))),
@@ -217,8 +217,8 @@
         let mark = &mark;
         let MaintenanceMark { name, in_maintenance, .. } = mark;
         self.handover_links.send_maintenance(mark, None);
-        if let Some(accord) = &self.accord {
-            accord.apply_maintenance(mark.clone()).await;
+        if let Some(agreement) = &self.agreement {
+            agreement.apply_maintenance(mark.clone()).await;
         }
         info!(self.log, "{} {} by hand", name, if *in_maintenance { "out" } else { "back" });
         let applied = async {
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -5,7 +5,7 @@
 pub mod pacing;
 mod progress;
 
-use crate::accord::AccordHandle;
+use crate::agreement::AgreementHandle;
 use crate::endpoint_registry::{lock, SharedRegistry};
 use crate::list_deadline::ListDeadline;
 use crate::list_freshness::ListFreshness;
@@ -56,7 +56,7 @@
     /// The endpoints by name.
     pub registry: SharedRegistry,
     /// The lease protocol with the other instances, if it is configured.
-    pub accord: Option<AccordHandle>,
+    pub agreement: Option<AgreementHandle>,
     /// Receives a message each time the decision module subscribes to the list.
     pub subscriptions: Receiver<()>,
     /// Receives the new settings each time the configuration file is reloaded.
@@ -409,8 +409,8 @@
     /// Reports that discovery was asked for the list and has sent nothing.
     async fn report_unavailable(&self) {
         lock(&self.parts.registry).list_settled = true;
-        if let Some(accord) = &self.parts.accord {
-            accord.list_unavailable().await;
+        if let Some(agreement) = &self.parts.agreement {
+            agreement.list_unavailable().await;
         }
     }
 
@@ -422,8 +422,8 @@
             // otherwise subscribe again and again.
             b"" if first || self.is_stale => Ok(unchanged()),
             b"" => {
-                if let Some(accord) = &self.parts.accord {
-                    accord.apply_list(Arc::new(unchanged())).await;
+                if let Some(agreement) = &self.parts.agreement {
+                    agreement.apply_list(Arc::new(unchanged())).await;
                 }
                 return Ok(());
             }
@@ -448,15 +448,15 @@
         );
         let (index, list) = (list.index, Arc::new(list));
         let list_arrival = ListArrival { at: Instant::now(), complete_until: self.complete_until };
-        let before = match &self.parts.accord {
-            Some(accord) => accord.apply_list_before_workers(&list).await,
+        let before = match &self.parts.agreement {
+            Some(agreement) => agreement.apply_list_before_workers(&list).await,
             None => false,
         };
         // Workers look at the deadline when they apply the list, not before: they were told that it had passed.
         self.parts.deadline.set(None);
         self.parts.workers.send(WorkerCommand::ApplyList(kind, list.clone(), list_arrival)).await;
-        if let Some(accord) = self.parts.accord.as_ref().filter(|_| !before) {
-            accord.apply_list(list).await;
+        if let Some(agreement) = self.parts.agreement.as_ref().filter(|_| !before) {
+            agreement.apply_list(list).await;
         }
         let after = list_arrival.at.elapsed().as_millis();
         info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, after);
@@ -505,7 +505,7 @@
             initial_version: ListIndex(41),
             workers: CommandBroadcaster::new(workers),
             registry,
-            accord: None,
+            agreement: None,
             subscriptions,
             reloads,
             deadline: ListDeadline::none(),
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -2,7 +2,7 @@
 //! reads the configuration and calls it. The load-balancing decisions are those of the crate `oakhollow`: in each
 //! worker one task ([`dispatcher`]) owns them, and the protocol ([`http1`]) reaches it through a queue.
 //! [`lifecycle`] runs the process as a whole; the requests are carried by [`workers`], one thread each.
-pub mod accord;
+pub mod agreement;
 pub mod console;
 pub mod dispatcher;
 pub mod durable_file;
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -1,5 +1,5 @@
 //! The lifecycle of the process, from start to exit, as a state machine of named phases.
-use crate::accord::{self, AccordHandle};
+use crate::agreement::{self, AgreementHandle};
 use crate::console::{self, Console};
 use crate::endpoint_registry::{lock, EndpointRegistry, SharedRegistry};
 use crate::handover::{self, HandoverLinks, HandoverTask, Predecessor};
@@ -154,7 +154,7 @@
     registry: SharedRegistry,
     handover_links: HandoverLinks,
     /// The agreement of instances on settings, where it is configured.
-    accord: Option<AccordHandle>,
+    agreement: Option<AgreementHandle>,
     /// The predecessor process still serves.
     has_predecessor: bool,
     /// A successor serves from now on.
@@ -267,14 +267,14 @@
         // Half of the connections are for clients: most requests have one attempt running.
         let by_memory = (limits.memory_mb * 0.75 * 1024.0 / CONNECTION_MEMORY_KB) as usize;
         let console_descriptors = config.console.map_or(0, |_| console::DESCRIPTORS);
-        let accord_descriptors = operator
+        let agreement_descriptors = operator
             .accord
             .as_ref()
-            .map_or(0, |accord_config| accord::descriptors_needed(accord_config, &config.name));
+            .map_or(0, |accord_config| agreement::descriptors_needed(accord_config, &config.name));
         let reserved = RESERVED_DESCRIPTORS
             + DESCRIPTORS_PER_WORKER * (workers - 1)
             + console_descriptors
-            + accord_descriptors;
+            + agreement_descriptors;
         let descriptors = limits.sockets.min(descriptor_limit());
         let max_connections = descriptors.saturating_sub(reserved).min(by_memory) / 2;
         if max_connections == 0 {
@@ -335,12 +335,12 @@
         .map_err(failed)?;
         let max_line_bytes = (limits.memory_mb * 1024.0 * 1024.0 * LIST_LINE_MEMORY_SHARE) as usize;
         let commands = worker_pool.commands();
-        let mut accord_handle = None;
+        let mut agreement_handle = None;
         if let Some((accord_config, config)) = accord_config {
             lock(&registry).lease_ok = false;
             let (commands, registry, log) = (commands.clone(), registry.clone(), log.clone());
             let (store, handover_links) = (store.clone(), handover_links.clone());
-            let parts = accord::Parts {
+            let parts = agreement::Parts {
                 config: accord_config,
                 lease,
                 commands,
@@ -350,18 +350,18 @@
                 clock,
                 log,
             };
-            let (accord, agreement) = accord::start(&config, known_list, parts)?;
-            tasks.spawn_detached(agreement);
-            accord_handle = Some(accord);
+            let (handle, task) = agreement::start(&config, known_list, parts)?;
+            tasks.spawn_detached(task);
+            agreement_handle = Some(handle);
         }
         if let Some(at) = config.console {
             let (registry, commands, handover_links) =
                 (registry.clone(), commands.clone(), handover_links.clone());
-            let (store, accord) = (store.clone(), accord_handle.clone());
+            let (store, agreement) = (store.clone(), agreement_handle.clone());
             let (metrics, gauges) = (metrics.clone(), worker_pool.gauges());
             let log = log.clone();
             let console =
-                Console { registry, commands, clock, log, store, handover_links, accord, metrics, gauges };
+                Console { registry, commands, clock, log, store, handover_links, agreement, metrics, gauges };
             console.listen(at, listener_passed).map_err(failed)?;
         }
         if let Some(store) = store.filter(|_| listener_passed) {
@@ -383,7 +383,7 @@
             initial_version: known_index,
             workers: commands.clone(),
             registry: registry.clone(),
-            accord: accord_handle.clone(),
+            agreement: agreement_handle.clone(),
             subscriptions,
             reloads,
             deadline,
@@ -410,7 +410,7 @@
             worker_failure: None,
             registry,
             handover_links,
-            accord: accord_handle,
+            agreement: agreement_handle,
             has_predecessor,
             has_successor: false,
             log,
@@ -513,8 +513,8 @@
             Action::StopAccepting => self.commands.send_and_wait(WorkerCommand::StopAccepting).await,
             Action::Reload => match reload_config(&self.keys) {
                 Ok(config) => {
-                    if let Some(accord) = &self.accord {
-                        if let Err(error) = accord.propose(config.clone()).await {
+                    if let Some(agreement) = &self.agreement {
+                        if let Err(error) = agreement.propose(config.clone()).await {
                             warn!(
                                 self.log,
                                 "configuration file rejected, the previous settings stay: {}", error
@@ -532,7 +532,7 @@
                     }
                     self.keys = config.keys;
                     // Where instances agree on settings, these apply once they are agreed.
-                    if self.accord.is_none() {
+                    if self.agreement.is_none() {
                         let settings = Arc::new(config.settings);
                         self.commands
                             .send_and_wait(|done| WorkerCommand::ApplySettings(settings, done))
