--- a/sidecar/src/agreement.rs
+++ b/sidecar/src/agreement.rs
@@ -6,7 +6,7 @@
 use crate::endpoint_registry::{lock, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::lease::Lease;
-use crate::lines::{read_line, within, write_line};
+use crate::line_io::{read_line, with_timeout, write_line};
 use crate::maintenance_store::MaintenanceStore;
 use crate::start_time::ListArrival;
 use crate::timers::Clock;
@@ -618,7 +618,7 @@
     let receiving = async {
         let (mut second_began, mut count) = (Instant::now(), 0);
         loop {
-            let line = within(silence_limit, read_line(&mut reader, MAX_LINE_BYTES)).await?;
+            let line = with_timeout(silence_limit, read_line(&mut reader, MAX_LINE_BYTES)).await?;
             if second_began.elapsed() > Duration::from_secs(1) {
                 (second_began, count) = (Instant::now(), 0);
             }
@@ -657,7 +657,7 @@
             while messages.try_recv().is_ok() {}
             write_line(&mut stream, &greeting).await.then_some(stream)
         };
-        if let Some(stream) = within(silence_limit, connected).await {
+        if let Some(stream) = with_timeout(silence_limit, connected).await {
             exchange_messages(stream, &messages, silence_limit, &inputs, |message| {
                 Input::ToLeaseHolder(server, message)
             })
@@ -736,7 +736,7 @@
         Some(())
     };
     // A link that is closed or silent before its greeting is not an error.
-    if within(GREETING_TIMEOUT, read_greeting).await.is_none() {
+    if with_timeout(GREETING_TIMEOUT, read_greeting).await.is_none() {
         return Ok(());
     }
     let greeting = Greeting::read(greeting.trim_ascii())?;
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -3,7 +3,7 @@
 //! means that the other process has ended.
 use crate::endpoint_registry::{lock, MaintenanceMark, SharedRegistry};
 use crate::limits::SharedLimit;
-use crate::lines::{read_line, within, write_line};
+use crate::line_io::{read_line, with_timeout, write_line};
 use crate::maintenance_store::MaintenanceStore;
 use crate::timers::Clock;
 use crate::uninterrupted::Uninterrupted;
@@ -25,15 +25,15 @@
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Lines that may wait for a peer that does not read: one mark for each endpoint that may be marked.
 const MAX_QUEUED_LINES: usize = MaintenanceMarks::MAX_ENTRIES;
-/// The longest line accepted: enough for a list of many thousands of endpoints.
+/// The longest line that is accepted: enough for a list of many thousands of endpoints.
 const MAX_LINE_BYTES: u64 = 16 * 1024 * 1024;
 /// The delay before a failed bind or accept is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-type Incoming = BufReader<ReadHalf<Uninterrupted<Async<UnixStream>>>>;
+type LinkReader = BufReader<ReadHalf<Uninterrupted<Async<UnixStream>>>>;
 /// The queue to another process, and its receiving end.
 type Link = (Sender<HandoverMessage>, Receiver<HandoverMessage>);
-type Outgoing = WriteHalf<Uninterrupted<Async<UnixStream>>>;
+type LinkWriter = WriteHalf<Uninterrupted<Async<UnixStream>>>;
 
 /// The links to other processes of this sidecar, if there are any.
 #[derive(Clone, Default)]
@@ -44,15 +44,15 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a link; it receives every line sent from now on.
+    /// Adds a link, which receives every message sent from now on.
     fn open(&self) -> Link {
-        let (link, lines) = bounded(MAX_QUEUED_LINES);
+        let (link, messages) = bounded(MAX_QUEUED_LINES);
         self.lock().push(link.clone());
-        (link, lines)
+        (link, messages)
     }
 
-    /// Sends a mark to all other processes but the one that it came from.
-    pub fn send_maintenance(&self, mark: &MaintenanceMark, from: Option<&Sender<HandoverMessage>>) {
+    /// Sends a mark to all other processes except the one from which it was received.
+    pub fn send_maintenance(&self, mark: &MaintenanceMark, except: Option<&Sender<HandoverMessage>>) {
         let MaintenanceMark { name, in_maintenance, set_at } = mark.clone();
         self.send(
             HandoverMessage::MaintenanceChange(MaintenanceChange {
@@ -60,7 +60,7 @@
                 in_maintenance,
                 set_at_us: set_at.0,
             }),
-            from,
+            except,
         );
     }
 
@@ -69,10 +69,10 @@
         self.send(HandoverMessage::StoppedAccepting, None);
     }
 
-    fn send(&self, line: HandoverMessage, from: Option<&Sender<HandoverMessage>>) {
+    fn send(&self, message: HandoverMessage, except: Option<&Sender<HandoverMessage>>) {
         let links = self.lock();
-        let others = links.iter().filter(|link| !from.is_some_and(|from| link.same_channel(from)));
-        others.for_each(|link| _ = link.try_send(line.clone()));
+        let others = links.iter().filter(|link| !except.is_some_and(|except| link.same_channel(except)));
+        others.for_each(|link| _ = link.try_send(message.clone()));
     }
 
     /// Whether there is another process.
@@ -87,12 +87,12 @@
     pub marks: MaintenanceMarks,
     /// The rest of its snapshot.
     pub state: HandoverState,
-    reads: Incoming,
-    writes: Outgoing,
+    reader: LinkReader,
+    writer: LinkWriter,
 }
 
-/// Gets the snapshot of the predecessor. None if there is no such process or its snapshot can't be used in time:
-/// a start never blocks on it.
+/// Gets the snapshot of the predecessor. None if there is no such process, or if no usable snapshot arrives in time: a
+/// start never blocks on it.
 pub async fn fetch_snapshot(store: &MaintenanceStore, log: &Logger) -> Option<Predecessor> {
     let path = store.socket_path();
     if !path.exists() {
@@ -100,17 +100,17 @@
     }
     let fetched = async {
         let stream = Async::<UnixStream>::connect(&path).await.map_err(|error| error.to_string())?;
-        let (reads, writes) = io::split(Uninterrupted(stream));
-        let mut reads = BufReader::new(reads);
-        let line = read_line(&mut reads, MAX_LINE_BYTES).await.ok_or("it sent nothing")?;
+        let (reader, writer) = io::split(Uninterrupted(stream));
+        let mut reader = BufReader::new(reader);
+        let line = read_line(&mut reader, MAX_LINE_BYTES).await.ok_or("it sent nothing")?;
         let (marks, state) = store.parse(line.as_bytes())?;
-        Ok(Predecessor { marks, state, reads, writes })
+        Ok(Predecessor { marks, state, reader, writer })
     };
-    let late = async {
+    let timeout = async {
         Timer::after(SNAPSHOT_TIMEOUT).await;
         Err("it sent nothing in time".to_string())
     };
-    match future::or(fetched, late).await {
+    match future::or(fetched, timeout).await {
         Ok(predecessor) => Some(predecessor),
         Err(error) => {
             warn!(log, "no snapshot from the predecessor: {}", error);
@@ -131,23 +131,23 @@
 }
 
 impl HandoverTask {
-    /// Follows the predecessor, if there is one, and waits for successors.
+    /// Exchanges lines with the predecessor, if there is one, and waits for successors.
     pub async fn run(self, predecessor: Option<Predecessor>) {
-        let follow_predecessor = async {
-            if let Some(Predecessor { reads, writes, .. }) = predecessor {
-                self.exchange_lines(reads, writes, self.links.open(), Sharing::WithPredecessor).await;
+        let exchange_with_predecessor = async {
+            if let Some(Predecessor { reader, writer, .. }) = predecessor {
+                self.exchange_lines(reader, writer, self.links.open(), Sharing::WithPredecessor).await;
             }
             future::pending::<()>().await
         };
-        future::or(follow_predecessor, self.accept_successors()).await;
+        future::or(exchange_with_predecessor, self.accept_successors()).await;
     }
 
     /// Sends each successor a snapshot, and then exchanges lines with it.
     async fn accept_successors(&self) {
         let mut failing = false;
         loop {
-            // Bound again for each successor: the last one has put its own socket at this path, and may have
-            // ended without serving.
+            // Bound again for each successor: the previous one has bound its own socket at this path, and may have
+            // exited without serving.
             let path = self.store.socket_path();
             let _ = std::fs::remove_file(&path);
             let listener = match Async::<UnixListener>::bind(&path) {
@@ -166,12 +166,12 @@
                 continue;
             };
             drop(listener);
-            let (reads, mut writes) = io::split(Uninterrupted(stream));
+            let (reader, mut writer) = io::split(Uninterrupted(stream));
             let learned = self.learned().await;
             let (marks, list, link) = self.snapshot();
             let snapshot = self.store.serialize(&marks, HandoverState { list: Some(list), learned });
-            if write_line(&mut writes, &snapshot).await {
-                self.exchange_lines(BufReader::new(reads), writes, link, Sharing::WithSuccessor).await;
+            if write_line(&mut writer, &snapshot).await {
+                self.exchange_lines(BufReader::new(reader), writer, link, Sharing::WithSuccessor).await;
             } else {
                 self.close(&link.0);
             }
@@ -192,13 +192,14 @@
 
     /// Shares limits and marks with another process until that ends.
     async fn exchange_lines(
-        &self, mut reads: Incoming, mut writes: Outgoing, (link, lines): Link, sharing: Sharing,
+        &self, mut reader: LinkReader, mut writer: LinkWriter, (link, messages): Link, sharing: Sharing,
     ) {
         self.set_sharing(sharing).await;
-        let received = async {
-            while let Some(line) = read_line(&mut reads, MAX_LINE_BYTES).await {
+        let receiving = async {
+            while let Some(line) = read_line(&mut reader, MAX_LINE_BYTES).await {
                 match read_json(line.trim().as_bytes()) {
-                    // Uses this process's clock: the mark was set a moment ago, and the other clock may differ.
+                    // The time is replaced by this process's: the mark was set a moment ago, and the other process's
+                    // clock may differ.
                     Ok(HandoverMessage::MaintenanceChange(MaintenanceChange {
                         name,
                         in_maintenance,
@@ -210,8 +211,8 @@
                         )
                         .await;
                     }
-                    // The other process closes its connections answer by answer; waiting for its end would leave this
-                    // one with half of the limits for seconds.
+                    // The other process closes each connection after its next answer, which takes seconds; until it has
+                    // ended, this one would have only half of the limits.
                     Ok(HandoverMessage::StoppedAccepting) => {
                         info!(self.log, "the other process has stopped accepting");
                         self.commands.send(WorkerCommand::SetSharing(Sharing::Alone)).await;
@@ -220,23 +221,23 @@
                 }
             }
         };
-        let sent = async {
-            while let Ok(line) = lines.recv().await {
-                if !write_line(&mut writes, &line.to_json()).await {
+        let sending = async {
+            while let Ok(message) = messages.recv().await {
+                if !write_line(&mut writer, &message.to_json()).await {
                     return;
                 }
             }
         };
-        future::or(received, sent).await;
+        future::or(receiving, sending).await;
         self.close(&link);
         self.set_sharing(Sharing::Alone).await;
     }
 
     /// What one worker's module has learned. Any worker will do, since all of them learn about the same.
     async fn learned(&self) -> LearnedHealth {
-        let (to, learned) = bounded(1);
-        self.commands.send(WorkerCommand::ExportLearned(to)).await;
-        within(SNAPSHOT_TIMEOUT / 3, async { learned.recv().await.ok() }).await.unwrap_or_default()
+        let (reply_to, learned) = bounded(1);
+        self.commands.send(WorkerCommand::ExportLearned(reply_to)).await;
+        with_timeout(SNAPSHOT_TIMEOUT / 3, async { learned.recv().await.ok() }).await.unwrap_or_default()
     }
 
     /// Starts or stops sharing limits and budgets with another process.
@@ -247,7 +248,7 @@
     }
 
     /// Applies a mark that was set at another process.
-    async fn apply_maintenance(&self, mark: MaintenanceMark, from: &Sender<HandoverMessage>) {
+    async fn apply_maintenance(&self, mark: MaintenanceMark, received_from: &Sender<HandoverMessage>) {
         {
             let mut registry = lock(&self.registry);
             registry.apply_maintenance(&mark);
@@ -259,7 +260,7 @@
             mark.name,
             if mark.in_maintenance { "out" } else { "back" }
         );
-        self.links.send_maintenance(&mark, Some(from));
+        self.links.send_maintenance(&mark, Some(received_from));
         self.commands.send_and_wait(|done| WorkerCommand::ApplyMaintenance(mark, done)).await;
     }
 }
@@ -273,26 +274,27 @@
     use std::thread;
     use std::time::Instant;
 
-    /// The marks that a new process gets from a predecessor that sends only `says`, and how long that takes.
-    fn fetch_from(name: &str, says: Option<&str>) -> (Option<MaintenanceMarks>, Duration) {
+    /// The marks that a new process gets from a predecessor that sends only `sent`, and how long that takes. Without
+    /// `sent` the predecessor has exited and left its socket file behind. A predecessor whose text ends in `!` closes
+    /// the connection at once, any other keeps it open for longer than a new process waits.
+    fn fetch_from(name: &str, sent: Option<&str>) -> (Option<MaintenanceMarks>, Duration) {
         let folder = std::env::temp_dir().join(format!("oakhollow-peers-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let store =
             MaintenanceStore::in_folder(&folder, "127.0.0.1:70".parse().expect("an address"), Clock::start());
         let listener = std::os::unix::net::UnixListener::bind(store.socket_path()).expect("a socket");
-        let line = says.map(str::to_string);
-        // None: the predecessor has ended and left its socket file behind.
-        let other = line.map(|line| {
+        let text = sent.map(str::to_string);
+        let sender = text.map(|text| {
             thread::spawn(move || {
-                let (mut stream, _) = listener.accept().expect("somebody");
-                stream.write_all(line.as_bytes()).expect("said");
-                thread::sleep(Duration::from_millis(if line.ends_with('!') { 0 } else { 700 }));
+                let (mut stream, _) = listener.accept().expect("a connection");
+                stream.write_all(text.as_bytes()).expect("written");
+                thread::sleep(Duration::from_millis(if text.ends_with('!') { 0 } else { 700 }));
             })
         });
         let start = Instant::now();
         let predecessor = block_on(fetch_snapshot(&store, &Logger::root(Discard, o!())));
         let elapsed = start.elapsed();
-        other.map(thread::JoinHandle::join);
+        sender.map(thread::JoinHandle::join);
         let _ = std::fs::remove_dir_all(&folder);
         (predecessor.map(|predecessor| predecessor.marks), elapsed)
     }
@@ -314,11 +316,11 @@
             ("newer", Some(line(&complete.replace("\"version\":1", "\"version\":2")))),
             ("foreign", Some(line(&complete.replace(":70", ":71")))),
         ];
-        for (name, line_sent) in unusable {
-            let (predecessor, elapsed) = fetch_from(name, line_sent.as_deref());
+        for (name, sent) in unusable {
+            let (marks, elapsed) = fetch_from(name, sent.as_deref());
             assert!(
-                predecessor.is_none() && elapsed < Duration::from_millis(600),
-                "{name}: {predecessor:?}, {elapsed:?}"
+                marks.is_none() && elapsed < Duration::from_millis(600),
+                "{name}: {marks:?}, {elapsed:?}"
             );
         }
     }
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -1,6 +1,6 @@
 //! `oakhollow`: runs one sidecar with the configuration file that `RELAY_CONFIG` or the first argument names.
 use clap::{Parser, Subcommand, ValueEnum};
-use oakhollow_sidecar::{logging, planned, run, signals, workers};
+use oakhollow_sidecar::{logging, plan_report, run, signals, workers};
 use oakhollow_terms::{KeySet, OperatorConfig, SidecarConfig};
 use slog::warn;
 use std::path::{Path, PathBuf};
@@ -59,7 +59,7 @@
 fn plan(file: &Path, lost: &[String], part: f64) -> Result<(), String> {
     let plan = OperatorConfig::from_file(file, cores())?.site_plan();
     let plan = plan.ok_or_else(|| format!("{}: plan: missing", file.display()))?;
-    print!("{}", planned::report(&plan, lost, part)?);
+    print!("{}", plan_report::report(&plan, lost, part)?);
     Ok(())
 }
 
@@ -77,7 +77,7 @@
     let reload_config = |previous: &KeySet| SidecarConfig::from_replacement_file(previous, &path);
     let (log, _flush) = logging::to_stderr(&config.name, args.log_level.into());
     if let Some(plan) = operator.site_plan() {
-        planned::single_loss_warnings(&plan)
+        plan_report::single_loss_warnings(&plan)
             .iter()
             .for_each(|warning| warn!(log, "the plan does not hold {}", warning));
     }
--- a/sidecar/src/planned.rs
+++ b/sidecar/src/plan_report.rs
@@ -6,11 +6,11 @@
 /// A plan holds if it serves at least this share of the highest payoff that the remaining capacity allows.
 const REQUIRED_PAYOFF_SHARE: f64 = 0.95;
 
-/// Why a plan does not hold in this loss, a line for each reason.
+/// Why a plan does not hold after this loss, a line for each reason.
 fn shortfalls(plan: &Plan, outcome: &LossOutcome) -> Vec<String> {
-    let starved = outcome.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
+    let overcommitted = outcome.sites.iter().zip(&plan.sites).filter(|(site, _)| site.floors_exceed_capacity);
     let mut shortfalls: Vec<String> =
-        starved.map(|(_, site)| format!("the floors are over the room of {}", site.name)).collect();
+        overcommitted.map(|(_, site)| format!("the floors are over the room of {}", site.name)).collect();
     if outcome.payoff < REQUIRED_PAYOFF_SHARE * outcome.max_payoff {
         shortfalls.push(format!(
             "{:.1} % of the payoff that the room left could serve",
@@ -22,17 +22,19 @@
 
 /// The single losses for which a plan does not hold, and why, a line for each reason.
 pub fn single_loss_warnings(plan: &Plan) -> Vec<String> {
-    let each = (0..plan.sites.len()).map(SiteId).filter(|_| plan.sites.len() > 1);
-    each.flat_map(|lost| {
-        let shortfalls = shortfalls(plan, &plan.simulate_loss(&[lost], 1.0));
-        shortfalls
-            .into_iter()
-            .map(move |shortfall| format!("without {}: {shortfall}", plan.sites[lost.0].name))
-    })
-    .collect()
+    let single_losses = (0..plan.sites.len()).map(SiteId).filter(|_| plan.sites.len() > 1);
+    single_losses
+        .flat_map(|lost| {
+            let shortfalls = shortfalls(plan, &plan.simulate_loss(&[lost], 1.0));
+            shortfalls
+                .into_iter()
+                .map(move |shortfall| format!("without {}: {shortfall}", plan.sites[lost.0].name))
+        })
+        .collect()
 }
 
-fn describe(plan: &Plan, lost: &[SiteId], part: f64, text: &mut String) {
+/// Appends the report on one loss to `text`, with `part` of the peak load offered.
+fn describe_loss(plan: &Plan, lost: &[SiteId], part: f64, text: &mut String) {
     let outcome = plan.simulate_loss(lost, part);
     let names: Vec<&str> = lost.iter().map(|site| plan.sites[site.0].name.as_str()).collect();
     let title =
@@ -48,28 +50,28 @@
             plan.total_work(&outcome.class_outcomes, |row| row.own),
             plan.total_work(&outcome.class_outcomes, |row| row.foreign),
         );
-        let full = outcome.served_work / site.capacity;
+        let utilization = outcome.served_work / site.capacity;
         let _ = writeln!(
             text,
-            "  {:<12} {:>10.1} {own:>10.1} {others:>10.1} {:>10.1} {full:>6.2}",
+            "  {:<12} {:>10.1} {own:>10.1} {others:>10.1} {:>10.1} {utilization:>6.2}",
             site.name, site.capacity, outcome.served_work
         );
     }
-    for calls in plan.refusal_order() {
-        let refused: f64 = outcome.sites.iter().map(|site| site.class_outcomes[calls.0].refused()).sum();
-        let (nowhere, calls) = (outcome.dropped[calls.0], &plan.classes[calls.0]);
-        if refused + nowhere > 1e-6 {
+    for class in plan.refusal_order() {
+        let refused: f64 = outcome.sites.iter().map(|site| site.class_outcomes[class.0].refused()).sum();
+        let (dropped, class) = (outcome.dropped[class.0], &plan.classes[class.0]);
+        if refused + dropped > 1e-6 {
             let _ = writeln!(
                 text,
-                "  refused: {} {refused:.1} calls/s, and {nowhere:.1} that go nowhere",
-                calls.name
+                "  refused: {} {refused:.1} calls/s, and {dropped:.1} that go nowhere",
+                class.name
             );
         }
     }
-    let of_most = if outcome.max_payoff > 0.0 { outcome.payoff / outcome.max_payoff } else { 1.0 };
+    let payoff_share = if outcome.max_payoff > 0.0 { outcome.payoff / outcome.max_payoff } else { 1.0 };
     let _ = writeln!(
         text,
-        "  payoff {:.1} a second, {of_most:.3} of the most that the room left could serve",
+        "  payoff {:.1} a second, {payoff_share:.3} of the most that the room left could serve",
         outcome.payoff
     );
     for shortfall in shortfalls(plan, &outcome) {
@@ -77,25 +79,26 @@
     }
 }
 
-/// The whole report; `lost` has the names of lost sites.
+/// The whole report, with `part` of the peak load offered. `lost` has the names of the lost sites; if it is empty, the
+/// report covers no loss, each single loss and each double loss.
 pub fn report(plan: &Plan, lost: &[String], part: f64) -> Result<String, String> {
     let id = |name: &String| {
-        let place = plan.sites.iter().position(|site| site.name == *name);
-        place.map(SiteId).ok_or_else(|| format!("--lost: there is no site {name:?}"))
+        let index = plan.sites.iter().position(|site| site.name == *name);
+        index.map(SiteId).ok_or_else(|| format!("--lost: there is no site {name:?}"))
     };
     let lost: Vec<SiteId> = lost.iter().map(id).collect::<Result<_, _>>()?;
     let order: Vec<&str> =
-        plan.refusal_order().iter().map(|calls| plan.classes[calls.0].name.as_str()).collect();
+        plan.refusal_order().iter().map(|class| plan.classes[class.0].name.as_str()).collect();
     let mut text = format!("refused first: {}\n", order.join(", "));
     if !lost.is_empty() {
-        describe(plan, &lost, part, &mut text);
+        describe_loss(plan, &lost, part, &mut text);
         return Ok(text);
     }
     let all: Vec<SiteId> = (0..plan.sites.len()).map(SiteId).collect();
-    describe(plan, &[], part, &mut text);
-    all.iter().for_each(|site| describe(plan, &[*site], part, &mut text));
-    for (at, one) in all.iter().enumerate().filter(|_| all.len() > 2) {
-        all[at + 1..].iter().for_each(|other| describe(plan, &[*one, *other], part, &mut text));
+    describe_loss(plan, &[], part, &mut text);
+    all.iter().for_each(|site| describe_loss(plan, &[*site], part, &mut text));
+    for (index, first) in all.iter().enumerate().filter(|_| all.len() > 2) {
+        all[index + 1..].iter().for_each(|second| describe_loss(plan, &[*first, *second], part, &mut text));
     }
     Ok(text)
 }
