--- a/sidecar/src/http1/acceptor.rs
+++ b/sidecar/src/http1/acceptor.rs
@@ -17,17 +17,17 @@
 const MAX_PAUSE: Duration = Duration::from_millis(50);
 /// The first pause after a shortage; each further one in a row is twice as long.
 const FIRST_PAUSE: Duration = Duration::from_millis(5);
-/// After so many shortages of the host in a row, an idle connection of ours is closed, too.
+/// After this many shortages in a row, an idle connection is closed even if the shortage is at the host.
 const EVICT_AFTER_SHORTAGES: u32 = 4;
-/// So many failures in a row without a pause at most: guards against a busy loop.
+/// At most this many failures in a row are retried without a pause: guards against a busy loop.
 const MAX_FAILURES_WITHOUT_PAUSE: u32 = 64;
 
 /// Counts accepts that failed in a row.
 #[derive(Clone, Copy, Default, Debug)]
 struct Failures {
-    /// For any reason.
+    /// Failures in a row, for any reason.
     all: u32,
-    /// The last ones, for a shortage of resources.
+    /// How many of the most recent of them, in a row, were for a shortage of resources.
     shortages: u32,
 }
 
@@ -54,7 +54,7 @@
         Rc::new(Acceptor { connections, tasks, log })
     }
 
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept_all(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         let mut failures = Failures::default();
         loop {
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Waits until one more connection may be open. Idle ones are closed for it.
+    /// Waits until one more connection may be open. Closes idle connections to make that possible.
     async fn wait_for_slot(&self) -> Slot {
         loop {
             if let Some(slot) = self.connections.try_slot() {
                 return slot;
             }
-            let late = async { _ = Timer::after(MAX_PAUSE).await };
-            future::or(self.connections.slot_freed(), late).await;
+            let timeout = async { _ = Timer::after(MAX_PAUSE).await };
+            future::or(self.connections.slot_freed(), timeout).await;
         }
     }
 
@@ -129,7 +129,7 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // One connection failed, or there is a short shortage: the others are still to be accepted.
+                // One connection failed, or a shortage may be over in a moment: the others are still to be accepted.
                 Err(error) if failures < MAX_FAILURES_WITHOUT_PAUSE => {
                     self.connections.monitor.system_error(SystemCall::Accept, &error);
                     failures += 1;
--- a/sidecar/src/http1/answers.rs
+++ b/sidecar/src/http1/answers.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The head, and as much of the body as has come.
+    /// The head, and as much of the body as has been received.
     pub fn bytes(&self, keep_alive: bool, framing: Framing) -> Vec<u8> {
         let (mut out, body) = match self {
             Answer::Forwarded(EndpointAnswer { head, body, .. }) => {
--- a/sidecar/src/http1/attempt.rs
+++ b/sidecar/src/http1/attempt.rs
@@ -26,7 +26,7 @@
 const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long the beginning of an answer that states no length is buffered before it is passed on.
 const UNSIZED_ANSWER_BUFFER_TIME: Duration = Duration::from_millis(1_000);
-/// How much of a long answer is buffered before it is passed on: enough to see that it has a body at all.
+/// How much of a long answer is buffered before it is passed on: enough to show that it has a body at all.
 const MIN_ANSWER_PREFIX_BYTES: usize = 8 * 1024;
 /// How long a peer may accept nothing of a write, or send nothing of a body that is passed on.
 pub const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -41,7 +41,7 @@
     stream: Option<BodyStream>,
 }
 
-/// When the last byte of a streamed request came; none before that.
+/// When the last byte of a streamed request arrived; none before that.
 type LastByteAt = Rc<Cell<Option<Instant>>>;
 
 /// The rest of a streamed request body: the client's task reads it while an attempt passes it on.
@@ -115,13 +115,13 @@
         Ok((bytes, method))
     }
 
-    /// The time left at `now` for an attempt with this deadline. For a streamed request it counts from its last byte.
+    /// The time left at `now` for an attempt with this deadline. That of a streamed request counts from its last byte.
     fn time_left(&self, deadline: Instant, now: Instant) -> Duration {
         match &self.stream {
             None => deadline.saturating_duration_since(now),
             Some(stream) => {
-                let since = stream.last_byte_at.get().map(|at| now.saturating_duration_since(at));
-                duration(stream.answer_timeout).saturating_sub(since.unwrap_or_default())
+                let elapsed = stream.last_byte_at.get().map(|at| now.saturating_duration_since(at));
+                duration(stream.answer_timeout).saturating_sub(elapsed.unwrap_or_default())
             }
         }
     }
@@ -132,9 +132,9 @@
     }
 }
 
-/// The time left as the endpoint is told it: whole milliseconds, at least one.
-fn announced_timeout(left: Duration) -> Micros {
-    Micros::millis(left.as_millis().max(1) as u64)
+/// The time left, as it is sent to the endpoint: in whole milliseconds, at least one.
+fn announced_timeout(time_left: Duration) -> Micros {
+    Micros::millis(time_left.as_millis().max(1) as u64)
 }
 
 /// Encodes one chunk of a chunked body. Empty input gives no bytes, since an empty chunk would end the body.
@@ -178,7 +178,7 @@
     rest: BodyReader,
     connection: Rc<EndpointConnection>,
     pool: Rc<Pool>,
-    from: SocketAddr,
+    address: SocketAddr,
 }
 
 impl AnswerBody {
@@ -212,7 +212,7 @@
     /// Returns the connection to the pool if it can carry another request.
     pub fn release(self, keep_alive: bool) {
         if keep_alive && self.rest.is_complete() && self.rest.keeps_alive() {
-            self.pool.put_back(self.from, self.connection);
+            self.pool.put_back(self.address, self.connection);
         }
     }
 }
@@ -234,25 +234,25 @@
     (deadline, progress): (Instant, Rc<AttemptProgress>), reads_load_reports: bool,
 ) -> AttemptEnd<EndpointAnswer> {
     let exchange = async {
-        let exchanged = exchange(&pool, &request, &target, deadline, &progress).await;
-        exchanged.map_or_else(without_answer, |answer| classify(answer, reads_load_reports))
+        let answer = exchange(&pool, &request, &target, deadline, &progress).await;
+        answer.map_or_else(without_answer, |answer| classify(answer, reads_load_reports))
     };
-    let late = async {
+    let timed_out = async {
         // The time of a streamed request counts from its last byte, which this attempt passes on.
         if request.stream.is_some() {
             return future::pending().await;
         }
         Timer::at(deadline).await;
-        // An endpoint does not begin a request that it has not received whole.
+        // An endpoint does not run a request before it has received all of it.
         without_answer(if progress.fully_sent_at.get().is_some() {
             Outcome::TimedOut
         } else {
             Outcome::NoConnection
         })
     };
-    let end = future::or(exchange, late).await;
-    let since = progress.fully_sent_at.get().filter(|_| request.stream.is_some());
-    AttemptEnd { elapsed: since.map(|since| Micros(since.elapsed().as_micros() as u64)), ..end }
+    let end = future::or(exchange, timed_out).await;
+    let sent_at = progress.fully_sent_at.get().filter(|_| request.stream.is_some());
+    AttemptEnd { elapsed: sent_at.map(|sent_at| Micros(sent_at.elapsed().as_micros() as u64)), ..end }
 }
 
 /// Connects, sends the request and reads the answer, or the beginning of a long one.
@@ -260,14 +260,14 @@
     pool: &Rc<Pool>, request: &OutgoingRequest, target: &Target, deadline: Instant,
     progress: &AttemptProgress,
 ) -> Result<EndpointAnswer, Outcome> {
-    let to = target.address;
-    // An earlier attempt has taken the streamed body, which is not kept for another.
+    let address = target.address;
+    // An earlier attempt has taken the streamed body, which is not kept for another one.
     if request.stream.as_ref().is_some_and(|stream| stream.parts.borrow().is_none()) {
         return Err(Outcome::NotSent);
     }
-    let connection = match pool.take_idle(to).await {
+    let connection = match pool.take_idle(address).await {
         Some(connection) => connection,
-        None => pool.connect(to, target.active.clone()).await.map_err(|failure| {
+        None => pool.connect(address, target.active.clone()).await.map_err(|failure| {
             if let Some(error) = &failure.error {
                 target.monitor.system_error(SystemCall::Connect, error);
             }
@@ -275,20 +275,21 @@
         })?,
     };
     // Computed after connecting, which takes part of the time.
-    let left = request.time_left(deadline, Instant::now());
-    let announced_timeout = announced_timeout(left);
+    let time_left = request.time_left(deadline, Instant::now());
+    let announced_timeout = announced_timeout(time_left);
     let conditions = SendConditions {
         server_available: target.active.get(),
         lease_valid: target.fence.lease_valid(),
         list_fresh: target.fence.list_fresh(),
-        client_gone: request.client_end.has_come(),
-        time_left: Micros(left.as_micros() as u64),
+        client_gone: request.client_end.has_ended(),
+        time_left: Micros(time_left.as_micros() as u64),
         announced_timeout,
     };
     let permit = match target.monitor.permit_send(&target.permit, conditions) {
         Ok(permit) => permit,
-        // The client left in the same turn in which the connection came up, or in which what its request waited for
-        // came. Its withdrawal is on its way and cancels this attempt.
+        // The client left in the same turn of the event loop in which the connection was established, or in which
+        // something else that its request waited for happened. Its request's withdrawal is about to be handled and
+        // cancels this attempt.
         Err(Denial::ClientGone | Denial::RequestOver) => return future::pending().await,
         Err(Denial::OutOfTime) => return Err(Outcome::NoConnection),
         Err(Denial::ServerNotWanted | Denial::LeaseLapsed | Denial::ListStale | Denial::MayHaveRun) => {
@@ -297,38 +298,38 @@
     };
     progress.send_started.set(true);
     let mut parser = MessageParser::new(MessageKind::Answer);
-    let broken = |error: std::io::Error| {
+    let write_failed = |error: std::io::Error| {
         target.monitor.system_error(SystemCall::Transfer, &error);
         Outcome::NoConnection
     };
-    connection.write_first(permit, &request.to_bytes(announced_timeout)).await.map_err(broken)?;
-    let mut late = None;
+    connection.write_first(permit, &request.to_bytes(announced_timeout)).await.map_err(write_failed)?;
+    let mut answer_timer = None;
     if let Some(stream) = &request.stream {
         let sent = async { send_rest(stream, &connection).await.map(|()| None) };
-        let early = async { read_answer(&connection, &mut parser, future::pending()).await.map(Some) };
-        // An endpoint that answers before it has the whole request wants no more of it.
-        match future::or(sent, early).await {
-            Ok(None) => late = Some(Timer::after(duration(stream.answer_timeout))),
-            Ok(Some(incoming)) => return Ok(endpoint_answer(incoming, pool, to, connection, false)),
+        let early_answer = async { read_answer(&connection, &mut parser, future::pending()).await.map(Some) };
+        // If the endpoint answers before it has the whole request, the rest of the request is not sent.
+        match future::or(sent, early_answer).await {
+            Ok(None) => answer_timer = Some(Timer::after(duration(stream.answer_timeout))),
+            Ok(Some(incoming)) => return Ok(endpoint_answer(incoming, pool, address, connection, false)),
             Err(_) => return Err(Outcome::NoConnection),
         }
     }
     progress.fully_sent_at.set(Some(Instant::now()));
     target.monitor.last_byte_written(&target.permit);
     // From here on the endpoint may have run the request, whatever fails.
-    let late = async {
-        match late {
-            Some(late) => _ = late.await,
+    let timed_out = async {
+        match answer_timer {
+            Some(timer) => _ = timer.await,
             None => future::pending().await,
         }
     };
-    let incoming = read_answer(&connection, &mut parser, late).await?;
+    let incoming = read_answer(&connection, &mut parser, timed_out).await?;
     // Bytes after a complete answer belong to no request, and the next one could take them for its answer.
     let keep_alive = parser.pending_bytes() == 0;
     if !keep_alive {
         pool.note_unsolicited_bytes();
     }
-    Ok(endpoint_answer(incoming, pool, to, connection, keep_alive))
+    Ok(endpoint_answer(incoming, pool, address, connection, keep_alive))
 }
 
 /// Passes on the rest of a streamed request as the client sends it.
@@ -349,17 +350,18 @@
 }
 
 fn endpoint_answer(
-    incoming: Incoming, pool: &Rc<Pool>, from: SocketAddr, connection: Rc<EndpointConnection>, reusable: bool,
+    incoming: Incoming, pool: &Rc<Pool>, address: SocketAddr, connection: Rc<EndpointConnection>,
+    reusable: bool,
 ) -> EndpointAnswer {
     match incoming {
         Incoming::Complete(Message { head, body, keep_alive }) => {
             if keep_alive && reusable {
-                pool.put_back(from, connection);
+                pool.put_back(address, connection);
             }
             EndpointAnswer { head, body, rest: None }
         }
         Incoming::Partial(PartialMessage { head, buffered, rest }) => {
-            let rest = Some(AnswerBody { rest, connection, pool: pool.clone(), from });
+            let rest = Some(AnswerBody { rest, connection, pool: pool.clone(), address });
             EndpointAnswer { head, body: buffered, rest }
         }
     }
@@ -368,43 +370,44 @@
 /// Reads one answer, or the beginning of a long one. A malformed answer is [`Outcome::Errored`], since the request has
 /// run; only a connection that the endpoint closed or reset is [`Outcome::Broken`].
 async fn read_answer(
-    connection: &EndpointConnection, parser: &mut MessageParser, late: impl Future<Output = ()>,
+    connection: &EndpointConnection, parser: &mut MessageParser, timed_out: impl Future<Output = ()>,
 ) -> Result<Incoming, Outcome> {
-    let late = async {
-        late.await;
+    let timed_out = async {
+        timed_out.await;
         Err(Outcome::TimedOut)
     };
     let read = async {
         let mut started = None;
         loop {
             let read = async { Some(connection.read_buf(parser.buffer()).await) };
-            let idle = async {
+            let stalled = async {
                 match started {
                     Some(_) => _ = Timer::after(ANSWER_STALL_TIMEOUT).await,
                     None => future::pending().await,
                 }
                 None
             };
-            // Guards against waiting out the request's time for the end of an answer that has none.
-            let count = future::or(read, idle).await.ok_or(Outcome::Errored)?.map_err(|_| Outcome::Broken)?;
+            // Guards against using up the request's time with waiting for the end of an answer that never ends.
+            let count =
+                future::or(read, stalled).await.ok_or(Outcome::Errored)?.map_err(|_| Outcome::Broken)?;
             if count == 0 {
                 return parser.finish_at_close().map(Incoming::Complete).ok_or(Outcome::Broken);
             }
             if let Some(incoming) = parser.next_message().map_err(|_| Outcome::Errored)? {
                 return Ok(incoming);
             }
-            let since = *started.get_or_insert_with(Instant::now);
-            let enough = match parser.body_progress() {
+            let started_at = *started.get_or_insert_with(Instant::now);
+            let enough_buffered = match parser.body_progress() {
                 Some((received, true)) => received >= MIN_ANSWER_PREFIX_BYTES,
-                Some((received, false)) => received > 0 && since.elapsed() >= UNSIZED_ANSWER_BUFFER_TIME,
+                Some((received, false)) => received > 0 && started_at.elapsed() >= UNSIZED_ANSWER_BUFFER_TIME,
                 None => false,
             };
-            if let Some(partial) = enough.then(|| parser.take_partial()).flatten() {
+            if let Some(partial) = enough_buffered.then(|| parser.take_partial()).flatten() {
                 return Ok(Incoming::Partial(partial));
             }
         }
     };
-    future::or(read, late).await
+    future::or(read, timed_out).await
 }
 
 /// The end of an attempt that brought no answer.
--- a/sidecar/src/http1/chunks.rs
+++ b/sidecar/src/http1/chunks.rs
@@ -12,48 +12,49 @@
     trailer_bytes: usize,
 }
 
-/// What comes next.
+/// What the decoder expects next.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 enum State {
     #[default]
     Size,
-    /// So many bytes of the current chunk.
+    /// This many more bytes of the current chunk.
     Data(usize),
+    /// The line end after a chunk's data.
     DataEnd,
     Trailer,
     Done,
 }
 
 impl ChunkDecoder {
-    /// Decodes from the front of `bytes` into `body`, until that holds `max` bytes. Returns how many of `bytes` are
-    /// used up.
+    /// Decodes from the front of `bytes` into `body`, until `body` holds `max` bytes. Returns how many of `bytes` were
+    /// consumed.
     pub fn decode(&mut self, bytes: &[u8], body: &mut Vec<u8>, max: usize) -> Result<usize, HttpError> {
-        let mut at = 0;
+        let mut position = 0;
         loop {
-            let rest = &bytes[at..];
+            let rest = &bytes[position..];
             if let State::Data(left) = self.state {
-                let part = left.min(rest.len()).min(max.saturating_sub(body.len()));
-                body.extend_from_slice(&rest[..part]);
-                at += part;
-                self.state = if part == left { State::DataEnd } else { State::Data(left - part) };
-                if part < left {
-                    return Ok(at);
+                let taken = left.min(rest.len()).min(max.saturating_sub(body.len()));
+                body.extend_from_slice(&rest[..taken]);
+                position += taken;
+                self.state = if taken == left { State::DataEnd } else { State::Data(left - taken) };
+                if taken < left {
+                    return Ok(position);
                 }
                 continue;
             }
             if self.state == State::Done {
-                return Ok(at);
+                return Ok(position);
             }
             if self.state == State::DataEnd && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
-                return Err(malformed("a chunk is longer than it says"));
+                return Err(malformed("a chunk is longer than its stated size"));
             }
             let Some(length) = find(&rest[..rest.len().min(MAX_CHUNK_LINE_BYTES)], b"\r\n") else {
-                let long = rest.len() >= MAX_CHUNK_LINE_BYTES && self.state != State::Trailer;
-                let long = long || rest.len() >= MAX_TRAILER_BYTES;
-                return if long { Err(malformed("a chunk's line is too long")) } else { Ok(at) };
+                let too_long = rest.len() >= MAX_CHUNK_LINE_BYTES && self.state != State::Trailer;
+                let too_long = too_long || rest.len() >= MAX_TRAILER_BYTES;
+                return if too_long { Err(malformed("a chunk's line is too long")) } else { Ok(position) };
             };
             let line = &rest[..length];
-            at += length + 2;
+            position += length + 2;
             self.state = match self.state {
                 State::Size => match chunk_size(line)? {
                     0 => State::Trailer,
@@ -84,8 +85,8 @@
 
 fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let digits = line.split(|&byte| byte == b';').next().unwrap_or_default().trim_ascii_end();
-    let hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| hex);
+    let is_hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
-    size.ok_or(malformed("a chunk's size is no number"))
+    size.ok_or(malformed("a chunk's size is not a hexadecimal number"))
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -25,11 +25,11 @@
 /// How long a client may stay silent before its connection is closed: after its last answer, and during shutdown before
 /// the first byte of its first request.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long what a client still sends after its last answer is read and dropped.
+/// How long bytes that a client sends after its last answer are read and dropped.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The slowest rate at which a client may send a body. The platform promises 64 kB/s.
 const MIN_BODY_BYTES_PER_S: f64 = 48_000.0;
-/// How much is read of what a client sends ahead while its request is open.
+/// How many bytes that a client sends ahead are read while its request is open.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
 /// A client's connection and the state of reading from it.
@@ -38,13 +38,13 @@
     shared: &'a Connections,
     stream: Async<TcpStream>,
     parser: MessageParser,
-    /// Nothing has been answered on this connection yet.
+    /// No request has been answered on this connection yet.
     is_new: bool,
     /// Fires when the time for a request is over.
     read_timer: Timer,
 }
 
-/// What comes of waiting for a request.
+/// The result of waiting for the next request.
 enum NextRequest {
     Complete(Message),
     Partial(PartialMessage),
@@ -59,11 +59,11 @@
     keep_alive: bool,
     /// The client speaks HTTP/1.0, which has no chunked encoding.
     http10: bool,
-    /// The request that it answers; none if none was accepted.
+    /// The request that it answers; none if no request was accepted.
     request: Option<(OpenRequest, AnswerKind)>,
 }
 
-/// None if the client has gone.
+/// The answer to a request; none if its client left before the answer.
 type AnswerUnlessGone = Option<RequestAnswer>;
 
 /// An answer, and the request that it answers if that was accepted.
@@ -150,11 +150,12 @@
         reason.map(Closed::new)
     }
 
-    /// Waits for the next request. Ends early when the connection is to be closed while it has none.
+    /// Waits for the next request. Returns early if the connection is to be closed while it has no request.
     async fn next_request(&mut self) -> NextRequest {
         let (start, mut sent_continue) = (Instant::now(), false);
-        let mut until = start + if self.is_new { REQUEST_READ_TIMEOUT } else { KEEP_ALIVE_TIMEOUT };
-        let mut allowed_body_bytes = 0;
+        let mut deadline = start + if self.is_new { REQUEST_READ_TIMEOUT } else { KEEP_ALIVE_TIMEOUT };
+        // Bytes of the body that have extended the deadline.
+        let mut credited_body_bytes = 0;
         let shared = self.shared;
         let mut idle = Some(shared.enter_idle(self.guard.source, !self.is_new));
         loop {
@@ -165,16 +166,16 @@
                 Err(error) => return NextRequest::Malformed(error),
             }
             if self.parser.expects_continue() && !std::mem::replace(&mut sent_continue, true) {
-                let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
-                if !self.write(interim).await {
+                let interim_answer = b"HTTP/1.1 100 Continue\r\n\r\n";
+                if !self.write(interim_answer).await {
                     return NextRequest::Closed(CloseReason::ClientClosed);
                 }
             }
-            let begun = self.parser.pending_bytes() > 0;
+            let request_begun = self.parser.pending_bytes() > 0;
             let read = async { Some(read(&self.stream, self.parser.buffer()).await) };
-            let ended = async {
-                self.read_timer.set_at(until);
-                let late = async {
+            let timed_out_or_closing = async {
+                self.read_timer.set_at(deadline);
+                let timeout = async {
                     (&mut self.read_timer).await;
                     false
                 };
@@ -185,40 +186,41 @@
                     }
                     true
                 };
-                if future::or(late, close_requested).await {
+                if future::or(timeout, close_requested).await {
                     idle = None;
                 }
                 None
             };
-            match future::or(read, ended).await {
+            match future::or(read, timed_out_or_closing).await {
                 Some(Some(_)) => {
                     if let Some(idle) = &idle {
                         idle.bytes_received();
                     }
-                    if !begun {
-                        // A new connection's time counts from its start: staying silent first gains a client nothing.
-                        until = if self.is_new { until } else { Instant::now() + REQUEST_READ_TIMEOUT };
+                    if !request_begun {
+                        // A new connection's time counts from its start, so that a client gains none by staying silent.
+                        deadline = if self.is_new { deadline } else { Instant::now() + REQUEST_READ_TIMEOUT };
                     }
-                    // A client that keeps to the slowest allowed rate has time for its whole body.
-                    let more = self.parser.body_bytes().saturating_sub(allowed_body_bytes);
-                    (until, allowed_body_bytes) = (until + body_time(more), allowed_body_bytes + more);
+                    // A client that sends at the slowest allowed rate has time for its whole body.
+                    let new_body_bytes = self.parser.body_bytes().saturating_sub(credited_body_bytes);
+                    (deadline, credited_body_bytes) =
+                        (deadline + body_time(new_body_bytes), credited_body_bytes + new_body_bytes);
                 }
                 Some(None) => return NextRequest::Closed(CloseReason::ClientClosed),
-                // Shutdown waits for a request that has begun, and for a little time for the first request of a
-                // connection accepted at the last moment.
+                // Shutdown waits for a request that has begun, and for a short time for the first request of a
+                // connection accepted just before.
                 None if idle.is_none()
                     && shared.closing()
-                    && until > Instant::now()
-                    && (begun || self.is_new) =>
+                    && deadline > Instant::now()
+                    && (request_begun || self.is_new) =>
                 {
-                    if !begun {
-                        until = until.min(Instant::now() + LINGER_TIMEOUT);
+                    if !request_begun {
+                        deadline = deadline.min(Instant::now() + LINGER_TIMEOUT);
                     }
                 }
-                None if idle.is_some() && begun => {
+                None if idle.is_some() && request_begun => {
                     return NextRequest::Malformed(HttpError {
                         status: 408,
-                        message: "the request came too slowly",
+                        message: "the request was sent too slowly",
                     })
                 }
                 None => return NextRequest::Closed(self.close_reason(idle.is_none())),
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Why a connection without an open request is closed: on request, or because its time is over.
+    /// Why a connection without an open request is closed: because that was requested, or because its time is over.
     fn close_reason(&self, close_requested: bool) -> CloseReason {
         match (close_requested, self.shared.closing()) {
             (true, true) => CloseReason::ShuttingDown,
@@ -242,11 +244,11 @@
             return Ok(Some((Answer::ready(self.shared.ready()), None)));
         }
         let (params, _, _, identity) = self.read_request(&request.head)?;
-        // Guards against two different requests with one id open at a time: endpoints could not tell them apart.
+        // Guards against two different open requests with the same id: endpoints could not tell them apart.
         let shared = self.shared;
-        let _open = shared
+        let _registered_id = shared
             .register_request_id(&identity.id)
-            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
+            .ok_or(HttpError { status: 409, message: "a request with this Request-Id is open" })?;
         // Guards against an attempt for a client that left before its request was read: it may have waited to be
         // accepted.
         if self.stream.has_ended() {
@@ -275,23 +277,23 @@
         }
     }
 
-    /// Answers a request whose body is passed on as it comes. Returns also whether the whole body has come.
+    /// Answers a request whose body is passed on as it arrives. Also returns whether the whole body has arrived.
     async fn answer_streamed(
         &mut self, request: PartialMessage,
     ) -> Result<Option<(RequestAnswer, bool)>, HttpError> {
         let PartialMessage { head, buffered, mut rest } = request;
-        let (mut params, left, streamed_workload, mut identity) = self.read_request(&head)?;
+        let (mut params, client_timeout, streamed_workload, mut identity) = self.read_request(&head)?;
         let (shared, received) = (self.shared, buffered.len());
         // A streamed body cannot be sent twice, whatever its workload allows, and its time counts from its last byte.
         (params.workload, identity.repeat_safety) = (streamed_workload, RepeatSafety::Unsafe);
-        let longest = body_time(rest.length().unwrap_or(MAX_BODY_BYTES));
+        let max_body_time = body_time(rest.length().unwrap_or(MAX_BODY_BYTES));
         params.deadline =
-            (params.deadline + Micros(longest.as_micros() as u64)).min(shared.answer_deadline());
-        let _open = shared
+            (params.deadline + Micros(max_body_time.as_micros() as u64)).min(shared.answer_deadline());
+        let _registered_id = shared
             .register_request_id(&identity.id)
-            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
+            .ok_or(HttpError { status: 409, message: "a request with this Request-Id is open" })?;
         let (outgoing, writer) =
-            OutgoingRequest::streamed(&head, buffered, &rest, left, self.stream.peer_end())?;
+            OutgoingRequest::streamed(&head, buffered, &rest, client_timeout, self.stream.peer_end())?;
         if self.stream.has_ended() {
             return Ok(None);
         }
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Accepts a request: from now on it is owed an answer.
+    /// Accepts a request: from now on it must get an answer.
     fn accept(&self, params: &RequestParams, identity: RequestIdentity) -> OpenRequest {
         let RequestIdentity { class, repeat_safety, id } = identity;
         let (request, deadline) = (self.shared.dispatcher.next_request_id(), params.deadline);
@@ -333,7 +335,7 @@
         open.close(Some(CloseReason::ClientGone));
     }
 
-    /// Writes an answer, and the rest of a long one as it comes. An error is the reason why the connection ends by it.
+    /// Writes an answer, and the rest of a long one as it arrives. An error is the reason for closing the connection.
     async fn write_answer(
         &self, mut answer: Answer, keep_alive: bool, framing: Framing,
     ) -> Result<(), CloseReason> {
@@ -345,27 +347,27 @@
         let Some(mut rest) = forwarded.rest.take() else { return Ok(()) };
         let reason = loop {
             let Some(part) = rest.next_part().await else { break CloseReason::AnswerBroken };
-            let over = part.is_empty();
+            let body_ended = part.is_empty();
             let bytes = match framing {
-                Framing::Chunked if over => LAST_CHUNK.to_vec(),
+                Framing::Chunked if body_ended => LAST_CHUNK.to_vec(),
                 Framing::Chunked => attempt::encode_chunk(&part),
                 _ => part,
             };
             if attempt::write_all(&self.stream, &bytes).await.is_err() {
                 break CloseReason::AnswerNotTaken;
             }
-            if over {
+            if body_ended {
                 rest.release(endpoint_keep_alive);
                 return Ok(());
             }
         };
-        // Resets the connection: the client must not take its end for the end of the answer.
+        // Resets the connection, so that the client can't take its end for the end of the answer.
         let _ = sockopt::set_socket_linger(self.stream.get_ref(), Some(Duration::ZERO));
         Err(reason)
     }
 
-    /// Reads a request's headers: what the dispatcher needs, the time that its client gives it, its workload if its
-    /// body is streamed, and what identifies it.
+    /// Reads a request's headers. Returns what the dispatcher needs, the client's timeout, the workload id to use if
+    /// the body is streamed, and what identifies the request.
     fn read_request(
         &self, head: &Head,
     ) -> Result<(RequestParams, Micros, WorkloadId, RequestIdentity), HttpError> {
@@ -373,7 +375,7 @@
         let (method, target, _) = head.request_line()?;
         let error = |status, message| HttpError { status, message };
         if !matches!(method, "GET" | "POST") {
-            return Err(error(405, "only GET and POST are spoken"));
+            return Err(error(405, "only GET and POST are supported"));
         }
         head.single("Host")?.ok_or(error(400, "Host is missing"))?;
         let id = head.single("Request-Id")?.filter(|id| !id.is_empty());
@@ -382,7 +384,7 @@
         let first_segment = path.split('/').nth(1).unwrap_or_default();
         let name = head.single("Request-Class")?.unwrap_or(first_segment);
         if name != first_segment {
-            return Err(error(400, "Request-Class and path name two workloads"));
+            return Err(error(400, "Request-Class and path name different workloads"));
         }
         let workload = settings.workloads.iter().position(|workload| workload.name == name);
         let workload = workload.ok_or(error(404, "no such workload"))?;
@@ -394,53 +396,53 @@
         if head.single("Idempotency-Key")?.is_none_or(str::is_empty) && has_idempotency_key {
             return Err(error(400, "Idempotency-Key is missing"));
         }
-        let number = |text: &str| text.parse::<u64>().ok().filter(|_| !text.starts_with('+'));
+        let parse_number = |text: &str| text.parse::<u64>().ok().filter(|_| !text.starts_with('+'));
         let timeout_ms = head
             .single(TIMEOUT_HEADER)?
-            .map(|text| number(text).ok_or(error(400, "Request-Timeout-Ms is no whole number")));
+            .map(|text| parse_number(text).ok_or(error(400, "Request-Timeout-Ms is not a whole number")));
         let timeout_ms = timeout_ms.transpose()?;
         // Compared in milliseconds: guards against a time so long that it overflows in microseconds.
-        let left =
+        let client_timeout =
             timeout_ms.filter(|&ms| ms < max_client_wait.0 / 1000).map_or(max_client_wait, Micros::millis);
         let tenant = head.single("Tenant")?;
-        let known = |name| settings.tenants.iter().position(|tenant| tenant == name);
+        let tenant_index = |name| settings.tenants.iter().position(|tenant| tenant == name);
         let params = RequestParams {
             workload: settings.workload_ids[workload].buffered,
             class: settings.classes[workload],
             max_attempts: settings.max_attempts,
-            tenant: TenantId(tenant.and_then(known).unwrap_or(0)),
+            tenant: TenantId(tenant.and_then(tenant_index).unwrap_or(0)),
             client_retry: head.single("Client-Retry")? == Some("1"),
-            deadline: (received_at + left).min(self.shared.answer_deadline()),
+            deadline: (received_at + client_timeout).min(self.shared.answer_deadline()),
             affinity_key: if settings.uses_affinity_keys {
                 affinity_key(head.single("Request-Info")?)
             } else {
                 None
             },
         };
-        Ok((params, left, settings.workload_ids[workload].streamed, identity))
+        Ok((params, client_timeout, settings.workload_ids[workload].streamed, identity))
     }
 
-    /// Shuts down our side, and waits a little for the client to shut down its own: closing with bytes unread would
-    /// reset the connection, and the client could lose its answer.
+    /// Shuts down this side of the connection, and waits a short time for the client to shut down its own: closing with
+    /// unread bytes would reset the connection, and the client could lose its answer.
     async fn close_gracefully(&self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
         let drained = async {
-            let (mut buffer, mut drained) = (Vec::new(), 0);
-            while drained < MAX_BODY_BYTES {
+            let (mut buffer, mut drained_bytes) = (Vec::new(), 0);
+            while drained_bytes < MAX_BODY_BYTES {
                 let count = async { read(&self.stream, &mut buffer).await };
-                let late = async {
+                let timeout = async {
                     Timer::after(LINGER_TIMEOUT).await;
                     None
                 };
-                let Some(count) = future::or(count, late).await else { return };
-                drained += count;
+                let Some(count) = future::or(count, timeout).await else { return };
+                drained_bytes += count;
                 buffer.clear();
             }
         };
-        let late = async { _ = Timer::after(CLOSE_TIMEOUT).await };
-        future::or(drained, late).await;
+        let timeout = async { _ = Timer::after(CLOSE_TIMEOUT).await };
+        future::or(drained, timeout).await;
     }
 
     /// Returns false if the client has gone or accepts no bytes.
@@ -459,13 +461,14 @@
     (outcome.into(), Some((open, kind)))
 }
 
-/// How long a client may take to send so much of a body: a third longer than at the rate that the platform promises.
+/// How long a client may take to send this many bytes of a body: a third longer than at the rate that the platform
+/// promises.
 fn body_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_BODY_BYTES_PER_S)
 }
 
-/// Waits until the client leaves, then returns none. Sees that wherever the request waits, also behind bytes that
-/// are not read: guards against an attempt for a client that has gone.
+/// Waits until the client leaves, then returns none. Notices it wherever the request waits, even behind unread bytes:
+/// guards against an attempt for a client that has gone.
 async fn client_gone<T>(stream: &Async<TcpStream>) -> Option<T> {
     stream.ended().await;
     None
@@ -475,7 +478,7 @@
 async fn stream_body<T>(
     stream: &Async<TcpStream>, rest: &mut BodyReader, mut writer: BodyStreamWriter, mut received: usize,
 ) -> Result<Option<T>, HttpError> {
-    // The time spent waiting for the client; the time in which the attempt took no more is not held against it.
+    // The time spent waiting for the client, without the time in which the attempt accepted no more bytes.
     let mut waited = Duration::ZERO;
     loop {
         let mut part = Vec::new();
@@ -488,18 +491,18 @@
         if rest.is_complete() {
             break;
         }
-        let begun = Instant::now();
-        let allowed = (REQUEST_READ_TIMEOUT + body_time(received)).saturating_sub(waited);
+        let read_started = Instant::now();
+        let time_left = (REQUEST_READ_TIMEOUT + body_time(received)).saturating_sub(waited);
         let read = async { Some(read(stream, rest.buffer()).await) };
-        let late = async {
-            Timer::after(allowed).await;
+        let timeout = async {
+            Timer::after(time_left).await;
             None
         };
-        match future::or(read, late).await {
-            Some(Some(_)) => waited += begun.elapsed(),
+        match future::or(read, timeout).await {
+            Some(Some(_)) => waited += read_started.elapsed(),
             // The client has gone, which `client_gone` reports.
             Some(None) => return future::pending().await,
-            None => return Err(HttpError { status: 408, message: "the request came too slowly" }),
+            None => return Err(HttpError { status: 408, message: "the request was sent too slowly" }),
         }
     }
     writer.finish();
@@ -507,9 +510,9 @@
     future::pending().await
 }
 
-/// Reads what there is. None at the end of the connection or on an error.
-async fn read(stream: &Async<TcpStream>, into: &mut Vec<u8>) -> Option<usize> {
-    stream.read_buf(into).await.ok().filter(|count| *count > 0)
+/// Reads the available bytes and appends them to `buffer`. None at the end of the connection or on an error.
+async fn read(stream: &Async<TcpStream>, buffer: &mut Vec<u8>) -> Option<usize> {
+    stream.read_buf(buffer).await.ok().filter(|count| *count > 0)
 }
 
 /// Whether this is `GET /ready`, which the sidecar answers itself.
--- a/sidecar/src/http1/connections.rs
+++ b/sidecar/src/http1/connections.rs
@@ -134,11 +134,11 @@
     request_ids: Arc<OpenRequestIds>,
     /// Wakes the acceptor when there may be a slot.
     slot_freed: (Sender<()>, Receiver<()>),
-    /// New connections wait for a slot.
+    /// Whether new connections wait for a slot.
     slot_awaited: Cell<bool>,
     serving: Cell<bool>,
     closing: Cell<bool>,
-    /// Each answer ends its connection, so that the client's next request goes to the successor process.
+    /// Each answer closes its connection, so that the client's next request goes to the successor process.
     closing_after_answers: Cell<bool>,
     answer_deadline: Cell<Micros>,
 }
@@ -181,7 +181,7 @@
     }
 
     /// Takes a slot for one more connection. If there is none, closes one idle connection, and until the next
-    /// successful call each answer ends its connection.
+    /// successful call each answer closes its connection.
     pub fn try_slot(&self) -> Option<Slot> {
         let slot = self.limit.try_acquire();
         self.slot_awaited.set(slot.is_none());
@@ -225,7 +225,7 @@
         !self.closing.get() && !self.slot_awaited.get() && !self.closing_after_answers.get()
     }
 
-    /// Sets the time by which every request that comes from now on must have its answer.
+    /// Sets the time by which every request received from now on must be answered.
     pub fn set_answer_deadline(&self, deadline: Micros) {
         self.answer_deadline.set(deadline);
     }
@@ -234,7 +234,7 @@
         self.answer_deadline.get()
     }
 
-    /// From now on each answer ends its connection.
+    /// From now on each answer closes its connection.
     pub fn close_after_answers(&self) {
         self.closing_after_answers.set(true);
     }
@@ -249,8 +249,8 @@
         self.closing.get()
     }
 
-    /// Closes one idle connection. Guards against kept connections shutting out new clients, and against one source, or
-    /// many silent ones, taking the slots that other clients need.
+    /// Closes one idle connection. Guards against idle connections that keep new clients out, and against one source,
+    /// or many silent ones, that takes the slots which other clients need.
     pub fn evict_idle(&self) {
         let (mut idle, sources) = (self.idle.borrow_mut(), self.sources.borrow());
         let candidate = |entry: &IdleEntry| IdleConnection {
@@ -259,15 +259,15 @@
             silent_for: entry.since.elapsed(),
             same_source: sources.get(&entry.source).copied().unwrap_or(0),
         };
-        let first = eviction::next_to_evict(idle.iter().map(|(id, entry)| (*id, candidate(entry))));
-        drop(first.and_then(|id| idle.remove(&id)));
+        let evicted = eviction::next_to_evict(idle.iter().map(|(id, entry)| (*id, candidate(entry))));
+        drop(evicted.and_then(|id| idle.remove(&id)));
     }
 
-    /// Closes idle connections while more are open than this process's half, if another process of this sidecar has the
-    /// other half.
+    /// Closes idle connections while this worker holds more than it may because another process of this sidecar has
+    /// half of the limit.
     pub fn close_excess_idle(&self) {
-        let idle = self.idle.borrow().len();
-        (0..idle).take_while(|_| self.limit.exceeds_half()).for_each(|_| self.evict_idle());
+        let idle_count = self.idle.borrow().len();
+        (0..idle_count).take_while(|_| self.limit.exceeds_half()).for_each(|_| self.evict_idle());
     }
 
     /// Wakes the acceptor if it waits for a slot.
--- a/sidecar/src/http1/head.rs
+++ b/sidecar/src/http1/head.rs
@@ -32,7 +32,7 @@
     lines: Vec<Line>,
 }
 
-/// Where a header line stands in the bytes of its head.
+/// Where a header line, its name and its value are in the bytes of the head.
 #[derive(Clone, Debug)]
 struct Line {
     whole: Range<usize>,
@@ -53,28 +53,29 @@
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// The position of the first occurrence.
-pub fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    memchr::memmem::find(bytes, what)
+/// The position of the first occurrence of `pattern`.
+pub fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    memchr::memmem::find(bytes, pattern)
 }
 
 impl Head {
     /// Parses a head from the front of `bytes`, and returns how many bytes it takes. Returns none if it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Head, usize)>, HttpError> {
         let Some(end) = find(&bytes[..bytes.len().min(MAX_HEAD_BYTES)], b"\r\n\r\n") else {
-            let long = bytes.len() >= MAX_HEAD_BYTES;
-            return if long {
+            let too_long = bytes.len() >= MAX_HEAD_BYTES;
+            return if too_long {
                 Err(HttpError { status: 431, message: "the head is too long" })
             } else {
                 Ok(None)
             };
         };
-        let taken = end + 4;
-        let (mut at, mut start, mut lines) = (0, None, Vec::with_capacity(TYPICAL_HEADER_LINES));
-        while at < end + 2 {
-            let length = find(&bytes[at..taken], b"\r\n").ok_or(malformed("a line without an end"))?;
-            let line = at..at + length;
-            at = line.end + 2;
+        let head_length = end + 4;
+        let (mut position, mut start, mut lines) = (0, None, Vec::with_capacity(TYPICAL_HEADER_LINES));
+        while position < end + 2 {
+            let length =
+                find(&bytes[position..head_length], b"\r\n").ok_or(malformed("a line without an end"))?;
+            let line = position..position + length;
+            position = line.end + 2;
             let text = &bytes[line.clone()];
             if text.iter().any(|&byte| (byte < 32 && byte != b'\t') || byte == 127) {
                 return Err(malformed("a control byte in the head"));
@@ -89,16 +90,16 @@
                 return Err(malformed("a header's name is malformed"));
             }
             let rest = &text[colon + 1..];
-            let front = rest.len() - rest.trim_ascii_start().len();
-            let value = line.start + colon + 1 + front;
-            let value = value..value + rest.trim_ascii().len();
-            lines.push(Line { name: line.start..line.start + colon, value, whole: line.start..at });
+            let leading_blanks = rest.len() - rest.trim_ascii_start().len();
+            let value_start = line.start + colon + 1 + leading_blanks;
+            let value = value_start..value_start + rest.trim_ascii().len();
+            lines.push(Line { name: line.start..line.start + colon, value, whole: line.start..position });
             if lines.len() > MAX_HEADER_LINES {
                 return Err(HttpError { status: 431, message: "too many headers" });
             }
         }
         let start = start.ok_or(malformed("no start line"))?;
-        Ok(Some((Head { bytes: bytes[..taken].to_vec(), start, lines }, taken)))
+        Ok(Some((Head { bytes: bytes[..head_length].to_vec(), start, lines }, head_length)))
     }
 
     fn text(&self, range: &Range<usize>) -> &[u8] {
@@ -119,22 +120,22 @@
         let mut matches = self.lines.iter().filter(|line| self.has_name(line, name));
         let (first, second) = (matches.next(), matches.next());
         if second.is_some() {
-            return Err(malformed("a header stands twice that may stand once"));
+            return Err(malformed("a header that may occur only once occurs twice"));
         }
         let text = first.map(|line| std::str::from_utf8(self.text(&line.value))).transpose();
-        text.map_err(|_| malformed("a header's value is no text"))
+        text.map_err(|_| malformed("a header's value is not valid UTF-8"))
     }
 
     /// Whether a comma-separated header contains this token.
-    pub fn has_token(&self, name: &str, word: &str) -> bool {
-        let mut words = self.values(name).flat_map(|value| value.split(|&byte| byte == b','));
-        words.any(|one| one.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self.values(name).flat_map(|value| value.split(|&byte| byte == b','));
+        tokens.any(|other| other.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
     /// Method, target and version of a request.
     pub fn request_line(&self) -> Result<(&str, &str, &str), HttpError> {
         let line = std::str::from_utf8(self.text(&self.start))
-            .map_err(|_| malformed("the start line is no text"))?;
+            .map_err(|_| malformed("the start line is not valid UTF-8"))?;
         let parts: Vec<&str> = line.split(' ').collect();
         let &[method, target, version] = &parts[..] else {
             return Err(malformed("the request line is malformed"));
@@ -145,7 +146,7 @@
         match version {
             "HTTP/1.1" | "HTTP/1.0" => Ok((method, target, version)),
             _ if version.starts_with("HTTP/") => {
-                Err(HttpError { status: 505, message: "this version is not spoken" })
+                Err(HttpError { status: 505, message: "this HTTP version is not supported" })
             }
             _ => Err(malformed("the request line is malformed")),
         }
@@ -154,14 +155,16 @@
     /// The status of an answer.
     pub fn status(&self) -> Result<u16, HttpError> {
         let line = self.text(&self.start);
-        let known = line.starts_with(b"HTTP/1.1 ") || line.starts_with(b"HTTP/1.0 ");
-        let whole = line.len() == 12 || line.get(12) == Some(&b' ');
-        let digits = line.get(9..12).filter(|digits| known && whole && digits.iter().all(u8::is_ascii_digit));
+        let known_version = line.starts_with(b"HTTP/1.1 ") || line.starts_with(b"HTTP/1.0 ");
+        let ends_after_status = line.len() == 12 || line.get(12) == Some(&b' ');
+        let digits = line
+            .get(9..12)
+            .filter(|digits| known_version && ends_after_status && digits.iter().all(u8::is_ascii_digit));
         let status = digits.and_then(|digits| std::str::from_utf8(digits).ok()?.parse().ok());
         status.filter(|status| *status >= 100).ok_or(malformed("the status line is malformed"))
     }
 
-    /// Whether the message is of HTTP/1.0.
+    /// Whether the message's version is HTTP/1.0.
     pub fn is_http10(&self) -> bool {
         let line = self.text(&self.start);
         line.starts_with(b"HTTP/1.0") || line.ends_with(b"HTTP/1.0")
@@ -173,28 +176,28 @@
     }
 
     fn content_length(&self) -> Result<Option<usize>, HttpError> {
-        // Equal values count as one. Different ones would let two parsers find different ends of the message.
+        // Equal values count as one. With different values, two parsers could find different ends of the message.
         let mut stated = self.values("Content-Length").flat_map(|value| value.split(|&byte| byte == b','));
         let Some(first) = stated.next().map(<[u8]>::trim_ascii) else { return Ok(None) };
         if stated.any(|other| other.trim_ascii() != first) {
-            return Err(malformed("two values of Content-Length"));
+            return Err(malformed("two different values of Content-Length"));
         }
         if first.is_empty() || first.len() > 18 || !first.iter().all(u8::is_ascii_digit) {
-            return Err(malformed("Content-Length is no number"));
+            return Err(malformed("Content-Length is not a number"));
         }
         let number = std::str::from_utf8(first).ok().and_then(|text| text.parse().ok());
-        number.map(Some).ok_or(malformed("Content-Length is no number"))
+        number.map(Some).ok_or(malformed("Content-Length is not a number"))
     }
 
     /// How the end of the body is marked; `default` if no header says so.
     fn framing(&self, default: Framing) -> Result<Framing, HttpError> {
-        let coded = self.values("Transfer-Encoding").next().is_some();
-        match (self.content_length()?, coded) {
+        let has_transfer_encoding = self.values("Transfer-Encoding").next().is_some();
+        match (self.content_length()?, has_transfer_encoding) {
             (Some(_), true) => Err(malformed("both Content-Length and Transfer-Encoding")),
             (_, true) if self.is_http10() => Err(malformed("Transfer-Encoding in HTTP/1.0")),
             (_, true) => match self.single("Transfer-Encoding")? {
                 Some(coding) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-                _ => Err(HttpError { status: 501, message: "this transfer coding is not spoken" }),
+                _ => Err(HttpError { status: 501, message: "this transfer coding is not supported" }),
             },
             (Some(length), _) if length > MAX_BODY_BYTES => {
                 Err(HttpError { status: 413, message: "the body is too long" })
@@ -210,12 +213,12 @@
 
     pub fn answer_framing(&self) -> Result<Framing, HttpError> {
         let framing = self.framing(Framing::UntilClose)?;
-        let bare = matches!(self.status()?, 100..=199 | 204 | 304);
-        Ok(if bare { Framing::Length(0) } else { framing })
+        let has_no_body = matches!(self.status()?, 100..=199 | 204 | 304);
+        Ok(if has_no_body { Framing::Length(0) } else { framing })
     }
 
-    /// Whether a header concerns only this connection or the framing, and so is not forwarded. `has_connection_header`:
-    /// a `Connection` header may name further ones.
+    /// Whether a header concerns only this connection or the framing, and so is not forwarded. With
+    /// `has_connection_header`, the headers that the `Connection` header names count, too.
     fn is_hop_by_hop(&self, name: &[u8], has_connection_header: bool) -> bool {
         const HOP_BY_HOP: [&str; 9] = [
             "Connection",
@@ -239,13 +242,13 @@
         self.text(&self.start)
     }
 
-    /// Appends to `out`, unchanged, the header lines that are forwarded, except the header `without`.
-    pub fn write_forwarded(&self, without: &str, out: &mut Vec<u8>) {
+    /// Appends to `out`, unchanged, the header lines that are forwarded, except those of the header `excluded`.
+    pub fn write_forwarded(&self, excluded: &str, out: &mut Vec<u8>) {
         let has_connection_header = self.values("Connection").next().is_some();
         for line in &self.lines {
             let name = self.text(&line.name);
             if !self.is_hop_by_hop(name, has_connection_header)
-                && !name.eq_ignore_ascii_case(without.as_bytes())
+                && !name.eq_ignore_ascii_case(excluded.as_bytes())
             {
                 out.extend_from_slice(self.text(&line.whole));
             }
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -9,8 +9,8 @@
 /// The most values in a report. Guards against parsing a header of many kilobytes with each answer.
 const MAX_VALUES: usize = 8;
 
-/// Reads an answer's load report. A report with anything malformed in it is dropped whole, since half of one is
-/// worse than none.
+/// Reads an answer's load report. A report with anything malformed in it is dropped whole, since a partial report would
+/// be worse than none.
 pub fn report(head: &Head) -> LoadReport {
     match head.single(LOAD_REPORT_HEADER) {
         Ok(None) => LoadReport::Absent,
@@ -25,14 +25,14 @@
     for part in values.by_ref().take(MAX_VALUES) {
         let (name, value) = part.split_once('=')?;
         let value = Some(ServerLoad::plausible(value.trim().parse().ok()?)?);
-        let slot = match name.trim() {
+        let field = match name.trim() {
             "busy_reqs" => &mut report.open_calls,
             "pending" => &mut report.queued_calls,
             "cpu_share" => &mut report.cpu_utilization,
-            other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // known, but not used
+            other if LOAD_REPORT_COLUMNS.contains(&other) => continue, // a known column that is not used
             _ => return None,
         };
-        if std::mem::replace(slot, value).is_some() {
+        if std::mem::replace(field, value).is_some() {
             return None;
         }
     }
@@ -44,7 +44,7 @@
     use super::parse;
 
     #[test]
-    fn a_sound_report_is_read_and_a_malformed_one_is_dropped() {
+    fn a_valid_report_is_parsed_and_a_malformed_one_is_dropped() {
         let whole = parse("busy_reqs=3.5, pending=1,svc_ms=40").unwrap();
         assert_eq!(
             (whole.open_calls, whole.queued_calls, whole.cpu_utilization),
--- a/sidecar/src/http1/messages.rs
+++ b/sidecar/src/http1/messages.rs
@@ -27,8 +27,8 @@
     pub keep_alive: bool,
 }
 
-/// A message whose body is too long or comes too slowly to be buffered whole: the part that has come, and the reader of
-/// the rest.
+/// A message whose body is too long or arrives too slowly to be buffered whole: the part that has been received, and
+/// the reader of the rest.
 #[derive(Debug)]
 pub struct PartialMessage {
     pub head: Head,
@@ -71,15 +71,15 @@
     /// Decodes what has come and appends it to `body`.
     pub fn decode_into(&mut self, body: &mut Vec<u8>) -> Result<(), HttpError> {
         let before = body.len();
-        let done = match self.framing {
+        let consumed = match self.framing {
             Framing::Length(length) => (length - self.decoded).min(self.bytes.len()),
             Framing::Chunked => self.chunks.decode(&self.bytes, body, usize::MAX)?,
             Framing::UntilClose => self.bytes.len(),
         };
         if self.framing != Framing::Chunked {
-            body.extend_from_slice(&self.bytes[..done]);
+            body.extend_from_slice(&self.bytes[..consumed]);
         }
-        self.bytes.drain(..done);
+        self.bytes.drain(..consumed);
         self.decoded += body.len() - before;
         if self.decoded > MAX_BODY_BYTES {
             return Err(HttpError { status: 413, message: "the body is too long" });
@@ -113,7 +113,7 @@
     }
 }
 
-/// Which kind of message a connection brings.
+/// Which kind of message a connection receives.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MessageKind {
     Request,
@@ -156,7 +156,7 @@
         &mut self.bytes
     }
 
-    /// How many bytes have come that belong to no message taken out yet; not zero once a message has begun.
+    /// How many bytes have been received that belong to no message taken out yet. Not zero once a message has begun.
     pub fn pending_bytes(&self) -> usize {
         self.bytes.len() + self.current.as_ref().map_or(0, |message| message.body.len() + 1)
     }
@@ -177,8 +177,8 @@
     }
 
     /// Whether the bytes hold a whole head, or more than a head may have. Searches each byte only once, which
-    /// matters for a head that comes in small pieces. Checks the first bytes at once, since noise may never hold
-    /// the end of a head.
+    /// matters for a head that comes in small pieces. Rejects an implausible start at once, since data that is not
+    /// HTTP may never contain the end of a head.
     fn has_whole_head(&mut self) -> Result<bool, HttpError> {
         let from = self.searched.saturating_sub(3);
         self.searched = self.bytes.len();
@@ -202,8 +202,8 @@
         while self.current.is_none() {
             if self.kind == MessageKind::Request {
                 // Some clients send a line end or two after a body.
-                let blank = self.bytes.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
-                self.bytes.drain(..blank);
+                let line_ends = self.bytes.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
+                self.bytes.drain(..line_ends);
             }
             if !self.has_whole_head()? {
                 return Ok(None);
@@ -215,9 +215,11 @@
                 MessageKind::Request => head.request_line().and_then(|_| head.request_framing())?,
                 MessageKind::Answer => head.answer_framing()?,
             };
-            // Interim answers are skipped. 101 is an error, since a change of protocol was never asked for.
+            // Interim answers are skipped. 101 is an error, since no request asks for a change of protocol.
             match self.kind {
-                MessageKind::Answer if head.status()? == 101 => return Err(malformed("another protocol")),
+                MessageKind::Answer if head.status()? == 101 => {
+                    return Err(malformed("the answer switches protocols"))
+                }
                 MessageKind::Answer if head.status()? < 200 && self.interim < MAX_INTERIM_ANSWERS => {
                     self.interim += 1
                 }
@@ -256,11 +258,12 @@
         if complete {
             return Ok(self.take_complete(true).map(Incoming::Complete));
         }
-        let long = message.body.len() > MAX_BUFFERED_BODY_BYTES;
-        Ok(if long { self.take_partial().map(Incoming::Partial) } else { None })
+        let too_long = message.body.len() > MAX_BUFFERED_BODY_BYTES;
+        Ok(if too_long { self.take_partial().map(Incoming::Partial) } else { None })
     }
 
-    /// How much has come of a body that is longer than what is buffered (true), or whose length is not stated (false).
+    /// How much has been received of a body that is longer than what is buffered (true), or whose length is not stated
+    /// (false). None if there is no such body.
     pub fn body_progress(&self) -> Option<(usize, bool)> {
         let message = self.current.as_ref()?;
         match message.framing {
@@ -271,7 +274,7 @@
         }
     }
 
-    /// Takes out the current message before its body is complete, with all bytes that came after.
+    /// Takes out the current message before its body is complete, with all bytes received after it.
     pub fn take_partial(&mut self) -> Option<PartialMessage> {
         let IncompleteMessage { head, framing, chunks, body } = self.current.take()?;
         (self.interim, self.searched) = (0, 0);
--- a/sidecar/src/http1/mod.rs
+++ b/sidecar/src/http1/mod.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The settings by which requests are read. The vectors about workloads have one order.
+/// The settings by which requests are read. All vectors with an entry for each workload have the same order.
 pub struct RequestSettings {
     pub workloads: Vec<WorkloadSettings>,
     /// The workloads' names, as metrics label them.
@@ -78,22 +78,23 @@
     type Answer = attempt::EndpointAnswer;
 
     fn attempt(
-        &self, permit: AttemptPermit, content: Rc<attempt::OutgoingRequest>, to: SocketAddr, by: Instant,
-        progress: Rc<AttemptProgress>,
+        &self, permit: AttemptPermit, content: Rc<attempt::OutgoingRequest>, address: SocketAddr,
+        deadline: Instant, progress: Rc<AttemptProgress>,
     ) -> impl Future<Output = AttemptEnd<attempt::EndpointAnswer>> + 'static {
-        // The flag is taken here, not when the attempt first runs: an address retired between the two must stop it.
+        // The flag is taken here, not when the attempt first runs: if the address is retired in between, the attempt
+        // must not be sent.
         let target = attempt::Target {
-            address: to,
-            active: self.pool.active_flag(to),
+            address,
+            active: self.pool.active_flag(address),
             fence: self.fence.clone(),
             monitor: self.monitor.clone(),
             permit,
         };
-        attempt::run(self.pool.clone(), content, target, (by, progress), self.reads_load_reports)
+        attempt::run(self.pool.clone(), content, target, (deadline, progress), self.reads_load_reports)
     }
 
-    fn retire(&self, at: SocketAddr) {
-        self.pool.retire(at);
+    fn retire(&self, address: SocketAddr) {
+        self.pool.retire(address);
     }
 }
 
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -24,16 +24,16 @@
 /// which must not be taken for the answer to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// How many requests may wait at an address for a connection's [`REUSE_DELAY`] while no endpoint has been seen to send
-/// more than an answer. Further requests reuse a connection at once: guards against a busy process that waits, or opens
-/// a connection, for each request.
+/// How many requests to one address may wait for a connection's [`REUSE_DELAY`], as long as no endpoint has been seen
+/// to send more than an answer. Further requests reuse a connection at once: guards against a busy process that waits,
+/// or opens a connection, for each request.
 const MAX_WAITERS: usize = 2;
 
 /// An open connection to an endpoint. Dropping it closes it.
 pub struct EndpointConnection {
     stream: Async<TcpStream>,
     _slot: Slot,
-    /// False once the address was retired after this connection was asked for: then it is not kept.
+    /// False once the address has been retired since this connection was requested. It is then not kept for reuse.
     active: Rc<Cell<bool>>,
 }
 
@@ -49,8 +49,8 @@
     }
 
     /// See [`Async::read_buf`].
-    pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
-        self.stream.read_buf(into).await
+    pub async fn read_buf(&self, destination: &mut Vec<u8>) -> Result<usize> {
+        self.stream.read_buf(destination).await
     }
 
     /// What the socket has received between requests. Asks the kernel, which may know more than the reactor.
@@ -77,7 +77,7 @@
     }
 }
 
-/// What an idle connection has received. Only a quiet one may be reused.
+/// What an idle connection has received. Only one that is [`IdleSocketState::Quiet`] may be reused.
 #[derive(PartialEq, Eq)]
 enum IdleSocketState {
     Quiet,
@@ -96,7 +96,7 @@
     since: Instant,
 }
 
-/// A free connection, and the rest of its [`REUSE_DELAY`] if that is to be waited for.
+/// An idle connection, and the rest of its [`REUSE_DELAY`] if the request has to wait for that.
 enum Candidate {
     Usable(Rc<EndpointConnection>),
     Delayed(Rc<EndpointConnection>, Duration),
@@ -105,22 +105,22 @@
 /// Counts a request that waits for a connection's [`REUSE_DELAY`], until it is dropped.
 struct Waiter<'a> {
     pool: &'a Pool,
-    to: SocketAddr,
+    address: SocketAddr,
 }
 
 impl<'a> Waiter<'a> {
-    fn register(pool: &'a Pool, to: SocketAddr) -> Waiter<'a> {
-        if let Some(address) = pool.addresses.borrow_mut().get_mut(&to) {
-            address.waiters += 1;
+    fn register(pool: &'a Pool, address: SocketAddr) -> Waiter<'a> {
+        if let Some(address_pool) = pool.addresses.borrow_mut().get_mut(&address) {
+            address_pool.waiters += 1;
         }
-        Waiter { pool, to }
+        Waiter { pool, address }
     }
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        if let Some(address) = self.pool.addresses.borrow_mut().get_mut(&self.to) {
-            address.waiters = address.waiters.saturating_sub(1);
+        if let Some(address_pool) = self.pool.addresses.borrow_mut().get_mut(&self.address) {
+            address_pool.waiters = address_pool.waiters.saturating_sub(1);
         }
     }
 }
@@ -144,7 +144,7 @@
     this: Weak<Pool>,
     tasks: Tasks,
     addresses: RefCell<HashMap<SocketAddr, AddressPool>>,
-    /// All idle connections, the one that has been idle for longest first.
+    /// All idle connections, the one that has been idle the longest first.
     idle_by_age: RefCell<BTreeMap<IdleId, SocketAddr>>,
     /// Limits the connections that are open or being opened.
     limit: Rc<LimitShare>,
@@ -188,14 +188,14 @@
 
     /// Takes an idle connection to this address, if there is one. Waits for the rest of its reuse delay, unless
     /// too many requests wait for that already.
-    pub async fn take_idle(&self, to: SocketAddr) -> Option<Rc<EndpointConnection>> {
+    pub async fn take_idle(&self, address: SocketAddr) -> Option<Rc<EndpointConnection>> {
         loop {
-            let (connection, left) = match self.candidate(to, Instant::now())? {
+            let (connection, delay) = match self.candidate(address, Instant::now())? {
                 Candidate::Usable(connection) => return Some(connection),
-                Candidate::Delayed(connection, left) => (connection, left),
+                Candidate::Delayed(connection, delay) => (connection, delay),
             };
-            let waiter = Waiter::register(self, to);
-            Timer::after(left).await;
+            let waiter = Waiter::register(self, address);
+            Timer::after(delay).await;
             drop(waiter);
             if self.still_usable(&connection) {
                 return Some(connection);
@@ -203,25 +203,25 @@
         }
     }
 
-    /// Takes out the idle connection that is best reused at `now`: the newest whose reuse delay is over, else the
-    /// oldest, but none before its delay is over once an endpoint has sent more than an answer.
-    fn candidate(&self, to: SocketAddr, now: Instant) -> Option<Candidate> {
+    /// Takes out the idle connection that is best reused at `now`: the newest whose reuse delay is over, or else the
+    /// oldest. Once an endpoint has sent more than an answer, only a connection whose delay is over is taken.
+    fn candidate(&self, address: SocketAddr, now: Instant) -> Option<Candidate> {
         loop {
-            let (idle, crowded) = {
+            let (idle, enough_waiters) = {
                 let mut addresses = self.addresses.borrow_mut();
-                let address = addresses.get_mut(&to)?;
-                let ready = address.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now);
+                let address_pool = addresses.get_mut(&address)?;
+                let ready = address_pool.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now);
                 let oldest =
-                    Some(0).filter(|_| !address.idle.is_empty() && !self.saw_unsolicited_bytes.get());
-                let crowded = address.waiters >= MAX_WAITERS;
-                (address.idle.remove(ready.or(oldest)?), crowded)
+                    Some(0).filter(|_| !address_pool.idle.is_empty() && !self.saw_unsolicited_bytes.get());
+                let enough_waiters = address_pool.waiters >= MAX_WAITERS;
+                (address_pool.idle.remove(ready.or(oldest)?), enough_waiters)
             };
             self.idle_by_age.borrow_mut().remove(&idle.id);
             if self.still_usable(&idle.connection) {
-                let left = (idle.since + REUSE_DELAY).saturating_duration_since(now);
-                return Some(match left.is_zero() || crowded {
+                let delay = (idle.since + REUSE_DELAY).saturating_duration_since(now);
+                return Some(match delay.is_zero() || enough_waiters {
                     true => Candidate::Usable(idle.connection),
-                    false => Candidate::Delayed(idle.connection, left),
+                    false => Candidate::Delayed(idle.connection, delay),
                 });
             }
         }
@@ -252,8 +252,8 @@
     }
 
     /// A flag that is true until this address is retired: attempts may be sent there, and connections to it are kept.
-    pub fn active_flag(&self, to: SocketAddr) -> Rc<Cell<bool>> {
-        let active = self.addresses.borrow_mut().entry(to).or_default().active.clone();
+    pub fn active_flag(&self, address: SocketAddr) -> Rc<Cell<bool>> {
+        let active = self.addresses.borrow_mut().entry(address).or_default().active.clone();
         self.ensure_sweeping();
         active
     }
@@ -261,7 +261,7 @@
     /// Opens a connection. `active` is the address's [`Pool::active_flag`]. The outcome of a failure proves that the
     /// endpoint did not run the request.
     pub async fn connect(
-        &self, to: SocketAddr, active: Rc<Cell<bool>>,
+        &self, address: SocketAddr, active: Rc<Cell<bool>>,
     ) -> std::result::Result<Rc<EndpointConnection>, ConnectFailure> {
         // Taken before the first wait, so that connections being opened count against the limit.
         let slot = match self.limit.try_acquire() {
@@ -271,12 +271,12 @@
                 self.limit.try_acquire().ok_or(ConnectFailure::new(Outcome::NotSent, None))?
             }
         };
-        let connected = async { Some(Async::<TcpStream>::connect(to).await) };
-        let late = async {
+        let connected = async { Some(Async::<TcpStream>::connect(address).await) };
+        let timeout = async {
             Timer::after(duration(self.connect_timeout.get())).await;
             None
         };
-        match future::or(connected, late).await {
+        match future::or(connected, timeout).await {
             Some(Ok(stream)) => {
                 let _ = stream.get_ref().set_nodelay(true);
                 Ok(Rc::new(EndpointConnection { stream, _slot: slot, active }))
@@ -290,15 +290,15 @@
     }
 
     /// Keeps a connection for reuse after its answer was read completely.
-    pub fn put_back(&self, to: SocketAddr, connection: Rc<EndpointConnection>) {
+    pub fn put_back(&self, address: SocketAddr, connection: Rc<EndpointConnection>) {
         // The address may have been retired meanwhile, since its endpoint has left or another has replaced it.
         if !connection.active.get() {
             return;
         }
         let id = self.next_idle_id.replace(IdleId(self.next_idle_id.get().0 + 1));
-        if let Some(address) = self.addresses.borrow_mut().get_mut(&to) {
-            address.idle.push(IdleConnection { connection, id, since: Instant::now() });
-            self.idle_by_age.borrow_mut().insert(id, to);
+        if let Some(address_pool) = self.addresses.borrow_mut().get_mut(&address) {
+            address_pool.idle.push(IdleConnection { connection, id, since: Instant::now() });
+            self.idle_by_age.borrow_mut().insert(id, address);
         }
     }
 
@@ -313,37 +313,37 @@
     fn sweep(&self) -> bool {
         let (max_idle_time, now) = (duration(self.max_idle_time.get()), Instant::now());
         let (mut addresses, mut idle_by_age) = (self.addresses.borrow_mut(), self.idle_by_age.borrow_mut());
-        addresses.retain(|_, address| {
-            address.idle.retain(|idle| {
+        addresses.retain(|_, address_pool| {
+            address_pool.idle.retain(|idle| {
                 let readable = idle.connection.stream.is_readable();
                 if readable && idle.connection.idle_state() == IdleSocketState::UnsolicitedBytes {
                     self.note_unsolicited_bytes();
                 }
-                let stays = !readable && now - idle.since < max_idle_time;
-                if !stays {
+                let keep = !readable && now - idle.since < max_idle_time;
+                if !keep {
                     idle_by_age.remove(&idle.id);
                 }
-                stays
+                keep
             });
             // Guards against an entry kept for every address that was ever used.
-            !address.idle.is_empty() || Rc::strong_count(&address.active) > 1
+            !address_pool.idle.is_empty() || Rc::strong_count(&address_pool.active) > 1
         });
         !addresses.is_empty()
     }
 
     /// Closes the idle connections to an address whose endpoint takes no new requests. Connections to it that are
     /// in use are closed after their answer.
-    pub fn retire(&self, at: SocketAddr) {
-        if let Some(address) = self.addresses.borrow_mut().remove(&at) {
-            address.active.set(false);
+    pub fn retire(&self, address: SocketAddr) {
+        if let Some(address_pool) = self.addresses.borrow_mut().remove(&address) {
+            address_pool.active.set(false);
             let mut idle_by_age = self.idle_by_age.borrow_mut();
-            address.idle.iter().for_each(|idle| _ = idle_by_age.remove(&idle.id));
+            address_pool.idle.iter().for_each(|idle| _ = idle_by_age.remove(&idle.id));
         }
     }
 
     fn take_oldest_idle(&self) -> Option<IdleConnection> {
-        let (_, at) = self.idle_by_age.borrow_mut().pop_first()?;
-        Some(self.addresses.borrow_mut().get_mut(&at)?.idle.remove(0))
+        let (_, address) = self.idle_by_age.borrow_mut().pop_first()?;
+        Some(self.addresses.borrow_mut().get_mut(&address)?.idle.remove(0))
     }
 }
 
@@ -353,16 +353,17 @@
     server_idle_timeout.times(0.5)
 }
 
-/// Sweeps a pool for as long as it is in use. One task looks at all idle connections; none of them waits for events.
+/// Sweeps a pool for as long as it is in use. This one task checks all idle connections, so that no task per connection
+/// waits for events.
 async fn sweep_while_used(pool: Weak<Pool>) {
     while let Some(pool) = pool.upgrade() {
-        let begun = Instant::now();
+        let sweep_started = Instant::now();
         if !pool.sweep() {
             return pool.sweeping.set(false);
         }
         drop(pool);
-        // Guards against a sweep of thousands of idle connections taking more than a hundredth of the thread's time.
-        Timer::after(SWEEP_INTERVAL.max(begun.elapsed() * 100)).await;
+        // Guards against sweeps of thousands of idle connections taking more than a hundredth of the thread's time.
+        Timer::after(SWEEP_INTERVAL.max(sweep_started.elapsed() * 100)).await;
     }
 }
 
@@ -379,16 +380,20 @@
     #[test]
     fn connections_are_reused_after_a_delay_and_never_after_a_late_second_answer() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let to = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("bound");
         let executor = Rc::new(LocalExecutor::new());
         let (limit, timeouts) =
             (LimitShare::new(SharedLimit::new(8, 1)), (Micros::millis(1_000), Micros::millis(60_000)));
         let pool = Pool::new(Tasks::new(&executor), limit, timeouts, Logger::root(Discard, o!()));
-        let connect =
-            || block_on(pool.connect(to, pool.active_flag(to))).expect("a reactor").ok().expect("connected");
+        let connect = || {
+            block_on(pool.connect(address, pool.active_flag(address)))
+                .expect("a reactor")
+                .ok()
+                .expect("connected")
+        };
         let put_back = |connection: &Rc<EndpointConnection>| {
             let before = Instant::now();
-            pool.put_back(to, connection.clone());
+            pool.put_back(address, connection.clone());
             (before, Instant::now())
         };
         let usable = |candidate: Option<Candidate>, expected: &Rc<EndpointConnection>| match candidate {
@@ -396,36 +401,36 @@
             _ => false,
         };
         let delayed = |candidate: Option<Candidate>, expected: &Rc<EndpointConnection>| match candidate {
-            Some(Candidate::Delayed(connection, left)) => {
-                Rc::ptr_eq(&connection, expected) && left <= REUSE_DELAY && !left.is_zero()
+            Some(Candidate::Delayed(connection, delay)) => {
+                Rc::ptr_eq(&connection, expected) && delay <= REUSE_DELAY && !delay.is_zero()
             }
             _ => false,
         };
         let (first, second) = (connect(), connect());
         let (mut server, _) = listener.accept().expect("accepted");
-        // No surplus bytes seen: a connection past its delay is preferred, else the one that has been idle for longest.
+        // No surplus bytes seen: a connection past its delay is preferred, else the one that has been idle the longest.
         let (_, then) = put_back(&first);
         let (before, _) = put_back(&second);
-        assert!(delayed(pool.candidate(to, before + REUSE_DELAY / 2), &first));
-        // With the most waiters there may be, a connection is used at once.
-        let waiters: Vec<Waiter> = (0..MAX_WAITERS).map(|_| Waiter::register(&pool, to)).collect();
-        assert!(usable(pool.candidate(to, before), &second));
+        assert!(delayed(pool.candidate(address, before + REUSE_DELAY / 2), &first));
+        // With `MAX_WAITERS` requests waiting, a connection is used at once.
+        let waiters: Vec<Waiter> = (0..MAX_WAITERS).map(|_| Waiter::register(&pool, address)).collect();
+        assert!(usable(pool.candidate(address, before), &second));
         drop(waiters);
         put_back(&second);
         let (_, last) = put_back(&first);
-        assert!(usable(pool.candidate(to, last + REUSE_DELAY), &first) && then < last);
+        assert!(usable(pool.candidate(address, last + REUSE_DELAY), &first) && then < last);
         put_back(&first);
-        // A second answer comes: its connection is not reused, and no other one before its delay is over.
+        // A second answer arrives: its connection is not reused, and no other one before its delay is over.
         server.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
         while first.idle_state() == IdleSocketState::Quiet {}
         assert!(
-            usable(pool.candidate(to, Instant::now() + REUSE_DELAY), &second)
+            usable(pool.candidate(address, Instant::now() + REUSE_DELAY), &second)
                 && pool.saw_unsolicited_bytes.get()
         );
         let (before, then) = put_back(&second);
         assert!(
-            pool.candidate(to, before + REUSE_DELAY / 2).is_none()
-                && usable(pool.candidate(to, then + REUSE_DELAY), &second)
+            pool.candidate(address, before + REUSE_DELAY / 2).is_none()
+                && usable(pool.candidate(address, then + REUSE_DELAY), &second)
         );
     }
 }
--- a/sidecar/src/reactor/socket.rs
+++ b/sidecar/src/reactor/socket.rs
@@ -35,8 +35,8 @@
 }
 
 impl PeerEnd {
-    /// As [`Async::has_ended`], but asks the kernel if what is known may be outdated.
-    pub fn has_come(&self) -> bool {
+    /// Like [`Async::has_ended`], but first asks the kernel if the reactor's knowledge may be outdated.
+    pub fn has_ended(&self) -> bool {
         self.reactor.refresh();
         self.source.ended.get()
     }
@@ -88,11 +88,11 @@
     }
 
     /// Opens a connection.
-    pub async fn connect(to: SocketAddr) -> Result<Async<TcpStream>> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    pub async fn connect(address: SocketAddr) -> Result<Async<TcpStream>> {
+        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-        let in_progress = match rustix::net::connect(&socket, &to) {
+        let in_progress = match rustix::net::connect(&socket, &address) {
             Ok(()) => false,
             Err(Errno::INPROGRESS) => true,
             Err(error) => return Err(error.into()),
@@ -106,15 +106,15 @@
         Ok(stream)
     }
 
-    /// Reads what there is, up to the size of the thread's buffer, and appends it to `into`. Returns 0 at the end
-    /// of the stream. One buffer per thread guards against thousands of tasks that each hold, clear and copy their
-    /// own.
-    pub async fn read_buf(&self, into: &mut Vec<u8>) -> Result<usize> {
+    /// Reads the available bytes, up to the size of the thread's buffer, and appends them to `destination`. Returns 0
+    /// at the end of the stream. One buffer per thread guards against thousands of tasks that each hold, clear and copy
+    /// their own.
+    pub async fn read_buf(&self, destination: &mut Vec<u8>) -> Result<usize> {
         poll_fn(|context| {
             READ_BUFFER.with_borrow_mut(|buffer| {
                 let read = pin!(self).as_mut().poll_read(context, buffer);
                 if let Poll::Ready(Ok(count)) = read {
-                    into.extend_from_slice(&buffer[..count]);
+                    destination.extend_from_slice(&buffer[..count]);
                 }
                 read
             })
@@ -155,8 +155,8 @@
     fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut [u8]) -> Poll<Result<usize>> {
         let space = buffer.len();
         let read = self.source.reads.poll(context, || (&self.inner).read(buffer));
-        // A read that leaves space in the buffer has usually taken all there was, and an event comes with more. But
-        // it may also be short although there is more, for which no event comes: so it is tried again later. After
+        // A read that leaves space in the buffer has usually taken all there was, and the next bytes bring an event.
+        // But a read may also be short although there is more, and then no event comes: it is tried again later. After
         // the end of the stream no event comes at all.
         if matches!(read, Poll::Ready(Ok(count)) if count > 0 && count < space) && !self.source.ended.get() {
             self.source.reads.ready.set(false);
--- a/sidecar/src/reactor/tests.rs
+++ b/sidecar/src/reactor/tests.rs
@@ -51,10 +51,10 @@
     let (socket, peer) = pair();
     block_on(async { _ = Timer::after(Duration::from_millis(20)).await }).expect("a reactor");
     let end = socket.peer_end();
-    assert!(!end.has_come());
+    assert!(!end.has_ended());
     drop(peer);
     std::thread::sleep(MAX_EVENT_AGE);
-    assert!(!socket.has_ended() && end.has_come() && socket.has_ended());
+    assert!(!socket.has_ended() && end.has_ended() && socket.has_ended());
 }
 
 #[test]
@@ -111,27 +111,27 @@
 }
 
 /// How often this thread has called `write`, as the kernel counts it. Calls of `send` are not counted.
-fn writes() -> u64 {
-    let io = std::fs::read_to_string("/proc/thread-self/io").expect("the kernel tells");
-    io.lines().find_map(|line| line.strip_prefix("syscw: ")?.parse().ok()).expect("a count")
+fn write_calls() -> u64 {
+    let io = std::fs::read_to_string("/proc/thread-self/io").expect("the thread's I/O counters");
+    io.lines().find_map(|line| line.strip_prefix("syscw: ")?.parse().ok()).expect("a number")
 }
 
 #[test]
 fn a_thread_that_is_awake_does_not_write_to_its_own_eventfd() {
-    let before = writes();
+    let before = write_calls();
     let timers = async {
         for _ in 0..50 {
             Timer::after(Duration::from_millis(1)).await;
         }
     };
     block_on(timers).expect("a reactor");
-    let woken = writes() - before;
+    let woken = write_calls() - before;
     assert!(woken < 5, "{woken} writes for 50 timers");
 }
 
 #[test]
 fn a_refused_connection_is_reported() {
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
-    let error = block_on(Async::<TcpStream>::connect(free)).expect("a reactor").err();
+    let unused = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
+    let error = block_on(Async::<TcpStream>::connect(unused)).expect("a reactor").err();
     assert_eq!(error.expect("nobody listens").kind(), ErrorKind::ConnectionRefused);
 }
