--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -38,7 +38,7 @@
     /// An endpoint's answer.
     type Answer: 'static;
 
-    /// Makes one attempt and waits until it ends, no longer than until `deadline`. Dropping the future cancels it.
+    /// Makes one attempt and waits until it ends, at the latest at `deadline`. Dropping the future cancels it.
     fn attempt(
         &self, permit: AttemptPermit, content: Rc<Self::Content>, address: SocketAddr, deadline: Instant,
         progress: Rc<AttemptProgress>,
@@ -71,7 +71,7 @@
     pub outcome: Outcome,
     pub answer: Option<A>,
     pub load_report: LoadReport,
-    /// How long the server took, where that differs from the time since the attempt started.
+    /// How long the server took, if that differs from the time since the attempt started.
     pub elapsed: Option<Micros>,
 }
 
@@ -116,12 +116,12 @@
     Withdrawn(CallId),
     /// An attempt has ended.
     AttemptEnded { request: CallId, attempt: HopNo, end: AttemptEnd<P::Answer> },
-    /// A list from discovery, or its failure.
+    /// A list from discovery, or the failure to get one.
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
     /// An endpoint was put into maintenance, or taken out of it. The sender is dropped once that is applied.
     ApplyMaintenance(MaintenanceMark, Sender<()>),
-    /// New settings, and the restrictions on open requests of workloads that these change or drop. The sender is
-    /// dropped once they are applied.
+    /// New settings, and the restrictions on open requests of workloads that the new settings change or drop. The
+    /// sender is dropped once they are applied.
     ApplySettings(Box<BalancerConfig>, FnvHashMap<ClassId, Restriction>, Option<Sender<()>>),
     /// The endpoints that drain by other instances' lists. The sender is dropped once that is applied.
     ApplyPeerDrains(Arc<PeerDrains>, Sender<()>),
@@ -129,13 +129,13 @@
     RecheckDeadlines,
     /// Asks for what the module has learned about the endpoints.
     ExportLearned(Sender<LearnedHealth>),
-    /// The process is shutting down: every request is answered by then.
+    /// The process is shutting down: every request must be answered by this time.
     SetAnswerDeadline(Micros),
-    /// The time of [`DispatcherMessage::SetAnswerDeadline`] has come.
+    /// The time that [`DispatcherMessage::SetAnswerDeadline`] has set is over.
     AnswerDeadlinePassed,
 }
 
-/// Sends messages to the dispatcher, and holds the figures that others read without a message.
+/// Sends messages to the dispatcher, and holds the state that others read without a message.
 pub struct DispatcherHandle<P: Protocol> {
     messages: Sender<DispatcherMessage<P>>,
     pub clock: Clock,
@@ -146,7 +146,7 @@
     pub has_ready_endpoint: Cell<bool>,
 }
 
-/// Messages that may wait in the queue; senders wait when it is full.
+/// The length of the queue; senders wait when it is full.
 const MAX_QUEUED_MESSAGES: usize = 256;
 /// Messages handled in a row before the timers are polled again, so that a queue that never empties can't starve
 /// them.
@@ -196,7 +196,7 @@
     content: Rc<P::Content>,
     deadline: Micros,
     max_attempts: usize,
-    /// Where the outcome goes; none once the request is answered or withdrawn.
+    /// Receives the outcome; none once the request is answered or withdrawn.
     reply_to: Option<oneshot::Sender<RequestOutcome<P::Answer>>>,
     attempts: Vec<AttemptState>,
 }
@@ -204,7 +204,7 @@
 /// An attempt of a request.
 struct AttemptState {
     started_at: Micros,
-    /// Whether it was started at all, and not forbidden or impossible.
+    /// Whether a task was spawned for it; false if the attempt was not allowed or could not be started.
     spawned: bool,
     server: ServerId,
     progress: Rc<AttemptProgress>,
@@ -225,22 +225,22 @@
     balancer: Balancer,
     requests: FnvHashMap<CallId, RequestState<P>>,
     actions: Vec<Action>,
-    /// Attempts that the execution of an action has ended. The module is told of them after that action.
+    /// Attempts that were ended while an action was executed. They are reported to the module after that action.
     pending_ends: VecDeque<(CallId, HopNo, Outcome)>,
     /// The number of load reports that could not be parsed.
     malformed_reports: u64,
     lease: Lease,
     list_deadline: ListDeadline,
-    /// The list may not be used until a new one arrives.
+    /// Whether the list may not be used until a new one arrives.
     list_stale: bool,
     monitor: Rc<Monitor>,
-    /// No attempt may be started, as the module was last told.
+    /// Whether the module was last told that no attempt may be started.
     sending_suspended: bool,
     /// The restrictions on open requests of workloads that the settings have changed or dropped.
     restrictions: FnvHashMap<ClassId, Restriction>,
     max_attempts: usize,
     warm_up_time: Micros,
-    /// Every request must be answered by then.
+    /// Every request must be answered by this time.
     answer_deadline: Micros,
 }
 
@@ -262,12 +262,12 @@
 }
 
 impl<P: Protocol> Dispatcher<P> {
-    /// A dispatcher that starts with a known list and marks.
+    /// A dispatcher that starts with the list and the maintenance marks that are known already.
     pub fn new(
-        settings: &Settings, seed: u64, known: (&DiscoveryList, MaintenanceMarks), parts: Parts<P>,
+        settings: &Settings, seed: u64, initial: (&DiscoveryList, MaintenanceMarks), parts: Parts<P>,
     ) -> Dispatcher<P> {
         let Parts { protocol, handle, tasks, log, subscribe, lease, list_deadline, monitor, learned } = parts;
-        let (mut actions, now, (known, marks)) = (Vec::new(), handle.clock.now(), known);
+        let (mut actions, now, (known_list, marks)) = (Vec::new(), handle.clock.now(), initial);
         let mut dispatcher = Dispatcher {
             balancer: Balancer::new(&settings.balancer, seed, now, &mut actions),
             timers: Timers::new(handle.clock),
@@ -292,7 +292,8 @@
             subscribe,
         };
         dispatcher.execute_actions();
-        let changes = dispatcher.endpoints.apply_list(known, StartWindow { latest: now, earliest: None });
+        let changes =
+            dispatcher.endpoints.apply_list(known_list, StartWindow { latest: now, earliest: None });
         dispatcher.apply_listings(ListKind::Cached, changes);
         for (name, health) in &learned {
             if let Some(id) = dispatcher.endpoints.id(name) {
@@ -309,9 +310,9 @@
     /// Runs until every [`DispatcherHandle`] is dropped.
     pub async fn run(mut self, messages: Receiver<DispatcherMessage<P>>) {
         loop {
-            let due = async { self.timers.next().await.map(Ok) };
+            let timer = async { self.timers.next().await.map(Ok) };
             let message = async { messages.recv().await.ok().map(Err) };
-            match future::or(due, message).await {
+            match future::or(timer, message).await {
                 Some(Ok(token)) => {
                     self.recheck_deadlines();
                     self.handle_event(Event::TimerFired(token));
@@ -416,10 +417,10 @@
                 let changes = self
                     .endpoints
                     .apply_list(&list, StartWindow { latest: clock.micros_at(arrival.at), earliest });
-                let after = arrival.at.elapsed().as_millis();
+                let delay_ms = arrival.at.elapsed().as_millis();
                 info!(
                     self.log,
-                    "list applied: version {}, {:?}, {} ms after it came", list.index.0, kind, after
+                    "list applied: version {}, {:?}, {} ms after it came", list.index.0, kind, delay_ms
                 );
                 self.apply_listings(kind, changes);
                 if kind != ListKind::Failed {
@@ -427,10 +428,10 @@
                     self.recheck_deadlines();
                 }
             }
-            DispatcherMessage::ExportLearned(to) => {
+            DispatcherMessage::ExportLearned(reply_to) => {
                 let named = |(id, health)| (self.endpoints.name(id).to_string(), health);
                 let servers = self.balancer.server_health().map(named).collect();
-                let _ = to.try_send(servers);
+                let _ = reply_to.try_send(servers);
             }
             DispatcherMessage::RecheckDeadlines => {}
             DispatcherMessage::SetAnswerDeadline(deadline) => {
@@ -447,7 +448,7 @@
                 self.handle_event(Event::ShutdownBegun(deadline));
             }
             DispatcherMessage::AnswerDeadlinePassed => {
-                // Running attempts were started with a later deadline, so they are ended here.
+                // Running attempts may have been started with a later deadline, so they are ended here.
                 let open = self.requests.iter().filter(|(_, request)| request.reply_to.is_some());
                 let open: Vec<CallId> = open.map(|(id, _)| *id).collect();
                 for id in open {
@@ -473,7 +474,7 @@
             }
             DispatcherMessage::ApplyMaintenance(mark, applied) => {
                 let changes = self.endpoints.apply_maintenance(&mark);
-                // `Cached`, because nothing was heard from discovery.
+                // `Cached`, because discovery has sent nothing.
                 self.apply_listings(ListKind::Cached, changes);
                 drop(applied);
             }
@@ -539,10 +540,10 @@
     /// Removes a request that is answered and has no running attempt.
     fn remove_if_finished(&mut self, request: CallId) {
         let state = self.requests.get(&request);
-        let over = state.is_some_and(|state| {
+        let finished = state.is_some_and(|state| {
             state.reply_to.is_none() && state.attempts.iter().all(|attempt| attempt.running.is_none())
         });
-        if over && !self.pending_ends.iter().any(|(one, ..)| *one == request) {
+        if finished && !self.pending_ends.iter().any(|(ended, ..)| *ended == request) {
             self.requests.remove(&request);
         }
     }
@@ -558,9 +559,9 @@
         }
     }
 
-    /// Cancels the attempts of a finished request that no server can have run yet. Otherwise, where attempts may
-    /// not be cancelled, one that is still connecting or has written half of its request would be sent after the
-    /// request's end.
+    /// Cancels the attempts of a finished request that no server can have run yet. Otherwise, where the module may not
+    /// cancel attempts, one that is still connecting or has written only part of its request would be sent after the
+    /// request has ended.
     fn cancel_unsent_attempts(&mut self, request: CallId) {
         self.end_attempts(request, |fully_sent| (!fully_sent).then_some(Outcome::Cancelled));
     }
@@ -575,8 +576,8 @@
         }
     }
 
-    /// Ends the running attempts of a request. `outcome` gives the outcome of each by whether its request was
-    /// written in full, so that a server may have run it; an attempt without an outcome goes on.
+    /// Ends the running attempts of a request. `outcome` is called with whether the request was written in full, so
+    /// that a server may have run it, and returns the attempt's outcome; without one the attempt goes on.
     fn end_attempts(&mut self, request: CallId, outcome: impl Fn(bool) -> Option<Outcome>) {
         let Some(state) = self.requests.get_mut(&request) else { return };
         for (attempt, number) in state.attempts.iter_mut().zip(0..) {
@@ -643,8 +644,8 @@
         self.monitor.refused(id, reason);
     }
 
-    /// Ends the attempts that have not sent anything and are no longer allowed. Otherwise one whose connection
-    /// comes up late would be sent after other instances were told that the settings which forbid it are in use.
+    /// Ends the attempts that have not sent anything and are no longer allowed. Otherwise one whose connection is
+    /// established late would be sent after other instances were told that the settings which forbid it are in use.
     fn end_forbidden_attempts(&mut self) {
         if !self.lease.is_enabled() {
             return;
@@ -655,30 +656,32 @@
         });
     }
 
-    /// Ends the attempts that have not sent anything and meet a condition, given their request and their index in it.
+    /// Ends the attempts that have not sent anything and meet a condition. The condition is called with the request and
+    /// the attempt's index in it.
     fn end_waiting_attempts(&mut self, condition: impl Fn(&Self, &RequestState<P>, usize) -> bool) {
-        let waits =
+        let is_waiting =
             |attempt: &AttemptState| attempt.running.is_some() && !attempt.progress.send_started.get();
-        let forbidden: Vec<(CallId, usize)> = self
+        let matching: Vec<(CallId, usize)> = self
             .requests
             .iter()
             .flat_map(|(id, request)| (0..request.attempts.len()).map(move |index| (*id, request, index)))
             .filter(|(_, request, index)| {
-                waits(&request.attempts[*index]) && condition(self, request, *index)
+                is_waiting(&request.attempts[*index]) && condition(self, request, *index)
             })
             .map(|(id, _, index)| (id, index))
             .collect();
-        for (id, index) in forbidden {
+        for (id, index) in matching {
             self.end_attempt(id, HopNo(index as u32), Outcome::NotSent);
         }
         self.report_pending_ends();
     }
 
-    /// Whether the settings that all instances agreed on allow this attempt, whichever held when the request began.
+    /// Whether the settings that all instances agreed on allow this attempt, even if the request began under earlier
+    /// ones.
     fn attempt_allowed(
         &self, request: &RequestState<P>, index: usize, server: ServerId, now: Micros,
     ) -> bool {
-        // First means that no other attempt has sent anything, and of those still connecting none is older.
+        // An attempt is the first if no other one has sent anything, and none of those still connecting is older.
         let is_earlier = |(other, attempt): (usize, &AttemptState)| {
             other != index && (attempt.progress.send_started.get() || other < index && attempt.spawned)
         };
--- a/sidecar/src/http1/watch/list_request.rs
+++ b/sidecar/src/http1/watch/list_request.rs
@@ -20,7 +20,7 @@
 
 /// How many bytes are read at a time.
 const READ_SIZE: usize = 16 * 1024;
-/// How many events may wait for the watch.
+/// How many events may be queued for the watch.
 const MAX_QUEUED_EVENTS: usize = 1;
 
 /// What is requested.
@@ -28,8 +28,8 @@
 pub struct ListQuery {
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The version from which changes are requested. Discovery may answer with the whole list instead.
-    pub from: ListIndex,
+    /// The version after which changes are requested. Discovery may answer with the whole list instead.
+    pub after_version: ListIndex,
     /// The longest line that is accepted, in bytes.
     pub max_line_bytes: usize,
 }
@@ -39,7 +39,7 @@
 pub enum ListEvent {
     /// The connection is open, after so much time.
     Connected(Duration),
-    /// Discovery has answered with a list, of which nothing has come yet.
+    /// The head of an answer with a list has arrived. Its lines follow.
     Answered,
     /// A whole line, without surrounding white space.
     Line(Vec<u8>, LineArrival),
@@ -52,7 +52,7 @@
     Unreachable(Error),
     /// Discovery answered with a status other than 200.
     Rejected(u16),
-    /// Discovery ended the answer.
+    /// Discovery ended the answer. The text says how.
     Closed(&'static str),
     /// The connection failed.
     Broken(Error),
@@ -73,14 +73,14 @@
 }
 
 impl Display for ListRequestFailure {
-    fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             ListRequestFailure::Unreachable(error) | ListRequestFailure::Broken(error) => {
-                write!(to, "{error}")
+                write!(formatter, "{error}")
             }
-            ListRequestFailure::Rejected(status) => write!(to, "discovery answered {status}"),
-            ListRequestFailure::Closed(how) => write!(to, "discovery {how}"),
-            ListRequestFailure::Malformed(why) => write!(to, "{why}"),
+            ListRequestFailure::Rejected(status) => write!(formatter, "discovery answered {status}"),
+            ListRequestFailure::Closed(how) => write!(formatter, "discovery {how}"),
+            ListRequestFailure::Malformed(fault) => write!(formatter, "{fault}"),
         }
     }
 }
@@ -98,16 +98,16 @@
     progress: Rc<Cell<Progress>>,
     /// How long it may go without a whole line before another request is sent beside it.
     pub hedge_delay: Duration,
-    /// It has brought a whole line.
+    /// Whether it has delivered a whole line.
     pub has_delivered: bool,
 }
 
 impl ListRequest {
     /// Starts a request, which makes progress while [`ListRequest::next`] is awaited.
     pub fn start(query: ListQuery, hedge_delay: Duration) -> ListRequest {
-        let (to, events) = bounded(MAX_QUEUED_EVENTS);
+        let (event_sender, events) = bounded(MAX_QUEUED_EVENTS);
         let progress = Rc::new(Cell::new(Progress::started_at(Instant::now())));
-        let transfer = Transfer { query, to, progress: progress.clone() };
+        let transfer = Transfer { query, event_sender, progress: progress.clone() };
         let work = async move {
             match transfer.run().await {
                 Err(failure) => failure,
@@ -117,8 +117,7 @@
         ListRequest { events, work: Box::pin(work), progress, hedge_delay, has_delivered: false }
     }
 
-    /// The next event, or the end of the request. The future may be dropped before it is ready; no event is lost by
-    /// that.
+    /// The next event, or the end of the request. No event is lost if the future is dropped before it is ready.
     pub async fn next(&mut self) -> Result<ListEvent, ListRequestFailure> {
         let events = self.events.clone();
         let received = async {
@@ -131,7 +130,7 @@
         future::or(received, async { Err((&mut self.work).await) }).await
     }
 
-    /// How far the request has come.
+    /// How far the request has got.
     pub fn progress(&self) -> Progress {
         self.progress.get()
     }
@@ -140,7 +139,7 @@
 /// Carries out a request.
 struct Transfer {
     query: ListQuery,
-    to: Sender<ListEvent>,
+    event_sender: Sender<ListEvent>,
     progress: Rc<Cell<Progress>>,
 }
 
@@ -154,7 +153,7 @@
 
     async fn emit(&self, event: ListEvent) {
         // Fails only if the request was dropped, which cancels this too.
-        let _ = self.to.send(event).await;
+        let _ = self.event_sender.send(event).await;
     }
 
     async fn run(&self) -> Result<Infallible, ListRequestFailure> {
@@ -163,10 +162,10 @@
         let stream = connecting.await.map_err(ListRequestFailure::Unreachable)?;
         self.update(|progress| progress.reach(Stage::SendingRequest));
         self.emit(ListEvent::Connected(started.elapsed())).await;
-        let ListQuery { discovery, from, .. } = self.query;
+        let ListQuery { discovery, after_version, .. } = self.query;
         let head = format!(
             "GET /v1/endpoints?stream=1&index={} HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n",
-            from.0
+            after_version.0
         );
         Uninterrupted(&stream).write_all(head.as_bytes()).await.map_err(ListRequestFailure::Broken)?;
         self.update(|progress| progress.reach(Stage::Head));
@@ -202,10 +201,10 @@
     }
 }
 
-/// Splits an answer into lines as it comes.
+/// Splits an answer into lines as it arrives.
 #[derive(Default)]
 struct AnswerParser {
-    /// Bytes that have come and are not parsed yet.
+    /// Bytes that have been received and not parsed yet.
     raw: Vec<u8>,
     framing: Option<Framing>,
     chunks: ChunkDecoder,
@@ -221,8 +220,8 @@
         self.raw.extend_from_slice(bytes);
         // An interim answer may come in one piece with what follows it.
         while self.framing.is_none() {
-            let Some((head, taken)) = Head::parse(&self.raw)? else { break };
-            self.raw.drain(..taken);
+            let Some((head, head_length)) = Head::parse(&self.raw)? else { break };
+            self.raw.drain(..head_length);
             match head.status()? {
                 100..=199 => {}
                 200 => self.framing = Some(head.answer_framing()?),
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -1,6 +1,6 @@
 //! The watch of discovery's endpoint list. It runs once the decision module has subscribed, and passes each update
-//! on to the workers. A slow list request is not given up: another is sent beside it (a hedge), the first whole
-//! line of either counts, and the other request is cancelled.
+//! on to the workers. A slow list request is not given up: another is sent beside it (a hedge). The one that delivers
+//! the first whole line becomes the watch, and the other is cancelled.
 mod list_request;
 pub mod pacing;
 mod progress;
@@ -27,22 +27,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a watch may be silent. Discovery sends an empty line every 2 s while nothing changes, so two have
-/// failed to come. A change that a silent watch misses counts as notified 6 s after the silence began, which leaves
-/// 1 s for another request.
+/// How long a watch may be silent. Discovery sends an empty line every 2 s while nothing changes, so by then two are
+/// missing. A change that a silent watch misses counts as notified 6 s after the silence began, which leaves 1 s for
+/// another request.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A request that has brought nothing gets another beside it after a random time between this and
-/// [`SILENCE_TIMEOUT`]: guards against a fleet whose instances start, or lose discovery, at one moment and repeat
-/// their requests at one moment.
+/// If a request has delivered nothing, another is sent beside it after a random time between this and
+/// [`SILENCE_TIMEOUT`]: guards against a fleet whose instances start, or lose discovery, all at once and then repeat
+/// their requests all at once.
 const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// The longest pause within a line that takes longer than that.
+/// The longest pause within a line that takes longer to arrive than the request's hedge delay.
 const MAX_PAUSE_IN_LINE: Duration = Duration::from_millis(500);
-/// A request that brought nothing for as long as the longest backoff is not followed by a backoff: the two together
+/// A request that delivered nothing for as long as the longest backoff is not followed by a backoff: the two together
 /// could take longer than the time after which a missed change counts as notified.
 const SKIP_BACKOFF_AFTER: Duration = Duration::from_micros(SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// The slowest rate at which a long line may come before another request is sent.
 const MIN_LINE_BYTES_PER_S: f64 = 48_000.0;
-/// The most requests at a time: guards against a fleet whose requests pile up at a discovery that is slow for all.
+/// The most requests at a time: guards against a fleet whose requests pile up while discovery is slow for all.
 const MAX_REQUESTS: usize = 2;
 
 /// What a watch is built from.
@@ -102,12 +102,12 @@
     last_line: Option<Instant>,
     /// When the next request is sent, if one is due.
     retry_at: Option<Instant>,
-    /// No request is sent before this, even if the module subscribes.
+    /// No request is sent before this time, even if the module subscribes.
     not_before: Option<Instant>,
-    /// When this discovery last sent an update or said that nothing has changed.
+    /// When discovery at the current address last sent an update or said that nothing has changed.
     complete_until: Option<Instant>,
     freshness: ListFreshness,
-    /// Workers have been told that the list may not be used.
+    /// Whether workers have been told that the list may not be used.
     is_stale: bool,
     rng: SeededRng,
 }
@@ -116,7 +116,7 @@
 enum Event {
     Subscribed,
     Reloaded(Reload),
-    /// An event, or the end, of the request at this position.
+    /// An event, or the end, of the request at this index.
     Request(usize, Result<ListEvent, ListRequestFailure>),
     /// The time returned by [`Watch::next_due`] has come.
     Due,
@@ -146,13 +146,13 @@
     pub async fn run(mut self) {
         loop {
             let event = self.next_event().await;
-            // Before the event is handled: workers must stop using a stale list before they hear of the next one.
+            // Before the event is handled: workers must stop using a stale list before they receive the next one.
             self.check_deadline().await;
             match event {
                 Event::Subscribed => self.on_subscribed(),
                 Event::Reloaded(reload) => self.on_reloaded(reload),
-                Event::Request(at, Ok(event)) => self.on_list_event(at, event).await,
-                Event::Request(at, Err(failure)) => self.on_failure(at, failure).await,
+                Event::Request(index, Ok(event)) => self.on_list_event(index, event).await,
+                Event::Request(index, Err(failure)) => self.on_failure(index, failure).await,
                 Event::Due => self.on_due().await,
                 Event::Shutdown => return,
             }
@@ -194,7 +194,8 @@
         let reloaded = async { reloads.recv().await.map_or(Event::Shutdown, Event::Reloaded) };
         let mut requests = self.requests.iter_mut();
         let (older, newer) = (requests.next(), requests.next());
-        let event_of = |at: usize, request| async move { Event::Request(at, next_event_of(request).await) };
+        let event_of =
+            |index: usize, request| async move { Event::Request(index, next_event_of(request).await) };
         let progressed = future::or(event_of(0, older), event_of(1, newer));
         let due = async {
             match due {
@@ -208,13 +209,14 @@
 
     /// When the watch next has to act without an event from outside.
     fn next_due(&self) -> Option<Instant> {
-        let hedge = self.requests.last().map(|newest| self.hedge_at(newest));
+        let hedge_at = self.requests.last().map(|newest| self.hedge_at(newest));
         let clock = self.parts.clock;
-        let stale = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant_at(until));
-        hedge.into_iter().chain(self.retry_at).chain(stale).min()
+        let stale_at = self.usable_until().filter(|_| !self.is_stale).map(|until| clock.instant_at(until));
+        hedge_at.into_iter().chain(self.retry_at).chain(stale_at).min()
     }
 
-    /// Until when the older of two requests is kept, whatever the newer does, since it is in the middle of a line.
+    /// Until when the older of two requests is kept, whatever the newer one does, if the older one is in the middle of
+    /// a line.
     fn older_kept_until(&self) -> Option<Instant> {
         let older = self.requests.first().filter(|_| self.requests.len() >= MAX_REQUESTS)?.progress();
         (older.line_bytes() > 0).then(|| older.last_activity() + SILENCE_TIMEOUT)
@@ -223,12 +225,12 @@
     /// When another request is sent beside the newest.
     fn hedge_at(&self, newest: &ListRequest) -> Instant {
         // Counted from the last whole line: guards against single bytes that never make up a line. A long line has more
-        // time, but only while its bytes keep coming: guards against waiting for one that was cut off.
-        let due = self.waiting_since(newest) + newest.hedge_delay;
+        // time, but only while its bytes keep arriving: guards against waiting for one that was cut off.
+        let earliest = self.waiting_since(newest) + newest.hedge_delay;
         let progress = newest.progress();
-        let longest = due + Duration::from_secs_f64(progress.line_bytes() as f64 / MIN_LINE_BYTES_PER_S);
-        let ends = longest.min(due.max(progress.last_activity() + MAX_PAUSE_IN_LINE));
-        self.older_kept_until().map_or(ends, |until| ends.max(until))
+        let latest = earliest + Duration::from_secs_f64(progress.line_bytes() as f64 / MIN_LINE_BYTES_PER_S);
+        let hedge_at = latest.min(earliest.max(progress.last_activity() + MAX_PAUSE_IN_LINE));
+        self.older_kept_until().map_or(hedge_at, |until| hedge_at.max(until))
     }
 
     /// Since when a whole line of a request has been awaited.
@@ -239,7 +241,7 @@
 
     fn on_subscribed(&mut self) {
         // A request in progress is kept, since each ends by itself: guards against repeatedly giving up a request that
-        // discovery has not yet come to.
+        // still waits in discovery's queue.
         if self.requests.is_empty() && self.retry_at.is_none() {
             self.retry_at = Some(self.not_before.unwrap_or_else(Instant::now));
         }
@@ -249,8 +251,7 @@
         let Reload { discovery, drain_grace, instances } = reload;
         (self.parts.drain_grace, self.parts.instances) = (drain_grace, instances);
         if discovery != self.discovery {
-            // The version is kept: the platform numbers its one list's versions, and the file only names another
-            // address.
+            // The version is kept: the platform has only one list, and its versions don't depend on the address.
             (self.discovery, self.complete_until, self.not_before) = (discovery, None, None);
             self.requests.clear();
             self.freshness.watch_ended(self.parts.clock.now());
@@ -267,7 +268,7 @@
         info!(self.parts.log, "list requested from {} after version {}", self.discovery, self.version.0);
         let query = ListQuery {
             discovery: self.discovery,
-            from: self.version,
+            after_version: self.version,
             max_line_bytes: self.parts.max_line_bytes,
         };
         (self.retry_at, self.not_before) = (None, None);
@@ -293,44 +294,44 @@
             self.report_unavailable().await;
         }
         if self.requests.len() >= MAX_REQUESTS {
-            // The request with the later activity stays: it may be first in discovery's queue, or in the middle of
+            // The request with the later activity is kept: it may be first in discovery's queue, or in the middle of
             // a line.
-            let dropped = usize::from(
+            let dropped_index = usize::from(
                 self.requests[0].progress().last_activity() > self.requests[1].progress().last_activity(),
             );
-            self.requests.remove(dropped);
+            self.requests.remove(dropped_index);
             self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
         }
         self.send_request();
     }
 
-    async fn on_list_event(&mut self, at: usize, event: ListEvent) {
+    async fn on_list_event(&mut self, index: usize, event: ListEvent) {
         match event {
-            ListEvent::Connected(after) => {
-                let (started, endpoints) = (self.started(at), lock(&self.parts.registry).len());
-                let connected = started + Micros(after.as_micros() as u64);
+            ListEvent::Connected(connect_time) => {
+                let (started, endpoints) = (self.started(index), lock(&self.parts.registry).len());
+                let connected = started + Micros(connect_time.as_micros() as u64);
                 self.freshness.connected(started, connected, endpoints);
             }
-            ListEvent::Answered => self.freshness.answered(self.started(at)),
+            ListEvent::Answered => self.freshness.answered(self.started(index)),
             ListEvent::Line(line, arrival) => {
-                let first = !self.requests[at].has_delivered;
+                let first = !self.requests[index].has_delivered;
                 match self.apply_line(&line, first, arrival).await {
-                    Ok(()) => self.on_line_applied(at, arrival),
-                    Err(why) => self.on_failure(at, ListRequestFailure::Malformed(why)).await,
+                    Ok(()) => self.on_line_applied(index, arrival),
+                    Err(fault) => self.on_failure(index, ListRequestFailure::Malformed(fault)).await,
                 }
             }
         }
     }
 
-    /// When the request at this position started.
-    fn started(&self, at: usize) -> Micros {
-        self.parts.clock.micros_at(self.requests[at].progress().started())
+    /// When the request at this index started.
+    fn started(&self, index: usize) -> Micros {
+        self.parts.clock.micros_at(self.requests[index].progress().started())
     }
 
     /// A request has delivered a whole line: it becomes the watch, and the other request is cancelled.
-    fn on_line_applied(&mut self, at: usize, arrival: LineArrival) {
+    fn on_line_applied(&mut self, index: usize, arrival: LineArrival) {
         self.freshness.heard(self.parts.clock.micros_at(arrival.first_byte_at));
-        let mut request = self.requests.swap_remove(at);
+        let mut request = self.requests.swap_remove(index);
         for slower in self.requests.drain(..) {
             self.parts.metrics.count_list_request(ListRequestOutcome::Cancelled);
             info!(self.parts.log, "list request cancelled, another was faster: {}", slower.progress());
@@ -346,8 +347,8 @@
         self.publish_state();
     }
 
-    async fn on_failure(&mut self, at: usize, failure: ListRequestFailure) {
-        let request = self.requests.remove(at);
+    async fn on_failure(&mut self, index: usize, failure: ListRequestFailure) {
+        let request = self.requests.remove(index);
         let progress = request.progress();
         self.record_failure(&request, &failure);
         if !self.requests.is_empty() {
@@ -357,29 +358,29 @@
         let waited = self.waiting_since(&request).elapsed();
         self.publish_state();
         if waited >= SKIP_BACKOFF_AFTER {
-            // After a random part of the time that is left: guards against all instances coming at once when a
-            // discovery that held their requests unanswered, and reset them, is back.
-            let longest =
+            // After a random part of the time that is left: guards against requests of all instances at once when
+            // discovery, after leaving their requests unanswered and resetting them, is available again.
+            let longest_wait =
                 if request.has_delivered { SILENCE_TIMEOUT } else { SILENCE_TIMEOUT + MAX_PAUSE_IN_LINE };
-            let wait = longest.saturating_sub(waited).mul_f64(self.rng.uniform());
+            let pause = longest_wait.saturating_sub(waited).mul_f64(self.rng.uniform());
             info!(self.parts.log, "watch of the list lost, requested again: {}: {}", failure, progress);
-            let at = Instant::now() + wait;
-            self.retry_at = Some(self.not_before.map_or(at, |not_before| not_before.max(at)));
+            let retry_at = Instant::now() + pause;
+            self.retry_at = Some(self.not_before.map_or(retry_at, |not_before| not_before.max(retry_at)));
             if !request.has_delivered {
                 self.report_unavailable().await;
             }
             return;
         }
         info!(self.parts.log, "watch of the list ended: {}: {}", failure, progress);
-        // Subscriptions made while this watch was open are served by it. Dropped before the module hears of its
-        // end: guards against losing the subscription with which it reacts.
+        // Subscriptions made while this watch was open need no other watch. They are dropped before the module receives
+        // the failure: guards against losing the subscription with which it reacts.
         while self.parts.subscriptions.try_recv().is_ok() {}
         let failed = WorkerCommand::ApplyList(ListKind::Failed, Arc::default(), ListArrival::now());
         self.parts.workers.send(failed).await;
         self.report_unavailable().await;
     }
 
-    /// Records what the end of a request shows about discovery.
+    /// Records what the failure of a request shows about discovery.
     fn record_failure(&mut self, request: &ListRequest, failure: &ListRequestFailure) {
         match failure {
             ListRequestFailure::Rejected(_) => {
@@ -448,18 +449,19 @@
         );
         let (index, list) = (list.index, Arc::new(list));
         let list_arrival = ListArrival { at: Instant::now(), complete_until: self.complete_until };
-        let before = match &self.parts.agreement {
+        let agreement_done = match &self.parts.agreement {
             Some(agreement) => agreement.apply_list_before_workers(&list).await,
             None => false,
         };
-        // Workers look at the deadline when they apply the list, not before: they were told that it had passed.
+        // Removing the deadline does not make workers use the list again: those that were told that it has passed
+        // remember that until they apply this list.
         self.parts.deadline.set(None);
         self.parts.workers.send(WorkerCommand::ApplyList(kind, list.clone(), list_arrival)).await;
-        if let Some(agreement) = self.parts.agreement.as_ref().filter(|_| !before) {
+        if let Some(agreement) = self.parts.agreement.as_ref().filter(|_| !agreement_done) {
             agreement.apply_list(list).await;
         }
-        let after = list_arrival.at.elapsed().as_millis();
-        info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, after);
+        let delay_ms = list_arrival.at.elapsed().as_millis();
+        info!(self.parts.log, "list passed on: version {}, {} ms after it came", index.0, delay_ms);
         // Set last: if this future is dropped midway, the change is requested again.
         self.version = index;
         Ok(())
@@ -474,11 +476,14 @@
     }
 }
 
-/// Rejects changes that end before the version from which they were requested: the versions are then those of
-/// another list.
-fn check_version(list: DiscoveryList, version: ListIndex) -> Result<DiscoveryList, String> {
-    if !list.snapshot && list.index.0 < version.0 {
-        return Err(format!("index: changes up to version {}, after version {}", list.index.0, version.0));
+/// Rejects changes that end before the version after which they were requested: their versions must be those of another
+/// list.
+fn check_version(list: DiscoveryList, after_version: ListIndex) -> Result<DiscoveryList, String> {
+    if !list.snapshot && list.index.0 < after_version.0 {
+        return Err(format!(
+            "index: changes up to version {}, after version {}",
+            list.index.0, after_version.0
+        ));
     }
     Ok(list)
 }
@@ -493,15 +498,15 @@
     use std::pin::pin;
 
     fn watch(
-        at: SocketAddr, workers: Vec<async_channel::Sender<WorkerCommand>>, subscriptions: Receiver<()>,
-        reloads: Receiver<Reload>,
+        discovery: SocketAddr, workers: Vec<async_channel::Sender<WorkerCommand>>,
+        subscriptions: Receiver<()>, reloads: Receiver<Reload>,
     ) -> Watch {
         let registry: SharedRegistry = Arc::new(std::sync::Mutex::new(EndpointRegistry::new(
             &DiscoveryList::default(),
             MaintenanceMarks::default(),
         )));
         Watch::new(Parts {
-            discovery: at,
+            discovery,
             initial_version: ListIndex(41),
             workers: CommandBroadcaster::new(workers),
             registry,
@@ -521,44 +526,50 @@
 
     #[test]
     fn a_subscription_made_while_the_end_of_a_watch_is_reported_is_not_lost() {
-        let closed = std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
+        let closed_port =
+            std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
         let ((subscribe, subscriptions), (_reload, reloads)) = (bounded(1), bounded(1));
-        let ((sender, first), (last, others)) = (bounded(1), bounded(1));
-        let mut watch =
-            pin!(watch(closed.expect("a port"), vec![sender, last.clone()], subscriptions, reloads).run());
-        // The other worker's queue is full, so the first worker hears of the end, and subscribes, before the other
-        // does.
-        last.try_send(WorkerCommand::RecheckDeadlines).expect("room");
-        let mut hears_of_end = |queue: &Receiver<WorkerCommand>| {
-            let heard =
+        let ((first_sender, first), (second_sender, second)) = (bounded(1), bounded(1));
+        let mut watch = pin!(watch(
+            closed_port.expect("a port"),
+            vec![first_sender, second_sender.clone()],
+            subscriptions,
+            reloads
+        )
+        .run());
+        // The second worker's queue is full, so the first worker receives the failure, and subscribes, before the
+        // second one does.
+        second_sender.try_send(WorkerCommand::RecheckDeadlines).expect("space in the queue");
+        let mut receives_failure = |queue: &Receiver<WorkerCommand>| {
+            let received =
                 async { matches!(queue.recv().await, Ok(WorkerCommand::ApplyList(ListKind::Failed, ..))) };
-            let over = async {
+            let watch_ended = async {
                 (&mut watch).await;
                 false
             };
-            let late = async {
+            let timeout = async {
                 Timer::after(Duration::from_secs(10)).await;
                 false
             };
-            async_io::block_on(future::or(heard, future::or(over, late)))
+            async_io::block_on(future::or(received, future::or(watch_ended, timeout)))
         };
-        subscribe.try_send(()).expect("room");
-        assert!(hears_of_end(&first));
-        subscribe.try_send(()).expect("room");
-        assert!(matches!(others.try_recv(), Ok(WorkerCommand::RecheckDeadlines)));
-        assert!(hears_of_end(&others) && hears_of_end(&first));
+        subscribe.try_send(()).expect("space in the queue");
+        assert!(receives_failure(&first));
+        subscribe.try_send(()).expect("space in the queue");
+        assert!(matches!(second.try_recv(), Ok(WorkerCommand::RecheckDeadlines)));
+        assert!(receives_failure(&second) && receives_failure(&first));
     }
 
     #[test]
     fn a_change_dropped_while_it_was_passed_on_is_requested_again() {
         let (sender, commands) = bounded(1);
         let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
-        let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender.clone()], subscriptions, reloads);
+        let discovery = "127.0.0.1:1".parse().expect("an address");
+        let mut watch = watch(discovery, vec![sender.clone()], subscriptions, reloads);
         let line = br#"{"index":42,"snapshot":false,"endpoints":[]}"#;
         let arrival = progress::Progress::started_at(Instant::now()).line_ended(Instant::now());
         // The worker's queue is full, so the line waits to be passed on, and is dropped meanwhile.
-        sender.try_send(WorkerCommand::RecheckDeadlines).expect("room");
+        sender.try_send(WorkerCommand::RecheckDeadlines).expect("space in the queue");
         let dropped = future::block_on(future::poll_once(watch.apply_line(line, true, arrival)));
         assert!(dropped.is_none() && watch.version == ListIndex(41), "{:?}", watch.version);
         commands.try_recv().expect("the one before");
@@ -572,8 +583,8 @@
     fn after_changes_that_end_before_the_requested_version_the_whole_list_is_requested() {
         let (sender, commands) = bounded(1);
         let (subscriptions, reloads) = (bounded(1).1, bounded(1).1);
-        let at = "127.0.0.1:1".parse().expect("an address");
-        let mut watch = watch(at, vec![sender], subscriptions, reloads);
+        let discovery = "127.0.0.1:1".parse().expect("an address");
+        let mut watch = watch(discovery, vec![sender], subscriptions, reloads);
         let arrival = progress::Progress::started_at(Instant::now()).line_ended(Instant::now());
         let lower = br#"{"index":40,"snapshot":false,"endpoints":[]}"#;
         assert!(
--- a/sidecar/src/http1/watch/pacing.rs
+++ b/sidecar/src/http1/watch/pacing.rs
@@ -1,10 +1,10 @@
-//! How long to wait after a list request that discovery rejected late. A request queue whose wait exceeds its clients'
-//! patience serves requests that were given up, and does not shrink while each of them is soon repeated.
+//! How long to wait after a list request that discovery rejected late. A request queue that takes longer than its
+//! clients wait serves requests that were given up, and does not shrink while each of them is soon repeated.
 use std::time::Duration;
 
-/// A request rejected sooner than this met no queue, and the decision module's backoff is enough.
+/// A request rejected sooner than this did not wait in a queue, and the decision module's backoff is enough.
 const LATE_REJECTION: Duration = Duration::from_millis(500);
-/// Requests per second that all instances of a tier make together at the slowest.
+/// The rate, in requests per second, to which the longest pauses slow all instances of a tier together.
 const TIER_REQUESTS_PER_S: f64 = 32.0;
 /// The longest pause, as a multiple of the time that the request waited. It keeps a quarter or more of the tier's
 /// requests in the queue.
@@ -12,13 +12,13 @@
 /// The shortest pause, as a share of the longest.
 const MIN_PAUSE_SHARE: f64 = 0.25;
 
-/// How long to wait after a request that was rejected after `waited`, in a tier of so many instances. `random` is drawn
-/// uniformly from 0 to 1: guards against requests that come all at once again.
+/// How long to wait after a request that was rejected after `waited`, in a tier with this many instances. `random` is
+/// drawn uniformly from 0 to 1, so that the next requests don't arrive all at once.
 pub fn pause_after_rejection(waited: Duration, instances: u32, random: f64) -> Duration {
     if waited < LATE_REJECTION {
         return Duration::ZERO;
     }
-    let by_tier = Duration::from_secs_f64(f64::from(instances) / TIER_REQUESTS_PER_S);
-    let longest = by_tier.min(waited.mul_f64(MAX_PAUSE_PER_WAIT));
+    let longest_for_tier = Duration::from_secs_f64(f64::from(instances) / TIER_REQUESTS_PER_S);
+    let longest = longest_for_tier.min(waited.mul_f64(MAX_PAUSE_PER_WAIT));
     longest.mul_f64(MIN_PAUSE_SHARE + (1.0 - MIN_PAUSE_SHARE) * random)
 }
--- a/sidecar/src/http1/watch/progress.rs
+++ b/sidecar/src/http1/watch/progress.rs
@@ -1,8 +1,9 @@
-//! How far a list request has come, for the log: its stage, and how many bytes came when.
+//! How far a list request has got: its stage, and how many bytes it has received and when. The log reports it, and the
+//! watch decides by it when to send another request.
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
-/// What a request waits for.
+/// What a request is waiting for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
     /// The connection.
@@ -34,18 +35,18 @@
 pub struct Progress {
     started: Instant,
     stage: Stage,
-    /// When the last byte came.
+    /// When the last byte arrived.
     last_byte: Option<Instant>,
-    /// Bytes that came after the last whole line.
+    /// Bytes received since the last whole line.
     line_bytes: usize,
-    /// When the first byte after the last whole line came.
+    /// When the first byte after the last whole line arrived.
     line_started: Option<Instant>,
 }
 
-/// When a whole line came.
+/// When a whole line arrived, and how long that took.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LineArrival {
-    /// When its first byte came. What the line says is at least as recent as that.
+    /// When its first byte arrived. What the line says is at least as recent as that.
     pub first_byte_at: Instant,
     /// Its length in bytes, including the framing.
     pub bytes: usize,
@@ -56,7 +57,7 @@
 }
 
 impl Progress {
-    /// A request that starts now.
+    /// The progress of a request that starts at this time.
     pub fn started_at(started: Instant) -> Progress {
         Progress { started, stage: Stage::Connecting, last_byte: None, line_bytes: 0, line_started: None }
     }
@@ -78,12 +79,12 @@
         self.started
     }
 
-    /// When the last byte came, or the request started.
+    /// When the last byte arrived; before the first byte, when the request started.
     pub fn last_activity(&self) -> Instant {
         self.last_byte.unwrap_or(self.started)
     }
 
-    /// Bytes that came after the last whole line.
+    /// Bytes received since the last whole line.
     pub fn line_bytes(&self) -> usize {
         self.line_bytes
     }
@@ -103,19 +104,19 @@
 }
 
 impl Display for Progress {
-    fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let age = self.started.elapsed().as_millis();
-        write!(to, "{}, {age} ms after the request, {} bytes", self.stage.name(), self.line_bytes)?;
+        write!(formatter, "{}, {age} ms after the request, {} bytes", self.stage.name(), self.line_bytes)?;
         match self.last_byte {
-            Some(last) => write!(to, ", the last {} ms ago", last.elapsed().as_millis()),
+            Some(last_byte) => write!(formatter, ", the last {} ms ago", last_byte.elapsed().as_millis()),
             None => Ok(()),
         }
     }
 }
 
 impl Display for LineArrival {
-    fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let (first, took) = (self.first_byte_after.as_millis(), self.took.as_millis());
-        write!(to, "{} bytes, the first {first} ms after the request, then {took} ms", self.bytes)
+        write!(formatter, "{} bytes, the first {first} ms after the request, then {took} ms", self.bytes)
     }
 }
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -29,14 +29,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long new connections are accepted after the stop signal: whatever sends clients here takes a moment to notice
+/// How long new connections are accepted after the stop signal: whatever routes clients here takes a moment to notice
 /// that `/ready` has changed.
 const UNREADY_NOTICE: Duration = Duration::from_millis(600);
 /// The platform's rule for planned restarts: after the stop signal the process lives for the longest time that a
 /// request may take, limited to `MAX_GRACE`, and `EXTRA_GRACE` more, before it may be killed.
 const MAX_GRACE: Micros = Micros::millis(3_000);
 const EXTRA_GRACE: Micros = Micros::millis(700);
-/// How long before the process may be killed the last answer is due.
+/// How long before the end of the grace period, when the process may be killed, the last answer is due.
 const LAST_ANSWER_MARGIN: Micros = Micros::millis(150);
 /// The share of the grace period for which clients are still served: alone, and while a successor accepts the new
 /// ones.
@@ -55,15 +55,15 @@
 /// The share of the memory that one line of the list may take: it is held as bytes, as text and as entries.
 const LIST_LINE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
-/// The phases of the process. The log has them by these names.
+/// The phases of the process. The log names them by their identifiers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     /// Listening, and not accepting yet.
     Starting,
     /// Accepting and serving clients.
     Serving,
-    /// After the stop signal: `/ready` says no, but clients that connect or stay are served. The clients of another
-    /// sidecar that leaves soon after may have no other to go to.
+    /// After the stop signal: `/ready` reports not ready, but clients that connect or stay are served. The clients of
+    /// another sidecar that leaves soon after may have no other sidecar to go to.
     Leaving,
     /// No connection is accepted; open requests are finished, and each answer ends its connection.
     Finishing,
@@ -71,7 +71,7 @@
     Over,
 }
 
-/// What may end a phase, or changes something within it.
+/// What may end a phase, or change something within it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Event {
     /// The listeners are bound; during a handover, also the list is known and sending is allowed.
@@ -91,7 +91,7 @@
 }
 
 impl Event {
-    /// The event as the log has it.
+    /// The event's name in the log.
     fn log_name(self) -> &'static str {
         match self {
             Event::Bound => "Bound",
@@ -155,16 +155,16 @@
     handover_links: HandoverLinks,
     /// The agreement of instances on settings, where it is configured.
     agreement: Option<AgreementHandle>,
-    /// The predecessor process still serves.
+    /// Whether the predecessor process still serves.
     has_predecessor: bool,
-    /// A successor serves from now on.
+    /// Whether a successor serves from now on.
     has_successor: bool,
 }
 
 /// A command to the running sidecar from outside.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ControlCommand {
-    /// Shuts down in order.
+    /// Shuts down gracefully.
     Stop,
     /// Reads the configuration file again.
     Reload,
@@ -186,8 +186,8 @@
     }))
 }
 
-/// Runs one sidecar until `control` says stop, or ends, and then until it has shut down in order. `reload_config`
-/// reads the current configuration. An error is one line.
+/// Runs one sidecar until `control` yields [`ControlCommand::Stop`] or ends, and then until the sidecar has shut down
+/// gracefully. `reload_config` reads the current configuration. The text of an error is one line.
 pub fn run(
     config: SidecarConfig, operator: OperatorConfig,
     reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
@@ -289,7 +289,7 @@
         let (subscribe, subscriptions) = bounded(1);
         let (deadline, drain_grace) = (ListDeadline::none(), settings.drain_grace);
         let instances = settings.balancer.instances;
-        let (reload, reloads) = bounded(1);
+        let (reload_sender, reloads) = bounded(1);
         let longest_request = longest_request_time(&settings);
         log_if_requests_are_cut_short(&log, longest_request);
         let known_index = known_list.index;
@@ -354,7 +354,7 @@
             tasks.spawn_detached(task);
             agreement_handle = Some(handle);
         }
-        if let Some(at) = config.console {
+        if let Some(address) = config.console {
             let (registry, commands, handover_links) =
                 (registry.clone(), commands.clone(), handover_links.clone());
             let (store, agreement) = (store.clone(), agreement_handle.clone());
@@ -362,7 +362,7 @@
             let log = log.clone();
             let console =
                 Console { registry, commands, clock, log, store, handover_links, agreement, metrics, gauges };
-            console.listen(at, listener_passed).map_err(failed)?;
+            console.listen(address, listener_passed).map_err(failed)?;
         }
         if let Some(store) = store.filter(|_| listener_passed) {
             let (handover_links, registry, commands) =
@@ -406,7 +406,7 @@
             longest_request: duration(longest_request),
             grace: grace_period(longest_request),
             keys: config.keys,
-            reloads: reload,
+            reloads: reload_sender,
             worker_failure: None,
             registry,
             handover_links,
@@ -483,15 +483,16 @@
             };
             self.handle(event, &reload_config).await;
         }
-        self.worker_failure.take().map_or(Ok(()), |WorkerFailure(why)| Err(why))
+        self.worker_failure.take().map_or(Ok(()), |WorkerFailure(reason)| Err(reason))
     }
 
     async fn handle(
         &mut self, event: Event,
         reload_config: &impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
     ) {
-        let row = TRANSITIONS.iter().find(|(phase, on, ..)| *phase == self.phase && *on == event);
-        let Some(&(_, _, phase, action)) = row else { return };
+        let transition =
+            TRANSITIONS.iter().find(|(phase, trigger, ..)| *phase == self.phase && *trigger == event);
+        let Some(&(_, _, next_phase, action)) = transition else { return };
         match action {
             Action::StartAccepting => {
                 self.commands.send_and_wait(WorkerCommand::StartAccepting).await;
@@ -554,20 +555,20 @@
             },
             Action::Nothing => {}
         }
-        if phase == self.phase {
+        if next_phase == self.phase {
             return;
         }
         let (requests, connections) = (self.worker_pool.open_requests(), self.worker_pool.connections());
-        let after = self.phase_since.elapsed().as_millis();
+        let phase_ms = self.phase_since.elapsed().as_millis();
         info!(
             self.log,
             "{:?}: {} after {} ms, {} requests open, {} connections",
-            phase,
+            next_phase,
             event.log_name(),
-            after,
+            phase_ms,
             requests,
             connections
         );
-        (self.phase, self.phase_since) = (phase, Instant::now());
+        (self.phase, self.phase_since) = (next_phase, Instant::now());
     }
 }
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -33,14 +33,14 @@
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
 
-/// Commands that may wait for a worker.
+/// Commands that may be queued for a worker.
 const MAX_QUEUED_COMMANDS: usize = 64;
 
 /// A command from the main thread to the workers. Where one has a sender, it is dropped once the command is carried
 /// out.
 #[derive(Clone)]
 pub enum WorkerCommand {
-    /// A list from discovery, or its failure.
+    /// A list from discovery, or the failure to get one.
     ApplyList(ListKind, Arc<DiscoveryList>, ListArrival),
     /// An operator's mark on an endpoint.
     ApplyMaintenance(MaintenanceMark, Sender<()>),
@@ -56,11 +56,12 @@
     RecheckDeadlines,
     /// Whether limits and budgets are shared with another process of this sidecar.
     SetSharing(Sharing),
-    /// A successor takes over: stop accepting, and end each connection with its next answer, due by then.
+    /// A successor takes over: stop accepting, answer every request by this time, and close each connection after its
+    /// next answer.
     Handover(Micros),
-    /// Report not ready at `/ready`, and answer every request by then.
+    /// Report not ready at `/ready`, and answer every request by this time.
     ReportNotReady(Micros),
-    /// Stop accepting, and end each connection with its next answer.
+    /// Stop accepting, and close each connection after its next answer.
     StopAccepting(Sender<()>),
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// What a worker holds now.
+/// The current counts of one worker.
 #[derive(Clone, Default)]
 pub struct WorkerGauges {
     /// Requests submitted and not yet answered.
@@ -139,12 +140,12 @@
     static LAST_PANIC: RefCell<Option<String>> = const { RefCell::new(None) };
 }
 
-/// Makes the panic hook store the panic's message, for the one line that says why the process ends, instead of
-/// printing it.
+/// Makes the panic hook store the panic's message instead of printing it, for the one line that says why the process
+/// ends.
 pub fn capture_panics() {
     std::panic::set_hook(Box::new(|panic| {
         let text = panic.to_string().replace('\n', " ");
-        LAST_PANIC.with_borrow_mut(|kept| *kept = Some(text));
+        LAST_PANIC.with_borrow_mut(|last| *last = Some(text));
     }));
 }
 
@@ -161,12 +162,12 @@
             let context = WorkerContext { number, commands, gauges: gauges.clone() };
             let (work, report) = (work.clone(), report.clone());
             let run = move || {
-                let why = match catch_unwind(AssertUnwindSafe(|| work(context))) {
+                let reason = match catch_unwind(AssertUnwindSafe(|| work(context))) {
                     Ok(Ok(())) => return,
                     Ok(Err(error)) => error.to_string(),
                     Err(_) => take_last_panic(),
                 };
-                let _ = report.try_send(WorkerFailure(format!("worker {number} ended: {why}")));
+                let _ = report.try_send(WorkerFailure(format!("worker {number} ended: {reason}")));
             };
             let thread = Builder::new().name(format!("worker {number}")).spawn(run)?;
             workers.push(Worker { commands: sender, gauges, thread: Some(thread) });
@@ -238,7 +239,7 @@
     pub has_predecessor: bool,
 }
 
-/// Runs a worker that carries requests, until its commands end.
+/// Runs a worker until its command queue is closed.
 pub fn run_worker(setup: WorkerSetup, context: WorkerContext, listener: TcpListener) -> std::io::Result<()> {
     run_on_this_thread(|tasks| serve(setup, context, listener, tasks))
 }
@@ -261,7 +262,7 @@
     LAST_PANIC.take().unwrap_or_else(|| "panicked".into())
 }
 
-/// The settings of one worker, as one of all workers of all sidecars.
+/// The settings of one worker. The decision module counts each worker of each sidecar as one instance.
 fn worker_settings(mut settings: Settings, number: usize, workers: usize) -> Settings {
     settings.balancer.instance_index =
         settings.balancer.instance_index.saturating_mul(workers as u32).saturating_add(number as u32);
@@ -275,7 +276,8 @@
     settings
 }
 
-/// The terms of this process as one of two sidecars, while another process of this sidecar runs beside it.
+/// The settings of this process while another process of this sidecar runs beside it: each of the two counts as a
+/// sidecar of its own.
 fn with_sharing(mut config: BalancerConfig, sharing: Sharing) -> BalancerConfig {
     let (sidecars, number) = match sharing {
         Sharing::Alone => return config,
@@ -290,8 +292,9 @@
     config
 }
 
-/// Allows no attempts beyond requests' first. While two processes of one sidecar run, only the earlier one may make
-/// extra attempts, until it leaves; together they would exceed the budget, also within the window after the change.
+/// Allows no attempts beyond requests' first ones. While two processes of one sidecar run, only the earlier one may
+/// make extra attempts, until it leaves. Together they would exceed the budget, also during the window after the
+/// change.
 fn forbid_extra_attempts(config: &mut BalancerConfig) {
     if let Some(budget) = &mut config.retry_budget {
         (budget.base, budget.ratio) = (0.0, 0.0);
@@ -302,16 +305,17 @@
 fn update_classes(
     known_classes: &mut KnownClasses, settings: &Settings,
 ) -> (Vec<ClassId>, FnvHashMap<ClassId, Restriction>) {
-    let kinds = settings.balancer.workloads.iter().map(|workload| workload.idempotency);
-    let named: Vec<_> = settings.workloads.iter().map(|named| named.name.clone()).zip(kinds).collect();
-    known_classes.update(&named)
+    let idempotencies = settings.balancer.workloads.iter().map(|workload| workload.idempotency);
+    let current: Vec<_> =
+        settings.workloads.iter().map(|workload| workload.name.clone()).zip(idempotencies).collect();
+    known_classes.update(&current)
 }
 
 /// What client connections need of the settings to read requests.
 fn build_request_settings(
     settings: &mut Settings, workload_ids: Vec<WorkloadIds>, classes: Vec<ClassId>,
 ) -> RequestSettings {
-    let class_names = settings.workloads.iter().map(|named| named.name.as_str().into()).collect();
+    let class_names = settings.workloads.iter().map(|workload| workload.name.as_str().into()).collect();
     RequestSettings {
         class_names,
         repeat_safety: workload_ids
@@ -405,7 +409,9 @@
                 connections.set_serving(true);
                 drop(done);
             }
-            WorkerCommand::ExportLearned(to) => dispatcher.send(DispatcherMessage::ExportLearned(to)).await,
+            WorkerCommand::ExportLearned(reply_to) => {
+                dispatcher.send(DispatcherMessage::ExportLearned(reply_to)).await
+            }
             WorkerCommand::ApplyPeerDrains(drains, done) => {
                 dispatcher.send(DispatcherMessage::ApplyPeerDrains(drains, done)).await
             }
@@ -419,15 +425,16 @@
                 monitor.set_limits(monitor::limits(&settings.balancer, settings.drain_grace));
                 let request_settings = build_request_settings(&mut settings, workload_ids, class_ids);
                 config = settings.balancer;
-                // The module first: it must know the workload ids of requests that are read by the new settings.
+                // The module gets the settings before the connections do: it must know the workload ids of the requests
+                // that are read by them.
                 let config = Box::new(with_sharing(config.clone(), sharing));
                 dispatcher
                     .send(DispatcherMessage::ApplySettings(config, restrictions.clone(), Some(done)))
                     .await;
                 connections.set_request_settings(request_settings);
             }
-            WorkerCommand::SetSharing(new) => {
-                sharing = new;
+            WorkerCommand::SetSharing(new_sharing) => {
+                sharing = new_sharing;
                 let config = Box::new(with_sharing(config.clone(), sharing));
                 dispatcher.send(DispatcherMessage::ApplySettings(config, restrictions.clone(), None)).await;
                 connections.close_excess_idle();
@@ -438,11 +445,11 @@
                 }
                 listener = None;
                 if sharing != Sharing::Alone && config.retry_budget.is_some() {
-                    let mut config_at_end = with_sharing(config.clone(), sharing);
-                    forbid_extra_attempts(&mut config_at_end);
+                    let mut final_config = with_sharing(config.clone(), sharing);
+                    forbid_extra_attempts(&mut final_config);
                     dispatcher
                         .send(DispatcherMessage::ApplySettings(
-                            Box::new(config_at_end),
+                            Box::new(final_config),
                             restrictions.clone(),
                             None,
                         ))
@@ -454,7 +461,7 @@
             }
             WorkerCommand::ReportNotReady(deadline) => {
                 connections.set_serving(false);
-                // Also for requests that are already open: the process may be killed after that.
+                // The deadline also holds for requests that are already open: the process may be killed soon after it.
                 connections.set_answer_deadline(deadline);
                 dispatcher.send(DispatcherMessage::SetAnswerDeadline(deadline)).await;
             }
