--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -28,7 +28,7 @@
 
 /// Connections held at a time. A new one beyond that replaces the oldest.
 const MAX_CONNECTIONS: usize = 12;
-/// The descriptors that the console may hold: its connections, a new one, its listener and its reactor.
+/// The most descriptors that the console may hold: its connections, a new one, its listener and its reactor.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
 /// How long a client may take to send its request and read the answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -70,11 +70,11 @@
 }
 
 fn parse_request<'a>(method: &str, path: &'a str) -> Result<Request<'a>, HttpError> {
-    let not_found = HttpError { status: 404, message: "there is no such call" };
+    let not_found = HttpError { status: 404, message: "there is no such path" };
     let (request, required_method) =
         match path.strip_prefix(ENDPOINTS_PATH).and_then(|rest| rest.rsplit_once('/')) {
-            Some((name, word @ ("maint" | "ready"))) if !name.is_empty() => {
-                (Request::Maintenance { name, in_maintenance: word == "maint" }, "PUT")
+            Some((name, state @ ("maint" | "ready"))) if !name.is_empty() => {
+                (Request::Maintenance { name, in_maintenance: state == "maint" }, "PUT")
             }
             _ if path == HEALTH_PATH => (Request::Health, "GET"),
             _ if path == AGREEMENT_PATH => (Request::AgreementStatus, "GET"),
@@ -84,7 +84,7 @@
     let method_matches = method == required_method || (method == "HEAD" && required_method == "GET");
     method_matches
         .then_some(request)
-        .ok_or(HttpError { status: 405, message: "this call has another method" })
+        .ok_or(HttpError { status: 405, message: "this path does not allow the method" })
 }
 
 /// Decodes percent-encoding, such as `%41`, in a name from a path.
@@ -104,33 +104,33 @@
 impl Console {
     /// Starts the console, which answers for as long as the process lives. With `retry_bind` the predecessor may
     /// still have the address: the bind is tried again until that process has ended.
-    pub fn listen(self, at: SocketAddr, retry_bind: bool) -> std::io::Result<()> {
-        let bound = match TcpListener::bind(at) {
+    pub fn listen(self, address: SocketAddr, retry_bind: bool) -> std::io::Result<()> {
+        let bound = match TcpListener::bind(address) {
             Err(error) if retry_bind && error.kind() == ErrorKind::AddrInUse => {
-                info!(self.log, "console: {}: {}, retrying", at, error);
+                info!(self.log, "console: {}: {}, retrying", address, error);
                 None
             }
-            bound => {
-                Some(bound.map_err(|error| Error::new(error.kind(), format!("console: {at}: {error}")))?)
-            }
+            bound => Some(
+                bound.map_err(|error| Error::new(error.kind(), format!("console: {address}: {error}")))?,
+            ),
         };
-        Builder::new().name("console".into()).spawn(move || self.run(at, bound))?;
+        Builder::new().name("console".into()).spawn(move || self.run(address, bound))?;
         Ok(())
     }
 
     /// Runs the console, and restarts it whenever an error ends it.
-    fn run(self, at: SocketAddr, mut bound: Option<TcpListener>) {
+    fn run(self, address: SocketAddr, mut bound: Option<TcpListener>) {
         let console = Rc::new(self);
         loop {
-            let listened = bound.take().map_or_else(|| TcpListener::bind(at), Ok).and_then(|listener| {
+            let result = bound.take().map_or_else(|| TcpListener::bind(address), Ok).and_then(|listener| {
                 info!(console.log, "console at {}", listener.local_addr()?);
                 run_on_this_thread(|tasks| console.clone().accept_connections(listener, tasks))
             });
-            match listened {
+            match result {
                 // The predecessor still has the address, as logged above.
                 Err(error) if error.kind() == ErrorKind::AddrInUse => {}
-                Err(error) => warn!(console.log, "console: {}: {}, retrying", at, error),
-                Ok(()) => warn!(console.log, "console: {}: ended, restarting", at),
+                Err(error) => warn!(console.log, "console: {}: {}, retrying", address, error),
+                Ok(()) => warn!(console.log, "console: {}: ended, restarting", address),
             }
             std::thread::sleep(BIND_RETRY_DELAY);
         }
@@ -155,7 +155,7 @@
     }
 
     async fn serve(&self, stream: Async<TcpStream>) {
-        let late = async { _ = Timer::after(REQUEST_TIMEOUT).await };
+        let timeout = async { _ = Timer::after(REQUEST_TIMEOUT).await };
         let served = async {
             let answer = match read_request(&stream).await {
                 Some(Ok(head)) => self.answer(&head).await.unwrap_or_else(Answer::from),
@@ -169,7 +169,7 @@
                 while stream.read_buf(&mut rest).await.is_ok_and(|count| count > 0) && rest.len() < 1 << 16 {}
             }
         };
-        future::or(served, late).await;
+        future::or(served, timeout).await;
     }
 
     async fn answer(&self, head: &Head) -> Result<Answer, HttpError> {
@@ -179,7 +179,9 @@
             Request::Health => Ok(Answer::plain(503, "not serving")),
             Request::AgreementStatus => match &self.agreement {
                 Some(agreement) => Ok(Answer::plain(200, agreement.status().await)),
-                None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
+                None => {
+                    Err(HttpError { status: 404, message: "no agreement between instances is configured" })
+                }
             },
             Request::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauge_values()))),
             Request::Maintenance { name, in_maintenance } => {
@@ -247,13 +249,13 @@
     }
 }
 
-/// False if it takes longer than [`APPLY_TIMEOUT`].
+/// The result of `done`; false if that takes longer than [`APPLY_TIMEOUT`].
 async fn within_apply_timeout(done: impl Future<Output = bool>) -> bool {
-    let late = async {
+    let timeout = async {
         Timer::after(APPLY_TIMEOUT).await;
         false
     };
-    future::or(done, late).await
+    future::or(done, timeout).await
 }
 
 async fn read_request(stream: &Async<TcpStream>) -> Option<Result<Head, HttpError>> {
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -131,7 +131,7 @@
     ExportLearned(Sender<LearnedHealth>),
     /// The process is shutting down: every request must be answered by this time.
     SetAnswerDeadline(Micros),
-    /// The time that [`DispatcherMessage::SetAnswerDeadline`] has set is over.
+    /// The time set by [`DispatcherMessage::SetAnswerDeadline`] has passed.
     AnswerDeadlinePassed,
 }
 
--- a/sidecar/src/durable_file.rs
+++ b/sidecar/src/durable_file.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads a file; none if it does not exist. Any other error says nothing about its contents.
+/// Reads a file; none if it does not exist. After any other error the contents are unknown.
 pub fn read(path: &Path) -> Result<Option<Vec<u8>>> {
     match fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoints as one worker knows them: the id that its decision module knows each by, its address, and whether it
-//! may be sent to by the list, the maintenance marks and other instances' lists.
+//! The endpoints as one worker knows them: each one's id in the decision module, its address, and whether the list, the
+//! maintenance marks and other instances' lists allow sending to it.
 use crate::endpoint_registry::MaintenanceMark;
 use crate::start_time::StartWindow;
 use oakhollow::types::*;
@@ -32,7 +32,7 @@
 
 struct Endpoint {
     entry: EndpointEntry,
-    /// When it started by the list, within what this process can know; without the marks.
+    /// When it started according to the list, corrected by what this process knows, but not by the maintenance marks.
     started: Micros,
     listing: ListedServer,
 }
@@ -45,14 +45,14 @@
 
 /// What a change to the list means for the module and for the protocol.
 pub struct EndpointChanges {
-    /// What the module is told.
+    /// The listings that the module receives.
     pub listings: Vec<ListedServer>,
     /// Addresses whose connections must not be used for new attempts.
     pub retired: Vec<SocketAddr>,
 }
 
 impl EndpointList {
-    /// No endpoints yet; `zones` are the names by which ids of zones are found.
+    /// No endpoints yet. A zone's id is the index of its name in `zones`.
     pub fn new(zones: &[String], marks: MaintenanceMarks) -> EndpointList {
         EndpointList { zones: zones.to_vec(), marks, ..EndpointList::default() }
     }
@@ -82,10 +82,11 @@
 
     /// Applies what other instances' lists say drains, and returns the listings of all endpoints.
     pub fn apply_peer_drains(&mut self, drains: Arc<PeerDrains>) -> EndpointChanges {
-        let before = std::mem::replace(&mut self.peer_drains, drains);
-        let now = &self.peer_drains;
-        let named = before.keys().chain(now.keys()).filter(|name| before.get(*name) != now.get(*name));
-        let endpoints = named.filter_map(|name| self.endpoints.get(self.ids.get(name)?));
+        let previous = std::mem::replace(&mut self.peer_drains, drains);
+        let current = &self.peer_drains;
+        let changed_names =
+            previous.keys().chain(current.keys()).filter(|name| previous.get(*name) != current.get(*name));
+        let endpoints = changed_names.filter_map(|name| self.endpoints.get(self.ids.get(name)?));
         let entries: Vec<EndpointEntry> = endpoints.map(|endpoint| endpoint.entry.clone()).collect();
         let (mut listings, mut retired) = (Vec::new(), Vec::new());
         entries.iter().for_each(|entry| self.update(entry, None, &mut listings, &mut retired));
@@ -140,8 +141,8 @@
         EndpointChanges { listings, retired }
     }
 
-    /// When an endpoint started. The time determined when that start was first listed stays. If discovery's clock was
-    /// stepped back, a later start still gets a later time than the one before, whatever the list says.
+    /// When an endpoint started. The time determined when that start was first listed is kept. If discovery's clock was
+    /// stepped back, a later start still gets a later time than the previous one, whatever the list says.
     fn start_time(&self, entry: &EndpointEntry, server: ServerId, window: Option<StartWindow>) -> Micros {
         let listed = entry.started_at();
         match (self.endpoints.get(&server), window) {
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Enters an endpoint as its entry, the marks and other instances' lists have it, and adds to `listings` and
-    /// `retired` what that changes.
+    /// Adds or replaces an endpoint according to its entry, the marks and other instances' lists, and adds to
+    /// `listings` and `retired` what that changes.
     fn update(
         &mut self, entry: &EndpointEntry, window: Option<StartWindow>, listings: &mut Vec<ListedServer>,
         retired: &mut Vec<SocketAddr>,
@@ -167,11 +168,11 @@
         });
         let started = self.start_time(entry, server, window);
         let (address, mut listing) = (entry.address, self.listing_of(entry, server, started));
-        let at_address = self.by_address.get(&address).filter(|id| **id != server);
-        let at_address = at_address.and_then(|id| Some((id, self.endpoints.get(id)?)));
+        let other_id = self.by_address.get(&address).filter(|id| **id != server);
+        let other_at_address = other_id.and_then(|id| Some((id, self.endpoints.get(id)?)));
         // Of two endpoints at one address only the one that started last exists. A request meant for the other
         // would be run by the wrong server.
-        if let Some((_, other)) = at_address.filter(|_| listing.status == ServerStatus::Ready) {
+        if let Some((_, other)) = other_at_address.filter(|_| listing.status == ServerStatus::Ready) {
             if other.is_ready() && other.listing.started > listing.started {
                 listing.status = ServerStatus::Gone;
             } else {
@@ -181,17 +182,19 @@
             }
         }
         let endpoint = Endpoint { entry: entry.clone(), started, listing: listing.clone() };
-        let before = self.take_endpoint(server);
+        let previous = self.take_endpoint(server);
         self.ready_count += usize::from(endpoint.is_ready());
         // An endpoint that is gone must not replace the one that is now at its address.
         if endpoint.listing.status != ServerStatus::Gone {
             self.by_address.insert(address, server);
         }
         self.endpoints.insert(server, endpoint);
-        match before {
+        match previous {
             // It moved or restarted: the open connections lead to another server, or to none.
-            Some(before) if before.entry.address != address || before.listing.started != listing.started => {
-                retired.extend([before.entry.address, address]);
+            Some(previous)
+                if previous.entry.address != address || previous.listing.started != listing.started =>
+            {
+                retired.extend([previous.entry.address, address]);
             }
             Some(_) => {}
             // A connection left over from the endpoint that had this address before may be dead without an error.
@@ -235,7 +238,7 @@
         self.endpoints.get(&server).map(|endpoint| endpoint.entry.address)
     }
 
-    /// Whether it is still cold, given how long servers take to warm up.
+    /// Whether an endpoint is still cold, given how long servers take to warm up.
     pub fn is_cold(&self, server: ServerId, now: Micros, warm_up_time: Micros) -> bool {
         self.endpoints.get(&server).is_some_and(|endpoint| endpoint.listing.started + warm_up_time > now)
     }
@@ -263,25 +266,25 @@
         let mut endpoints = EndpointList::new(&[], MaintenanceMarks::default());
         let window = StartWindow { latest: Micros::millis(10), earliest: None };
         endpoints.apply_list(&list("a", 1), window);
-        let held = endpoints.set_sending_suspended(true);
+        let suspended = endpoints.set_sending_suspended(true);
         assert!(
             !endpoints.any_ready()
-                && held.listings.iter().all(|listing| listing.status == ServerStatus::Draining)
+                && suspended.listings.iter().all(|listing| listing.status == ServerStatus::Draining)
         );
-        assert!(held.retired.is_empty());
-        let before = [endpoints.id("a"), {
+        assert!(suspended.retired.is_empty());
+        let reported_before = [endpoints.id("a"), {
             endpoints.apply_list(&list("b", 2), window).listings.first().map(|listing| listing.server)
         }];
         let listings = endpoints.set_sending_suspended(false).listings;
-        // In whichever order they are entered, the later one is ready, and every id reported before is ready or gone.
-        let last = |id: ServerId| {
+        // In whichever order they are added, the later one is ready, and every id reported before is ready or gone.
+        let last_status = |id: ServerId| {
             listings.iter().rfind(|listing| listing.server == id).map(|listing| listing.status)
         };
-        assert_eq!(last(endpoints.id("b").expect("there")), Some(ServerStatus::Ready));
+        assert_eq!(last_status(endpoints.id("b").expect("listed")), Some(ServerStatus::Ready));
         assert!(endpoints.id("a").is_none() && endpoints.any_ready());
-        for id in before.into_iter().flatten() {
+        for id in reported_before.into_iter().flatten() {
             assert!(
-                matches!(last(id), Some(ServerStatus::Ready | ServerStatus::Gone)),
+                matches!(last_status(id), Some(ServerStatus::Ready | ServerStatus::Gone)),
                 "{id:?}: {listings:?}"
             );
         }
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -28,17 +28,18 @@
     entries: BTreeMap<String, EndpointEntry>,
     version: ListIndex,
     marks: MaintenanceMarks,
-    /// Discovery has sent the list, or has failed to.
+    /// Whether discovery has sent the list, or has failed to.
     pub list_settled: bool,
     /// When discovery last sent the list, or said that it is unchanged.
     pub last_heard: Option<Instant>,
-    /// The watch of the list is open and has received something.
+    /// Whether the watch of the list is open and has received something.
     pub watch_open: bool,
-    /// The workers accept clients, and the process is not shutting down.
+    /// Whether the workers accept clients, and the process is not shutting down.
     pub accepting: bool,
-    /// Where instances agree on settings: a majority's leases are held, or requests may be served without them.
+    /// Whether leases from a majority of the lease servers are held, or requests may be served without them. Always
+    /// true where instances do not agree on settings.
     pub lease_ok: bool,
-    /// The list was received recently enough to be used.
+    /// Whether the list was received recently enough to be used.
     pub list_fresh: bool,
 }
 
@@ -52,10 +53,10 @@
 
 impl EndpointRegistry {
     /// A registry with the list and the marks known at the start.
-    pub fn new(known: &DiscoveryList, marks: MaintenanceMarks) -> EndpointRegistry {
+    pub fn new(known_list: &DiscoveryList, marks: MaintenanceMarks) -> EndpointRegistry {
         let mut registry =
             EndpointRegistry { marks, lease_ok: true, list_fresh: true, ..EndpointRegistry::default() };
-        registry.apply(known);
+        registry.apply(known_list);
         registry
     }
 
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Adds entries from other instances' lists, until the own list says otherwise. Returns them as changes to the
-    /// own list.
+    /// Adds entries from other instances' lists, which hold until this instance's own list changes them. Returns them
+    /// as changes to that list.
     pub fn add_from_peers(&mut self, endpoints: Vec<EndpointEntry>) -> DiscoveryList {
         let list = DiscoveryList { index: self.version, snapshot: false, endpoints };
         self.apply(&list);
@@ -147,12 +148,12 @@
 
     /// Whether a request would be served now.
     pub fn is_serving(&self) -> bool {
-        let mut usable = self.entries.values().filter(|entry| entry.is_active());
+        let mut active = self.entries.values().filter(|entry| entry.is_active());
         self.accepting
             && self.lease_ok
             && self.list_fresh
             && self.list_settled
-            && usable.any(|entry| !self.marks.in_maintenance.contains(&entry.name))
+            && active.any(|entry| !self.marks.in_maintenance.contains(&entry.name))
     }
 }
 
@@ -161,9 +162,10 @@
     use super::*;
     use oakhollow_terms::read_json;
 
-    fn list(text: &str) -> DiscoveryList {
+    /// A whole list of active endpoints with these names, separated by white space.
+    fn list(names: &str) -> DiscoveryList {
         let entry = |name| format!(r#"{{"name":"{name}","address":"127.0.0.1:70","status":"active"}}"#);
-        let entries: Vec<String> = text.split_whitespace().map(entry).collect();
+        let entries: Vec<String> = names.split_whitespace().map(entry).collect();
         let json = format!(r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
         read_json(json.as_bytes()).expect("a list")
     }
@@ -171,25 +173,25 @@
     #[test]
     fn a_repeated_mark_changes_nothing_and_an_unknown_name_is_rejected() {
         let mut registry = EndpointRegistry::new(&list("a b"), MaintenanceMarks::default());
-        let at = Micros::millis;
-        assert_eq!(registry.set_maintenance("c", true, at(1)), Err(MaintenanceError::UnknownEndpoint));
+        let ms = Micros::millis;
+        assert_eq!(registry.set_maintenance("c", true, ms(1)), Err(MaintenanceError::UnknownEndpoint));
         assert!(
-            registry.set_maintenance("a", true, at(1)).is_ok()
-                && registry.set_maintenance("a", true, at(2)).is_ok()
+            registry.set_maintenance("a", true, ms(1)).is_ok()
+                && registry.set_maintenance("a", true, ms(2)).is_ok()
         );
-        // The mark stays while the endpoint is not on the list, and can be taken back all the same.
+        // The mark stays while the endpoint is not on the list, and can still be removed then.
         registry.apply(&list("b"));
         assert!(registry.marks().in_maintenance.contains("a"));
-        assert_eq!(registry.set_maintenance("a", false, at(3)).map(|mark| mark.set_at), Ok(at(3)));
+        assert_eq!(registry.set_maintenance("a", false, ms(3)).map(|mark| mark.set_at), Ok(ms(3)));
         assert!(registry.marks().in_maintenance.is_empty());
         registry.apply(&list("a b"));
         // A repeated mark keeps the time of the first one.
-        assert_eq!(registry.set_maintenance("a", false, at(9)).map(|mark| mark.set_at), Ok(at(3)));
-        assert_eq!(registry.set_maintenance("b", false, at(9)).map(|mark| mark.set_at), Ok(at(0)));
+        assert_eq!(registry.set_maintenance("a", false, ms(9)).map(|mark| mark.set_at), Ok(ms(3)));
+        assert_eq!(registry.set_maintenance("b", false, ms(9)).map(|mark| mark.set_at), Ok(ms(0)));
     }
 
     #[test]
-    fn it_serves_only_with_an_endpoint_that_is_not_in_maintenance() {
+    fn the_process_serves_only_with_an_endpoint_that_is_not_in_maintenance() {
         let mut registry = EndpointRegistry::new(&list("a"), MaintenanceMarks::default());
         assert!(!registry.is_serving());
         (registry.accepting, registry.list_settled) = (true, true);
--- a/sidecar/src/eviction.rs
+++ b/sidecar/src/eviction.rs
@@ -15,14 +15,14 @@
     pub same_source: usize,
 }
 
-/// How long a connection that has sent nothing yet is not evicted, however many others wait.
+/// How long a connection that has sent nothing yet is protected from eviction, however many new ones wait.
 const NEW_CONNECTION_TIME: Duration = Duration::from_millis(100);
 /// How long a client may pause within a request before it counts as stalled. A request may take seconds to arrive, in
 /// pieces.
 const STALLED_AFTER: Duration = Duration::from_millis(700);
 
-/// The order of eviction. Within a row, connections of the address with the most connections go first, and of these
-/// the one silent for longest.
+/// The order of eviction. Within a row, connections of the address with the most connections are evicted first, and of
+/// these the one that has been silent the longest.
 const EVICTION_ORDER: [fn(&IdleConnection) -> bool; 4] = [
     // Never answered, and silent or stalled within a request.
     |connection| {
@@ -38,8 +38,8 @@
     |connection| connection.request_started && connection.silent_for >= NEW_CONNECTION_TIME,
 ];
 
-/// The key of the connection to close. None if a new connection that stays silent will be due in a moment, so that a
-/// crowd of silent connections does not close those that are kept for known clients.
+/// The key of the connection to close. None if no connection is in the first row, but a new one will be in a moment if
+/// it stays silent: many silent connections must not cause those of known clients to be closed.
 pub fn next_to_evict<K: Copy>(connections: impl Iterator<Item = (K, IdleConnection)> + Clone) -> Option<K> {
     let any_new = connections.clone().any(|(_, connection)| {
         !connection.answered_before
@@ -47,11 +47,11 @@
             && connection.silent_for < NEW_CONNECTION_TIME
     });
     let ranked = connections.filter_map(|(key, connection)| {
-        let row = EVICTION_ORDER.iter().position(|row| row(&connection))?;
+        let row = EVICTION_ORDER.iter().position(|matches| matches(&connection))?;
         Some((key, (std::cmp::Reverse(row), connection.same_source, connection.silent_for)))
     });
-    let first = ranked.max_by_key(|(_, rank)| *rank);
-    first.filter(|(_, (row, ..))| row.0 == 0 || !any_new).map(|(key, _)| key)
+    let candidate = ranked.max_by_key(|(_, rank)| *rank);
+    candidate.filter(|(_, (row, ..))| row.0 == 0 || !any_new).map(|(key, _)| key)
 }
 
 #[cfg(test)]
@@ -60,31 +60,34 @@
 
     #[test]
     fn silent_new_clients_are_evicted_first_and_sending_ones_last() {
-        let one = |answered_before, request_started, silent_ms, same_source| IdleConnection {
+        let connection = |answered_before, request_started, silent_ms, same_source| IdleConnection {
             answered_before,
             request_started,
             silent_for: Duration::from_millis(silent_ms),
             same_source,
         };
         let order = [
-            one(false, false, 150, 9),
-            one(false, false, 900, 1),
-            one(false, true, 800, 1),
-            one(true, false, 5000, 1),
-            one(true, false, 50, 1),
-            one(true, true, 800, 1),
-            one(true, true, 300, 1),
-            one(false, true, 200, 1),
+            connection(false, false, 150, 9),
+            connection(false, false, 900, 1),
+            connection(false, true, 800, 1),
+            connection(true, false, 5000, 1),
+            connection(true, false, 50, 1),
+            connection(true, true, 800, 1),
+            connection(true, true, 300, 1),
+            connection(false, true, 200, 1),
         ];
         let mut left: Vec<(usize, IdleConnection)> = order.into_iter().enumerate().rev().collect();
-        for wanted in 0..order.len() {
-            assert_eq!(next_to_evict(left.iter().copied()), Some(wanted));
-            left.retain(|(key, _)| *key != wanted);
+        for expected in 0..order.len() {
+            assert_eq!(next_to_evict(left.iter().copied()), Some(expected));
+            left.retain(|(key, _)| *key != expected);
         }
-        // New connections and those that have just sent are kept, and answered ones go after those that will soon
-        // be due.
-        let new_clients =
-            [(0, one(false, false, 50, 9)), (1, one(false, true, 50, 9)), (2, one(true, false, 900, 1))];
+        // New connections and those that have just sent something are kept. Connections answered before are not evicted
+        // while a new silent one will become a candidate in a moment.
+        let new_clients = [
+            (0, connection(false, false, 50, 9)),
+            (1, connection(false, true, 50, 9)),
+            (2, connection(true, false, 900, 1)),
+        ];
         assert_eq!(next_to_evict(new_clients.into_iter()), None);
     }
 }
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -449,7 +449,7 @@
         );
         let (index, list) = (list.index, Arc::new(list));
         let list_arrival = ListArrival { at: Instant::now(), complete_until: self.complete_until };
-        let agreement_done = match &self.parts.agreement {
+        let agreement_has_list = match &self.parts.agreement {
             Some(agreement) => agreement.apply_list_before_workers(&list).await,
             None => false,
         };
@@ -457,7 +457,7 @@
         // remember that until they apply this list.
         self.parts.deadline.set(None);
         self.parts.workers.send(WorkerCommand::ApplyList(kind, list.clone(), list_arrival)).await;
-        if let Some(agreement) = self.parts.agreement.as_ref().filter(|_| !agreement_done) {
+        if let Some(agreement) = self.parts.agreement.as_ref().filter(|_| !agreement_has_list) {
             agreement.apply_list(list).await;
         }
         let delay_ms = list_arrival.at.elapsed().as_millis();
--- a/sidecar/src/lease.rs
+++ b/sidecar/src/lease.rs
@@ -39,8 +39,7 @@
         Micros(self.valid_until.load(Ordering::Acquire))
     }
 
-    /// What to do without a lease, if the lease has expired. The clock is read only where instances agree on
-    /// settings.
+    /// If there is no valid lease: what to do without one. The clock is read only where instances agree on settings.
     pub fn expired(&self, now: impl FnOnce() -> Micros) -> Option<NoLeasePolicy> {
         self.policy.filter(|_| self.valid_until() <= now())
     }
--- a/sidecar/src/limits.rs
+++ b/sidecar/src/limits.rs
@@ -1,6 +1,6 @@
-//! A connection limit shared by all workers. Each worker has a reserved part, and a common rest goes to those that
+//! A connection limit shared by all workers. Each worker has reserved slots, and the common rest goes to those that
 //! need it: a worker that gets most of the clients may hold nearly all connections without leaving another with
-//! none, and the sum stays within the limit.
+//! none, and the total stays within the limit.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicIsize, AtomicUsize, Ordering};
@@ -126,16 +126,16 @@
     use super::*;
 
     #[test]
-    fn one_worker_may_take_all_but_what_is_reserved_for_the_others() {
+    fn one_worker_may_take_all_slots_except_those_reserved_for_the_others() {
         let limit = SharedLimit::new(40, 4);
         let shares: Vec<_> = (0..4).map(|_| LimitShare::new(limit.clone())).collect();
-        let greedy: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
-        assert_eq!(greedy.len(), 25);
+        let most: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
+        assert_eq!(most.len(), 25);
         let others: Vec<Slot> =
             shares[1..].iter().flat_map(|share| std::iter::from_fn(|| share.try_acquire())).collect();
         assert_eq!(others.len(), 15);
         // Slots that were held beyond the reserved part go back to the common rest.
-        drop(greedy);
+        drop(most);
         let rest: Vec<Slot> = std::iter::from_fn(|| shares[1].try_acquire()).collect();
         assert_eq!(rest.len(), 20);
     }
--- a/sidecar/src/list_deadline.rs
+++ b/sidecar/src/list_deadline.rs
@@ -15,13 +15,13 @@
     }
 
     /// Sets the deadline, or removes it.
-    pub fn set(&self, until: Option<Micros>) {
-        self.0.store(until.unwrap_or(Micros::NEVER).0, Ordering::Release);
+    pub fn set(&self, deadline: Option<Micros>) {
+        self.0.store(deadline.unwrap_or(Micros::NEVER).0, Ordering::Release);
     }
 
     /// Whether the deadline has passed. The clock is read only where there is one.
     pub fn has_passed(&self, now: impl FnOnce() -> Micros) -> bool {
-        let until = Micros(self.0.load(Ordering::Acquire));
-        until != Micros::NEVER && until <= now()
+        let deadline = Micros(self.0.load(Ordering::Acquire));
+        deadline != Micros::NEVER && deadline <= now()
     }
 }
--- a/sidecar/src/listeners.rs
+++ b/sidecar/src/listeners.rs
@@ -17,7 +17,7 @@
 /// A listener for each worker on the socket that the platform passes on to all processes of this sidecar, if it does.
 pub fn passed_listeners(workers: usize) -> Option<Result<Vec<TcpListener>>> {
     let number = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|number| !number.is_empty())?;
-    let duplicate = || {
+    let duplicate_passed = || {
         let invalid = || {
             Error::new(
                 ErrorKind::InvalidInput,
@@ -33,7 +33,7 @@
         }
         (0..workers).map(|_| socket.try_clone()).collect()
     };
-    Some(duplicate())
+    Some(duplicate_passed())
 }
 
 /// Binds a listener for each worker. An address in use is retried for a while, because after a quick restart the
@@ -52,14 +52,14 @@
 
 /// Binds a listener for each worker; the kernel distributes new connections among them.
 fn bind_all(mut listen: SocketAddr, workers: usize) -> Result<Vec<TcpListener>> {
-    let bind_one = |to: SocketAddr, shared: bool| -> Result<TcpListener> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let bind_one = |address: SocketAddr, shared: bool| -> Result<TcpListener> {
+        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let socket = net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
         sockopt::set_socket_reuseaddr(&socket, true)?;
         if shared {
             sockopt::set_socket_reuseport(&socket, true)?;
         }
-        net::bind(&socket, &to)?;
+        net::bind(&socket, &address)?;
         Ok(TcpListener::from(socket))
     };
     let mut listeners = Vec::new();
@@ -79,8 +79,8 @@
     Ok(listeners)
 }
 
-/// The descriptors that the kernel allows this process. If that is less than `limits.sockets`, clients must not use
-/// up the descriptors that discovery and endpoints need.
+/// The number of descriptors that the kernel allows this process. If that is less than `limits.sockets`, clients must
+/// not use up the descriptors that discovery and endpoints need.
 pub fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX)
--- a/sidecar/src/logging.rs
+++ b/sidecar/src/logging.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the end of the process may wait for lines that are not written yet.
+/// How long the process may wait at its end for lines that are not written yet.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A logger of that level and above to standard error.
--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -106,7 +106,7 @@
 pub enum ListRequestOutcome {
     /// A whole line has arrived.
     LineReceived,
-    /// Its connection did not come up.
+    /// Its connection could not be opened.
     Unreachable,
     /// It was answered with another status than 200.
     Rejected,
@@ -211,7 +211,7 @@
 impl Metrics {
     /// All metrics, with every counter at zero.
     pub fn new() -> Metrics {
-        Metrics::build().expect("the names and labels below are valid, and each stands once")
+        Metrics::build().expect("the names and labels below are valid, and each name occurs once")
     }
 
     fn build() -> prometheus::Result<Metrics> {
@@ -319,8 +319,8 @@
 
     /// Counts an attempt that has ended, by kind and outcome.
     pub fn count_attempt(&self, kind: AttemptKind, outcome: Outcome) {
-        let at = OUTCOMES.iter().position(|counted| *counted == outcome).unwrap_or_default();
-        self.attempts[kind as usize * OUTCOMES.len() + at].inc();
+        let index = OUTCOMES.iter().position(|counted| *counted == outcome).unwrap_or_default();
+        self.attempts[kind as usize * OUTCOMES.len() + index].inc();
     }
 
     /// Counts an attempt that was not allowed.
@@ -416,7 +416,7 @@
     register(registry, IntGauge::with_opts(opts(name, help))?)
 }
 
-/// A counter for each value of one label, in their order.
+/// A counter for each value of one label, in the order of `values`.
 fn counters_by_label(
     registry: &Registry, name: &str, help: &str, label: &str, values: &[&str],
 ) -> prometheus::Result<Vec<IntCounter>> {
--- a/sidecar/src/monitor.rs
+++ b/sidecar/src/monitor.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Log lines per second of one worker about broken rules.
+/// The most log lines per second about broken rules, for each worker.
 const MAX_VIOLATION_LINES: u32 = 5;
 const SECOND: Micros = Micros::millis(1_000);
 
@@ -27,7 +27,7 @@
     log: Logger,
     /// Whether every transition is logged.
     verbose: bool,
-    /// The second of the last log line about a broken rule, and how many lines it has had.
+    /// When the current second of log lines about broken rules began, and how many lines it has had.
     violation_lines: Cell<(Micros, u32)>,
 }
 
@@ -66,7 +66,7 @@
         self.guard.borrow_mut().set_limits(limits);
     }
 
-    /// Records that a request was read. The value returned owes it one answer.
+    /// Records that a request was read. The request must get one answer, which the value returned records.
     pub fn accept(self: &Rc<Self>, accepted: Accepted) -> OpenRequest {
         let Accepted { request, request_id, class, repeat_safety, deadline } = accepted;
         self.observe(Event::Accepted { request, request_id, repeat_safety, deadline });
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Records that the decision module has the request.
+    /// Records that a request was passed to the decision module.
     pub fn queued(&self, request: CallId) {
         self.observe(Event::Queued { request });
     }
@@ -223,8 +223,8 @@
     pub deadline: Micros,
 }
 
-/// An open request, which is owed one answer. Dropping it without [`OpenRequest::close`] means that its connection
-/// was closed on it.
+/// An open request, which must get one answer. Dropping it without [`OpenRequest::close`] means that its connection
+/// was closed before it was answered.
 pub struct OpenRequest {
     monitor: Rc<Monitor>,
     request: CallId,
@@ -239,7 +239,7 @@
         self.request
     }
 
-    /// Records that the client has gone: no answer is owed any more.
+    /// Records that the client has gone: the request needs no answer any more.
     pub fn client_gone(&self) {
         self.monitor.observe(Event::ClientGone { request: self.request });
     }
--- a/sidecar/src/reactor/poll.rs
+++ b/sidecar/src/reactor/poll.rs
@@ -36,7 +36,7 @@
     pub(super) timers: RefCell<BTreeMap<(Instant, u64), Waker>>,
     /// The next number for a source or timer, so that none is taken for another.
     next_number: Cell<u64>,
-    /// When the kernel was last polled: what is known may be as old as that.
+    /// When the kernel was last polled. The known readiness may be as old as that.
     polled_at: Cell<Instant>,
     /// Sockets that wait for more after a short read, and since when.
     pub(super) unconfirmed: RefCell<Vec<(Instant, Rc<Source>)>>,
@@ -96,12 +96,12 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Registers a socket, which starts out as writable or not.
+    /// Registers a socket, which counts as writable at first if `writable`.
     pub(super) fn register(&self, fd: impl AsFd, writable: bool) -> Result<Rc<Source>> {
         let source = Rc::new(Source {
             slot: Cell::new(0),
             number: self.next_number() & 0xFFFF_FFFF,
-            // Not readable at first: the next poll reports what there is, and also whether the peer has gone since.
+            // Not readable at first: the next poll reports available bytes, and also whether the peer has gone.
             reads: Direction::new(false),
             writes: Direction::new(writable),
             unconfirmed: Cell::new(false),
@@ -123,9 +123,9 @@
     /// Polls the kernel, waiting for events until the next timer if `wait`, and wakes the tasks concerned.
     fn poll(&self, wait: bool) -> Result<()> {
         let wait = !self.recheck_unconfirmed(wait) && wait;
-        let next = self.timers.borrow().first_key_value().map(|((at, _), _)| *at);
+        let next_timer = self.timers.borrow().first_key_value().map(|((at, _), _)| *at);
         let timeout = if wait {
-            next.map(|at| at.saturating_duration_since(Instant::now()))
+            next_timer.map(|at| at.saturating_duration_since(Instant::now()))
         } else {
             Some(Duration::ZERO)
         };
@@ -142,9 +142,9 @@
     }
 
     /// Marks sockets as readable that wait for more after a short read: all of them before the thread sleeps,
-    /// otherwise those that have waited for [`RECHECK_AFTER`]. Returns whether there was any. Guards against bytes
-    /// for which no event comes, since a read may be short although there is more. Delayed, since a socket with a
-    /// new event needs no further read.
+    /// otherwise those that have waited for [`RECHECK_AFTER`]. Returns whether any was marked. Guards against bytes
+    /// for which no event comes, since a read may be short although there is more. The recheck is delayed because a
+    /// socket that gets a new event in the meantime needs none.
     fn recheck_unconfirmed(&self, sleeps: bool) -> bool {
         let mut unconfirmed = self.unconfirmed.borrow_mut();
         if unconfirmed.is_empty() {
@@ -166,7 +166,7 @@
     }
 
     /// Polls the kernel again unless it was polled a moment ago. Guards against acting on outdated readiness after
-    /// the thread was suspended: it may know of one event, and run on long after others have happened.
+    /// the thread was suspended: the events of the last poll may be followed by others that it does not know of.
     pub(super) fn refresh(&self) {
         if self.polled_at.get().elapsed() >= MAX_EVENT_AGE {
             while self.poll_events(Some(Duration::ZERO)).is_ok_and(|count| count == EVENT_BATCH) {}
@@ -181,7 +181,7 @@
         let mut events = [const { std::mem::MaybeUninit::uninit() }; EVENT_BATCH];
         self.polled_at.set(Instant::now());
         let waited = epoll::wait(&self.epoll, &mut events, timeout.as_ref());
-        // A task woken from here on is polled next: guards against a wake-up call of this thread to itself.
+        // Tasks woken from here on are polled next: guards against writing to this thread's own eventfd.
         self.thread_waker.asleep.store(false, Ordering::SeqCst);
         let ready = match waited {
             Ok((ready, _)) => ready,
@@ -236,7 +236,8 @@
         if let Poll::Ready(done) = future.as_mut().poll(&mut context) {
             return Ok(done);
         }
-        // Set before the flag is read: guards against a sleep that misses a wake-up, since a waker from now on sees it.
+        // Set before `woken` is read: guards against a sleep that misses a wake-up, since from now on a waker sees that
+        // the thread sleeps.
         thread_waker.asleep.store(true, Ordering::SeqCst);
         let wait = !thread_waker.woken.load(Ordering::SeqCst);
         let polled = reactor.poll(wait);
--- a/sidecar/src/reactor/readiness.rs
+++ b/sidecar/src/reactor/readiness.rs
@@ -12,7 +12,7 @@
     pub(super) writes: Direction,
     /// The last read was short and no event has come since. There may be more to read all the same.
     pub(super) unconfirmed: Cell<bool>,
-    /// It is queued to be tried again for that.
+    /// Whether it is queued to be read again for that reason.
     pub(super) queued: Cell<bool>,
     /// The peer has shut down its side, or the connection is broken: from now on reads return at once.
     pub(super) ended: Cell<bool>,
@@ -20,7 +20,7 @@
     pub(super) end_waker: Cell<Option<Waker>>,
 }
 
-/// Reading or writing: whether it may be tried, and the task that waits for it.
+/// The state of reading or of writing: whether it may be tried, and the task that waits for it.
 pub(super) struct Direction {
     pub(super) ready: Cell<bool>,
     pub(super) waker: Cell<Option<Waker>>,
--- a/sidecar/src/start_time.rs
+++ b/sidecar/src/start_time.rs
@@ -1,6 +1,6 @@
-//! When an endpoint last started, by this process's clock. The list gives the time by another machine's wall clock,
-//! which may be wrong by an hour either way, as may this host's; what this process knows by its monotonic clock
-//! limits the time on both sides.
+//! When an endpoint last started, by this process's clock. The list states the time by another machine's wall clock.
+//! That clock and this host's may each be wrong by an hour either way, so the stated time is checked against the
+//! earliest and latest time that this process knows to be possible by its monotonic clock.
 use oakhollow::types::Micros;
 use std::time::Instant;
 
@@ -24,12 +24,12 @@
     }
 }
 
-/// The time within which an endpoint that is new on a list has started.
+/// The period within which an endpoint that is new on a list must have started.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StartWindow {
     /// When the list arrived.
     pub latest: Micros,
-    /// Until when it is known not to have started, if that is known.
+    /// Until when the endpoint is known not to have started, if that is known.
     pub earliest: Option<Micros>,
 }
 
--- a/sidecar/src/system_errors.rs
+++ b/sidecar/src/system_errors.rs
@@ -1,4 +1,4 @@
-//! What a system call's error is about: one connection alone, or a shortage at this process or host.
+//! Whether a system call's error concerns one connection alone, or a shortage of resources at this process or host.
 use rustix::io::Errno;
 use std::io::Error;
 
@@ -8,7 +8,7 @@
     /// The connection was broken before it was accepted, or a network error is reported in its place; the next
     /// accept may succeed.
     Connection,
-    /// The host is short of a resource, which may pass in a moment.
+    /// The host is short of a resource. This may be over in a moment.
     Host,
     /// The process has no descriptor left and has to close one.
     Descriptors,
--- a/sidecar/src/timers.rs
+++ b/sidecar/src/timers.rs
@@ -1,4 +1,4 @@
-//! The process's clock, and the decision module's timers as a stream of the tokens that fall due.
+//! The process's clock, and the decision module's timers as a stream of the tokens that are due.
 use crate::reactor::Timer;
 use futures_lite::Stream;
 use oakhollow::types::{Micros, TimerToken};
@@ -13,8 +13,8 @@
     Duration::from_micros(time.0)
 }
 
-/// Unix time at the start of the process, and monotonic time from there: comparable with the start times on the list,
-/// and never stepped back.
+/// A clock that takes Unix time at the start of the process and counts monotonic time from there: comparable with the
+/// start times on the list, and never stepped back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -50,13 +50,13 @@
 /// The module's timers; as a stream it yields the tokens that are due.
 pub struct Timers {
     clock: Clock,
-    /// Timers by the millisecond in which they fall due, each with its place in the order of setting. The timers of a
-    /// millisecond are sorted, latest first, only when it comes: tens of thousands may be set, most of them for
+    /// Timers by the millisecond in which they are due, each with its number in the order of setting. The timers of a
+    /// millisecond are sorted, latest first, only once it has begun: tens of thousands may be set, most of them for
     /// requests that are finished by then.
     by_millisecond: BTreeMap<u64, Vec<(Micros, u64, TimerToken)>>,
     /// Timers that are due and not yet yielded, latest first.
     due_now: Vec<(Micros, u64, TimerToken)>,
-    /// How many timers were set.
+    /// How many timers have been set so far.
     count: u64,
     alarm: Timer,
 }
@@ -81,7 +81,7 @@
 }
 
 impl Timers {
-    /// Has the task woken at that time.
+    /// Arranges that the task is woken at this time.
     fn wake_at(&mut self, at: Instant, context: &mut Context) -> Poll<Option<TimerToken>> {
         self.alarm.set_at(at);
         if Pin::new(&mut self.alarm).poll(context).is_ready() {
@@ -100,25 +100,25 @@
         }
         let now = self.clock.now();
         let Some(mut first) = self.by_millisecond.first_entry() else { return Poll::Pending };
-        let begin = Micros(*first.key() * 1000);
-        if begin > now {
-            let at = self.clock.instant_at(begin);
+        let millisecond_start = Micros(*first.key() * 1000);
+        if millisecond_start > now {
+            let at = self.clock.instant_at(millisecond_start);
             return self.wake_at(at, context);
         }
-        let millisecond = first.get_mut();
+        let timers = first.get_mut();
         // Latest first, so that the next one is popped from the end.
-        millisecond.sort_unstable_by(|one, other| other.cmp(one));
-        let later = millisecond.partition_point(|(at, ..)| *at > now);
-        let due = millisecond.split_off(later);
-        let next = millisecond.last().map(|(at, ..)| *at);
-        if next.is_none() {
+        timers.sort_unstable_by(|left, right| right.cmp(left));
+        let not_due_count = timers.partition_point(|(at, ..)| *at > now);
+        let due = timers.split_off(not_due_count);
+        let next_at = timers.last().map(|(at, ..)| *at);
+        if next_at.is_none() {
             first.remove();
         }
         if !due.is_empty() {
             self.due_now = due;
             return self.poll_next(context);
         }
-        let Some(at) = next else { return Poll::Pending };
+        let Some(at) = next_at else { return Poll::Pending };
         let at = self.clock.instant_at(at);
         self.wake_at(at, context)
     }
--- a/sidecar/src/workload_ids.rs
+++ b/sidecar/src/workload_ids.rs
@@ -1,5 +1,5 @@
-//! Workload ids that stay the same through every change of settings: an open request keeps, by its workload id, the
-//! rules under which it began. Holds no sockets and reads no clock.
+//! Workload ids that stay the same through every change of settings, so that an open request's workload id still refers
+//! to the rules under which the request began. Holds no sockets and reads no clock.
 use fnv::FnvHashMap;
 use oakhollow::types::*;
 
@@ -11,8 +11,8 @@
     pub streamed: WorkloadId,
 }
 
-/// What a request may still do that began under an earlier version of its workload, where that allowed more than the
-/// current one.
+/// The restriction on a request that began under an earlier version of its workload, if that version allowed more than
+/// the current one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Restriction {
     /// Only first attempts may be sent.
@@ -47,18 +47,18 @@
     /// Takes the workloads of new settings. Returns their ids, in order, and the restrictions on open requests of all
     /// others.
     pub fn update(
-        &mut self, offered: &[(String, Idempotency)],
+        &mut self, current: &[(String, Idempotency)],
     ) -> (Vec<ClassId>, FnvHashMap<ClassId, Restriction>) {
-        let added = offered.iter().filter(|workload| !self.0.contains(workload)).cloned().collect::<Vec<_>>();
+        let added = current.iter().filter(|workload| !self.0.contains(workload)).cloned().collect::<Vec<_>>();
         self.0.extend(added);
         let id = |workload| ClassId(self.0.iter().position(|other| other == workload).unwrap_or_default());
-        let ids = offered.iter().map(id).collect();
-        let current = |name: &String| {
-            offered.iter().find(|(other, _)| other == name).map(|(_, idempotency)| *idempotency)
+        let ids = current.iter().map(id).collect();
+        let current_idempotency = |name: &String| {
+            current.iter().find(|(other, _)| other == name).map(|(_, idempotency)| *idempotency)
         };
-        let every = self.0.iter().enumerate();
-        let restrictions = every.filter_map(|(at, (name, idempotency))| {
-            Some((ClassId(at), Restriction::between(*idempotency, current(name))?))
+        let all_classes = self.0.iter().enumerate();
+        let restrictions = all_classes.filter_map(|(index, (name, idempotency))| {
+            Some((ClassId(index), Restriction::between(*idempotency, current_idempotency(name))?))
         });
         (ids, restrictions.collect())
     }
@@ -87,12 +87,12 @@
                 streamed: id_of(Workload { idempotency: Idempotency::NonIdempotent, ..workload.clone() }),
             })
             .collect();
-        let offered = |at| ids.iter().any(|ids| ids.buffered.0 == at || ids.streamed.0 == at);
+        let is_current = |index| ids.iter().any(|ids| ids.buffered.0 == index || ids.streamed.0 == index);
         // A dropped workload must not raise the highest payoff.
-        let payoff = |at, workload: &Workload| if offered(at) { workload.payoff } else { 0.0 };
-        let every = self.0.iter().enumerate();
-        let workloads = every
-            .map(|(at, workload)| Workload { payoff: payoff(at, workload), ..workload.clone() })
+        let payoff = |index, workload: &Workload| if is_current(index) { workload.payoff } else { 0.0 };
+        let all_workloads = self.0.iter().enumerate();
+        let workloads = all_workloads
+            .map(|(index, workload)| Workload { payoff: payoff(index, workload), ..workload.clone() })
             .collect();
         (BalancerConfig { workloads, ..config }, ids)
     }
@@ -103,7 +103,8 @@
     use super::*;
     use oakhollow_terms::{read_json, Settings};
 
-    fn terms(workloads: &[(&str, f64)]) -> BalancerConfig {
+    /// Settings with workloads of these semantics and payoffs; the name of each is made of both.
+    fn balancer_config(workloads: &[(&str, f64)]) -> BalancerConfig {
         let class = |(semantics, payoff): &(&str, f64)| {
             format!(
                 r#"{{"name":"{semantics}{payoff}","quoted_time_s":1,"abandon_time_s":2,"payoff":{payoff},"semantics":"{semantics}"}}"#
@@ -118,8 +119,8 @@
     }
 
     #[test]
-    fn open_requests_keep_what_is_still_allowed() {
-        let (view, tagged) = (Idempotency::Idempotent, |ms| Idempotency::ByKey {
+    fn open_requests_are_restricted_to_what_the_current_workload_still_allows() {
+        let (idempotent, by_key) = (Idempotency::Idempotent, |ms| Idempotency::ByKey {
             scope: DedupScope::Cell,
             window: Micros::millis(ms),
         });
@@ -128,31 +129,38 @@
         };
         let mut classes = KnownClasses::default();
         let (first, restrictions) = classes.update(&named(&[
-            ("view", view),
-            ("save", tagged(5)),
+            ("view", idempotent),
+            ("save", by_key(5)),
             ("pay", Idempotency::NonIdempotent),
         ]));
         assert!(restrictions.is_empty());
         let (second, restrictions) =
-            classes.update(&named(&[("view", Idempotency::NonIdempotent), ("save", tagged(4))]));
-        let of = |class| restrictions.get(&class).copied();
+            classes.update(&named(&[("view", Idempotency::NonIdempotent), ("save", by_key(4))]));
+        let restriction_of = |class| restrictions.get(&class).copied();
         assert_eq!(
-            first.iter().map(|class| of(*class)).collect::<Vec<_>>(),
+            first.iter().map(|class| restriction_of(*class)).collect::<Vec<_>>(),
             [
                 Some(Restriction::FirstAttemptOnly),
                 Some(Restriction::FirstAttemptOnly),
                 Some(Restriction::NoAttempts)
             ]
         );
-        assert!(second.iter().all(|class| of(*class).is_none()));
-        assert_eq!(classes.update(&named(&[("view", view), ("save", view), ("pay", view)])).1.len(), 0);
+        assert!(second.iter().all(|class| restriction_of(*class).is_none()));
+        assert_eq!(
+            classes
+                .update(&named(&[("view", idempotent), ("save", idempotent), ("pay", idempotent)]))
+                .1
+                .len(),
+            0
+        );
     }
 
     #[test]
     fn an_unchanged_workload_keeps_its_id_and_a_dropped_one_its_rules() {
         let mut known_workloads = KnownWorkloads::default();
-        let (_, first) = known_workloads.update(terms(&[("read_like", 1.0), ("read_like", 9.0)]));
-        let (all, second) = known_workloads.update(terms(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
+        let (_, first) = known_workloads.update(balancer_config(&[("read_like", 1.0), ("read_like", 9.0)]));
+        let (all, second) =
+            known_workloads.update(balancer_config(&[("non_idempotent", 1.0), ("read_like", 1.0)]));
         assert_eq!(second[1], first[0]);
         // A request of the dropped workload keeps its idempotency, and has no payoff.
         let dropped = &all.workloads[first[1].buffered.0];
@@ -162,7 +170,7 @@
             .iter()
             .all(|one| all.workloads[one.streamed.0].idempotency == Idempotency::NonIdempotent));
         // A workload that returns gets its former id.
-        let (all, third) = known_workloads.update(terms(&[("read_like", 9.0)]));
+        let (all, third) = known_workloads.update(balancer_config(&[("read_like", 9.0)]));
         assert_eq!((third[0], all.workloads[third[0].buffered.0].payoff), (first[1], 9.0));
     }
 }
