--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -145,7 +145,7 @@
                 continue;
             };
             connections.retain(|connection| !connection.is_finished());
-            // Clients that finish no request must not shut out those that do.
+            // Clients that never finish a request must not keep out those that do.
             if connections.len() >= MAX_CONNECTIONS {
                 connections.pop_front();
             }
--- a/sidecar/src/dispatcher.rs
+++ b/sidecar/src/dispatcher.rs
@@ -429,8 +429,8 @@
                 }
             }
             DispatcherMessage::ExportLearned(reply_to) => {
-                let named = |(id, health)| (self.endpoints.name(id).to_string(), health);
-                let servers = self.balancer.server_health().map(named).collect();
+                let with_name = |(id, health)| (self.endpoints.name(id).to_string(), health);
+                let servers = self.balancer.server_health().map(with_name).collect();
                 let _ = reply_to.try_send(servers);
             }
             DispatcherMessage::RecheckDeadlines => {}
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -22,7 +22,7 @@
     marks: MaintenanceMarks,
     /// The endpoints that drain by other instances' lists.
     peer_drains: Arc<PeerDrains>,
-    /// No attempt may be started: the module sees every endpoint as draining.
+    /// Whether no attempt may be started. The module then sees every endpoint as draining.
     sending_suspended: bool,
 }
 
--- a/sidecar/src/eviction.rs
+++ b/sidecar/src/eviction.rs
@@ -38,8 +38,8 @@
     |connection| connection.request_started && connection.silent_for >= NEW_CONNECTION_TIME,
 ];
 
-/// The key of the connection to close. None if no connection is in the first row, but a new one will be in a moment if
-/// it stays silent: many silent connections must not cause those of known clients to be closed.
+/// The key of the connection to close. None if no connection is in the first row yet, but a new one soon will be if it
+/// stays silent: many silent connections must not cause those of known clients to be closed.
 pub fn next_to_evict<K: Copy>(connections: impl Iterator<Item = (K, IdleConnection)> + Clone) -> Option<K> {
     let any_new = connections.clone().any(|(_, connection)| {
         !connection.answered_before
--- a/sidecar/src/http1/pool.rs
+++ b/sidecar/src/http1/pool.rs
@@ -392,9 +392,9 @@
                 .expect("connected")
         };
         let put_back = |connection: &Rc<EndpointConnection>| {
-            let before = Instant::now();
+            let started = Instant::now();
             pool.put_back(address, connection.clone());
-            (before, Instant::now())
+            (started, Instant::now())
         };
         let usable = |candidate: Option<Candidate>, expected: &Rc<EndpointConnection>| match candidate {
             Some(Candidate::Usable(connection)) => Rc::ptr_eq(&connection, expected),
@@ -409,16 +409,19 @@
         let (first, second) = (connect(), connect());
         let (mut server, _) = listener.accept().expect("accepted");
         // No surplus bytes seen: a connection past its delay is preferred, else the one that has been idle the longest.
-        let (_, then) = put_back(&first);
-        let (before, _) = put_back(&second);
-        assert!(delayed(pool.candidate(address, before + REUSE_DELAY / 2), &first));
+        let (_, first_returned) = put_back(&first);
+        let (second_before, _) = put_back(&second);
+        assert!(delayed(pool.candidate(address, second_before + REUSE_DELAY / 2), &first));
         // With `MAX_WAITERS` requests waiting, a connection is used at once.
         let waiters: Vec<Waiter> = (0..MAX_WAITERS).map(|_| Waiter::register(&pool, address)).collect();
-        assert!(usable(pool.candidate(address, before), &second));
+        assert!(usable(pool.candidate(address, second_before), &second));
         drop(waiters);
         put_back(&second);
-        let (_, last) = put_back(&first);
-        assert!(usable(pool.candidate(address, last + REUSE_DELAY), &first) && then < last);
+        let (_, last_returned) = put_back(&first);
+        assert!(
+            usable(pool.candidate(address, last_returned + REUSE_DELAY), &first)
+                && first_returned < last_returned
+        );
         put_back(&first);
         // A second answer arrives: its connection is not reused, and no other one before its delay is over.
         server.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
@@ -427,10 +430,10 @@
             usable(pool.candidate(address, Instant::now() + REUSE_DELAY), &second)
                 && pool.saw_unsolicited_bytes.get()
         );
-        let (before, then) = put_back(&second);
+        let (second_before, second_returned) = put_back(&second);
         assert!(
-            pool.candidate(address, before + REUSE_DELAY / 2).is_none()
-                && usable(pool.candidate(address, then + REUSE_DELAY), &second)
+            pool.candidate(address, second_before + REUSE_DELAY / 2).is_none()
+                && usable(pool.candidate(address, second_returned + REUSE_DELAY), &second)
         );
     }
 }
--- a/sidecar/src/http1/watch/list_request.rs
+++ b/sidecar/src/http1/watch/list_request.rs
@@ -37,7 +37,7 @@
 /// What a list request brings.
 #[derive(Debug)]
 pub enum ListEvent {
-    /// The connection is open, after so much time.
+    /// The connection was opened, which took this long.
     Connected(Duration),
     /// The head of an answer with a list has arrived. Its lines follow.
     Answered,
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -314,8 +314,8 @@
             }
             ListEvent::Answered => self.freshness.answered(self.started(index)),
             ListEvent::Line(line, arrival) => {
-                let first = !self.requests[index].has_delivered;
-                match self.apply_line(&line, first, arrival).await {
+                let is_first_line = !self.requests[index].has_delivered;
+                match self.apply_line(&line, is_first_line, arrival).await {
                     Ok(()) => self.on_line_applied(index, arrival),
                     Err(fault) => self.on_failure(index, ListRequestFailure::Malformed(fault)).await,
                 }
@@ -416,12 +416,14 @@
     }
 
     /// Passes a line on to the registry, the workers and the other instances.
-    async fn apply_line(&mut self, line: &[u8], first: bool, arrival: LineArrival) -> Result<(), String> {
+    async fn apply_line(
+        &mut self, line: &[u8], is_first_line: bool, arrival: LineArrival,
+    ) -> Result<(), String> {
         let unchanged = || DiscoveryList { index: self.version, ..DiscoveryList::default() };
         let list: Result<DiscoveryList, String> = match line {
             // The first line is passed on even if nothing has changed: the module waits for an answer, and would
             // otherwise subscribe again and again.
-            b"" if first || self.is_stale => Ok(unchanged()),
+            b"" if is_first_line || self.is_stale => Ok(unchanged()),
             b"" => {
                 if let Some(agreement) = &self.parts.agreement {
                     agreement.apply_list(Arc::new(unchanged())).await;
--- a/sidecar/src/http1/watch/progress.rs
+++ b/sidecar/src/http1/watch/progress.rs
@@ -1,5 +1,5 @@
 //! How far a list request has got: its stage, and how many bytes it has received and when. The log reports it, and the
-//! watch decides by it when to send another request.
+//! watch uses it to decide when to send another request.
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
--- a/sidecar/src/limits.rs
+++ b/sidecar/src/limits.rs
@@ -129,13 +129,13 @@
     fn one_worker_may_take_all_slots_except_those_reserved_for_the_others() {
         let limit = SharedLimit::new(40, 4);
         let shares: Vec<_> = (0..4).map(|_| LimitShare::new(limit.clone())).collect();
-        let most: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
-        assert_eq!(most.len(), 25);
+        let held_by_first: Vec<Slot> = std::iter::from_fn(|| shares[0].try_acquire()).collect();
+        assert_eq!(held_by_first.len(), 25);
         let others: Vec<Slot> =
             shares[1..].iter().flat_map(|share| std::iter::from_fn(|| share.try_acquire())).collect();
         assert_eq!(others.len(), 15);
         // Slots that were held beyond the reserved part go back to the common rest.
-        drop(most);
+        drop(held_by_first);
         let rest: Vec<Slot> = std::iter::from_fn(|| shares[1].try_acquire()).collect();
         assert_eq!(rest.len(), 20);
     }
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -87,11 +87,11 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let done = match &args.command {
+    let result = match &args.command {
         Some(Command::Plan { file, lost, part }) => plan(file, lost, *part),
         None => serve(args),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("oakhollow: {error}");
--- a/sidecar/src/reactor/readiness.rs
+++ b/sidecar/src/reactor/readiness.rs
@@ -10,7 +10,7 @@
     pub(super) number: u64,
     pub(super) reads: Direction,
     pub(super) writes: Direction,
-    /// The last read was short and no event has come since. There may be more to read all the same.
+    /// Whether the last read was short and no event has come since. There may still be more to read.
     pub(super) unconfirmed: Cell<bool>,
     /// Whether it is queued to be read again for that reason.
     pub(super) queued: Cell<bool>,
--- a/sidecar/src/reactor/tests.rs
+++ b/sidecar/src/reactor/tests.rs
@@ -84,17 +84,17 @@
 
 #[test]
 fn a_dropped_or_moved_timer_does_not_fire() {
-    let begun = Instant::now();
-    let order = block_on(async {
+    let started = Instant::now();
+    let result = block_on(async {
         let mut moved = Timer::after(Duration::from_millis(5));
         let first = future::or(async { _ = (&mut moved).await }, future::ready(())).await;
-        moved.set_at(begun + Duration::from_millis(60));
-        let late = moved;
-        let lost = async { Timer::after(Duration::from_secs(60)).await };
-        (first, future::or(async { _ = late.await }, async { _ = lost.await }).await)
+        moved.set_at(started + Duration::from_millis(60));
+        let moved_timer = moved;
+        let dropped = async { Timer::after(Duration::from_secs(60)).await };
+        (first, future::or(async { _ = moved_timer.await }, async { _ = dropped.await }).await)
     });
-    let _ = order.expect("a reactor");
-    assert!(begun.elapsed() >= Duration::from_millis(60) && begun.elapsed() < Duration::from_secs(30));
+    let _ = result.expect("a reactor");
+    assert!(started.elapsed() >= Duration::from_millis(60) && started.elapsed() < Duration::from_secs(30));
     let left = Reactor::current().expect("a reactor").timers.borrow().len();
     assert_eq!(left, 0);
 }
