--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -70,7 +70,7 @@
 }
 
 fn parse_request<'a>(method: &str, path: &'a str) -> Result<Request<'a>, HttpError> {
-    let not_found = HttpError { status: 404, message: "there is no such path" };
+    let not_found = HttpError { status: 404, message: "there is no such call" };
     let (request, required_method) =
         match path.strip_prefix(ENDPOINTS_PATH).and_then(|rest| rest.rsplit_once('/')) {
             Some((name, state @ ("maint" | "ready"))) if !name.is_empty() => {
@@ -84,7 +84,7 @@
     let method_matches = method == required_method || (method == "HEAD" && required_method == "GET");
     method_matches
         .then_some(request)
-        .ok_or(HttpError { status: 405, message: "this path does not allow the method" })
+        .ok_or(HttpError { status: 405, message: "this call has another method" })
 }
 
 /// Decodes percent-encoding, such as `%41`, in a name from a path.
@@ -179,9 +179,7 @@
             Request::Health => Ok(Answer::plain(503, "not serving")),
             Request::AgreementStatus => match &self.agreement {
                 Some(agreement) => Ok(Answer::plain(200, agreement.status().await)),
-                None => {
-                    Err(HttpError { status: 404, message: "no agreement between instances is configured" })
-                }
+                None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
             },
             Request::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauge_values()))),
             Request::Maintenance { name, in_maintenance } => {
--- a/sidecar/src/http1/chunks.rs
+++ b/sidecar/src/http1/chunks.rs
@@ -46,7 +46,7 @@
                 return Ok(position);
             }
             if self.state == State::DataEnd && !b"\r\n".starts_with(&rest[..rest.len().min(2)]) {
-                return Err(malformed("a chunk is longer than its stated size"));
+                return Err(malformed("a chunk is longer than it says"));
             }
             let Some(length) = find(&rest[..rest.len().min(MAX_CHUNK_LINE_BYTES)], b"\r\n") else {
                 let too_long = rest.len() >= MAX_CHUNK_LINE_BYTES && self.state != State::Trailer;
@@ -88,5 +88,5 @@
     let is_hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| is_hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
-    size.ok_or(malformed("a chunk's size is not a hexadecimal number"))
+    size.ok_or(malformed("a chunk's size is no number"))
 }
--- a/sidecar/src/http1/client_connection.rs
+++ b/sidecar/src/http1/client_connection.rs
@@ -220,7 +220,7 @@
                 None if idle.is_some() && request_begun => {
                     return NextRequest::Malformed(HttpError {
                         status: 408,
-                        message: "the request was sent too slowly",
+                        message: "the request came too slowly",
                     })
                 }
                 None => return NextRequest::Closed(self.close_reason(idle.is_none())),
@@ -248,7 +248,7 @@
         let shared = self.shared;
         let _registered_id = shared
             .register_request_id(&identity.id)
-            .ok_or(HttpError { status: 409, message: "a request with this Request-Id is open" })?;
+            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
         // Guards against an attempt for a client that left before its request was read: it may have waited to be
         // accepted.
         if self.stream.has_ended() {
@@ -291,7 +291,7 @@
             (params.deadline + Micros(max_body_time.as_micros() as u64)).min(shared.answer_deadline());
         let _registered_id = shared
             .register_request_id(&identity.id)
-            .ok_or(HttpError { status: 409, message: "a request with this Request-Id is open" })?;
+            .ok_or(HttpError { status: 409, message: "this Request-Id is open" })?;
         let (outgoing, writer) =
             OutgoingRequest::streamed(&head, buffered, &rest, client_timeout, self.stream.peer_end())?;
         if self.stream.has_ended() {
@@ -375,7 +375,7 @@
         let (method, target, _) = head.request_line()?;
         let error = |status, message| HttpError { status, message };
         if !matches!(method, "GET" | "POST") {
-            return Err(error(405, "only GET and POST are supported"));
+            return Err(error(405, "only GET and POST are spoken"));
         }
         head.single("Host")?.ok_or(error(400, "Host is missing"))?;
         let id = head.single("Request-Id")?.filter(|id| !id.is_empty());
@@ -384,7 +384,7 @@
         let first_segment = path.split('/').nth(1).unwrap_or_default();
         let name = head.single("Request-Class")?.unwrap_or(first_segment);
         if name != first_segment {
-            return Err(error(400, "Request-Class and path name different workloads"));
+            return Err(error(400, "Request-Class and path name two workloads"));
         }
         let workload = settings.workloads.iter().position(|workload| workload.name == name);
         let workload = workload.ok_or(error(404, "no such workload"))?;
@@ -399,7 +399,7 @@
         let parse_number = |text: &str| text.parse::<u64>().ok().filter(|_| !text.starts_with('+'));
         let timeout_ms = head
             .single(TIMEOUT_HEADER)?
-            .map(|text| parse_number(text).ok_or(error(400, "Request-Timeout-Ms is not a whole number")));
+            .map(|text| parse_number(text).ok_or(error(400, "Request-Timeout-Ms is no whole number")));
         let timeout_ms = timeout_ms.transpose()?;
         // Compared in milliseconds: guards against a time so long that it overflows in microseconds.
         let client_timeout =
@@ -502,7 +502,7 @@
             Some(Some(_)) => waited += read_started.elapsed(),
             // The client has gone, which `client_gone` reports.
             Some(None) => return future::pending().await,
-            None => return Err(HttpError { status: 408, message: "the request was sent too slowly" }),
+            None => return Err(HttpError { status: 408, message: "the request came too slowly" }),
         }
     }
     writer.finish();
--- a/sidecar/src/http1/head.rs
+++ b/sidecar/src/http1/head.rs
@@ -120,10 +120,10 @@
         let mut matches = self.lines.iter().filter(|line| self.has_name(line, name));
         let (first, second) = (matches.next(), matches.next());
         if second.is_some() {
-            return Err(malformed("a header that may occur only once occurs twice"));
+            return Err(malformed("a header stands twice that may stand once"));
         }
         let text = first.map(|line| std::str::from_utf8(self.text(&line.value))).transpose();
-        text.map_err(|_| malformed("a header's value is not valid UTF-8"))
+        text.map_err(|_| malformed("a header's value is no text"))
     }
 
     /// Whether a comma-separated header contains this token.
@@ -135,7 +135,7 @@
     /// Method, target and version of a request.
     pub fn request_line(&self) -> Result<(&str, &str, &str), HttpError> {
         let line = std::str::from_utf8(self.text(&self.start))
-            .map_err(|_| malformed("the start line is not valid UTF-8"))?;
+            .map_err(|_| malformed("the start line is no text"))?;
         let parts: Vec<&str> = line.split(' ').collect();
         let &[method, target, version] = &parts[..] else {
             return Err(malformed("the request line is malformed"));
@@ -146,7 +146,7 @@
         match version {
             "HTTP/1.1" | "HTTP/1.0" => Ok((method, target, version)),
             _ if version.starts_with("HTTP/") => {
-                Err(HttpError { status: 505, message: "this HTTP version is not supported" })
+                Err(HttpError { status: 505, message: "this version is not spoken" })
             }
             _ => Err(malformed("the request line is malformed")),
         }
@@ -180,13 +180,13 @@
         let mut stated = self.values("Content-Length").flat_map(|value| value.split(|&byte| byte == b','));
         let Some(first) = stated.next().map(<[u8]>::trim_ascii) else { return Ok(None) };
         if stated.any(|other| other.trim_ascii() != first) {
-            return Err(malformed("two different values of Content-Length"));
+            return Err(malformed("two values of Content-Length"));
         }
         if first.is_empty() || first.len() > 18 || !first.iter().all(u8::is_ascii_digit) {
-            return Err(malformed("Content-Length is not a number"));
+            return Err(malformed("Content-Length is no number"));
         }
         let number = std::str::from_utf8(first).ok().and_then(|text| text.parse().ok());
-        number.map(Some).ok_or(malformed("Content-Length is not a number"))
+        number.map(Some).ok_or(malformed("Content-Length is no number"))
     }
 
     /// How the end of the body is marked; `default` if no header says so.
@@ -197,7 +197,7 @@
             (_, true) if self.is_http10() => Err(malformed("Transfer-Encoding in HTTP/1.0")),
             (_, true) => match self.single("Transfer-Encoding")? {
                 Some(coding) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-                _ => Err(HttpError { status: 501, message: "this transfer coding is not supported" }),
+                _ => Err(HttpError { status: 501, message: "this transfer coding is not spoken" }),
             },
             (Some(length), _) if length > MAX_BODY_BYTES => {
                 Err(HttpError { status: 413, message: "the body is too long" })
--- a/sidecar/src/http1/messages.rs
+++ b/sidecar/src/http1/messages.rs
@@ -217,9 +217,7 @@
             };
             // Interim answers are skipped. 101 is an error, since no request asks for a change of protocol.
             match self.kind {
-                MessageKind::Answer if head.status()? == 101 => {
-                    return Err(malformed("the answer switches protocols"))
-                }
+                MessageKind::Answer if head.status()? == 101 => return Err(malformed("another protocol")),
                 MessageKind::Answer if head.status()? < 200 && self.interim < MAX_INTERIM_ANSWERS => {
                     self.interim += 1
                 }
