--- a/sidecar/src/console.rs
+++ b/sidecar/src/console.rs
@@ -1,7 +1,7 @@
 //! The console, a second HTTP address for operators: it reports health, metrics and the agreement's status, and puts
 //! endpoints into maintenance or takes them out of it. It has its own thread, reactor and descriptors, so that it
 //! answers however busy the workers are.
-use crate::accord::AccordHandle;
+use crate::agreement::AgreementHandle;
 use crate::endpoint_registry::{lock, MaintenanceError, MaintenanceMark, SharedRegistry};
 use crate::handover::HandoverLinks;
 use crate::http1::answers::Answer;
@@ -28,7 +28,7 @@
 
 /// Connections held at a time. A new one beyond that replaces the oldest.
 const MAX_CONNECTIONS: usize = 12;
-/// The descriptors that the console may hold: its connections, a new one, its listener and its reactor.
+/// The most descriptors that the console may hold: its connections, a new one, its listener and its reactor.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
 /// How long a client may take to send its request and read the answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -45,7 +45,7 @@
     pub log: Logger,
     pub store: Option<Arc<MaintenanceStore>>,
     pub handover_links: HandoverLinks,
-    pub accord: Option<AccordHandle>,
+    pub agreement: Option<AgreementHandle>,
     pub metrics: Arc<Metrics>,
     /// The gauges of each worker.
     pub gauges: Vec<workers::WorkerGauges>,
@@ -53,7 +53,7 @@
 
 /// The paths of the requests.
 const HEALTH_PATH: &str = "/healthcheck";
-const ACCORD_PATH: &str = "/accord";
+const AGREEMENT_PATH: &str = "/accord";
 const METRICS_PATH: &str = "/metrics";
 /// How often a bind is tried again, such as to an address that another process still has.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Request<'a> {
     Health,
-    Accord,
+    AgreementStatus,
     Metrics,
     Maintenance { name: &'a str, in_maintenance: bool },
 }
@@ -73,11 +73,11 @@
     let not_found = HttpError { status: 404, message: "there is no such call" };
     let (request, required_method) =
         match path.strip_prefix(ENDPOINTS_PATH).and_then(|rest| rest.rsplit_once('/')) {
-            Some((name, word @ ("maint" | "ready"))) if !name.is_empty() => {
-                (Request::Maintenance { name, in_maintenance: word == "maint" }, "PUT")
+            Some((name, state @ ("maint" | "ready"))) if !name.is_empty() => {
+                (Request::Maintenance { name, in_maintenance: state == "maint" }, "PUT")
             }
             _ if path == HEALTH_PATH => (Request::Health, "GET"),
-            _ if path == ACCORD_PATH => (Request::Accord, "GET"),
+            _ if path == AGREEMENT_PATH => (Request::AgreementStatus, "GET"),
             _ if path == METRICS_PATH => (Request::Metrics, "GET"),
             _ => return Err(not_found),
         };
@@ -104,33 +104,33 @@
 impl Console {
     /// Starts the console, which answers for as long as the process lives. With `retry_bind` the predecessor may
     /// still have the address: the bind is tried again until that process has ended.
-    pub fn listen(self, at: SocketAddr, retry_bind: bool) -> std::io::Result<()> {
-        let bound = match TcpListener::bind(at) {
+    pub fn listen(self, address: SocketAddr, retry_bind: bool) -> std::io::Result<()> {
+        let bound = match TcpListener::bind(address) {
             Err(error) if retry_bind && error.kind() == ErrorKind::AddrInUse => {
-                info!(self.log, "console: {}: {}, retrying", at, error);
+                info!(self.log, "console: {}: {}, retrying", address, error);
                 None
             }
-            bound => {
-                Some(bound.map_err(|error| Error::new(error.kind(), format!("console: {at}: {error}")))?)
-            }
+            bound => Some(
+                bound.map_err(|error| Error::new(error.kind(), format!("console: {address}: {error}")))?,
+            ),
         };
-        Builder::new().name("console".into()).spawn(move || self.run(at, bound))?;
+        Builder::new().name("console".into()).spawn(move || self.run(address, bound))?;
         Ok(())
     }
 
     /// Runs the console, and restarts it whenever an error ends it.
-    fn run(self, at: SocketAddr, mut bound: Option<TcpListener>) {
+    fn run(self, address: SocketAddr, mut bound: Option<TcpListener>) {
         let console = Rc::new(self);
         loop {
-            let listened = bound.take().map_or_else(|| TcpListener::bind(at), Ok).and_then(|listener| {
+            let result = bound.take().map_or_else(|| TcpListener::bind(address), Ok).and_then(|listener| {
                 info!(console.log, "console at {}", listener.local_addr()?);
                 run_on_this_thread(|tasks| console.clone().accept_connections(listener, tasks))
             });
-            match listened {
+            match result {
                 // The predecessor still has the address, as logged above.
                 Err(error) if error.kind() == ErrorKind::AddrInUse => {}
-                Err(error) => warn!(console.log, "console: {}: {}, retrying", at, error),
-                Ok(()) => warn!(console.log, "console: {}: ended, restarting", at),
+                Err(error) => warn!(console.log, "console: {}: {}, retrying", address, error),
+                Ok(()) => warn!(console.log, "console: {}: ended, restarting", address),
             }
             std::thread::sleep(BIND_RETRY_DELAY);
         }
@@ -145,7 +145,7 @@
                 continue;
             };
             connections.retain(|connection| !connection.is_finished());
-            // Clients that finish no request must not shut out those that do.
+            // Clients that never finish a request must not keep out those that do.
             if connections.len() >= MAX_CONNECTIONS {
                 connections.pop_front();
             }
@@ -155,7 +155,7 @@
     }
 
     async fn serve(&self, stream: Async<TcpStream>) {
-        let late = async { _ = Timer::after(REQUEST_TIMEOUT).await };
+        let timeout = async { _ = Timer::after(REQUEST_TIMEOUT).await };
         let served = async {
             let answer = match read_request(&stream).await {
                 Some(Ok(head)) => self.answer(&head).await.unwrap_or_else(Answer::from),
@@ -169,7 +169,7 @@
                 while stream.read_buf(&mut rest).await.is_ok_and(|count| count > 0) && rest.len() < 1 << 16 {}
             }
         };
-        future::or(served, late).await;
+        future::or(served, timeout).await;
     }
 
     async fn answer(&self, head: &Head) -> Result<Answer, HttpError> {
@@ -177,8 +177,8 @@
         match parse_request(method, target.split('?').next().unwrap_or_default())? {
             Request::Health if lock(&self.registry).is_serving() => Ok(Answer::plain(200, "serving")),
             Request::Health => Ok(Answer::plain(503, "not serving")),
-            Request::Accord => match &self.accord {
-                Some(accord) => Ok(Answer::plain(200, accord.status().await)),
+            Request::AgreementStatus => match &self.agreement {
+                Some(agreement) => Ok(Answer::plain(200, agreement.status().await)),
                 None => Err(HttpError { status: 404, message: "instances agree on nothing here" }),
             },
             Request::Metrics => Ok(Answer::plain(200, self.metrics.render(self.gauge_values()))),
@@ -217,8 +217,8 @@
         let mark = &mark;
         let MaintenanceMark { name, in_maintenance, .. } = mark;
         self.handover_links.send_maintenance(mark, None);
-        if let Some(accord) = &self.accord {
-            accord.apply_maintenance(mark.clone()).await;
+        if let Some(agreement) = &self.agreement {
+            agreement.apply_maintenance(mark.clone()).await;
         }
         info!(self.log, "{} {} by hand", name, if *in_maintenance { "out" } else { "back" });
         let applied = async {
@@ -247,13 +247,13 @@
     }
 }
 
-/// False if it takes longer than [`APPLY_TIMEOUT`].
+/// The result of `done`; false if that takes longer than [`APPLY_TIMEOUT`].
 async fn within_apply_timeout(done: impl Future<Output = bool>) -> bool {
-    let late = async {
+    let timeout = async {
         Timer::after(APPLY_TIMEOUT).await;
         false
     };
-    future::or(done, late).await
+    future::or(done, timeout).await
 }
 
 async fn read_request(stream: &Async<TcpStream>) -> Option<Result<Head, HttpError>> {
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -2,7 +2,7 @@
 //! reads the configuration and calls it. The load-balancing decisions are those of the crate `oakhollow`: in each
 //! worker one task ([`dispatcher`]) owns them, and the protocol ([`http1`]) reaches it through a queue.
 //! [`lifecycle`] runs the process as a whole; the requests are carried by [`workers`], one thread each.
-pub mod accord;
+pub mod agreement;
 pub mod console;
 pub mod dispatcher;
 pub mod durable_file;
@@ -15,7 +15,7 @@
 pub mod lease;
 pub mod lifecycle;
 pub mod limits;
-pub mod lines;
+pub mod line_io;
 pub mod list_deadline;
 pub mod list_freshness;
 pub mod listeners;
@@ -24,7 +24,7 @@
 pub mod metrics;
 pub mod monitor;
 pub mod oneshot;
-pub mod planned;
+pub mod plan_report;
 pub mod reactor;
 pub mod start_time;
 pub mod system_errors;
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -1,5 +1,5 @@
 //! The lifecycle of the process, from start to exit, as a state machine of named phases.
-use crate::accord::{self, AccordHandle};
+use crate::agreement::{self, AgreementHandle};
 use crate::console::{self, Console};
 use crate::endpoint_registry::{lock, EndpointRegistry, SharedRegistry};
 use crate::handover::{self, HandoverLinks, HandoverTask, Predecessor};
@@ -29,14 +29,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long new connections are accepted after the stop signal: whatever sends clients here takes a moment to notice
+/// How long new connections are accepted after the stop signal: whatever routes clients here takes a moment to notice
 /// that `/ready` has changed.
 const UNREADY_NOTICE: Duration = Duration::from_millis(600);
 /// The platform's rule for planned restarts: after the stop signal the process lives for the longest time that a
 /// request may take, limited to `MAX_GRACE`, and `EXTRA_GRACE` more, before it may be killed.
 const MAX_GRACE: Micros = Micros::millis(3_000);
 const EXTRA_GRACE: Micros = Micros::millis(700);
-/// How long before the process may be killed the last answer is due.
+/// How long before the end of the grace period, when the process may be killed, the last answer is due.
 const LAST_ANSWER_MARGIN: Micros = Micros::millis(150);
 /// The share of the grace period for which clients are still served: alone, and while a successor accepts the new
 /// ones.
@@ -55,15 +55,15 @@
 /// The share of the memory that one line of the list may take: it is held as bytes, as text and as entries.
 const LIST_LINE_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
-/// The phases of the process. The log has them by these names.
+/// The phases of the process. The log names them by their identifiers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     /// Listening, and not accepting yet.
     Starting,
     /// Accepting and serving clients.
     Serving,
-    /// After the stop signal: `/ready` says no, but clients that connect or stay are served. The clients of another
-    /// sidecar that leaves soon after may have no other to go to.
+    /// After the stop signal: `/ready` reports not ready, but clients that connect or stay are served. The clients of
+    /// another sidecar that leaves soon after may have no other sidecar to go to.
     Leaving,
     /// No connection is accepted; open requests are finished, and each answer ends its connection.
     Finishing,
@@ -71,7 +71,7 @@
     Over,
 }
 
-/// What may end a phase, or changes something within it.
+/// What may end a phase, or change something within it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Event {
     /// The listeners are bound; during a handover, also the list is known and sending is allowed.
@@ -91,7 +91,7 @@
 }
 
 impl Event {
-    /// The event as the log has it.
+    /// The event's name in the log.
     fn log_name(self) -> &'static str {
         match self {
             Event::Bound => "Bound",
@@ -154,17 +154,17 @@
     registry: SharedRegistry,
     handover_links: HandoverLinks,
     /// The agreement of instances on settings, where it is configured.
-    accord: Option<AccordHandle>,
-    /// The predecessor process still serves.
+    agreement: Option<AgreementHandle>,
+    /// Whether the predecessor process still serves.
     has_predecessor: bool,
-    /// A successor serves from now on.
+    /// Whether a successor serves from now on.
     has_successor: bool,
 }
 
 /// A command to the running sidecar from outside.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ControlCommand {
-    /// Shuts down in order.
+    /// Shuts down gracefully.
     Stop,
     /// Reads the configuration file again.
     Reload,
@@ -186,8 +186,8 @@
     }))
 }
 
-/// Runs one sidecar until `control` says stop, or ends, and then until it has shut down in order. `reload_config`
-/// reads the current configuration. An error is one line.
+/// Runs one sidecar until `control` yields [`ControlCommand::Stop`] or ends, and then until the sidecar has shut down
+/// gracefully. `reload_config` reads the current configuration. The text of an error is one line.
 pub fn run(
     config: SidecarConfig, operator: OperatorConfig,
     reload_config: impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>, log: Logger,
@@ -267,14 +267,14 @@
         // Half of the connections are for clients: most requests have one attempt running.
         let by_memory = (limits.memory_mb * 0.75 * 1024.0 / CONNECTION_MEMORY_KB) as usize;
         let console_descriptors = config.console.map_or(0, |_| console::DESCRIPTORS);
-        let accord_descriptors = operator
+        let agreement_descriptors = operator
             .accord
             .as_ref()
-            .map_or(0, |accord_config| accord::descriptors_needed(accord_config, &config.name));
+            .map_or(0, |accord_config| agreement::descriptors_needed(accord_config, &config.name));
         let reserved = RESERVED_DESCRIPTORS
             + DESCRIPTORS_PER_WORKER * (workers - 1)
             + console_descriptors
-            + accord_descriptors;
+            + agreement_descriptors;
         let descriptors = limits.sockets.min(descriptor_limit());
         let max_connections = descriptors.saturating_sub(reserved).min(by_memory) / 2;
         if max_connections == 0 {
@@ -289,7 +289,7 @@
         let (subscribe, subscriptions) = bounded(1);
         let (deadline, drain_grace) = (ListDeadline::none(), settings.drain_grace);
         let instances = settings.balancer.instances;
-        let (reload, reloads) = bounded(1);
+        let (reload_sender, reloads) = bounded(1);
         let longest_request = longest_request_time(&settings);
         log_if_requests_are_cut_short(&log, longest_request);
         let known_index = known_list.index;
@@ -335,12 +335,12 @@
         .map_err(failed)?;
         let max_line_bytes = (limits.memory_mb * 1024.0 * 1024.0 * LIST_LINE_MEMORY_SHARE) as usize;
         let commands = worker_pool.commands();
-        let mut accord_handle = None;
+        let mut agreement_handle = None;
         if let Some((accord_config, config)) = accord_config {
             lock(&registry).lease_ok = false;
             let (commands, registry, log) = (commands.clone(), registry.clone(), log.clone());
             let (store, handover_links) = (store.clone(), handover_links.clone());
-            let parts = accord::Parts {
+            let parts = agreement::Parts {
                 config: accord_config,
                 lease,
                 commands,
@@ -350,19 +350,19 @@
                 clock,
                 log,
             };
-            let (accord, agreement) = accord::start(&config, known_list, parts)?;
-            tasks.spawn_detached(agreement);
-            accord_handle = Some(accord);
+            let (handle, task) = agreement::start(&config, known_list, parts)?;
+            tasks.spawn_detached(task);
+            agreement_handle = Some(handle);
         }
-        if let Some(at) = config.console {
+        if let Some(address) = config.console {
             let (registry, commands, handover_links) =
                 (registry.clone(), commands.clone(), handover_links.clone());
-            let (store, accord) = (store.clone(), accord_handle.clone());
+            let (store, agreement) = (store.clone(), agreement_handle.clone());
             let (metrics, gauges) = (metrics.clone(), worker_pool.gauges());
             let log = log.clone();
             let console =
-                Console { registry, commands, clock, log, store, handover_links, accord, metrics, gauges };
-            console.listen(at, listener_passed).map_err(failed)?;
+                Console { registry, commands, clock, log, store, handover_links, agreement, metrics, gauges };
+            console.listen(address, listener_passed).map_err(failed)?;
         }
         if let Some(store) = store.filter(|_| listener_passed) {
             let (handover_links, registry, commands) =
@@ -383,7 +383,7 @@
             initial_version: known_index,
             workers: commands.clone(),
             registry: registry.clone(),
-            accord: accord_handle.clone(),
+            agreement: agreement_handle.clone(),
             subscriptions,
             reloads,
             deadline,
@@ -406,11 +406,11 @@
             longest_request: duration(longest_request),
             grace: grace_period(longest_request),
             keys: config.keys,
-            reloads: reload,
+            reloads: reload_sender,
             worker_failure: None,
             registry,
             handover_links,
-            accord: accord_handle,
+            agreement: agreement_handle,
             has_predecessor,
             has_successor: false,
             log,
@@ -483,15 +483,16 @@
             };
             self.handle(event, &reload_config).await;
         }
-        self.worker_failure.take().map_or(Ok(()), |WorkerFailure(why)| Err(why))
+        self.worker_failure.take().map_or(Ok(()), |WorkerFailure(reason)| Err(reason))
     }
 
     async fn handle(
         &mut self, event: Event,
         reload_config: &impl Fn(&KeySet) -> std::result::Result<SidecarConfig, String>,
     ) {
-        let row = TRANSITIONS.iter().find(|(phase, on, ..)| *phase == self.phase && *on == event);
-        let Some(&(_, _, phase, action)) = row else { return };
+        let transition =
+            TRANSITIONS.iter().find(|(phase, trigger, ..)| *phase == self.phase && *trigger == event);
+        let Some(&(_, _, next_phase, action)) = transition else { return };
         match action {
             Action::StartAccepting => {
                 self.commands.send_and_wait(WorkerCommand::StartAccepting).await;
@@ -513,8 +514,8 @@
             Action::StopAccepting => self.commands.send_and_wait(WorkerCommand::StopAccepting).await,
             Action::Reload => match reload_config(&self.keys) {
                 Ok(config) => {
-                    if let Some(accord) = &self.accord {
-                        if let Err(error) = accord.propose(config.clone()).await {
+                    if let Some(agreement) = &self.agreement {
+                        if let Err(error) = agreement.propose(config.clone()).await {
                             warn!(
                                 self.log,
                                 "configuration file rejected, the previous settings stay: {}", error
@@ -532,7 +533,7 @@
                     }
                     self.keys = config.keys;
                     // Where instances agree on settings, these apply once they are agreed.
-                    if self.accord.is_none() {
+                    if self.agreement.is_none() {
                         let settings = Arc::new(config.settings);
                         self.commands
                             .send_and_wait(|done| WorkerCommand::ApplySettings(settings, done))
@@ -554,20 +555,20 @@
             },
             Action::Nothing => {}
         }
-        if phase == self.phase {
+        if next_phase == self.phase {
             return;
         }
         let (requests, connections) = (self.worker_pool.open_requests(), self.worker_pool.connections());
-        let after = self.phase_since.elapsed().as_millis();
+        let phase_ms = self.phase_since.elapsed().as_millis();
         info!(
             self.log,
             "{:?}: {} after {} ms, {} requests open, {} connections",
-            phase,
+            next_phase,
             event.log_name(),
-            after,
+            phase_ms,
             requests,
             connections
         );
-        (self.phase, self.phase_since) = (phase, Instant::now());
+        (self.phase, self.phase_since) = (next_phase, Instant::now());
     }
 }
