--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -3,7 +3,7 @@
 use crate::wire::{ListItem, Message, Reply};
 use oakhollow::rules::Balancer;
 use oakhollow::types::*;
-use oakhollow_terms::{micros_from_seconds, stable_hash};
+use oakhollow_config::{micros_from_seconds, stable_hash};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's message format: one JSON object per line, with endpoint names and times in seconds. `who`
 //! is an instance and `xid` a call.
 use oakhollow::types::*;
-use oakhollow_terms::Settings;
+use oakhollow_config::Settings;
 use serde::{Deserialize, Serialize};
 
 /// A message from the simulator. A batch begins with `CLOCK` and ends with `COMMIT`.
--- a/terms/src/key_set.rs
+++ b/config/src/key_set.rs
@@ -19,7 +19,7 @@
     /// A key of `other` that this set lacks.
     ///
     /// ```
-    /// use oakhollow_terms::KeySet;
+    /// use oakhollow_config::KeySet;
     /// let keys = |json: &str| KeySet::from_json(json.as_bytes());
     /// let complete = keys(r#"{"a":{"b":1,"c":2},"known":{"x":1},"w":[{"n":1,"p":2},{"n":3,"p":4,"group":"all"}]}"#);
     /// let missing = |json: &str| keys(json).missing_key(&complete).map(str::to_string);
--- a/terms/src/lib.rs
+++ b/config/src/lib.rs
@@ -54,8 +54,8 @@
 /// A hash of a server's name that is the same in every process.
 ///
 /// ```
-/// assert_eq!(oakhollow_terms::stable_hash("s-1"), oakhollow_terms::stable_hash("s-1"));
-/// assert_ne!(oakhollow_terms::stable_hash("s-1"), oakhollow_terms::stable_hash("s-2"));
+/// assert_eq!(oakhollow_config::stable_hash("s-1"), oakhollow_config::stable_hash("s-1"));
+/// assert_ne!(oakhollow_config::stable_hash("s-1"), oakhollow_config::stable_hash("s-2"));
 /// ```
 pub fn stable_hash(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
--- a/terms/src/list.rs
+++ b/config/src/list.rs
@@ -12,7 +12,7 @@
 /// A snapshot of the list, or the entries that changed since the state before.
 ///
 /// ```
-/// use oakhollow_terms::{read_json, DiscoveryList};
+/// use oakhollow_config::{read_json, DiscoveryList};
 /// let line = br#"{"index":3,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:70","status":"gone"}]}"#;
 /// assert!(read_json::<DiscoveryList>(line).unwrap_err().starts_with("endpoints[0].status: unknown variant `gone`"));
 /// ```
--- a/terms/src/maintenance.rs
+++ b/config/src/maintenance.rs
@@ -198,7 +198,7 @@
     ///
     /// ```
     /// use oakhollow::{server_health::ServerHealth, types::Micros};
-    /// use oakhollow_terms::{HostClock, MaintenanceMarks, HandoverState, LearnedHealth};
+    /// use oakhollow_config::{HostClock, MaintenanceMarks, HandoverState, LearnedHealth};
     /// let (here, there) = ("127.0.0.1:70".parse().unwrap(), "127.0.0.1:71".parse().unwrap());
     /// let now = Micros::millis(9);
     /// let read = |json: String, listen| MaintenanceMarks::from_json(json.as_bytes(), listen, None, now);
--- a/terms/src/operator_config.rs
+++ b/config/src/operator_config.rs
@@ -9,7 +9,7 @@
 /// The content of the operator's file.
 ///
 /// ```
-/// use oakhollow_terms::OperatorConfig;
+/// use oakhollow_config::OperatorConfig;
 /// assert_eq!(OperatorConfig::from_toml("", 8).unwrap().workers, 1);
 /// let error = |text: &str| OperatorConfig::from_toml(text, 8).unwrap_err();
 /// assert_eq!(error("workers = 0"), "line 1: workers: must be a whole number from 1 to 32 (four for each of 8 cores), not 0");
@@ -36,7 +36,7 @@
 /// The instances that agree on settings, and how.
 ///
 /// ```
-/// use oakhollow_terms::OperatorConfig;
+/// use oakhollow_config::OperatorConfig;
 /// let instances = r#"instances = { a = "127.0.0.1:1", b = "127.0.0.1:2", c = "127.0.0.1:3" }"#;
 /// let error = |keepers: &str, within: &str| {
 ///     let text = format!("[accord]\nwithin = {within}\nkeepers = [{keepers}]\n{instances}");
--- a/terms/src/settings.rs
+++ b/config/src/settings.rs
@@ -7,7 +7,7 @@
 ///
 /// ```
 /// use oakhollow::types::{DedupScope, Idempotency, Micros};
-/// use oakhollow_terms::{read_json, Settings};
+/// use oakhollow_config::{read_json, Settings};
 /// let json = r#"{"me":0,"balancers":2,"bounds":{"most_hops":3},
 ///   "rules":{"cold_from":0.5,"fall_s":1,"warm_within_s":5},
 ///   "workloads":[{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":-1,"semantics":"read_like"}]}"#;
--- a/terms/src/shared_settings.rs
+++ b/config/src/shared_settings.rs
@@ -9,7 +9,7 @@
 /// The part of the settings that belongs to a single instance.
 ///
 /// ```
-/// use oakhollow_terms::LocalSettings;
+/// use oakhollow_config::LocalSettings;
 /// let json = |me: u32, hops: u32| format!(r#"{{"me":{me},"balancers":2,"bounds":{{"most_hops":{hops}}},
 ///   "rules":{{"cold_from":0.5,"fall_s":1,"warm_within_s":5}},
 ///   "workloads":[{{"name":"view","quoted_time_s":1,"abandon_time_s":2,"payoff":1,"semantics":"read_like"}}]}}"#);
@@ -56,7 +56,7 @@
 /// The first message of an instance on a connection to a lease server.
 ///
 /// ```
-/// use oakhollow_terms::Greeting;
+/// use oakhollow_config::Greeting;
 /// let greeting = Greeting::new("n1", 7);
 /// assert_eq!(Greeting::read(greeting.to_json().as_bytes()), Ok(greeting.clone()));
 /// let newer = greeting.to_json().replace("\"accord\":2", "\"accord\":1");
--- a/terms/src/sidecar_config.rs
+++ b/config/src/sidecar_config.rs
@@ -8,7 +8,7 @@
 /// The content of the file.
 ///
 /// ```
-/// use oakhollow_terms::{read_json, SidecarConfig};
+/// use oakhollow_config::{read_json, SidecarConfig};
 /// let error = read_json::<SidecarConfig>(br#"{"listen":"127.0.0.1:70000"}"#).unwrap_err();
 /// assert!(error.starts_with("listen: "), "{error}");
 /// ```
--- a/terms/src/site_plan.rs
+++ b/config/src/site_plan.rs
@@ -6,7 +6,7 @@
 /// Sites and traffic classes by name. Each class is a workload, or `workload/tenant`.
 ///
 /// ```
-/// use oakhollow_terms::OperatorConfig;
+/// use oakhollow_config::OperatorConfig;
 /// let text = |failover: &str, refuse_first: &str, floor: f64| format!(r#"[plan]
 /// refuse_first = ["{refuse_first}"]
 /// [plan.calls]
--- a/terms/src/stricter.rs
+++ b/config/src/stricter.rs
@@ -75,7 +75,7 @@
 /// The stricter combination of two settings objects, `before` the earlier. An error message names the key.
 ///
 /// ```
-/// use oakhollow_terms::stricter;
+/// use oakhollow_config::stricter;
 /// use serde_json::json;
 /// let merge = |before: serde_json::Value, after: serde_json::Value| stricter(&before, &after);
 /// let bounds = |hops: u32, cancel: bool| json!({"bounds": {"most_hops": hops, "cancel": cancel}});
--- a/lab/src/fake_sidecar.rs
+++ b/lab/src/fake_sidecar.rs
@@ -2,13 +2,13 @@
 //! simplest way, correctly or with one chosen fault. The faults test the scene checker, which must find each of them.
 use crate::fakes::{header, read_head, serve_connections};
 use oakhollow::types::{Idempotency, Micros};
-use oakhollow_accord::{
-    lease_duration, Action, Document, Fact, InstanceId, LeaseHolder, ListUpdate, Message, Validator, Version,
-};
-use oakhollow_terms::{
+use oakhollow_config::{
     micros_from_seconds, read_json, to_json, DiscoveryList, EndpointEntry, Greeting, LocalSettings,
     OperatorConfig, SidecarConfig,
 };
+use oakhollow_lease::{
+    lease_duration, Action, Document, Fact, InstanceId, LeaseHolder, ListUpdate, Message, Validator, Version,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,6 @@
 //! `oakhollow-lab`: runs scenes, soak tests and measurements with many processes of the program.
 use clap::{Parser, Subcommand};
+use oakhollow_config::Scope;
 use oakhollow_lab::admission::{cpu_seconds_used, estimated_demand};
 use oakhollow_lab::chain;
 use oakhollow_lab::fake_sidecar::{run as run_fake_sidecar, Behaviour};
@@ -12,7 +13,6 @@
 use oakhollow_lab::soak;
 use oakhollow_lab::soak::disruption::Disruption;
 use oakhollow_lab::traffic::{measure, Report};
-use oakhollow_terms::Scope;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
--- a/lab/src/scale/catalogue.rs
+++ b/lab/src/scale/catalogue.rs
@@ -1,7 +1,7 @@
 //! The services of a run, their servers and zones, and the services that each instance calls. Everything is derived
 //! from the seed.
 use nanorand::{Rng, WyRand};
-use oakhollow_accord::{Fact, ListUpdate};
+use oakhollow_lease::{Fact, ListUpdate};
 use std::sync::Arc;
 
 /// The numbered servers of the fleet; each belongs to one service and to one zone.
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -5,8 +5,8 @@
 use crate::processes::{reserve_address, Sidecar};
 use crate::scene::ListChange;
 use crate::scene_runner::{console_request, is_healthy};
-use oakhollow_accord::Document;
-use oakhollow_terms::Scope;
+use oakhollow_config::Scope;
+use oakhollow_lease::Document;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -86,7 +86,7 @@
             discoveries: Vec::new(),
             servers,
             document: Document {
-                version: oakhollow_accord::Version { epoch: 0, number: 0, hash: 0 },
+                version: oakhollow_lease::Version { epoch: 0, number: 0, hash: 0 },
                 text: "".into(),
             },
             operator_bytes: operator.len(),
--- a/lab/src/scale/link.rs
+++ b/lab/src/scale/link.rs
@@ -1,8 +1,8 @@
 //! The link from a simulated instance to one lease server: a non-blocking socket that carries lines of JSON, and a
 //! bounded send queue.
 use super::count::TrafficCounts;
-use oakhollow_accord::Message;
-use oakhollow_terms::to_json;
+use oakhollow_config::to_json;
+use oakhollow_lease::Message;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::io::Errno;
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -10,7 +10,7 @@
 use crate::scene;
 use nanorand::WyRand;
 use oakhollow::types::Micros;
-use oakhollow_terms::Scope;
+use oakhollow_config::Scope;
 use rustix::process::{getrlimit, Resource};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -209,7 +209,7 @@
     };
     let mut fleet = Fleet::start(&spec, clock.0, &observations)?;
     fleet.wait_until_answering()?;
-    let lease = oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(plan.max_divergence_s));
+    let lease = oakhollow_lease::lease_duration(oakhollow_config::micros_from_seconds(plan.max_divergence_s));
     let common = CommonConfig {
         lease_servers: LEASE_SERVERS,
         lease_duration: lease,
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -6,7 +6,7 @@
 use super::simulated::{AwaitedChange, CommonConfig, InstanceSpec, SimulatedInstance};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
-use oakhollow_accord::{Action, Document, InstanceId, Message};
+use oakhollow_lease::{Action, Document, InstanceId, Message};
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
 use rustix::event::{eventfd, EventfdFlags, Timespec};
 use rustix::io::Errno;
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -3,8 +3,8 @@
 use super::count::{Counts, InstanceSecond};
 use super::link::Link;
 use oakhollow::types::Micros;
-use oakhollow_accord::{Action, Document, InstanceId, LeaseHolder, ListUpdate, Validator, Version};
-use oakhollow_terms::{Greeting, Scope};
+use oakhollow_config::{Greeting, Scope};
+use oakhollow_lease::{Action, Document, InstanceId, LeaseHolder, ListUpdate, Validator, Version};
 use std::sync::Arc;
 
 /// The fixed properties of a simulated instance.
--- a/lab/src/scene_runner.rs
+++ b/lab/src/scene_runner.rs
@@ -6,7 +6,7 @@
 use crate::relay::Relay;
 use crate::scene::{Action, Scene, WorkloadKind, LISTED, SERVERS};
 use nanorand::{Rng, WyRand};
-use oakhollow_terms::Greeting;
+use oakhollow_config::Greeting;
 use rustix::process::Signal;
 use std::fmt;
 use std::io::{BufReader, Write};
--- a/lab/src/traffic.rs
+++ b/lab/src/traffic.rs
@@ -1,14 +1,14 @@
 //! Simulates how much traffic the lease protocol causes and how long a change takes to reach all instances. Lease
-//! holders and lease servers run the code of the package `accord`, all in one process and in virtual time, on links
+//! holders and lease servers run the code of the package `lease`, all in one process and in virtual time, on links
 //! with a delay of 0.5 to 2 ms. Bytes are those of the messages' lines.
 use crate::scale::catalogue::{Catalogue, FleetShape, ServerState};
 use nanorand::{Rng, WyRand};
 use oakhollow::types::Micros;
-use oakhollow_accord::{
+use oakhollow_config::{to_json, Scope};
+use oakhollow_lease::{
     lease_duration, Action, Document, Fact, HolderId, InstanceId, LeaseHolder, LeaseServer, ListUpdate,
     Message, Validator, Version,
 };
-use oakhollow_terms::{to_json, Scope};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 use std::sync::Arc;
--- a/lab/tests/lease_protocol_costs.rs
+++ b/lab/tests/lease_protocol_costs.rs
@@ -1,7 +1,7 @@
 //! The cost of the lease protocol per instance and per lease server at 100 and at 400 instances, counted and not timed:
 //! a cost that grows with the fleet fails the test. `docs/CAPACITY.md` has the figures at full size.
+use oakhollow_config::Scope;
 use oakhollow_lab::traffic::{costs, Cost, Costs};
-use oakhollow_terms::Scope;
 
 type Figure = fn(&Cost) -> f64;
 type Phase = fn(&Costs) -> &Cost;
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -2,6 +2,7 @@
 mod built_program;
 
 use built_program::program;
+use oakhollow_config::{Greeting, Scope};
 use oakhollow_lab::scale::catalogue::{Catalogue, FleetShape};
 use oakhollow_lab::scale::count::{Counts, InstanceSecond, TrafficCounts};
 use oakhollow_lab::scale::fit::Fit;
@@ -9,7 +10,6 @@
 use oakhollow_lab::scale::report;
 use oakhollow_lab::scale::run::{run_step, PhaseReport, Plan, RoleUsage, StepReport};
 use oakhollow_lab::scale::scenario::Scenario;
-use oakhollow_terms::{Greeting, Scope};
 use std::io::Write;
 use std::net::TcpStream;
 use std::path::Path;
--- a/accord/tests/common/mod.rs
+++ b/lease/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Definitions that all tests of the package share.
-use oakhollow_accord::{Document, Micros, Version};
+use oakhollow_lease::{Document, Micros, Version};
 use std::sync::Arc;
 
 /// How long a lease holder counts its lease as valid.
--- a/accord/tests/published_facts.rs
+++ b/lease/tests/published_facts.rs
@@ -1,7 +1,7 @@
 //! Checks the facts that a lease server publishes, which it maintains incrementally, against a plain
 //! computation: for each subject the greatest fact that any holder with a valid lease reports. Also checks
 //! that the cost of a message depends on what it changes, not on what other holders report.
-use oakhollow_accord::*;
+use oakhollow_lease::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/accord/tests/simulation.rs
+++ b/lease/tests/simulation.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use common::LEASE_DURATION;
-use oakhollow_accord::Message;
+use oakhollow_lease::Message;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use world::{Envelope, InjectedBug, World};
--- a/accord/tests/state_space/mod.rs
+++ b/lease/tests/state_space/mod.rs
@@ -6,7 +6,7 @@
 use crate::common::LEASE_DURATION;
 use crate::world::{Envelope, InjectedBug, World};
 use fnv::FnvHasher;
-use oakhollow_accord::{HolderId, InstanceId, Message};
+use oakhollow_lease::{HolderId, InstanceId, Message};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashSet, VecDeque};
 use std::hash::{BuildHasherDefault, Hash, Hasher};
--- a/accord/tests/versions_and_exclusions.rs
+++ b/lease/tests/versions_and_exclusions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{document, version, LEASE_DURATION};
-use oakhollow_accord::*;
+use oakhollow_lease::*;
 use std::sync::Arc;
 
 const LEASE_SERVER: InstanceId = InstanceId(0);
--- a/accord/tests/world/mod.rs
+++ b/lease/tests/world/mod.rs
@@ -1,7 +1,7 @@
 //! A simulation of lease holders and lease servers that exchange messages, and the invariants that must hold
 //! at every moment.
 use crate::common::{document, LEASE_DURATION};
-use oakhollow_accord::*;
+use oakhollow_lease::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/sidecar/src/agreement.rs
+++ b/sidecar/src/agreement.rs
@@ -1,4 +1,4 @@
-//! The agreement of instances on settings: runs the lease protocol of the package `oakhollow_accord` on sockets. Each
+//! The agreement of instances on settings: runs the lease protocol of the package `oakhollow_lease` on sockets. Each
 //! instance is a lease holder: it connects to all lease servers, exchanges one line of JSON per message, and keeps
 //! renewing its leases. The instances that `accord.keepers` names are lease servers as well. Agreed settings are
 //! applied before the instance reports that it knows them. Without `[accord]` in the operator's file nothing here runs.
@@ -17,14 +17,14 @@
 use futures_lite::future;
 use futures_lite::io::{self, AsyncReadExt, BufReader};
 use oakhollow::types::{ListKind, Micros};
-use oakhollow_accord::{
-    Action, Document, Fact, HolderId, InstanceId, LeaseHolder, LeaseServer, ListUpdate, Message, Validator,
-    Version, MAX_PENDING_VERSIONS,
-};
-use oakhollow_terms::{
+use oakhollow_config::{
     read_json, AccordConfig, DiscoveryList, EndpointEntry, Greeting, ListSharing, LocalSettings,
     NoLeasePolicy, Scope, SidecarConfig,
 };
+use oakhollow_lease::{
+    Action, Document, Fact, HolderId, InstanceId, LeaseHolder, LeaseServer, ListUpdate, Message, Validator,
+    Version, MAX_PENDING_VERSIONS,
+};
 use slog::{info, warn, Logger};
 use std::collections::{BTreeSet, HashMap};
 use std::future::Future;
@@ -196,7 +196,7 @@
         id(&config.name).ok_or_else(|| format!("name: {:?} is not in accord.instances", config.name))?;
     let server_ids: Vec<InstanceId> = parts.config.keepers.iter().filter_map(id).collect();
     let lease_duration =
-        oakhollow_accord::lease_duration(oakhollow_terms::micros_from_seconds(parts.config.max_divergence_s));
+        oakhollow_lease::lease_duration(oakhollow_config::micros_from_seconds(parts.config.max_divergence_s));
     let local_settings = Arc::new(Mutex::new(local_settings));
     let validator: Validator = {
         let local_settings = local_settings.clone();
@@ -236,7 +236,7 @@
 /// A list as facts for the agreement. The entries' own JSON is included only where whole lists are shared.
 fn list_update(list: &DiscoveryList, sharing: ListSharing) -> ListUpdate {
     let fact = |entry: &EndpointEntry| {
-        let json = (sharing == ListSharing::Whole).then(|| Arc::from(oakhollow_terms::to_json(entry)));
+        let json = (sharing == ListSharing::Whole).then(|| Arc::from(oakhollow_config::to_json(entry)));
         Fact { since: entry.since_ms(), excluded: !entry.is_active(), first_hand: true, entry: json }
     };
     let entries = list.endpoints.iter().map(|entry| {
@@ -249,7 +249,7 @@
 /// Merges the common part of the settings, as documents, with this instance's own part.
 fn merge_settings(
     local_settings: &Mutex<LocalSettings>, texts: &[Arc<str>],
-) -> Result<oakhollow_terms::Settings, String> {
+) -> Result<oakhollow_config::Settings, String> {
     let texts: Vec<&str> = texts.iter().map(|text| &**text).collect();
     local_settings
         .lock()
@@ -635,7 +635,7 @@
     };
     let sending = async {
         while let Ok(message) = messages.recv().await {
-            if !write_line(&mut writer, &oakhollow_terms::to_json(&message)).await {
+            if !write_line(&mut writer, &oakhollow_config::to_json(&message)).await {
                 break;
             }
         }
--- a/sidecar/src/endpoint_list.rs
+++ b/sidecar/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 use crate::endpoint_registry::MaintenanceMark;
 use crate::start_time::StartWindow;
 use oakhollow::types::*;
-use oakhollow_terms::{DiscoveryList, EndpointEntry, MaintenanceMarks};
+use oakhollow_config::{DiscoveryList, EndpointEntry, MaintenanceMarks};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -252,7 +252,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::read_json;
+    use oakhollow_config::read_json;
 
     #[test]
     fn an_endpoint_replaced_while_sending_was_suspended_is_reported_gone() {
--- a/sidecar/src/endpoint_registry.rs
+++ b/sidecar/src/endpoint_registry.rs
@@ -2,7 +2,7 @@
 //! the process can serve. Holds no sockets and reads no clock.
 use crate::metrics::EndpointCounts;
 use oakhollow::types::Micros;
-use oakhollow_terms::{DiscoveryList, EndpointEntry, ListIndex, MaintenanceMarks};
+use oakhollow_config::{DiscoveryList, EndpointEntry, ListIndex, MaintenanceMarks};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -160,7 +160,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::read_json;
+    use oakhollow_config::read_json;
 
     /// A whole list of active endpoints with these names, separated by white space.
     fn list(names: &str) -> DiscoveryList {
--- a/sidecar/src/handover.rs
+++ b/sidecar/src/handover.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use futures_lite::io::{self, BufReader, ReadHalf, WriteHalf};
-use oakhollow_terms::{
+use oakhollow_config::{
     read_json, DiscoveryList, HandoverMessage, HandoverState, LearnedHealth, MaintenanceChange,
     MaintenanceMarks,
 };
--- a/sidecar/src/host_clock.rs
+++ b/sidecar/src/host_clock.rs
@@ -1,7 +1,7 @@
 //! Times that stay valid in the next process: by the host's monotonic clock, which all processes share until the next
 //! boot and which is never stepped.
 use crate::timers::Clock;
-use oakhollow_terms::HostClock;
+use oakhollow_config::HostClock;
 use rustix::time::{clock_gettime, ClockId};
 
 /// The kernel's id of the current boot.
--- a/sidecar/src/http1/load.rs
+++ b/sidecar/src/http1/load.rs
@@ -3,7 +3,7 @@
 use super::head::Head;
 use crate::dispatcher::LoadReport;
 use oakhollow::types::ServerLoad;
-use oakhollow_terms::LOAD_REPORT_COLUMNS;
+use oakhollow_config::LOAD_REPORT_COLUMNS;
 
 const LOAD_REPORT_HEADER: &str = "Load-Report";
 /// The most values in a report. Guards against parsing a header of many kilobytes with each answer.
--- a/sidecar/src/http1/watch/list_request.rs
+++ b/sidecar/src/http1/watch/list_request.rs
@@ -7,7 +7,7 @@
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use oakhollow_terms::ListIndex;
+use oakhollow_config::ListIndex;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::fmt::{self, Display, Formatter};
--- a/sidecar/src/http1/watch/mod.rs
+++ b/sidecar/src/http1/watch/mod.rs
@@ -19,7 +19,7 @@
 use list_request::{ListEvent, ListQuery, ListRequest, ListRequestFailure};
 use oakhollow::types::{ListKind, Micros};
 use oakhollow::SeededRng;
-use oakhollow_terms::{read_json, DiscoveryList, ListIndex, SidecarConfig};
+use oakhollow_config::{read_json, DiscoveryList, ListIndex, SidecarConfig};
 use pacing::pause_after_rejection;
 use progress::LineArrival;
 use slog::{info, warn, Logger};
@@ -495,7 +495,7 @@
     use super::*;
     use crate::endpoint_registry::EndpointRegistry;
     use async_channel::bounded;
-    use oakhollow_terms::MaintenanceMarks;
+    use oakhollow_config::MaintenanceMarks;
     use slog::{o, Discard};
     use std::pin::pin;
 
--- a/sidecar/src/lease.rs
+++ b/sidecar/src/lease.rs
@@ -2,7 +2,7 @@
 //! each decision is executed and again before an attempt's first byte, because a process that was stopped for a
 //! while must not continue by settings that have since changed.
 use oakhollow::types::Micros;
-use oakhollow_terms::NoLeasePolicy;
+use oakhollow_config::NoLeasePolicy;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
--- a/sidecar/src/lifecycle.rs
+++ b/sidecar/src/lifecycle.rs
@@ -21,7 +21,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{future, Stream, StreamExt};
 use oakhollow::types::Micros;
-use oakhollow_terms::{KeySet, MaintenanceMarks, OperatorConfig, Settings, SidecarConfig};
+use oakhollow_config::{KeySet, MaintenanceMarks, OperatorConfig, Settings, SidecarConfig};
 use slog::{info, warn, Logger};
 use std::io::{Error, ErrorKind, Result};
 use std::net::TcpListener;
--- a/sidecar/src/list_freshness.rs
+++ b/sidecar/src/list_freshness.rs
@@ -12,7 +12,7 @@
 const NOTIFIED_WITHIN: Micros = Micros::millis(6_000);
 /// For this long, list requests that are rejected count as sent to a discovery that is down, if the list is long. The
 /// platform lets an instance go this long without a request.
-const ASSUMED_OUTAGE: Micros = Micros(2 * oakhollow_terms::SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
+const ASSUMED_OUTAGE: Micros = Micros(2 * oakhollow_config::SidecarConfig::MAX_LIST_REQUEST_INTERVAL.0);
 /// A list of this many endpoints is long. The cost of a fleet's list requests grows with the number of lines in the
 /// answers: the shorter the list, the likelier a rejection means that discovery is down, and not that it is overloaded.
 const LONG_LIST_ENDPOINTS: f64 = 1_000.0;
--- a/sidecar/src/main.rs
+++ b/sidecar/src/main.rs
@@ -1,7 +1,7 @@
 //! `oakhollow`: runs one sidecar with the configuration file that `RELAY_CONFIG` or the first argument names.
 use clap::{Parser, Subcommand, ValueEnum};
+use oakhollow_config::{KeySet, OperatorConfig, SidecarConfig};
 use oakhollow_sidecar::{logging, plan_report, run, signals, workers};
-use oakhollow_terms::{KeySet, OperatorConfig, SidecarConfig};
 use slog::warn;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/sidecar/src/maintenance_store.rs
+++ b/sidecar/src/maintenance_store.rs
@@ -5,7 +5,7 @@
 use crate::host_clock::host_clock;
 use crate::timers::Clock;
 use async_channel::{bounded, Receiver, Sender};
-use oakhollow_terms::{HandoverState, MaintenanceMarks};
+use oakhollow_config::{HandoverState, MaintenanceMarks};
 use slog::{info, warn, Logger};
 use std::io::Result;
 use std::net::SocketAddr;
--- a/sidecar/src/plan_report.rs
+++ b/sidecar/src/plan_report.rs
@@ -106,7 +106,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::OperatorConfig;
+    use oakhollow_config::OperatorConfig;
 
     const FILE: &str = "[plan]\n[plan.calls]\norder = { payoff = 5.0 }\nsearch = { payoff = 1.0, floor = 0.5 }\n[plan.sites]\n\
         lj = { room = 100.0, load = { order = 40.0, search = 40.0 } }\nmb = { room = 60.0, load = { order = 20.0, search = 20.0 } }\n";
--- a/sidecar/src/workers.rs
+++ b/sidecar/src/workers.rs
@@ -23,7 +23,7 @@
 use fnv::FnvHashMap;
 use futures_lite::future;
 use oakhollow::types::{BalancerConfig, ListKind, Micros};
-use oakhollow_terms::{DiscoveryList, LearnedHealth, MaintenanceMarks, Settings};
+use oakhollow_config::{DiscoveryList, LearnedHealth, MaintenanceMarks, Settings};
 use slog::{o, Logger};
 use std::cell::RefCell;
 use std::future::Future;
--- a/sidecar/src/workload_ids.rs
+++ b/sidecar/src/workload_ids.rs
@@ -101,7 +101,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use oakhollow_terms::{read_json, Settings};
+    use oakhollow_config::{read_json, Settings};
 
     /// Settings with workloads of these semantics and payoffs; the name of each is made of both.
     fn balancer_config(workloads: &[(&str, f64)]) -> BalancerConfig {
--- a/sidecar/tests/list_backoff.rs
+++ b/sidecar/tests/list_backoff.rs
@@ -2,7 +2,7 @@
 //! repeat its request often enough, however long discovery has failed and whatever interval the settings allow.
 use oakhollow::rules::Balancer;
 use oakhollow::types::{Action, BalancerConfig, Event, ListKind, Micros};
-use oakhollow_terms::SidecarConfig;
+use oakhollow_config::SidecarConfig;
 use std::collections::BTreeSet;
 
 const INSTANCES: u64 = 300;
--- a/sidecar/tests/sockets.rs
+++ b/sidecar/tests/sockets.rs
@@ -1051,7 +1051,7 @@
                         TcpStream::connect(self.lease_server_address.expect("instances are configured"))
                             .expect("a connection");
                     let (instance, launch) = (format!("n{}", number / 2), number % 2 + 1);
-                    let greeting = oakhollow_terms::Greeting::new(&instance, launch).to_json();
+                    let greeting = oakhollow_config::Greeting::new(&instance, launch).to_json();
                     writeln!(stream, "{greeting}").expect("the greeting is sent");
                     self.idle_connections.push(stream);
                 }
